--- a/bench/capture_costs.cpp
+++ b/bench/capture_costs.cpp
@@ -4,37 +4,37 @@
 
 #include <filesystem>
 
-#include "capture/audit.h"
-#include "capture/recorder.h"
-#include "capture/replay.h"
+#include "dispatch/policy/checkpoint.h"
 #include "lab/world/scenarios.h"
-#include "module/checkpoint.h"
+#include "node/capture/audit.h"
+#include "node/capture/recorder.h"
+#include "node/capture/replay.h"
 
 namespace {
 
 using namespace pearreach;
 
 // So many workers and open jobs, half of the jobs out.
-marlquay::Dispatcher Large(int workers, int jobs, Micros* now) {
-  marlquay::Conf::Values settings = lab::BaseSettings();
+dispatch::Dispatcher Large(int workers, int jobs, Micros* now) {
+  dispatch::Conf::Values settings = lab::BaseSettings();
   settings["Accounts.0.QuotaRps"] = "1000000";
-  const marlquay::Site site = marlquay::ReadSite(marlquay::Conf(settings));
-  marlquay::Dispatcher d(site.settings, 1, 0);
-  marlquay::WorkerList list{marlquay::WorkerList::Form::kComplete, {}};
+  const dispatch::Site site = dispatch::ReadSite(dispatch::Conf(settings));
+  dispatch::Dispatcher d(site.settings, 1, 0);
+  dispatch::WorkerList list{dispatch::WorkerList::Form::kComplete, {}};
   for (int w = 0; w < workers; ++w) {
-    marlquay::WorkerEntry e;
-    e.worker = static_cast<marlquay::WorkerId>(w);
-    e.identity = marlquay::HashName("s-" + std::to_string(w));
+    dispatch::WorkerEntry e;
+    e.worker = static_cast<dispatch::WorkerId>(w);
+    e.identity = dispatch::HashName("s-" + std::to_string(w));
     e.zone = w % 2;
     list.entries.push_back(e);
   }
-  std::vector<marlquay::Event> events = {list};
-  std::vector<marlquay::Action> actions;
+  std::vector<dispatch::Event> events = {list};
+  std::vector<dispatch::Action> actions;
   int begun = 0;
   for (*now = 1; begun < jobs; *now += 2000) {
     for (int i = 0; i < 50 && begun < jobs; ++i) {
-      marlquay::RequestArrived r;
-      r.request = static_cast<marlquay::RequestId>(++begun);
+      dispatch::RequestArrived r;
+      r.request = static_cast<dispatch::RequestId>(++begun);
       r.due = *now + 60 * kSecond;
       events.push_back(r);
     }
@@ -42,9 +42,9 @@
     d.Handle(*now, events, &actions);
     events.clear();
     for (const auto& a : actions)
-      if (const auto* send = std::get_if<marlquay::Send>(&a)) {
-        events.push_back(marlquay::AttemptTaken{send->request, 0, send->worker});
-        events.push_back(marlquay::AttemptStarted{send->request, 0, send->worker});
+      if (const auto* send = std::get_if<dispatch::Send>(&a)) {
+        events.push_back(dispatch::AttemptTaken{send->request, 0, send->worker});
+        events.push_back(dispatch::AttemptStarted{send->request, 0, send->worker});
       }
   }
   return d;
@@ -52,10 +52,10 @@
 
 void SaveCheckpoint(benchmark::State& state) {
   Micros now = 0;
-  const marlquay::Dispatcher d =
+  const dispatch::Dispatcher d =
       Large(static_cast<int>(state.range(0)), static_cast<int>(state.range(1)), &now);
   std::size_t bytes = 0;
-  for (auto _ : state) bytes = marlquay::Checkpoint::Save(d).size();
+  for (auto _ : state) bytes = dispatch::Checkpoint::Save(d).size();
   state.counters["bytes"] = static_cast<double>(bytes);
   state.counters["open"] = static_cast<double>(d.OpenRequests());
 }
@@ -67,12 +67,12 @@
 
 void LoadCheckpoint(benchmark::State& state) {
   Micros now = 0;
-  const marlquay::Dispatcher d = Large(1000, 10000, &now);
-  const std::string bytes = marlquay::Checkpoint::Save(d);
-  const marlquay::Site site = marlquay::ReadSite(marlquay::Conf(lab::BaseSettings()));
+  const dispatch::Dispatcher d = Large(1000, 10000, &now);
+  const std::string bytes = dispatch::Checkpoint::Save(d);
+  const dispatch::Site site = dispatch::ReadSite(dispatch::Conf(lab::BaseSettings()));
   for (auto _ : state) {
-    marlquay::Dispatcher other(site.settings, 1, 0);
-    if (!marlquay::Checkpoint::Load(bytes, &other).empty()) state.SkipWithError("not loaded");
+    dispatch::Dispatcher other(site.settings, 1, 0);
+    if (!dispatch::Checkpoint::Load(bytes, &other).empty()) state.SkipWithError("not loaded");
   }
 }
 BENCHMARK(LoadCheckpoint)->Unit(benchmark::kMicrosecond);
--- a/bench/formats.cpp
+++ b/bench/formats.cpp
@@ -8,15 +8,15 @@
 #include <cstdio>
 #include <msgpack.hpp>
 
-#include "capture/segment.h"
 #include "capture_generated.h"
 #include "lab/world/scenarios.h"
+#include "node/capture/segment.h"
 
 namespace {
 
 using namespace pearreach;
 using capture::Turn;
-using marlquay::Micros;
+using dispatch::Micros;
 using Clock = std::chrono::steady_clock;
 constexpr std::size_t kBlock = 64 << 10;
 
@@ -33,7 +33,7 @@
   bool settled = false;
 };
 
-Flat FlatOf(const marlquay::Event& event, Micros now) {
+Flat FlatOf(const dispatch::Event& event, Micros now) {
   Flat f;
   f.kind = static_cast<std::uint8_t>(event.index() + 1);
   std::visit(
@@ -168,9 +168,9 @@
         pack.pack(a.index());
         std::uint64_t request = 0;
         std::int64_t time = 0;
-        if (const auto* send = std::get_if<marlquay::Send>(&a))
+        if (const auto* send = std::get_if<dispatch::Send>(&a))
           request = send->request, time = send->worker;
-        if (const auto* timer = std::get_if<marlquay::SetTimer>(&a)) time = timer->at - t.now;
+        if (const auto* timer = std::get_if<dispatch::SetTimer>(&a)) time = timer->at - t.now;
         pack.pack("r");
         pack.pack(request);
         pack.pack("t");
@@ -228,9 +228,9 @@
       for (const auto& a : t.actions) {
         std::uint64_t request = 0;
         std::int64_t time = 0;
-        if (const auto* send = std::get_if<marlquay::Send>(&a))
+        if (const auto* send = std::get_if<dispatch::Send>(&a))
           request = send->request, time = send->worker;
-        if (const auto* timer = std::get_if<marlquay::SetTimer>(&a)) time = timer->at - t.now;
+        if (const auto* timer = std::get_if<dispatch::SetTimer>(&a)) time = timer->at - t.now;
         as.push_back(
             fbs::CreateAction(builder, static_cast<std::uint8_t>(a.index()), request, 0, 0, time));
       }
--- a/bench/handle.cpp
+++ b/bench/handle.cpp
@@ -6,12 +6,14 @@
 #include <cstring>
 #include <limits>
 
-#include "capture/segment.h"
+#include "node/capture/segment.h"
 
 namespace {
 
-struct Counter : marlquay::Observer {
-  void OnChoice(const marlquay::Choice& choice) override { seen += choice.sampled.size(); }
+struct Counter : pearreach::dispatch::Observer {
+  void OnChoice(const pearreach::dispatch::Choice& choice) override {
+    seen += choice.sampled.size();
+  }
   std::size_t seen = 0;
 };
 
@@ -32,9 +34,9 @@
     std::vector<pearreach::capture::Turn> turns;
     for (pearreach::capture::Turn t; segment.Next(&t);) turns.push_back(t);
     double best = std::numeric_limits<double>::max();
-    std::vector<marlquay::Action> actions;
+    std::vector<pearreach::dispatch::Action> actions;
     for (int pass = 0; pass < 40; ++pass) {
-      marlquay::Dispatcher dispatcher = segment.Restore();
+      pearreach::dispatch::Dispatcher dispatcher = segment.Restore();
       if (observe) dispatcher.Observe(&counter);
       const auto begin = Clock::now();
       for (const auto& t : turns) {
--- a/cmake/marlquayConfig.cmake
+++ /dev/null
@@ -1,1 +0,0 @@
-include("${CMAKE_CURRENT_LIST_DIR}/marlquayTargets.cmake")
--- /dev/null
+++ b/cmake/pearreach_dispatchConfig.cmake
@@ -0,0 +1,1 @@
+include("${CMAKE_CURRENT_LIST_DIR}/pearreach_dispatchTargets.cmake")
--- a/include/marlquay/dispatcher.h
+++ b/include/pearreach/dispatcher.h
@@ -1,4 +1,4 @@
-// marlquay: the decisions of a dispatcher that pushes jobs to workers.
+// pearreach::dispatch: the decisions of a dispatcher that pushes jobs to workers.
 //
 // This file is the whole interface. Hand each Dispatcher the events of its node in the order they
 // came, with the node's clock; carry out the actions it returns in the order given. The module
@@ -7,8 +7,8 @@
 //
 // All times are integer microseconds on the caller's clock, which may start anywhere and must not
 // run backwards. Classes, tenants, zones and kinds are indices into the settings' lists.
-#ifndef MARLQUAY_DISPATCHER_H_
-#define MARLQUAY_DISPATCHER_H_
+#ifndef PEARREACH_DISPATCHER_H_
+#define PEARREACH_DISPATCHER_H_
 
 #include <cstdint>
 #include <memory>
@@ -19,7 +19,7 @@
 #include <variant>
 #include <vector>
 
-namespace marlquay {
+namespace pearreach::dispatch {
 
 using Micros = std::int64_t;
 using RequestId = std::uint64_t;  // chosen by the caller, never reused within one Dispatcher
@@ -365,6 +365,6 @@
 // Empty if a Dispatcher can work with these settings, else what is wrong in plain words.
 std::string ValidateSettings(const Settings& settings);
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
 
-#endif  // MARLQUAY_DISPATCHER_H_
+#endif  // PEARREACH_DISPATCHER_H_
--- a/lab/base/relay.h
+++ b/lab/base/relay.h
@@ -8,7 +8,7 @@
 #include <memory>
 #include <string>
 
-#include "base/io.h"
+#include "common/event_loop/io.h"
 
 namespace pearreach::lab {
 
--- a/lab/base/standins.h
+++ b/lab/base/standins.h
@@ -13,8 +13,8 @@
 #include <string>
 #include <vector>
 
-#include "base/io.h"
-#include "http/http.h"
+#include "common/event_loop/io.h"
+#include "common/http/http.h"
 #include "lab/base/agent.h"
 #include "lab/base/process.h"
 
--- a/lab/cli/experiment.cpp
+++ b/lab/cli/experiment.cpp
@@ -5,10 +5,10 @@
 #include <iostream>
 #include <thread>
 
-#include "config/xml.h"
+#include "dispatch/settings/site.h"
 #include "lab/cli/commands.h"
 #include "lab/experiment/run.h"
-#include "site/site.h"
+#include "node/config/xml.h"
 
 namespace pearreach::lab {
 
@@ -35,18 +35,18 @@
                                               : std::vector<std::string>();
   const auto figures = (*args)["figures"].as<std::vector<std::string>>();
   if (args->count("compare") > 0) {
-    if (words.size() != 2) throw marlquay::Malformed("--compare wants two files");
+    if (words.size() != 2) throw dispatch::Malformed("--compare wants two files");
     const Results before = ReadResults(xml::LoadText(words[0]), words[0]);
     const Results after = ReadResults(xml::LoadText(words[1]), words[1]);
     std::cout << Words(CompareFiles(before, after), figures);
     return 0;
   }
-  if (words.size() != 1) throw marlquay::Malformed("experiment wants one FILE");
+  if (words.size() != 1) throw dispatch::Malformed("experiment wants one FILE");
   Experiment e = LoadExperiment(words[0]);
   if (args->count("scenario") > 0) {
     const std::string only = (*args)["scenario"].as<std::string>();
     std::erase_if(e.scenarios, [&](const Scenario& s) { return s.name != only; });
-    if (e.scenarios.empty()) throw marlquay::Malformed("no scenario " + marlquay::Quote(only));
+    if (e.scenarios.empty()) throw dispatch::Malformed("no scenario " + dispatch::Quote(only));
   }
   if (const int seeds = (*args)["seeds"].as<int>(); seeds > 0) e.seeds = seeds;
   int threads = (*args)["threads"].as<int>();
@@ -70,7 +70,7 @@
               << Words(compared, figures);
   if (const auto out = (*args)["out"].as<std::string>(); !out.empty()) {
     std::ofstream(out) << WriteResults(results) << '\n';
-    if (!std::ifstream(out)) throw marlquay::Malformed(out + ": cannot be written");
+    if (!std::ifstream(out)) throw dispatch::Malformed(out + ": cannot be written");
   }
   double broken = 0;
   for (const Run& run : results.runs)
--- a/lab/cli/knowledge.cpp
+++ b/lab/cli/knowledge.cpp
@@ -6,10 +6,10 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "knowledge/file.h"
+#include "dispatch/settings/site.h"
 #include "lab/base/process.h"
 #include "lab/cli/commands.h"
-#include "site/site.h"
+#include "node/knowledge/file.h"
 
 namespace pearreach::lab {
 namespace {
@@ -21,27 +21,27 @@
 }
 
 // A module in front of so many workers, each of which has served a job.
-marlquay::Dispatcher Taught(const marlquay::Settings& settings, std::uint32_t workers) {
-  marlquay::Dispatcher module(settings, 1, 0);
-  marlquay::WorkerList list{marlquay::WorkerList::Form::kComplete, {}};
+dispatch::Dispatcher Taught(const dispatch::Settings& settings, std::uint32_t workers) {
+  dispatch::Dispatcher module(settings, 1, 0);
+  dispatch::WorkerList list{dispatch::WorkerList::Form::kComplete, {}};
   for (std::uint32_t w = 0; w < workers; ++w) {
-    marlquay::WorkerEntry e;
+    dispatch::WorkerEntry e;
     e.worker = w;
     e.identity = w * 7919 + 13;
     list.entries.push_back(e);
   }
-  std::vector<marlquay::Action> actions;
-  module.Handle(0, std::vector<marlquay::Event>{list}, &actions);
-  marlquay::Knowledge told;
+  std::vector<dispatch::Action> actions;
+  module.Handle(0, std::vector<dispatch::Event>{list}, &actions);
+  dispatch::Knowledge told;
   for (std::uint32_t w = 0; w < workers; ++w) {
-    marlquay::WorkerKnowledge k;
+    dispatch::WorkerKnowledge k;
     k.worker = w;
     k.slowness = 0.5 + w % 7 / 4.0;
     k.failures = w % 11 / 20.0;
     k.silent = true;  // never heard, or it would not be told
     told.workers.push_back(k);
   }
-  module.Handle(1, std::vector<marlquay::Event>{told}, &actions);
+  module.Handle(1, std::vector<dispatch::Event>{told}, &actions);
   return module;
 }
 
@@ -52,7 +52,7 @@
                            "What it costs to keep what a node has learned, by its workers.");
   const auto args = Parse(&options, argc, argv);
   if (!args) return 0;
-  marlquay::Site site;
+  dispatch::Site site;
   site.kinds = {"m"};
   site.classes = {"commit"};
   site.settings.classes.resize(1);
@@ -61,7 +61,7 @@
   std::printf("%8s %16s %14s %14s %14s %10s %10s\n", "workers", "on the loop us", "encode us",
               "with disk us", "read us", "KiB", "RSS MiB");
   for (const std::uint32_t workers : {10u, 1000u, 10'000u}) {
-    const marlquay::Dispatcher module = Taught(site.settings, workers);
+    const dispatch::Dispatcher module = Taught(site.settings, workers);
     std::vector<std::string> names;
     for (std::uint32_t w = 0; w < workers; ++w)
       names.push_back("s-" + std::to_string(w * 2654435761u));
@@ -79,10 +79,10 @@
       encode = std::min(encode, Micros(from));
       from = Clock::now();
       if (const std::string wrong = folder.Save(memory); !wrong.empty())
-        throw marlquay::Malformed(wrong);
+        throw dispatch::Malformed(wrong);
       disk = std::min(disk, Micros(from));
       from = Clock::now();
-      if (folder.Look().empty()) throw marlquay::Malformed(path + ": nothing was kept");
+      if (folder.Look().empty()) throw dispatch::Malformed(path + ": nothing was kept");
       read = std::min(read, Micros(from));
     }
     rusage usage{};
--- a/lab/cli/load.cpp
+++ b/lab/cli/load.cpp
@@ -6,18 +6,18 @@
 #include <cstdio>
 #include <iostream>
 
-#include "config/xml.h"
+#include "dispatch/settings/site.h"
 #include "lab/cli/commands.h"
 #include "lab/emulate/fleet.h"
 #include "lab/experiment/settings.h"
 #include "lab/load/sender.h"
-#include "site/site.h"
+#include "node/config/xml.h"
 
 namespace pearreach::lab {
 namespace {
 
 using cxxopts::value;
-using marlquay::Malformed;
+using dispatch::Malformed;
 
 // NAME=SHARE:AIM_MS:DEADLINE_MS, the last two if they differ from 300 and 5,000.
 ClassSpec ReadClassOption(const std::string& text) {
@@ -26,28 +26,28 @@
   c.name = text.substr(0, eq);
   if (eq == std::string::npos) return c;
   const std::string rest = text.substr(eq + 1);
-  const auto parts = marlquay::Split(rest, ':');
-  c.share = marlquay::Number<double>(parts[0], "share");
+  const auto parts = dispatch::Split(rest, ':');
+  c.share = dispatch::Number<double>(parts[0], "share");
   if (parts.size() > 1)
-    c.aim = static_cast<Micros>(marlquay::Number<double>(parts[1], "aim") * 1000);
+    c.aim = static_cast<Micros>(dispatch::Number<double>(parts[1], "aim") * 1000);
   if (parts.size() > 2)
-    c.deadline = static_cast<Micros>(marlquay::Number<double>(parts[2], "deadline") * 1000);
+    c.deadline = static_cast<Micros>(dispatch::Number<double>(parts[2], "deadline") * 1000);
   if (c.name.empty() || c.share <= 0 || c.aim < 0 || c.deadline <= 0 || parts.size() > 3)
-    throw Malformed("a class is NAME=SHARE:AIM_MS:DEADLINE_MS, not " + marlquay::Quote(text));
+    throw Malformed("a class is NAME=SHARE:AIM_MS:DEADLINE_MS, not " + dispatch::Quote(text));
   return c;
 }
 
 // FACTOR:FROM:LENGTH[:ACCOUNT]; a ramp is FACTOR-FACTOR:FROM:LENGTH[:ACCOUNT].
 Phase ReadPhaseOption(const std::string& text) {
-  const auto parts = marlquay::Split(text, ':');
+  const auto parts = dispatch::Split(text, ':');
   if (parts.size() != 3 && parts.size() != 4)
-    throw Malformed("a phase is FACTOR:FROM:LENGTH[:ACCOUNT], not " + marlquay::Quote(text));
+    throw Malformed("a phase is FACTOR:FROM:LENGTH[:ACCOUNT], not " + dispatch::Quote(text));
   Phase p;
-  const auto ramp = marlquay::Split(parts[0], '-');
-  p.factor = marlquay::Number<double>(ramp[0], "factor");
-  p.factor_end = ramp.size() > 1 ? marlquay::Number<double>(ramp[1], "factor") : p.factor;
-  p.from = static_cast<Micros>(marlquay::Number<double>(parts[1], "time") * 1e6);
-  p.until = p.from + static_cast<Micros>(marlquay::Number<double>(parts[2], "length") * 1e6);
+  const auto ramp = dispatch::Split(parts[0], '-');
+  p.factor = dispatch::Number<double>(ramp[0], "factor");
+  p.factor_end = ramp.size() > 1 ? dispatch::Number<double>(ramp[1], "factor") : p.factor;
+  p.from = static_cast<Micros>(dispatch::Number<double>(parts[1], "time") * 1e6);
+  p.until = p.from + static_cast<Micros>(dispatch::Number<double>(parts[2], "length") * 1e6);
   if (parts.size() == 4) p.tenant = std::string(parts[3]);
   if (p.factor < 0 || p.factor_end < 0 || p.until <= p.from)
     throw Malformed("a phase out of bounds");
--- a/lab/cli/report.cpp
+++ b/lab/cli/report.cpp
@@ -2,11 +2,11 @@
 #include <fstream>
 #include <iostream>
 
-#include "config/xml.h"
+#include "dispatch/settings/site.h"
 #include "lab/cli/commands.h"
 #include "lab/report/page.h"
 #include "lab/report/trial_page.h"
-#include "site/site.h"
+#include "node/config/xml.h"
 
 namespace pearreach::lab {
 
@@ -20,7 +20,7 @@
   const auto args = Parse(&options, argc, argv);
   if (!args) return 0;
   if (args->count("words") != 1 || args->count("out") == 0)
-    throw marlquay::Malformed("report wants one FILE and --out PAGE");
+    throw dispatch::Malformed("report wants one FILE and --out PAGE");
   const std::string path = (*args)["words"].as<std::vector<std::string>>().at(0);
   const std::string out = (*args)["out"].as<std::string>();
   std::string page;
@@ -32,13 +32,13 @@
     page = ReportOfTrial(history, path.substr(path.rfind('/') + 1));
   } else {
     std::ifstream in(path, std::ios::binary);
-    if (!in) throw marlquay::Malformed(path + ": cannot be read");
+    if (!in) throw dispatch::Malformed(path + ": cannot be read");
     const std::string text{std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
     page = ReportOf(ReadResults(text, path));
   }
   std::ofstream file(out, std::ios::binary);
   file << page;
-  if (!file.flush()) throw marlquay::Malformed(out + ": cannot be written");
+  if (!file.flush()) throw dispatch::Malformed(out + ": cannot be written");
   std::cout << out << ": " << page.size() << " bytes\n";
   return 0;
 }
--- a/lab/cli/top.cpp
+++ b/lab/cli/top.cpp
@@ -9,9 +9,9 @@
 #include <iostream>
 #include <memory>
 
+#include "dispatch/settings/site.h"
 #include "lab/cli/commands.h"
 #include "lab/top/model.h"
-#include "site/site.h"
 
 namespace pearreach::lab {
 namespace {
@@ -57,7 +57,7 @@
   if (args->count("words") > 0)
     for (const std::string& path : (*args)["words"].as<std::vector<std::string>>()) {
       add(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
-      if (sources.back().fd < 0) throw marlquay::Malformed(path + ": cannot be read");
+      if (sources.back().fd < 0) throw dispatch::Malformed(path + ": cannot be read");
     }
   TopModel model;
   if (const int columns = (*args)["once"].as<int>(); columns > 0) {
@@ -69,10 +69,10 @@
   }
   // Keys come from the terminal, whatever standard input is.
   std::unique_ptr<FILE, int (*)(FILE*)> keys(std::fopen("/dev/tty", "r"), std::fclose);
-  if (keys == nullptr) throw marlquay::Malformed("top wants a terminal; --once prints without one");
+  if (keys == nullptr) throw dispatch::Malformed("top wants a terminal; --once prints without one");
   SCREEN* screen = newterm(nullptr, stdout, keys.get());
   if (screen == nullptr)
-    throw marlquay::Malformed("top cannot use this terminal; --once prints without one");
+    throw dispatch::Malformed("top cannot use this terminal; --once prints without one");
   set_term(screen);
   cbreak();
   noecho();
--- a/lab/cli/trial.cpp
+++ b/lab/cli/trial.cpp
@@ -7,20 +7,20 @@
 #include <functional>
 #include <iostream>
 
-#include "config/xml.h"
+#include "dispatch/settings/site.h"
 #include "lab/cli/commands.h"
 #include "lab/trial/checkers.h"
 #include "lab/trial/figures.h"
 #include "lab/trial/rules_virtual.h"
 #include "lab/trial/shrink.h"
 #include "lab/trial/virtual.h"
-#include "site/site.h"
+#include "node/config/xml.h"
 
 namespace pearreach::lab {
 namespace {
 
 using cxxopts::value;
-using marlquay::Malformed;
+using dispatch::Malformed;
 
 void Print(const History& history, const std::vector<Violation>& violations, std::uint64_t seed) {
   constexpr std::size_t kShown = 10;
--- a/lab/durable/measure.cpp
+++ b/lab/durable/measure.cpp
@@ -10,10 +10,10 @@
 #include <memory>
 #include <vector>
 
-#include "jobs/ledger.h"
 #include "lab/base/standins.h"
 #include "lab/cli/commands.h"
-#include "store/store.h"
+#include "node/job_state/ledger.h"
+#include "node/job_store/store.h"
 
 namespace pearreach::lab {
 namespace {
@@ -206,13 +206,13 @@
 
 // A store with so many queued jobs, as a crash would leave it.
 void Fill(const std::string& path, int jobs) {
-  const auto store = store::OpenSqlite({.path = path, .owner = "n0", .fault = {}});
+  const auto store = job_store::OpenSqlite({.path = path, .owner = "n0", .fault = {}});
   const std::int64_t now = g_get_real_time();
   int told = 0;
   for (int i = 0; i < jobs; ++i) {
-    jobs::Job j;
+    job_state::Job j;
     j.seq = store->NextSeq();
-    j.id = jobs::MakeId(j.seq, 0x9e3779b97f4a7c15u * j.seq);
+    j.id = job_state::MakeId(j.seq, 0x9e3779b97f4a7c15u * j.seq);
     char id[24];
     std::snprintf(id, sizeof id, "%016llx", 0x9e3779b97f4a7c15ull * j.seq);
     j.request_id = id;
@@ -223,7 +223,7 @@
     j.tenant = "acme";
     j.created = now;
     j.due = now + 3600'000'000ll;
-    store->Submit({{store::TakeJob{std::move(j)}}, [&](const store::Outcome&) { ++told; }});
+    store->Submit({{job_store::TakeJob{std::move(j)}}, [&](const job_store::Outcome&) { ++told; }});
     while (i - told > 4000) g_main_context_iteration(nullptr, TRUE);
   }
   while (told < jobs) g_main_context_iteration(nullptr, TRUE);
@@ -268,7 +268,7 @@
   std::printf(", %.1f MB at rest", static_cast<double>(fs::file_size(site.store)) / 1e6);
   site.node->Stop();
   std::printf(", %.1f MB compacted\n",
-              static_cast<double>(store::CompactSqlite(site.store).second) / 1e6);
+              static_cast<double>(job_store::CompactSqlite(site.store).second) / 1e6);
 }
 
 }  // namespace
--- a/lab/experiment/results.cpp
+++ b/lab/experiment/results.cpp
@@ -6,7 +6,7 @@
 
 #include <algorithm>
 
-#include "site/site.h"
+#include "dispatch/settings/site.h"
 
 namespace pearreach::lab {
 namespace {
@@ -209,7 +209,7 @@
 }
 
 Results ReadResults(std::string_view text, const std::string& name) {
-  const auto fail = [&](const char* what) { throw marlquay::Malformed(name + ":1: " + what); };
+  const auto fail = [&](const char* what) { throw dispatch::Malformed(name + ":1: " + what); };
   rapidjson::Document document;
   document.Parse(text.data(), text.size());
   if (document.HasParseError() || !document.IsObject()) fail("not the results of an experiment");
--- a/lab/experiment/results.h
+++ b/lab/experiment/results.h
@@ -34,7 +34,7 @@
 std::string ProgressLine(const Run& run, std::size_t done, std::size_t of);
 
 std::string WriteResults(const Results& results);
-// Throws marlquay::Malformed.
+// Throws dispatch::Malformed.
 Results ReadResults(std::string_view json, const std::string& name);
 
 }  // namespace pearreach::lab
--- a/lab/experiment/settings.cpp
+++ b/lab/experiment/settings.cpp
@@ -3,21 +3,21 @@
 #include <algorithm>
 #include <set>
 
-#include "config/xml.h"
+#include "dispatch/settings/site.h"
 #include "lab/experiment/experiment_schema.h"
-#include "site/site.h"
+#include "node/config/xml.h"
 
 namespace pearreach::lab {
 namespace {
 
-using marlquay::Malformed;
+using dispatch::Malformed;
 using xml::Text;
 
 // The schema has seen to it that a number is there, or nothing, and within its bounds.
 template <typename T>
 void Take(const xmlNode* node, const char* attribute, double unit, T* to) {
   const std::string text = Text(node, attribute);
-  if (!text.empty()) *to = static_cast<T>(marlquay::Number<double>(text, attribute) * unit);
+  if (!text.empty()) *to = static_cast<T>(dispatch::Number<double>(text, attribute) * unit);
 }
 void Take(const xmlNode* node, const char* attribute, std::string* to) {
   if (std::string text = Text(node, attribute); !text.empty()) *to = std::move(text);
@@ -32,7 +32,7 @@
   if (text == "node-dies") return What::kNodeDies;
   if (text == "rolling") return What::kRolling;
   if (text == "late-list") return What::kLateList;
-  throw Malformed("no trouble " + marlquay::Quote(text));
+  throw Malformed("no trouble " + dispatch::Quote(text));
 }
 
 KindSpec ReadKind(const xmlNode* n) {
@@ -175,8 +175,8 @@
     must(p.from < p.until, "a phase that ends before it begins");
     must(p.tenant.empty() || names.contains("account " + p.tenant), "a phase of no account");
   }
-  const auto settings = marlquay::ReadSite(marlquay::Conf(SettingsOf(s, 0))).settings;
-  if (const std::string wrong = marlquay::ValidateSettings(settings); !wrong.empty())
+  const auto settings = dispatch::ReadSite(dispatch::Conf(SettingsOf(s, 0))).settings;
+  if (const std::string wrong = dispatch::ValidateSettings(settings); !wrong.empty())
     throw Malformed(wrong);
 }
 
@@ -245,17 +245,17 @@
 }
 
 Trouble ReadTrouble(const std::string& text) {
-  const auto parts = marlquay::Split(text, ':');
+  const auto parts = dispatch::Split(text, ':');
   if (parts.size() != 4 && parts.size() != 5)
-    throw Malformed("a trouble is WHAT:PART:FROM:LENGTH[:FACTOR], not " + marlquay::Quote(text));
+    throw Malformed("a trouble is WHAT:PART:FROM:LENGTH[:FACTOR], not " + dispatch::Quote(text));
   Trouble t;
   t.what = ReadWhat(parts[0]);
-  t.part = marlquay::Number<double>(parts[1], "part");
-  t.at = static_cast<Micros>(marlquay::Number<double>(parts[2], "time") * 1e6);
-  t.length = static_cast<Micros>(marlquay::Number<double>(parts[3], "length") * 1e6);
-  if (parts.size() == 5) t.factor = marlquay::Number<double>(parts[4], "factor");
+  t.part = dispatch::Number<double>(parts[1], "part");
+  t.at = static_cast<Micros>(dispatch::Number<double>(parts[2], "time") * 1e6);
+  t.length = static_cast<Micros>(dispatch::Number<double>(parts[3], "length") * 1e6);
+  if (parts.size() == 5) t.factor = dispatch::Number<double>(parts[4], "factor");
   if (t.part < 0 || t.part > 1 || t.at < 0 || t.length < 0 || t.factor <= 0)
-    throw Malformed("a trouble out of its bounds: " + marlquay::Quote(text));
+    throw Malformed("a trouble out of its bounds: " + dispatch::Quote(text));
   return t;
 }
 
--- a/lab/experiment/settings.h
+++ b/lab/experiment/settings.h
@@ -34,14 +34,14 @@
   int seeds = 5;
 };
 
-// Throws marlquay::Malformed with "NAME:LINE: what".
+// Throws dispatch::Malformed with "NAME:LINE: what".
 Experiment ReadExperiment(std::string_view xml, const std::string& name);
 Experiment LoadExperiment(const std::string& path);
 
 Scenario With(const Scenario& scenario, const Variant& variant);
-// WHAT:PART:FROM:LENGTH[:FACTOR], times in seconds. Throws marlquay::Malformed.
+// WHAT:PART:FROM:LENGTH[:FACTOR], times in seconds. Throws dispatch::Malformed.
 Trouble ReadTrouble(const std::string& text);
-// Throws marlquay::Malformed where a run of it makes no sense.
+// Throws dispatch::Malformed where a run of it makes no sense.
 void CheckScenario(const Scenario& scenario);
 
 }  // namespace pearreach::lab
--- a/lab/hollow/membership.cpp
+++ b/lab/hollow/membership.cpp
@@ -4,10 +4,10 @@
 #include <utility>
 #include <vector>
 
-#include "control/membership_driver.h"
 #include "lab/hollow/measure.h"
 #include "lab/hollow/process_cost.h"
 #include "lab/hollow/virtual_network.h"
+#include "tier/control/membership_driver.h"
 
 namespace pearreach::lab::hollow {
 namespace {
--- a/lab/hollow/registry.cpp
+++ b/lab/hollow/registry.cpp
@@ -4,11 +4,11 @@
 #include <utility>
 #include <vector>
 
-#include "front/exchange.h"
 #include "lab/hollow/measure.h"
 #include "lab/hollow/process_cost.h"
 #include "lab/hollow/virtual_network.h"
-#include "registry/worker_registry.h"
+#include "tier/http_server/exchange.h"
+#include "tier/registry/worker_registry.h"
 
 namespace pearreach::lab::hollow {
 namespace {
@@ -32,7 +32,7 @@
   std::map<std::string, coordination::Member> known;
 };
 
-class Call : public front::Exchange {
+class Call : public http_server::Exchange {
  public:
   using Answered = std::function<void(int, const std::string&)>;
   Call(std::string body, Answered answered) : answered_(std::move(answered)) {
--- a/lab/hollow/virtual_network.cpp
+++ b/lab/hollow/virtual_network.cpp
@@ -3,14 +3,14 @@
 #include <algorithm>
 #include <utility>
 
-#include "mesh/frame.h"
+#include "tier/rpc/frame.h"
 
 namespace pearreach::lab::hollow {
 namespace {
 
 // Ends a call once, by what comes first.
 struct OpenCall {
-  mesh::Done done;
+  rpc::Done done;
   Timers::Id timer = 0;
   VirtualTime* time = nullptr;
   void End(absl::StatusOr<std::string> answer) {
@@ -64,11 +64,11 @@
   }
 }
 
-void VirtualMesh::Call(const std::string& address, mesh::MessageType type, std::string body,
-                       Micros timeout, mesh::Done done) {
+void VirtualMesh::Call(const std::string& address, rpc::MessageType type, std::string body,
+                       Micros timeout, rpc::Done done) {
   VirtualNetwork* network = network_;
   VirtualTime* time = network->time();
-  Count(mesh::kFrameHead + body.size());
+  Count(rpc::kFrameHead + body.size());
   peers.insert(address);
   auto open = std::make_shared<OpenCall>();
   open->done = std::move(done);
@@ -84,7 +84,7 @@
     handler->second(from, body, [=](absl::StatusOr<std::string> answer) {
       VirtualMesh* back = network->Find(address);
       if (back == nullptr) return;
-      back->Count(mesh::kFrameHead + (answer.ok() ? answer->size() : 0));
+      back->Count(rpc::kFrameHead + (answer.ok() ? answer->size() : 0));
       if (network->Loses()) return;
       time->After(VirtualNetwork::kDelay,
                   [open, answer = std::move(answer)] { open->End(answer); });
--- a/lab/hollow/virtual_network.h
+++ b/lab/hollow/virtual_network.h
@@ -14,8 +14,8 @@
 #include <unordered_set>
 #include <vector>
 
-#include "control/time_source.h"
-#include "mesh/mesh.h"
+#include "tier/control/time_source.h"
+#include "tier/rpc/mesh.h"
 
 namespace pearreach::lab::hollow {
 
@@ -86,19 +86,19 @@
 };
 
 // A lost call ends as one that nobody answers in time.
-class VirtualMesh : public mesh::Mesh {
+class VirtualMesh : public rpc::Mesh {
  public:
   VirtualMesh(VirtualNetwork* network, std::string address)
       : network_(network), address_(std::move(address)) {
     network_->Join(address_, this);
   }
   ~VirtualMesh() override { network_->Part(address_); }
-  void Handle(mesh::MessageType type, mesh::Handler handler) override {
+  void Handle(rpc::MessageType type, rpc::Handler handler) override {
     handlers_[type] = std::move(handler);
   }
-  void Call(const std::string& address, mesh::MessageType type, std::string body, Micros timeout,
-            mesh::Done done) override;
-  void HandleDatagrams(mesh::DatagramHandler handler) override { datagrams_ = std::move(handler); }
+  void Call(const std::string& address, rpc::MessageType type, std::string body, Micros timeout,
+            rpc::Done done) override;
+  void HandleDatagrams(rpc::DatagramHandler handler) override { datagrams_ = std::move(handler); }
   void SendDatagram(const std::string& address, std::string_view body) override;
 
   Traffic sent;
@@ -109,8 +109,8 @@
 
   VirtualNetwork* network_;
   const std::string address_;
-  std::map<mesh::MessageType, mesh::Handler> handlers_;
-  mesh::DatagramHandler datagrams_;
+  std::map<rpc::MessageType, rpc::Handler> handlers_;
+  rpc::DatagramHandler datagrams_;
 };
 
 }  // namespace pearreach::lab::hollow
--- a/lab/load/schedule.cpp
+++ b/lab/load/schedule.cpp
@@ -6,14 +6,14 @@
 #include <cstring>
 #include <map>
 
-#include "capture/segment.h"
+#include "dispatch/settings/site.h"
 #include "lab/stats/stats.h"
-#include "site/site.h"
+#include "node/capture/segment.h"
 
 namespace pearreach::lab {
 namespace {
 
-using marlquay::Malformed;
+using dispatch::Malformed;
 
 constexpr std::size_t kMostJobs = 20'000'000;
 
@@ -62,13 +62,13 @@
   }
   void Take() {
     Arrival a;
-    const double ms = marlquay::Number<double>(Cell("at_ms"), "at_ms");
+    const double ms = dispatch::Number<double>(Cell("at_ms"), "at_ms");
     if (ms < 0 || ms > 7 * 86400e3) throw Malformed("at_ms out of its bounds");
     a.at = static_cast<Micros>(ms * 1000);
     if (Cell("class").empty()) throw Malformed("no class");
     a.cls = IndexOfNamed(&plan->classes, Cell("class"));
     if (!Cell("account").empty()) a.account = IndexOfNamed(&plan->accounts, Cell("account"));
-    if (!Cell("slots").empty()) a.slots = marlquay::Number<double>(Cell("slots"), "slots");
+    if (!Cell("slots").empty()) a.slots = dispatch::Number<double>(Cell("slots"), "slots");
     if (a.slots <= 0 || a.slots > 1e6) throw Malformed("slots out of their bounds");
     if (plan->jobs.size() >= kMostJobs) throw Malformed("more jobs than a plan holds");
     plan->jobs.push_back(a);
@@ -162,11 +162,11 @@
 
 void ReadCapture(const std::string& path, LoadPlan* plan) {
   capture::Segment segment(path);
-  const marlquay::Site& site = segment.site();
+  const dispatch::Site& site = segment.site();
   std::optional<Micros> first;
   for (capture::Turn turn; segment.Next(&turn);)
     for (std::size_t i = 0; i < turn.events.size(); ++i) {
-      const auto* e = std::get_if<marlquay::RequestArrived>(&turn.events[i]);
+      const auto* e = std::get_if<dispatch::RequestArrived>(&turn.events[i]);
       if (e == nullptr || e->cls < 0 || e->cls >= static_cast<int>(site.classes.size())) continue;
       Arrival a;
       // When it was seen on its socket; the turn came up to a round later.
--- a/lab/load/schedule.h
+++ b/lab/load/schedule.h
@@ -41,7 +41,7 @@
 
 // A trace: a header line, then "at_ms,class,account,slots" in this or another order; account and
 // slots may be missing. Classes that the plan does not have yet are added. Throws
-// marlquay::Malformed with "NAME:LINE: what".
+// dispatch::Malformed with "NAME:LINE: what".
 void ReadTrace(std::string_view csv, const std::string& name, LoadPlan* plan);
 // The requests that a node was handed, from a capture. Throws capture::Unreadable.
 void ReadCapture(const std::string& path, LoadPlan* plan);
--- a/lab/load/sender.h
+++ b/lab/load/sender.h
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-#include "base/io.h"
-#include "http/http.h"
+#include "common/event_loop/io.h"
+#include "common/http/http.h"
 #include "lab/load/book.h"
 
 namespace pearreach::lab {
--- a/lab/model/worker.h
+++ b/lab/model/worker.h
@@ -13,11 +13,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "marlquay/dispatcher.h"
+#include "pearreach/dispatcher.h"
 
 namespace pearreach::lab {
 
-using marlquay::Micros;
+using dispatch::Micros;
 
 struct WorkerSpec {
   double slots = 4;
--- a/lab/report/page.cpp
+++ b/lab/report/page.cpp
@@ -8,10 +8,10 @@
 #include <set>
 #include <variant>
 
-#include "capture/segment.h"
 #include "lab/experiment/run.h"
 #include "lab/report/plot.h"
 #include "lab/stats/stats.h"
+#include "node/capture/segment.h"
 
 namespace pearreach::lab {
 namespace {
@@ -238,22 +238,22 @@
 
 std::string ReportOfCapture(const std::string& path) {
   capture::Segment segment(path);
-  marlquay::Dispatcher dispatcher = segment.Restore();
-  const marlquay::Site& site = segment.site();
+  dispatch::Dispatcher dispatcher = segment.Restore();
+  const dispatch::Site& site = segment.site();
   struct Second {
     double arrived = 0, sends = 0, refused = 0, failed = 0;
-    std::map<marlquay::Outcome, double> ended;
+    std::map<dispatch::Outcome, double> ended;
   };
   std::map<Micros, Second> seconds;
   Line limit{"limit", {}}, busy{"busy", {}}, open{"requests", {}};
-  std::map<marlquay::WorkerId, int> out;
-  std::map<std::pair<std::uint64_t, int>, marlquay::WorkerId> at;
+  std::map<dispatch::WorkerId, int> out;
+  std::map<std::pair<std::uint64_t, int>, dispatch::WorkerId> at;
   std::map<std::uint64_t, int> attempts;
-  std::vector<std::map<marlquay::WorkerId, int>> samples;
+  std::vector<std::map<dispatch::WorkerId, int>> samples;
   TimeHistogram times;
   std::optional<Micros> first;
   Micros next_sample = 0, last = 0;
-  std::vector<marlquay::Action> actions;
+  std::vector<dispatch::Action> actions;
   std::uint64_t turns = 0, events = 0;
   std::string marks;
   for (capture::Turn turn; segment.Next(&turn);) {
@@ -265,11 +265,11 @@
     if (!turn.mark.empty())
       marks += "<li>" + Text("%.3f s: ", static_cast<double>(turn.now - *first) / 1e6) +
                Escape(turn.mark) + "</li>";
-    for (const marlquay::Event& e : turn.events) {
-      if (std::holds_alternative<marlquay::RequestArrived>(e)) ++s.arrived;
-      if (const auto* ended = std::get_if<marlquay::AttemptEnded>(&e)) {
+    for (const dispatch::Event& e : turn.events) {
+      if (std::holds_alternative<dispatch::RequestArrived>(e)) ++s.arrived;
+      if (const auto* ended = std::get_if<dispatch::AttemptEnded>(&e)) {
         ++s.ended[ended->outcome];
-        if (ended->outcome == marlquay::Outcome::kGood) times.Add(ended->latency);
+        if (ended->outcome == dispatch::Outcome::kGood) times.Add(ended->latency);
         const auto it = at.find({ended->request, ended->attempt});
         if (it != at.end()) {
           --out[it->second];
@@ -279,14 +279,14 @@
     }
     actions.clear();
     dispatcher.Handle(turn.now, turn.events, &actions);  // for its figures; what counts is recorded
-    for (const marlquay::Action& a : turn.actions) {
-      if (const auto* send = std::get_if<marlquay::Send>(&a)) {
+    for (const dispatch::Action& a : turn.actions) {
+      if (const auto* send = std::get_if<dispatch::Send>(&a)) {
         ++s.sends;
         ++out[send->worker];
         at[{send->request, attempts[send->request]++}] = send->worker;
       }
-      s.refused += std::holds_alternative<marlquay::Refuse>(a) ? 1 : 0;
-      s.failed += std::holds_alternative<marlquay::Fail>(a) ? 1 : 0;
+      s.refused += std::holds_alternative<dispatch::Refuse>(a) ? 1 : 0;
+      s.failed += std::holds_alternative<dispatch::Fail>(a) ? 1 : 0;
     }
     for (; next_sample <= turn.now; next_sample += 250'000) {
       const double t = static_cast<double>(next_sample - *first) / 1e6;
@@ -311,7 +311,7 @@
       {"arrived", {}}, {"sent", {}}, {"served", {}}, {"refused", {}}, {"failed", {}}};
   std::vector<Line> bad = {
       {"full", {}}, {"timed out", {}}, {"no connection", {}}, {"reset", {}}, {"error", {}}};
-  using marlquay::Outcome;
+  using dispatch::Outcome;
   for (auto& [t, s] : seconds) {
     const double x = static_cast<double>(t) + 0.5;
     const double values[] = {s.arrived, s.sends, s.ended[Outcome::kGood], s.refused, s.failed};
@@ -342,7 +342,7 @@
   std::vector<std::vector<Cell>> rows(std::min<std::size_t>(segment.workers().size(), 64));
   for (const auto& s : samples)
     for (std::size_t w = 0; w < rows.size(); ++w) {
-      const auto it = s.find(static_cast<marlquay::WorkerId>(w));
+      const auto it = s.find(static_cast<dispatch::WorkerId>(w));
       rows[w].push_back({it == s.end() ? 0 : static_cast<double>(it->second) / most, ' '});
     }
   body +=
--- a/lab/sim/decider.cpp
+++ b/lab/sim/decider.cpp
@@ -4,13 +4,13 @@
 #include <map>
 #include <set>
 
+#include "dispatch/settings/site.h"
 #include "lab/stats/stats.h"
-#include "site/site.h"
 
 namespace pearreach::lab {
 namespace {
 
-using namespace marlquay;
+using namespace pearreach::dispatch;
 
 class Module : public Decider {
  public:
@@ -127,7 +127,7 @@
     if (!to) return Finish(r);
     r.tries.push_back({*to});
     workers_[*to].busy += r.slots;
-    actions_->push_back(marlquay::Send{r.id, *to});
+    actions_->push_back(dispatch::Send{r.id, *to});
   }
   std::optional<WorkerId> Choose(const Request& r) {
     const auto suits = [&](WorkerId id) {
--- a/lab/sim/decider.h
+++ b/lab/sim/decider.h
@@ -9,28 +9,28 @@
 #include <string>
 #include <vector>
 
-#include "marlquay/dispatcher.h"
+#include "pearreach/dispatcher.h"
 
 namespace pearreach::lab {
 
 class Decider {
  public:
   virtual ~Decider() = default;
-  virtual void Handle(marlquay::Micros now, std::span<const marlquay::Event> events,
-                      std::vector<marlquay::Action>* actions) = 0;
+  virtual void Handle(dispatch::Micros now, std::span<const dispatch::Event> events,
+                      std::vector<dispatch::Action>* actions) = 0;
   // Slots; 0 where there is no such thing.
   virtual double Limit(int) const { return 0; }
   virtual double Busy(int) const { return 0; }
   virtual std::size_t Open() const = 0;
   virtual std::uint64_t Looks() const { return 0; }
   // What it has learned by now; empty where it learns nothing.
-  virtual marlquay::Knowledge Learned(marlquay::Micros) const { return {}; }
+  virtual dispatch::Knowledge Learned(dispatch::Micros) const { return {}; }
 };
 
 // module, random, least (in flight of all workers), two (the better of two drawn), greedy (the most
-// free slots told last). Throws marlquay::Malformed for another name.
-std::unique_ptr<Decider> MakeDecider(const std::string& policy, const marlquay::Settings& settings,
-                                     std::uint64_t seed, marlquay::Micros now);
+// free slots told last). Throws dispatch::Malformed for another name.
+std::unique_ptr<Decider> MakeDecider(const std::string& policy, const dispatch::Settings& settings,
+                                     std::uint64_t seed, dispatch::Micros now);
 
 }  // namespace pearreach::lab
 
--- a/lab/sim/scenario.cpp
+++ b/lab/sim/scenario.cpp
@@ -44,7 +44,7 @@
   return 1e6 * CapacityOf(s) / (work / shares);
 }
 
-marlquay::Conf::Values SettingsOf(const Scenario& s, int node) {
+dispatch::Conf::Values SettingsOf(const Scenario& s, int node) {
   const auto zone = [](int i) { return "z" + std::to_string(i); };
   std::string zones, models;
   for (int z = 0; z < s.zones; ++z) zones += (z > 0 ? "," : "") + zone(z);
@@ -56,7 +56,7 @@
     cold_ms = std::max(cold_ms, static_cast<double>(k.worker.cold_time) / 1000);
     fall_ms = static_cast<double>(k.worker.fall_time) / 1000;
   }
-  marlquay::Conf::Values v = {{"Balancers", std::to_string(s.nodes)},
+  dispatch::Conf::Values v = {{"Balancers", std::to_string(s.nodes)},
                               {"Ordinal", std::to_string(node)},
                               {"Locality", zone(node % s.zones)},
                               {"Zones", zones},
--- a/lab/sim/scenario.h
+++ b/lab/sim/scenario.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
+#include "dispatch/settings/site.h"
 #include "lab/model/worker.h"
-#include "site/site.h"
 
 namespace pearreach::lab {
 
@@ -92,7 +92,7 @@
 double FactorAt(const std::vector<Phase>& phases, Micros at, const std::string& tenant);
 
 // What a node of this scenario is told at its start.
-marlquay::Conf::Values SettingsOf(const Scenario& scenario, int node);
+dispatch::Conf::Values SettingsOf(const Scenario& scenario, int node);
 
 // Slots times their speed: microseconds of work a microsecond.
 double CapacityOf(const Scenario& scenario);
--- a/lab/sim/simulation.cpp
+++ b/lab/sim/simulation.cpp
@@ -12,14 +12,14 @@
 #include <thread>
 #include <unordered_map>
 
-#include "knowledge/memory.h"
 #include "lab/sim/decider.h"
-#include "shared/shared.h"
+#include "node/knowledge/memory.h"
+#include "node/shared_state/shared.h"
 
 namespace pearreach::lab {
 namespace {
 
-using marlquay::Outcome;
+using dispatch::Outcome;
 
 constexpr Micros kNever = std::numeric_limits<Micros>::max();
 constexpr Micros kSampleEvery = 250'000;
@@ -285,9 +285,9 @@
   void Back() {
     if (model_.up()) return;
     model_.Start(now_);
-    TellList(draining_ ? marlquay::Health::kDraining : marlquay::Health::kInService);
+    TellList(draining_ ? dispatch::Health::kDraining : dispatch::Health::kInService);
   }
-  void TellList(marlquay::Health health) {
+  void TellList(dispatch::Health health) {
     Micros held = 0;
     const Micros from = world_->ListHeld(now_, &held) ? held - now_ : 0;
     for (std::uint32_t n = 0; n < world_->nodes; ++n) {
@@ -330,7 +330,7 @@
         break;
       case Trouble::What::kDrain:
         draining_ = begins;
-        TellList(begins ? marlquay::Health::kDraining : marlquay::Health::kInService);
+        TellList(begins ? dispatch::Health::kDraining : dispatch::Health::kInService);
         break;
       case Trouble::What::kNodeDies:
       case Trouble::What::kRolling:
@@ -382,7 +382,7 @@
   NodeEntity(const World* world, std::uint32_t index)
       : world_(world),
         s_(*world->scenario),
-        site_(marlquay::ReadSite(marlquay::Conf(SettingsOf(s_, static_cast<int>(index))))),
+        site_(dispatch::ReadSite(dispatch::Conf(SettingsOf(s_, static_cast<int>(index))))),
         chance_(SeedOf(world->seed, 1, index)),
         word_chance_(SeedOf(world->seed, 7, index)) {
     self = index;
@@ -418,21 +418,21 @@
         if (up_ && life_ == LifeOf(item.key)) Hear(item);
         break;
       case Kind::kList:
-        known_[static_cast<marlquay::WorkerId>(item.key)] = {
-            static_cast<marlquay::Health>(item.code), item.work, now_};
-        if (shared_ != nullptr) ListShared(static_cast<marlquay::WorkerId>(item.key));
+        known_[static_cast<dispatch::WorkerId>(item.key)] = {
+            static_cast<dispatch::Health>(item.code), item.work, now_};
+        if (shared_ != nullptr) ListShared(static_cast<dispatch::WorkerId>(item.key));
         if (up_) {
-          marlquay::WorkerList list{marlquay::WorkerList::Form::kChanges, {}};
-          list.entries.push_back(Entry(static_cast<marlquay::WorkerId>(item.key)));
+          dispatch::WorkerList list{dispatch::WorkerList::Form::kChanges, {}};
+          list.entries.push_back(Entry(static_cast<dispatch::WorkerId>(item.key)));
           Tell(std::move(list));
         }
         break;
       case Kind::kTimer:
-        if (up_) Tell(marlquay::TimerFired{});
+        if (up_) Tell(dispatch::TimerFired{});
         break;
       case Kind::kWord:
         if (shared_ != nullptr && !CutOff(self)) {
-          std::vector<shared::Shared::Out> out;
+          std::vector<shared_state::Shared::Out> out;
           shared_->Hear(kUnix + now_, static_cast<int>(item.from), item.key, *item.bytes, &out);
           SendWords(out);
         }
@@ -472,11 +472,11 @@
 
  private:
   struct Known {
-    marlquay::Health health = marlquay::Health::kInService;
+    dispatch::Health health = dispatch::Health::kInService;
     Micros started = 0, told = 0;
   };
   struct Attempt {
-    marlquay::WorkerId worker = 0;
+    dispatch::WorkerId worker = 0;
     Micros sent = 0;
     bool out = true;
   };
@@ -491,8 +491,8 @@
     return (key >> kAttemptBits & ((1ull << (kNodeShift - kAttemptBits)) - 1)) >> 36;
   }
 
-  marlquay::WorkerEntry Entry(marlquay::WorkerId id) const {
-    marlquay::WorkerEntry e;
+  dispatch::WorkerEntry Entry(dispatch::WorkerId id) const {
+    dispatch::WorkerEntry e;
     e.worker = id;
     e.identity = SeedOf(77, 3, id);
     e.zone = world_->zone(id);
@@ -512,7 +512,7 @@
         MakeDecider(s_.policy, site_.settings, SeedOf(world_->seed, 4, self * 1000 + life_), now_);
     last_turn_ = now_;
     turn_set_ = false;
-    marlquay::WorkerList list{marlquay::WorkerList::Form::kComplete, {}};
+    dispatch::WorkerList list{dispatch::WorkerList::Form::kComplete, {}};
     for (std::uint32_t w = 0; w < world_->workers; ++w) list.entries.push_back(Entry(w));
     Tell(std::move(list));
     if (s_.policy == "shared") BeginShared();
@@ -530,7 +530,7 @@
     std::string why;
     const auto recall = knowledge::ForNode(m, site_, m.node, now_ + s_.recall_age, &why);
     if (!recall) return;
-    marlquay::Knowledge told = recall->common;
+    dispatch::Knowledge told = recall->common;
     for (std::uint32_t w = 0; w < world_->workers; ++w) {
       const auto it = recall->workers.find(std::to_string(w));
       if (it != recall->workers.end() && it->second.started_ms == Entry(w).ready_at)
@@ -577,30 +577,30 @@
     return now_ >= s_.warm_up && node < s_.cut_off * s_.nodes;
   }
   void BeginShared() {
-    shared::SharedOptions o;
+    shared_state::SharedOptions o;
     o.self = static_cast<int>(self);
     o.nodes = s_.nodes;
     o.zone = world_->zone(self);
     o.zones = s_.zones;
-    for (const marlquay::TenantSettings& t : site_.settings.tenants)
+    for (const dispatch::TenantSettings& t : site_.settings.tenants)
       o.shares.push_back(t.quota_per_s);
     const auto process = static_cast<std::uint64_t>((kUnix + now_) / 1000);
-    shared_ =
-        std::make_unique<shared::Shared>(o, process, SeedOf(world_->seed, 8, self), kUnix + now_);
+    shared_ = std::make_unique<shared_state::Shared>(o, process, SeedOf(world_->seed, 8, self),
+                                                     kUnix + now_);
     for (std::uint32_t w = 0; w < world_->workers; ++w) ListShared(w);
     Own(now_ + static_cast<Micros>(word_chance_.Uniform() * 250'000), Kind::kShare, life_);
   }
-  void ListShared(marlquay::WorkerId id) {
-    const marlquay::WorkerEntry e = Entry(id);
+  void ListShared(dispatch::WorkerId id) {
+    const dispatch::WorkerEntry e = Entry(id);
     shared_->judgements().Listed(id, e.kind, e.ready_at > 0 ? (kUnix + e.ready_at) / 1000 : 0,
-                                 e.health == marlquay::Health::kInService);
+                                 e.health == dispatch::Health::kInService);
   }
   void Share() {
     std::vector<int> alive;
     for (int n = 0; n < s_.nodes; ++n)
       if (n != static_cast<int>(self)) alive.push_back(n);
-    for (const shared::Standing& s : shared_->judgements().Look(kUnix + now_, alive)) {
-      marlquay::Judgement j;
+    for (const shared_state::Standing& s : shared_->judgements().Look(kUnix + now_, alive)) {
+      dispatch::Judgement j;
       j.worker = s.worker;
       j.out = s.out;
       j.trial = s.trial;
@@ -609,13 +609,13 @@
       j.witnesses = s.witnesses;
       Tell(std::move(j));
     }
-    std::vector<shared::Shared::Out> out;
+    std::vector<shared_state::Shared::Out> out;
     shared_->Tick(kUnix + now_, alive, &out);
     SendWords(out);
     Own(std::max(now_ + 1, shared_->next() - kUnix), Kind::kShare, life_);
   }
-  void SendWords(const std::vector<shared::Shared::Out>& out) {
-    for (const shared::Shared::Out& o : out) {
+  void SendWords(const std::vector<shared_state::Shared::Out>& out) {
+    for (const shared_state::Shared::Out& o : out) {
       words_bytes += o.section.size();
       if (CutOff(self) || word_chance_.Uniform() < s_.words_lost) continue;
       Item item;
@@ -625,8 +625,8 @@
       Post(item, static_cast<std::uint32_t>(o.to), kWordWay);
     }
   }
-  void EndShared(marlquay::WorkerId worker, Outcome outcome) {
-    using End = shared::Judgements::End;
+  void EndShared(dispatch::WorkerId worker, Outcome outcome) {
+    using End = shared_state::Judgements::End;
     if (shared_ == nullptr) return;
     if (outcome == Outcome::kFull) shared_->judgements().Heard(kUnix + now_, worker);
     shared_->judgements().Ended(kUnix + now_, worker,
@@ -676,7 +676,7 @@
     const Micros due = job.first + c.deadline;
     if (now_ >= due - 20'000) return Close(job, What::kRefused);
     if (!up_) return Again(job, (self + 1) % world_->nodes);  // connections to it are refused
-    shared::Shared::Admission admission;
+    shared_state::Shared::Admission admission;
     if (shared_ != nullptr) admission = shared_->Admit(kUnix + now_, job.tenant, job.tries > 1);
     if (admission.refused) {  // before the module
       if (now_ >= s_.warm_up) ++At(now_).refusals;
@@ -686,7 +686,7 @@
     Request& r = requests_[id];
     r.job = job;
     r.due = due;
-    marlquay::RequestArrived e;
+    dispatch::RequestArrived e;
     e.request = id;
     e.cls = job.cls;
     e.tenant = job.tenant;
@@ -746,7 +746,7 @@
 
   // ---- the node
 
-  void Tell(marlquay::Event event) {
+  void Tell(dispatch::Event event) {
     events_.push_back(std::move(event));
     if (std::exchange(turn_set_, true)) return;
     Own(std::max(now_, last_turn_ + site_.settings.round), Kind::kTurn, life_);
@@ -754,23 +754,23 @@
   void Turn() {
     turn_set_ = false;
     last_turn_ = now_;
-    std::vector<marlquay::Event> events = std::exchange(events_, {});
+    std::vector<dispatch::Event> events = std::exchange(events_, {});
     actions_.clear();
     const auto begin = std::chrono::steady_clock::now();
     decider_->Handle(now_, events, &actions_);
     cpu_us +=
         std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - begin).count();
-    for (const marlquay::Action& action : actions_) Carry(action);
+    for (const dispatch::Action& action : actions_) Carry(action);
     WatchLimits();
   }
-  void Carry(const marlquay::Action& action) {
-    if (const auto* send = std::get_if<marlquay::Send>(&action)) {
+  void Carry(const dispatch::Action& action) {
+    if (const auto* send = std::get_if<dispatch::Send>(&action)) {
       const auto it = requests_.find(send->request);
       if (it == requests_.end()) return;
       Request& r = it->second;
       const ClassSpec& c = s_.classes[static_cast<std::size_t>(r.job.cls)];
       const auto known = known_.find(send->worker);
-      if (known != known_.end() && known->second.health != marlquay::Health::kInService &&
+      if (known != known_.end() && known->second.health != dispatch::Health::kInService &&
           now_ > known->second.told + site_.settings.stop_sending_within)
         ++sends_to_drained;
       Item item;
@@ -784,11 +784,11 @@
       if (now_ >= s_.warm_up) ++At(now_).attempts;
       if (shared_ != nullptr) shared_->judgements().Sent(kUnix + now_, send->worker);
       Post(item, world_->nodes + send->worker, world_->Way(self, send->worker));
-    } else if (const auto* refuse = std::get_if<marlquay::Refuse>(&action)) {
+    } else if (const auto* refuse = std::get_if<dispatch::Refuse>(&action)) {
       Answer(refuse->request, What::kRefused);
-    } else if (const auto* fail = std::get_if<marlquay::Fail>(&action)) {
+    } else if (const auto* fail = std::get_if<dispatch::Fail>(&action)) {
       Answer(fail->request, What::kFailed);
-    } else if (const auto* cancel = std::get_if<marlquay::Cancel>(&action)) {
+    } else if (const auto* cancel = std::get_if<dispatch::Cancel>(&action)) {
       const auto it = requests_.find(cancel->request);
       if (it == requests_.end()) return;
       Attempt& a = it->second.attempts[static_cast<std::size_t>(cancel->attempt)];
@@ -798,7 +798,7 @@
       item.key = KeyOf(self, cancel->request, cancel->attempt);
       Post(item, world_->nodes + a.worker, world_->Way(self, a.worker));
       EndAttempt(cancel->request, it->second, cancel->attempt, Outcome::kCancelled, -1);
-    } else if (const auto* timer = std::get_if<marlquay::SetTimer>(&action)) {
+    } else if (const auto* timer = std::get_if<dispatch::SetTimer>(&action)) {
       Own(std::max(timer->at, now_), Kind::kTimer);
     }
   }
@@ -826,10 +826,10 @@
     if (!a.out) return;
     if (shared_ != nullptr && item.kind != Kind::kEnded)
       shared_->judgements().Heard(kUnix + now_, a.worker);
-    if (item.kind == Kind::kTaken) return Tell(marlquay::AttemptTaken{id, number, a.worker});
-    if (item.kind == Kind::kStarted) return Tell(marlquay::AttemptStarted{id, number, a.worker});
+    if (item.kind == Kind::kTaken) return Tell(dispatch::AttemptTaken{id, number, a.worker});
+    if (item.kind == Kind::kStarted) return Tell(dispatch::AttemptStarted{id, number, a.worker});
     if (item.kind == Kind::kProgressed)
-      return Tell(marlquay::AttemptProgress{id, number, a.worker, 0.5});
+      return Tell(dispatch::AttemptProgress{id, number, a.worker, 0.5});
     const auto outcome = static_cast<Outcome>(item.code);
     const bool serves = outcome == Outcome::kGood && !r.answered;
     EndAttempt(id, r, number, outcome, outcome == Outcome::kNoConnection ? -1 : item.slots);
@@ -838,7 +838,7 @@
   void EndAttempt(std::uint64_t id, Request& r, int number, Outcome outcome, float free) {
     Attempt& a = r.attempts[static_cast<std::size_t>(number)];
     if (!std::exchange(a.out, false)) return;
-    marlquay::AttemptEnded e;
+    dispatch::AttemptEnded e;
     e.request = id;
     e.attempt = number;
     e.worker = a.worker;
@@ -858,7 +858,7 @@
     Request& r = it->second;
     for (std::size_t i = 0; i < r.attempts.size(); ++i)
       if (r.attempts[i].out) {
-        marlquay::AttemptEnded e;
+        dispatch::AttemptEnded e;
         r.attempts[i].out = false;
         e.request = id;
         e.attempt = static_cast<int>(i);
@@ -901,10 +901,10 @@
   inline static const std::string kNobody;
   const World* world_;
   const Scenario& s_;
-  marlquay::Site site_;
+  dispatch::Site site_;
   Chance chance_;
   Chance word_chance_;  // of its own: words change no arrival
-  std::unique_ptr<shared::Shared> shared_;
+  std::unique_ptr<shared_state::Shared> shared_;
   double class_shares_ = 0, tenant_shares_ = 0, most_factor_ = 1, rate_ = 0;
   bool up_ = false, turn_set_ = false;
   std::uint64_t life_ = 0, last_id_ = 0, looks_ = 0;
@@ -913,10 +913,10 @@
   double limit_before_ = 0;
   bool limit_awaited_ = false;
   std::unique_ptr<Decider> decider_;
-  std::unordered_map<marlquay::WorkerId, Known> known_;
+  std::unordered_map<dispatch::WorkerId, Known> known_;
   std::unordered_map<std::uint64_t, Request> requests_;
-  std::vector<marlquay::Event> events_;
-  std::vector<marlquay::Action> actions_;
+  std::vector<dispatch::Event> events_;
+  std::vector<dispatch::Action> actions_;
 };
 
 // ---------------------------------------------------------------- the run
--- a/lab/stand_in_worker/control_caller.h
+++ b/lab/stand_in_worker/control_caller.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "base/io.h"
-#include "base/timers.h"
-#include "http/http.h"
+#include "common/event_loop/io.h"
+#include "common/event_loop/timers.h"
+#include "common/http/http.h"
 
 namespace pearreach::stand_in {
 
--- a/lab/stand_in_worker/life.cpp
+++ b/lab/stand_in_worker/life.cpp
@@ -4,7 +4,7 @@
 
 #include <utility>
 
-#include "logging/log.h"
+#include "tier/logging/log.h"
 
 namespace pearreach::stand_in {
 namespace {
--- a/lab/stand_in_worker/life.h
+++ b/lab/stand_in_worker/life.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "base/io.h"
-#include "base/timers.h"
+#include "common/event_loop/io.h"
+#include "common/event_loop/timers.h"
 #include "lab/stand_in_worker/control_caller.h"
 #include "lab/stand_in_worker/worker.h"
 
--- a/lab/stand_in_worker/main.cpp
+++ b/lab/stand_in_worker/main.cpp
@@ -8,10 +8,10 @@
 #include <string>
 #include <vector>
 
-#include "front/http_server.h"
 #include "lab/stand_in_worker/life.h"
 #include "lab/stand_in_worker/worker.h"
-#include "logging/log.h"
+#include "tier/http_server/http_server.h"
+#include "tier/logging/log.h"
 
 ABSL_FLAG(std::string, worker_id, "", "Id of this incarnation");
 ABSL_FLAG(std::string, address, "", "ip:port to listen on and to be called at");
@@ -60,8 +60,8 @@
   pearreach::Timers timers;
   stand_in::Worker worker(&timers, ReadWorkerOptions());
   stand_in::Life life(&timers, &worker, ReadLifeOptions(), [loop] { g_main_loop_quit(loop); });
-  pearreach::front::HttpServer server(
-      &timers, {}, [&worker](std::shared_ptr<pearreach::front::Exchange> exchange) {
+  pearreach::http_server::HttpServer server(
+      &timers, {}, [&worker](std::shared_ptr<pearreach::http_server::Exchange> exchange) {
         worker.Handle(std::move(exchange));
       });
   const std::string wrong = server.Open(absl::GetFlag(FLAGS_address));
--- a/lab/stand_in_worker/worker.cpp
+++ b/lab/stand_in_worker/worker.cpp
@@ -34,7 +34,7 @@
 }  // namespace
 
 struct Worker::Run {
-  std::shared_ptr<front::Exchange> exchange;
+  std::shared_ptr<http_server::Exchange> exchange;
   std::vector<http::Header> headers;
   std::uint64_t last_event = 0;  // sent, or had by the client before
   std::uint64_t events = 0;      // up to which id; 0: a plain answer
@@ -45,7 +45,7 @@
 Worker::Worker(Timers* timers, WorkerOptions options)
     : timers_(timers), options_(std::move(options)) {}
 
-void Worker::Handle(std::shared_ptr<front::Exchange> exchange) {
+void Worker::Handle(std::shared_ptr<http_server::Exchange> exchange) {
   const http::Message& request = exchange->request();
   if (request.method == "GET" && request.target == options_.health_path)
     return AnswerHealth(exchange.get());
@@ -53,11 +53,11 @@
   BeginRun(std::move(exchange));
 }
 
-void Worker::AnswerHealth(front::Exchange* exchange) const {
+void Worker::AnswerHealth(http_server::Exchange* exchange) const {
   exchange->Respond(draining_ ? kFull : 200, {{"X-Worker-Id", options_.worker_id}}, "");
 }
 
-bool Worker::Refuses(front::Exchange* exchange) const {
+bool Worker::Refuses(http_server::Exchange* exchange) const {
   const http::Message& request = exchange->request();
   const std::string wanted = HeaderOf(request, "X-Target-Worker");
   int status = 0;
@@ -76,7 +76,7 @@
   return true;
 }
 
-void Worker::BeginRun(std::shared_ptr<front::Exchange> exchange) {
+void Worker::BeginRun(std::shared_ptr<http_server::Exchange> exchange) {
   const http::Message& request = exchange->request();
   auto run = std::make_shared<Run>();
   run->exchange = std::move(exchange);
--- a/lab/stand_in_worker/worker.h
+++ b/lab/stand_in_worker/worker.h
@@ -7,9 +7,9 @@
 #include <memory>
 #include <string>
 
-#include "base/io.h"
-#include "base/timers.h"
-#include "front/exchange.h"
+#include "common/event_loop/io.h"
+#include "common/event_loop/timers.h"
+#include "tier/http_server/exchange.h"
 
 namespace pearreach::stand_in {
 
@@ -25,7 +25,7 @@
  public:
   Worker(Timers* timers, WorkerOptions options);
 
-  void Handle(std::shared_ptr<front::Exchange> exchange);
+  void Handle(std::shared_ptr<http_server::Exchange> exchange);
   void SetDraining() { draining_ = true; }
   const WorkerOptions& options() const { return options_; }
   int running() const { return running_; }
@@ -33,9 +33,9 @@
  private:
   struct Run;
 
-  void AnswerHealth(front::Exchange* exchange) const;
-  bool Refuses(front::Exchange* exchange) const;
-  void BeginRun(std::shared_ptr<front::Exchange> exchange);
+  void AnswerHealth(http_server::Exchange* exchange) const;
+  bool Refuses(http_server::Exchange* exchange) const;
+  void BeginRun(std::shared_ptr<http_server::Exchange> exchange);
   void AnswerPlain(const std::shared_ptr<Run>& run);
   void SendEvent(const std::shared_ptr<Run>& run);
   void After(const std::shared_ptr<Run>& run, void (Worker::*step)(const std::shared_ptr<Run>&));
--- a/lab/stats/stats.h
+++ b/lab/stats/stats.h
@@ -9,11 +9,11 @@
 #include <random>
 #include <vector>
 
-#include "marlquay/dispatcher.h"
+#include "pearreach/dispatcher.h"
 
 namespace pearreach::lab {
 
-using marlquay::Micros;
+using dispatch::Micros;
 
 // A seed of its own for part `index` of a run, so that what one part draws moves no other.
 inline std::uint64_t SeedOf(std::uint64_t seed, std::uint64_t kind, std::uint64_t index) {
--- a/lab/trial/checkers.cpp
+++ b/lab/trial/checkers.cpp
@@ -6,12 +6,12 @@
 #include <set>
 #include <unordered_map>
 
+#include "dispatch/settings/site.h"
 #include "lab/trial/fault.h"
 #include "lab/trial/links.h"
 #include "lab/trial/rules_checkers.h"
 #include "lab/trial/zone_checkers.h"
-#include "members/members.h"
-#include "site/site.h"
+#include "node/membership/members.h"
 
 namespace pearreach::lab {
 namespace {
@@ -397,8 +397,8 @@
 std::vector<Said> EntriesOf(const Moment& view) {
   std::vector<Said> all;
   const std::string entries = view.Of("entries");
-  for (const marlquay::Text entry : marlquay::Split(entries, ' ')) {
-    const auto parts = marlquay::Split(entry, ':');
+  for (const dispatch::Text entry : dispatch::Split(entries, ' ')) {
+    const auto parts = dispatch::Split(entry, ':');
     if (parts.size() < 3) continue;
     all.push_back({std::string(parts[1]), std::atoll(std::string(parts[2]).c_str())});
   }
@@ -568,8 +568,8 @@
     const auto [it, fresh] = at.emplace(m.who + " " + m.Of("process"), all.size());
     if (fresh) all.push_back({m.who, began.contains(m.who) ? began[m.who] : m.at, {}});
     const std::string accounts = m.Of("accounts");
-    for (const marlquay::Text entry : marlquay::Split(accounts, ' ')) {
-      const auto parts = marlquay::Split(entry, ':');
+    for (const dispatch::Text entry : dispatch::Split(accounts, ' ')) {
+      const auto parts = dispatch::Split(entry, ':');
       if (parts.size() < 7 || std::string(parts[0]) != std::to_string(account)) continue;
       const auto number = [&](std::size_t k) { return std::atof(std::string(parts[k]).c_str()); };
       all[it->second].lines.push_back({m.at, number(1), number(2), number(4), number(5), i});
@@ -727,9 +727,9 @@
       wrong.push_back({"hearsay-said", m.at, m.who + " does without " + what, {i}});
     };
     const std::string out = m.Of("out");
-    const auto all = marlquay::Split(out, ' ');
-    for (const marlquay::Text one : all) {
-      const auto parts = marlquay::Split(one, ':');
+    const auto all = dispatch::Split(out, ' ');
+    for (const dispatch::Text one : all) {
+      const auto parts = dispatch::Split(one, ':');
       std::set<int> from;
       for (std::size_t k = 2; k < parts.size(); ++k)
         from.insert(std::atoi(std::string(parts[k]).c_str()) % static_cast<int>(zones));
@@ -777,14 +777,14 @@
 }  // namespace
 
 Micros NoticeWithin(int nodes, Micros period) {
-  const double least = members::Members::SuspicionLeast({.nodes = nodes});
+  const double least = membership::Members::SuspicionLeast({.nodes = nodes});
   return static_cast<Micros>((6 * least + 15) * static_cast<double>(period));
 }
 
 Micros JudgementsGoneWithin() { return kJudgementGone + 500'000; }
 
 Micros AgreementWithin(int nodes, Micros period) {
-  const double least = members::Members::SuspicionLeast({.nodes = nodes});
+  const double least = membership::Members::SuspicionLeast({.nodes = nodes});
   return static_cast<Micros>((6 * least + 15) * static_cast<double>(period));
 }
 
--- a/lab/trial/fault.cpp
+++ b/lab/trial/fault.cpp
@@ -5,10 +5,10 @@
 #include <cstdlib>
 #include <iterator>
 
-#include "config/xml.h"
+#include "dispatch/settings/site.h"
 #include "lab/stats/stats.h"
 #include "lab/trial/trial_schema.h"
-#include "site/site.h"
+#include "node/config/xml.h"
 
 namespace pearreach::lab {
 namespace {
@@ -21,7 +21,7 @@
 template <typename T>
 void Take(const xmlNode* node, const char* attribute, double unit, T* to) {
   const std::string text = xml::Text(node, attribute);
-  if (!text.empty()) *to = static_cast<T>(marlquay::Number<double>(text, attribute) * unit);
+  if (!text.empty()) *to = static_cast<T>(dispatch::Number<double>(text, attribute) * unit);
 }
 
 }  // namespace
--- a/lab/trial/fault.h
+++ b/lab/trial/fault.h
@@ -9,11 +9,11 @@
 #include <string_view>
 #include <vector>
 
-#include "marlquay/dispatcher.h"
+#include "pearreach/dispatcher.h"
 
 namespace pearreach::lab {
 
-using marlquay::Micros;
+using dispatch::Micros;
 
 struct Fault {
   enum class What {
@@ -58,7 +58,7 @@
   std::vector<Fault> faults;
 };
 
-// Throws marlquay::Malformed with "NAME:LINE: what".
+// Throws dispatch::Malformed with "NAME:LINE: what".
 TrialPlan ReadPlan(std::string_view xml, const std::string& name);
 TrialPlan LoadPlanFile(const std::string& path);
 std::string WritePlan(const TrialPlan& plan);
--- a/lab/trial/history.cpp
+++ b/lab/trial/history.cpp
@@ -10,12 +10,12 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "site/site.h"
+#include "dispatch/settings/site.h"
 
 namespace pearreach::lab {
 namespace {
 
-using marlquay::Malformed;
+using dispatch::Malformed;
 
 std::string TextOf(const rapidjson::Value& v) {
   if (v.IsString()) return {v.GetString(), v.GetStringLength()};
--- a/lab/trial/history.h
+++ b/lab/trial/history.h
@@ -9,11 +9,11 @@
 #include <string_view>
 #include <vector>
 
-#include "marlquay/dispatcher.h"
+#include "pearreach/dispatcher.h"
 
 namespace pearreach::lab {
 
-using marlquay::Micros;
+using dispatch::Micros;
 
 struct Moment {
   Micros at = 0;    // since the trial began
@@ -28,7 +28,7 @@
 
 void Sort(History* history);  // by time; what came at one time keeps its order
 std::string WriteHistory(const History& history);
-// Throws marlquay::Malformed with "NAME:LINE: what".
+// Throws dispatch::Malformed with "NAME:LINE: what".
 History ReadHistory(std::string_view text, const std::string& name);
 // A line of a node's log in JSON, whose time is Unix seconds; false: it is none.
 bool ReadLogLine(std::string_view line, Micros began_unix, Moment* moment);
--- a/lab/trial/links.h
+++ b/lab/trial/links.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "base/io.h"
+#include "common/event_loop/io.h"
 #include "lab/stats/stats.h"
 #include "lab/trial/fault.h"
 
--- a/lab/trial/rules_virtual.cpp
+++ b/lab/trial/rules_virtual.cpp
@@ -7,7 +7,7 @@
 
 #include "lab/stats/stats.h"
 #include "lab/trial/links.h"
-#include "peers/datagram.h"
+#include "node/peer_transport/datagram.h"
 
 namespace pearreach::lab {
 namespace {
@@ -143,7 +143,8 @@
     }
     for (const auto& o : node.machine->TakeOutcomes()) Outcome(n, o);
     for (const Agreement::Out& o : out) {
-      const std::size_t size = o.section.size() + peers::kHeadBytes + peers::kSectionHead;
+      const std::size_t size =
+          o.section.size() + peer_transport::kHeadBytes + peer_transport::kSectionHead;
       ++r_.words;
       r_.bytes += size;
       node.bytes += size;
--- a/lab/trial/rules_virtual.h
+++ b/lab/trial/rules_virtual.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "lab/trial/fault.h"
-#include "rules/rules.h"
+#include "node/rules/rules.h"
 
 namespace pearreach::lab {
 
--- a/lab/trial/trial.cpp
+++ b/lab/trial/trial.cpp
@@ -17,7 +17,7 @@
 #include "lab/load/sender.h"
 #include "lab/trial/checkers.h"
 #include "lab/trial/links.h"
-#include "shared/shared.h"
+#include "node/shared_state/shared.h"
 
 namespace pearreach::lab {
 namespace {
@@ -198,12 +198,12 @@
 
   // What the nodes share, as the checkers are to know it.
   void SayShared() {
-    shared::SharedOptions options;
-    shared::BudgetsOptions budgets;
+    shared_state::SharedOptions options;
+    shared_state::BudgetsOptions budgets;
     budgets.nodes = plan_.nodes;
     for (const TenantSpec& t : scenario_.tenants)
       budgets.wholes.push_back(t.quota * JobsPerSecond(scenario_));
-    const shared::Budgets b(budgets, 1, 1, 0);
+    const shared_state::Budgets b(budgets, 1, 1, 0);
     for (int k = 0; k < b.budgets(); ++k)
       Say("trial", "share",
           {{"account", std::to_string(k)},
@@ -289,7 +289,7 @@
       std::string written = "\"" + value + "\"";
       if (name == "Zones" || name == "Models") {
         written.clear();
-        for (const marlquay::Text one : marlquay::Split(value, ','))
+        for (const dispatch::Text one : dispatch::Split(value, ','))
           written += (written.empty() ? "[\"" : ",\"") + std::string(one) + "\"";
         written += "]";
       }
--- a/lab/trial/virtual.cpp
+++ b/lab/trial/virtual.cpp
@@ -9,7 +9,7 @@
 #include "lab/stats/stats.h"
 #include "lab/trial/checkers.h"
 #include "lab/trial/links.h"
-#include "peers/gate.h"
+#include "node/peer_transport/gate.h"
 
 namespace pearreach::lab {
 namespace {
@@ -76,14 +76,14 @@
     bool operator<(const Event& o) const { return at != o.at ? at > o.at : number > o.number; }
   };
   struct Node {
-    std::unique_ptr<members::Members> machine;  // none: its process is not there
-    std::unique_ptr<peers::Gate> gate;
+    std::unique_ptr<membership::Members> machine;  // none: its process is not there
+    std::unique_ptr<peer_transport::Gate> gate;
     std::uint32_t number = 0;
     int stalls = 0, deaths = 0;
     std::vector<std::pair<int, std::string>> waiting;  // came while it was stopped
     std::uint64_t life = 0;
     bool doubts = false;
-    std::unique_ptr<shared::Shared> shared;
+    std::unique_ptr<shared_state::Shared> shared;
     std::unique_ptr<zones::Zones> zones;
     std::vector<int> jobs;  // accounts' jobs that came while it was stopped
     double weight = 1;      // of the load
@@ -110,13 +110,13 @@
     if (node.machine != nullptr || node.deaths > 0) return;
     ++node.life;
     node.number = 0;
-    members::Options options = o_.members;
+    membership::Options options = o_.members;
     options.self = n;
-    node.machine = std::make_unique<members::Members>(
+    node.machine = std::make_unique<membership::Members>(
         options, SeedOf(plan_.seed, 33, static_cast<std::uint64_t>(n) * 1000 + node.life), now_,
         static_cast<std::uint64_t>((kUnix + now_) / 1000));
     node.machine->TakeChanges();
-    node.gate = std::make_unique<peers::Gate>(n, plan_.nodes);
+    node.gate = std::make_unique<peer_transport::Gate>(n, plan_.nodes);
     node.doubts = false;
     Say("trial", "started", {{"node", Name(n)}});
     Say(Name(n), "peers_open", {{"process", std::to_string(node.machine->process())}});
@@ -132,16 +132,16 @@
       if (node.life != life || node.machine == nullptr || node.stalls > 0 ||
           node.machine->next() > now_)
         return;
-      std::vector<members::Out> out;
+      std::vector<membership::Out> out;
       node.machine->Tick(now_, &out);
       Send(n, out);
     });
   }
-  void Send(int n, const std::vector<members::Out>& out) {
+  void Send(int n, const std::vector<membership::Out>& out) {
     Node& node = Of(n);
-    for (const members::Out& o : out) {
-      peers::Writer writer(n, node.machine->process(), ++node.number);
-      writer.Add(peers::Topic::kMembers, o.section);
+    for (const membership::Out& o : out) {
+      peer_transport::Writer writer(n, node.machine->process(), ++node.number);
+      writer.Add(peer_transport::Topic::kMembers, o.section);
       const std::string bytes = writer.Take();
       ++result_.words;
       result_.bytes += bytes.size();
@@ -165,14 +165,14 @@
   // ---- what nodes share
 
   Micros Unix() const { return kUnix + now_; }
-  shared::WorkerKey KeyOf(std::size_t worker) const {
-    return static_cast<shared::WorkerKey>(0x9000 + worker);
+  shared_state::WorkerKey KeyOf(std::size_t worker) const {
+    return static_cast<shared_state::WorkerKey>(0x9000 + worker);
   }
   std::vector<int> AliveFor(int n) const {
     std::vector<int> alive;
     const Node& node = nodes_[static_cast<std::size_t>(n)];
     for (int other = 0; other < plan_.nodes; ++other)
-      if (other != n && node.machine->entry(other).status == members::Status::kAlive)
+      if (other != n && node.machine->entry(other).status == membership::Status::kAlive)
         alive.push_back(other);
     return alive;
   }
@@ -197,14 +197,14 @@
   }
   void StartShared(int n) {
     Node& node = Of(n);
-    shared::SharedOptions options = o_.shared->options;
+    shared_state::SharedOptions options = o_.shared->options;
     options.self = n;
     options.nodes = plan_.nodes;
     options.zones = plan_.zones;
     options.zone = n % plan_.zones;
     if (node.life > 1 && n % 2 == 0 && !o_.shared->lowered.empty())
       options.shares = o_.shared->lowered;
-    node.shared = std::make_unique<shared::Shared>(
+    node.shared = std::make_unique<shared_state::Shared>(
         options, node.machine->process(),
         SeedOf(plan_.seed, 34, static_cast<std::uint64_t>(n) * 1000 + node.life), Unix());
     node.shared->budgets().Leave(o_.shared->without);
@@ -265,8 +265,8 @@
   void SendZones(int n, const std::vector<zones::Zones::Out>& out) {
     Node& node = Of(n);
     for (const zones::Zones::Out& o : out) {
-      peers::Writer writer(n, node.machine->process(), ++node.number);
-      writer.Add(peers::Topic::kZones, o.section);
+      peer_transport::Writer writer(n, node.machine->process(), ++node.number);
+      writer.Add(peer_transport::Topic::kZones, o.section);
       const std::string bytes = writer.Take();
       ++result_.zone_words;
       result_.zone_bytes += bytes.size();
@@ -301,17 +301,17 @@
         for (std::size_t w = 0; w < workers_.size(); ++w) {
           node.shared->judgements().Sent(Unix() - 3'000'000, KeyOf(w));
         }
-      std::vector<shared::Shared::Out> out;
+      std::vector<shared_state::Shared::Out> out;
       node.shared->Tick(Unix(), alive, &out);
       SendShared(n, out);
       ArmShared(n);
     });
   }
-  void SendShared(int n, const std::vector<shared::Shared::Out>& out) {
+  void SendShared(int n, const std::vector<shared_state::Shared::Out>& out) {
     Node& node = Of(n);
-    for (const shared::Shared::Out& o : out) {
-      peers::Writer writer(n, node.machine->process(), ++node.number);
-      writer.Add(peers::Topic::kShared, o.section);
+    for (const shared_state::Shared::Out& o : out) {
+      peer_transport::Writer writer(n, node.machine->process(), ++node.number);
+      writer.Add(peer_transport::Topic::kShared, o.section);
       const std::string bytes = writer.Take();
       ++result_.shared_words;
       result_.shared_bytes += bytes.size();
@@ -358,9 +358,9 @@
     });
   }
   void SendJob(int n, std::size_t w) {
-    using End = shared::Judgements::End;
+    using End = shared_state::Judgements::End;
     Node& node = Of(n);
-    shared::Judgements& judge = node.shared->judgements();
+    shared_state::Judgements& judge = node.shared->judgements();
     const auto it = judge.standing().find(KeyOf(w));
     const zones::Use use =
         node.zones == nullptr ? zones::Use::kOpen : node.zones->use(Unix(), KeyOf(w));
@@ -446,7 +446,7 @@
       for (int n = 0; n < plan_.nodes; ++n) {
         Node& node = Of(n);
         if (node.shared == nullptr || node.stalls > 0) continue;
-        const shared::Reading r = node.shared->counts().Read(Unix(), account);
+        const shared_state::Reading r = node.shared->counts().Read(Unix(), account);
         ++result_.readings;
         // In the first window nobody knows what was before it.
         if (now_ > load.options.window + 1'000'000) {
@@ -497,22 +497,22 @@
       node.waiting.push_back({from, bytes});
       return;
     }
-    peers::Dropped why{};
+    peer_transport::Dropped why{};
     const auto word = node.gate->Admit(bytes, from, &why);
     if (!word) {
-      if (why == peers::Dropped::kReplaced) node.machine->Refused(from);
+      if (why == peer_transport::Dropped::kReplaced) node.machine->Refused(from);
       return;
     }
-    std::vector<members::Out> out;
-    for (const peers::Section& s : word->datagram.sections) {
-      if (s.topic == static_cast<std::uint8_t>(peers::Topic::kShared)) {
-        std::vector<shared::Shared::Out> said;
+    std::vector<membership::Out> out;
+    for (const peer_transport::Section& s : word->datagram.sections) {
+      if (s.topic == static_cast<std::uint8_t>(peer_transport::Topic::kShared)) {
+        std::vector<shared_state::Shared::Out> said;
         if (node.shared != nullptr)
           node.shared->Hear(Unix(), from, word->datagram.process, s.bytes, &said);
         SendShared(to, said);
         continue;
       }
-      if (s.topic == static_cast<std::uint8_t>(peers::Topic::kZones)) {
+      if (s.topic == static_cast<std::uint8_t>(peer_transport::Topic::kZones)) {
         if (node.zones == nullptr) continue;
         std::vector<zones::Zones::Out> said;
         node.zones->Hear(Unix(), from, word->datagram.process, s.bytes, &said);
@@ -525,15 +525,15 @@
   }
   void Report(int n) {
     Node& node = Of(n);
-    for (const members::Change& c : node.machine->TakeChanges()) {
+    for (const membership::Change& c : node.machine->TakeChanges()) {
       if (c.node != n && c.after.process > c.before.process)
         node.gate->Known(c.node, c.after.process);
       const Node& other = Of(c.node);
       const bool runs = other.machine != nullptr && other.stalls == 0 &&
                         other.machine->process() == c.after.process;
       if (runs && c.by == n && c.node != n) {
-        result_.false_suspicions += c.after.status == members::Status::kSuspect ? 1 : 0;
-        result_.false_unreachable += c.after.status == members::Status::kUnreachable ? 1 : 0;
+        result_.false_suspicions += c.after.status == membership::Status::kSuspect ? 1 : 0;
+        result_.false_unreachable += c.after.status == membership::Status::kUnreachable ? 1 : 0;
       }
       Say(Name(n), "member",
           {{"peer", std::to_string(c.node)},
@@ -554,7 +554,7 @@
       if (node.machine == nullptr || node.stalls > 0) continue;
       std::string entries;
       for (int other = 0; other < plan_.nodes; ++other) {
-        const members::Entry& e = node.machine->entry(other);
+        const membership::Entry& e = node.machine->entry(other);
         entries += (other > 0 ? " " : "") + std::to_string(other) + ":" +
                    (e.process == 0 ? "unknown" : NameOf(e.status)) + ":" +
                    std::to_string(e.process) + ":" + std::to_string(e.version);
@@ -636,7 +636,7 @@
         });
       } else if (f.what == What::kRestart && node.machine != nullptr && node.stalls == 0) {
         Say("trial", "ending", {{"node", Name(n)}});
-        std::vector<members::Out> out;
+        std::vector<membership::Out> out;
         node.machine->Leave(now_, &out);
         Send(n, out);
         At(now_ + kReturn / 2, [this, n, life = node.life] {
@@ -665,7 +665,7 @@
     const auto waiting = std::exchange(node.waiting, {});
     const bool clock_first = chance_.Uniform() < 0.5;
     if (clock_first) {
-      std::vector<members::Out> out;
+      std::vector<membership::Out> out;
       node.machine->Tick(now_, &out);
       Send(n, out);
     }
--- a/lab/trial/virtual.h
+++ b/lab/trial/virtual.h
@@ -10,24 +10,24 @@
 
 #include "lab/trial/fault.h"
 #include "lab/trial/history.h"
-#include "members/members.h"
-#include "shared/shared.h"
-#include "zones/zones.h"
+#include "node/membership/members.h"
+#include "node/shared_state/shared.h"
+#include "node/zones/zones.h"
 
 namespace pearreach::lab {
 
 // What nodes share beside who is there, and the load that makes it: accounts' jobs, of which some
 // nodes see several times the mean, and jobs sent to workers.
 struct SharedLoad {
-  shared::SharedOptions options = {};  // self, nodes, zone and zones are the plan's
-  std::vector<double> asked;           // of each account: jobs a second, all nodes
+  shared_state::SharedOptions options = {};  // self, nodes, zone and zones are the plan's
+  std::vector<double> asked;                 // of each account: jobs a second, all nodes
   Micros flood_from = 0, flood_until = 0;
   double flood = 6;   // times the first account's rate meanwhile
   double uneven = 3;  // the busiest node sees so many times the mean
   double sends = 4;   // a second, each node to each worker
   std::vector<double>
       lowered;  // shares as half of the nodes' next processes have them; may be empty
-  shared::Budgets::Without without = {};
+  shared_state::Budgets::Without without = {};
   int liar = -1;  // this node says of all workers that they are silent
 };
 
@@ -41,7 +41,7 @@
 
 struct VirtualOptions {
   TrialPlan plan;                             // of its faults, those of words and of nodes
-  members::Options members = {};              // self, nodes and period are the plan's
+  membership::Options members = {};           // self, nodes and period are the plan's
   Micros way_least = 500, way_most = 18'000;  // of a word, by the platform's protocol
   double lost = 0;                            // of all words, all the time
   Micros extra = 0;                           // after the faults; 0: the stated time to agree
--- a/lab/world/make_captures.cpp
+++ b/lab/world/make_captures.cpp
@@ -2,8 +2,8 @@
 // suite in tests/captures was made by it.
 #include <iostream>
 
-#include "capture/segment.h"
 #include "lab/world/scenarios.h"
+#include "node/capture/segment.h"
 
 int main(int argc, char** argv) {
   if (argc != 2) {
--- a/lab/world/scenarios.cpp
+++ b/lab/world/scenarios.cpp
@@ -5,7 +5,7 @@
 namespace pearreach::lab {
 namespace {
 
-using marlquay::Health;
+using dispatch::Health;
 
 // Six workers, three a zone, and traffic for about two thirds of them.
 void Fleet(World* w, Micros length, double load = 1) {
@@ -108,7 +108,7 @@
 }
 
 std::unique_ptr<World> Play(const Scenario& scenario) {
-  auto world = std::make_unique<World>(BaseSettings(), marlquay::HashName(scenario.name));
+  auto world = std::make_unique<World>(BaseSettings(), dispatch::HashName(scenario.name));
   scenario.script(world.get());
   world->Run(scenario.length);
   return world;
--- a/lab/world/world.cpp
+++ b/lab/world/world.cpp
@@ -4,18 +4,18 @@
 #include <cmath>
 #include <utility>
 
-#include "capture/segment.h"
+#include "node/capture/segment.h"
 
 namespace pearreach::lab {
 namespace {
 
-using marlquay::Outcome;
+using dispatch::Outcome;
 
 constexpr Micros kWay = 1 * kMs;  // to a worker, and back
 
 }  // namespace
 
-marlquay::Conf::Values BaseSettings() {
+dispatch::Conf::Values BaseSettings() {
   return {{"Balancers", "3"},
           {"Ordinal", "0"},
           {"Locality", "a"},
@@ -62,7 +62,7 @@
           {"Contract.FallMs", "1000"}};
 }
 
-World::World(const marlquay::Conf::Values& settings, std::uint64_t seed)
+World::World(const dispatch::Conf::Values& settings, std::uint64_t seed)
     : origin_{.node = "n0",
               .build = "lab",
               .seed = seed,
@@ -92,20 +92,20 @@
 
 void World::ListAll(Micros when) {
   At(when, [this] {
-    marlquay::WorkerList list{marlquay::WorkerList::Form::kComplete, {}};
+    dispatch::WorkerList list{dispatch::WorkerList::Form::kComplete, {}};
     for (std::size_t i = 0; i < workers_.size(); ++i)
-      list.entries.push_back(Entry(static_cast<int>(i), marlquay::Health::kInService));
+      list.entries.push_back(Entry(static_cast<int>(i), dispatch::Health::kInService));
     capture::Note note;
     note.version = ++list_version_;
     Tell(std::move(list), note);
   });
 }
 
-void World::ListOne(Micros when, int worker, marlquay::Health health) {
+void World::ListOne(Micros when, int worker, dispatch::Health health) {
   At(when, [this, worker, health] {
     capture::Note note;
     note.version = ++list_version_;
-    Tell(marlquay::WorkerList{marlquay::WorkerList::Form::kChanges, {Entry(worker, health)}}, note);
+    Tell(dispatch::WorkerList{dispatch::WorkerList::Form::kChanges, {Entry(worker, health)}}, note);
   });
 }
 
@@ -132,7 +132,7 @@
 }
 
 void World::Peer(Micros when, int from, const std::string& data) {
-  At(when, [this, from, data] { Tell(marlquay::PeerMessage{from, data}); });
+  At(when, [this, from, data] { Tell(dispatch::PeerMessage{from, data}); });
 }
 
 void World::Run(Micros until) {
@@ -152,7 +152,7 @@
 
 // ---------------------------------------------------------------- the node
 
-void World::Tell(marlquay::Event event, capture::Note note) {
+void World::Tell(dispatch::Event event, capture::Note note) {
   note.seen = now_;
   events_.push_back(std::move(event));
   notes_.push_back(std::move(note));
@@ -171,39 +171,39 @@
   turn.workers.assign(names_.begin() + static_cast<std::ptrdiff_t>(told_names_), names_.end());
   told_names_ = names_.size();
   if (on_turn) on_turn(turn, dispatcher_, names_);
-  const std::vector<marlquay::Action> actions = turn.actions;
+  const std::vector<dispatch::Action> actions = turn.actions;
   turns_.push_back(std::move(turn));
-  for (const marlquay::Action& action : actions) Carry(action);
+  for (const dispatch::Action& action : actions) Carry(action);
 }
 
-void World::Carry(const marlquay::Action& action) {
-  if (const auto* send = std::get_if<marlquay::Send>(&action)) {
+void World::Carry(const dispatch::Action& action) {
+  if (const auto* send = std::get_if<dispatch::Send>(&action)) {
     Request& r = requests_.at(send->request);
     const int number = static_cast<int>(r.attempts.size());
     const int worker = static_cast<int>(send->worker);
     r.attempts.push_back({worker, now_});
     const Held held{send->request, number, r.work, r.slots};
     At(now_ + kWay, [this, worker, held] { Reach(worker, held); });
-  } else if (const auto* refuse = std::get_if<marlquay::Refuse>(&action)) {
+  } else if (const auto* refuse = std::get_if<dispatch::Refuse>(&action)) {
     requests_.at(refuse->request).answered = true;
     ++refused_;
-  } else if (const auto* fail = std::get_if<marlquay::Fail>(&action)) {
+  } else if (const auto* fail = std::get_if<dispatch::Fail>(&action)) {
     requests_.at(fail->request).answered = true;
     ++failed_;
-  } else if (const auto* cancel = std::get_if<marlquay::Cancel>(&action)) {
+  } else if (const auto* cancel = std::get_if<dispatch::Cancel>(&action)) {
     End(cancel->request, cancel->attempt, Outcome::kCancelled, -1);
-  } else if (const auto* timer = std::get_if<marlquay::SetTimer>(&action)) {
-    At(timer->at, [this] { Tell(marlquay::TimerFired{}); });
+  } else if (const auto* timer = std::get_if<dispatch::SetTimer>(&action)) {
+    At(timer->at, [this] { Tell(dispatch::TimerFired{}); });
   }
 }
 
 void World::Arrive(const LoadOptions& load, Micros until) {
   const Micros next = now_ + static_cast<Micros>(Exponential() * 1e6 / load.per_second);
   if (next < until) At(next, [this, load, until] { Arrive(load, until); });
-  marlquay::RequestArrived e;
+  dispatch::RequestArrived e;
   e.request = ++jobs_;
-  e.cls = marlquay::IndexOf(site_.classes, load.cls);
-  e.tenant = marlquay::IndexOf(site_.tenants, load.tenant);
+  e.cls = dispatch::IndexOf(site_.classes, load.cls);
+  e.tenant = dispatch::IndexOf(site_.tenants, load.tenant);
   e.due = now_ + load.patience;
   e.slots = load.slots;
   Request& r = requests_[e.request];
@@ -229,10 +229,10 @@
   Attempt& a = r.attempts[static_cast<std::size_t>(attempt)];
   if (!std::exchange(a.out, false)) return;
   if (outcome == Outcome::kGood && !std::exchange(r.answered, true)) ++served_;
-  marlquay::AttemptEnded e;
+  dispatch::AttemptEnded e;
   e.request = job;
   e.attempt = attempt;
-  e.worker = static_cast<marlquay::WorkerId>(a.worker);
+  e.worker = static_cast<dispatch::WorkerId>(a.worker);
   e.outcome = outcome;
   e.latency = now_ - a.sent;
   e.settled = r.answered;
@@ -244,7 +244,7 @@
 // ---------------------------------------------------------------- a worker
 
 double World::Capacity(const Worker& w) const {
-  const marlquay::Settings& s = site_.settings;
+  const dispatch::Settings& s = site_.settings;
   if (w.started == 0 || now_ >= w.started + s.cold_time) return w.options.speed;
   const double age = static_cast<double>(now_ - w.started) / static_cast<double>(s.cold_time);
   return w.options.speed * (s.cold_share + (1 - s.cold_share) * age);
@@ -271,7 +271,7 @@
   w.waiting.push_back(held);
   At(now_ + kWay, [this, held, worker] {
     if (requests_.at(held.job).attempts[static_cast<std::size_t>(held.attempt)].out)
-      Tell(marlquay::AttemptTaken{held.job, held.attempt, static_cast<marlquay::WorkerId>(worker)});
+      Tell(dispatch::AttemptTaken{held.job, held.attempt, static_cast<dispatch::WorkerId>(worker)});
   });
   Begin(worker);
 }
@@ -288,7 +288,7 @@
     w.waiting.erase(w.waiting.begin() + static_cast<std::ptrdiff_t>(i));
     w.busy += held.slots;
     Note(w);
-    const auto id = static_cast<marlquay::WorkerId>(worker);
+    const auto id = static_cast<dispatch::WorkerId>(worker);
     const std::uint64_t life = w.life;
     const auto out = [this, held] {
       return requests_.at(held.job).attempts[static_cast<std::size_t>(held.attempt)].out;
@@ -298,13 +298,13 @@
       return now.life == life && !now.silent;
     };
     At(now_ + kWay, [=, this] {
-      if (speaks() && out()) Tell(marlquay::AttemptStarted{held.job, held.attempt, id});
+      if (speaks() && out()) Tell(dispatch::AttemptStarted{held.job, held.attempt, id});
     });
     const Micros runs = static_cast<Micros>(static_cast<double>(held.work) / Capacity(w));
     for (Micros at = kSecond; at < runs; at += kSecond)
       At(now_ + at, [=, this] {
         if (speaks() && out())
-          Tell(marlquay::AttemptProgress{held.job, held.attempt, id,
+          Tell(dispatch::AttemptProgress{held.job, held.attempt, id,
                                          static_cast<double>(at) / static_cast<double>(runs)});
       });
     At(now_ + runs, [=, this] {
@@ -319,13 +319,13 @@
   }
 }
 
-marlquay::WorkerEntry World::Entry(int worker, marlquay::Health health) const {
+dispatch::WorkerEntry World::Entry(int worker, dispatch::Health health) const {
   const Worker& w = workers_[static_cast<std::size_t>(worker)];
-  marlquay::WorkerEntry e;
-  e.worker = static_cast<marlquay::WorkerId>(worker);
-  e.identity = marlquay::HashName(w.options.name);
-  e.zone = marlquay::IndexOf(site_.zones, w.options.zone);
-  e.kind = marlquay::IndexOf(site_.kinds, w.options.kind);
+  dispatch::WorkerEntry e;
+  e.worker = static_cast<dispatch::WorkerId>(worker);
+  e.identity = dispatch::HashName(w.options.name);
+  e.zone = dispatch::IndexOf(site_.zones, w.options.zone);
+  e.kind = dispatch::IndexOf(site_.kinds, w.options.kind);
   e.cell = w.options.cell;
   e.health = health;
   e.ready_at = w.started;
--- a/lab/world/world.h
+++ b/lab/world/world.h
@@ -12,12 +12,12 @@
 #include <string>
 #include <vector>
 
-#include "capture/record.h"
-#include "marlquay/dispatcher.h"
+#include "node/capture/record.h"
+#include "pearreach/dispatcher.h"
 
 namespace pearreach::lab {
 
-using marlquay::Micros;
+using dispatch::Micros;
 constexpr Micros kMs = 1000, kSecond = 1'000'000;
 
 struct WorkerOptions {
@@ -39,18 +39,18 @@
 };
 
 // Settings by the wire's paths: two classes (commit: once; sync: by key), two zones, one kind.
-marlquay::Conf::Values BaseSettings();
+dispatch::Conf::Values BaseSettings();
 
 class World {
  public:
-  World(const marlquay::Conf::Values& settings, std::uint64_t seed);
+  World(const dispatch::Conf::Values& settings, std::uint64_t seed);
 
   // ---- script; times are the world's, from 0 on
   int AddWorker(const WorkerOptions& options);
   void AddLoad(const LoadOptions& options, Micros from, Micros until);
   void At(Micros when, std::function<void()> what);
   void ListAll(Micros when);  // the whole list reaches the module
-  void ListOne(Micros when, int worker, marlquay::Health health);  // one change does
+  void ListOne(Micros when, int worker, dispatch::Health health);  // one change does
   void Silence(Micros when, int worker,
                Micros length);            // says and hears nothing, then returns cold
   void Restart(Micros when, int worker);  // its jobs are lost; it is back cold at once
@@ -63,12 +63,12 @@
   const std::vector<capture::Turn>& turns() const { return turns_; }
   std::string Capture(const std::string& reason = "the script ended") const;  // the file's bytes
   const capture::Origin& origin() const { return origin_; }
-  marlquay::Dispatcher& dispatcher() { return dispatcher_; }
+  dispatch::Dispatcher& dispatcher() { return dispatcher_; }
   std::uint64_t served() const { return served_; }
   std::uint64_t refused() const { return refused_; }
   std::uint64_t failed() const { return failed_; }
   // Called after each turn, for those who record it themselves.
-  std::function<void(const capture::Turn&, const marlquay::Dispatcher&, const marlquay::Names&)>
+  std::function<void(const capture::Turn&, const dispatch::Dispatcher&, const dispatch::Names&)>
       on_turn;
 
  private:
@@ -105,23 +105,23 @@
     std::vector<Attempt> attempts;
   };
 
-  void Tell(marlquay::Event event, capture::Note note = {});
+  void Tell(dispatch::Event event, capture::Note note = {});
   void Turn();
-  void Carry(const marlquay::Action& action);
+  void Carry(const dispatch::Action& action);
   void Arrive(const LoadOptions& load, Micros until);
   void Reach(int worker, Held held);
   void Begin(int worker);
-  void End(std::uint64_t job, int attempt, marlquay::Outcome outcome, int reporter);
+  void End(std::uint64_t job, int attempt, dispatch::Outcome outcome, int reporter);
   void Note(Worker& w);
   double Free(const Worker& w, Micros at) const;
   double Capacity(const Worker& w) const;
   double Uniform();
   double Exponential();
-  marlquay::WorkerEntry Entry(int worker, marlquay::Health health) const;
+  dispatch::WorkerEntry Entry(int worker, dispatch::Health health) const;
 
   capture::Origin origin_;
-  marlquay::Site site_;
-  marlquay::Dispatcher dispatcher_;
+  dispatch::Site site_;
+  dispatch::Dispatcher dispatcher_;
   std::mt19937_64 random_;
   Micros now_ = 0, last_turn_ = -kSecond, report_age_ = 0;
   bool turn_set_ = false;
@@ -129,10 +129,10 @@
   std::priority_queue<Happening, std::vector<Happening>, std::greater<>> plan_;
   std::vector<Worker> workers_;
   std::map<std::uint64_t, Request> requests_;
-  marlquay::Names names_;
+  dispatch::Names names_;
   std::size_t told_names_ = 0;
   std::uint64_t list_version_ = 0;
-  std::vector<marlquay::Event> events_;
+  std::vector<dispatch::Event> events_;
   std::vector<capture::Note> notes_;
   std::vector<capture::Turn> turns_;
 };
--- a/src/base/log.cpp
+++ b/src/common/diagnostics/log.cpp
@@ -1,4 +1,4 @@
-#include "base/log.h"
+#include "common/diagnostics/log.h"
 
 #include <glib.h>
 #include <rapidjson/stringbuffer.h>
--- a/src/base/log.h
+++ b/src/common/diagnostics/log.h
@@ -1,7 +1,7 @@
 // The log and the counts of the process, on spdlog. It owns standard error and the counts by name;
 // it must never decide what is worth a line, and never be called but from the main loop's thread.
-#ifndef PEARREACH_SRC_BASE_LOG_H_
-#define PEARREACH_SRC_BASE_LOG_H_
+#ifndef PEARREACH_SRC_COMMON_DIAGNOSTICS_LOG_H_
+#define PEARREACH_SRC_COMMON_DIAGNOSTICS_LOG_H_
 
 #include <cassert>
 #include <cstdint>
@@ -43,4 +43,4 @@
 
 }  // namespace pearreach
 
-#endif  // PEARREACH_SRC_BASE_LOG_H_
+#endif  // PEARREACH_SRC_COMMON_DIAGNOSTICS_LOG_H_
--- a/src/base/backoff.h
+++ b/src/common/event_loop/backoff.h
@@ -1,20 +1,20 @@
 // The waits of a caller whose calls fail: each may be twice as long as the one before, up to a
 // bound, and is drawn from the upper half of that, so that callers who failed in one moment do not
 // come again in one moment. Deterministic for a seed; it must never read a clock or call anything.
-#ifndef PEARREACH_SRC_BASE_BACKOFF_H_
-#define PEARREACH_SRC_BASE_BACKOFF_H_
+#ifndef PEARREACH_SRC_COMMON_EVENT_LOOP_BACKOFF_H_
+#define PEARREACH_SRC_COMMON_EVENT_LOOP_BACKOFF_H_
 
 #include <algorithm>
 #include <cstdint>
 #include <random>
 
-#include "marlquay/dispatcher.h"
+#include "pearreach/dispatcher.h"
 
 namespace pearreach {
 
 class Backoff {
  public:
-  using Micros = marlquay::Micros;
+  using Micros = dispatch::Micros;
 
   Backoff(Micros first, Micros last, std::uint64_t seed)
       : first_(first), last_(std::max(first, last)), random_(seed) {}
@@ -39,4 +39,4 @@
 
 }  // namespace pearreach
 
-#endif  // PEARREACH_SRC_BASE_BACKOFF_H_
+#endif  // PEARREACH_SRC_COMMON_EVENT_LOOP_BACKOFF_H_
--- a/src/base/io.cpp
+++ b/src/common/event_loop/io.cpp
@@ -1,4 +1,4 @@
-#include "base/io.h"
+#include "common/event_loop/io.h"
 
 #include <gio/gunixfdmessage.h>
 #include <gio/gunixsocketaddress.h>
--- a/src/base/io.h
+++ b/src/common/event_loop/io.h
@@ -1,8 +1,8 @@
 // What the node uses of GLib: a TCP stream, a listener and an alarm on the default main loop. It
 // owns descriptors and event sources; it must never block, never keep a descriptor past Close, and
 // knows nothing of HTTP or of jobs.
-#ifndef PEARREACH_SRC_BASE_IO_H_
-#define PEARREACH_SRC_BASE_IO_H_
+#ifndef PEARREACH_SRC_COMMON_EVENT_LOOP_IO_H_
+#define PEARREACH_SRC_COMMON_EVENT_LOOP_IO_H_
 
 #include <gio/gio.h>
 
@@ -14,13 +14,13 @@
 #include <string_view>
 #include <utility>
 
-#include "base/log.h"
-#include "base/poller.h"
-#include "marlquay/dispatcher.h"
+#include "common/diagnostics/log.h"
+#include "common/event_loop/poller.h"
+#include "pearreach/dispatcher.h"
 
 namespace pearreach {
 
-using marlquay::Micros;
+using dispatch::Micros;
 
 constexpr Micros kMs = 1000;
 constexpr Micros kSecond = 1000 * kMs;
@@ -141,4 +141,4 @@
 
 }  // namespace pearreach
 
-#endif  // PEARREACH_SRC_BASE_IO_H_
+#endif  // PEARREACH_SRC_COMMON_EVENT_LOOP_IO_H_
--- a/src/base/poller.cpp
+++ b/src/common/event_loop/poller.cpp
@@ -1,4 +1,4 @@
-#include "base/poller.h"
+#include "common/event_loop/poller.h"
 
 #include <glib-unix.h>
 
--- a/src/base/poller.h
+++ b/src/common/event_loop/poller.h
@@ -1,8 +1,8 @@
 // Which descriptors are ready, for all streams of the process: one epoll set that GLib's main loop
 // polls as a single source, so that a turn of the loop costs what is ready and not what is open. It
 // owns the set; it must never call back for a descriptor after Remove, nor close one.
-#ifndef PEARREACH_SRC_BASE_POLLER_H_
-#define PEARREACH_SRC_BASE_POLLER_H_
+#ifndef PEARREACH_SRC_COMMON_EVENT_LOOP_POLLER_H_
+#define PEARREACH_SRC_COMMON_EVENT_LOOP_POLLER_H_
 
 #include <glib.h>
 #include <sys/epoll.h>
@@ -45,4 +45,4 @@
 
 }  // namespace pearreach
 
-#endif  // PEARREACH_SRC_BASE_POLLER_H_
+#endif  // PEARREACH_SRC_COMMON_EVENT_LOOP_POLLER_H_
--- a/src/base/timers.cpp
+++ b/src/common/event_loop/timers.cpp
@@ -1,4 +1,4 @@
-#include "base/timers.h"
+#include "common/event_loop/timers.h"
 
 namespace pearreach {
 
--- a/src/base/timers.h
+++ b/src/common/event_loop/timers.h
@@ -1,14 +1,14 @@
 // One-shot timers on the default main loop. All timers of a process share a single alarm, so that a
 // turn of the loop costs the same however many are set. Single-threaded.
-#ifndef PEARREACH_SRC_BASE_TIMERS_H_
-#define PEARREACH_SRC_BASE_TIMERS_H_
+#ifndef PEARREACH_SRC_COMMON_EVENT_LOOP_TIMERS_H_
+#define PEARREACH_SRC_COMMON_EVENT_LOOP_TIMERS_H_
 
 #include <cstdint>
 #include <functional>
 #include <map>
 #include <utility>
 
-#include "base/io.h"
+#include "common/event_loop/io.h"
 
 namespace pearreach {
 
@@ -39,4 +39,4 @@
 
 }  // namespace pearreach
 
-#endif  // PEARREACH_SRC_BASE_TIMERS_H_
+#endif  // PEARREACH_SRC_COMMON_EVENT_LOOP_TIMERS_H_
--- a/src/http/http.cpp
+++ b/src/common/http/http.cpp
@@ -1,4 +1,4 @@
-#include "http/http.h"
+#include "common/http/http.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/http/http.h
+++ b/src/common/http/http.h
@@ -2,8 +2,8 @@
 // bytes of one direction of one connection and nothing else: it must never touch a socket or a
 // clock, never hold more than its limits, and never pass on a message whose length can be read in
 // two ways.
-#ifndef PEARREACH_SRC_HTTP_HTTP_H_
-#define PEARREACH_SRC_HTTP_HTTP_H_
+#ifndef PEARREACH_SRC_COMMON_HTTP_HTTP_H_
+#define PEARREACH_SRC_COMMON_HTTP_HTTP_H_
 
 #include <cstddef>
 #include <string>
@@ -91,4 +91,4 @@
 
 }  // namespace pearreach::http
 
-#endif  // PEARREACH_SRC_HTTP_HTTP_H_
+#endif  // PEARREACH_SRC_COMMON_HTTP_HTTP_H_
--- a/src/module/attempts.h
+++ b/src/dispatch/policy/attempts.h
@@ -1,12 +1,12 @@
 // Attempts: the send, what the worker says of it, its outcome, and what a served job teaches.
-#ifndef MARLQUAY_SRC_MODULE_ATTEMPTS_H_
-#define MARLQUAY_SRC_MODULE_ATTEMPTS_H_
+#ifndef PEARREACH_SRC_DISPATCH_POLICY_ATTEMPTS_H_
+#define PEARREACH_SRC_DISPATCH_POLICY_ATTEMPTS_H_
 
 #include <algorithm>
 
-#include "module/request_queue.h"
+#include "dispatch/policy/request_queue.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 
 constexpr Micros kOutPeriod = 100 * kMs;            // the check while jobs are out
 constexpr double kTellMost = 5000, kTellRise = 10;  // a start's word is so long on its way, at most
@@ -135,6 +135,6 @@
   }
 };
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
 
-#endif  // MARLQUAY_SRC_MODULE_ATTEMPTS_H_
+#endif  // PEARREACH_SRC_DISPATCH_POLICY_ATTEMPTS_H_
--- a/src/module/bookkeeping.h
+++ b/src/dispatch/policy/bookkeeping.h
@@ -4,17 +4,17 @@
 // The policy is one class in layers, a file each. A layer derives from the one below it and calls
 // only what is below: Bookkeeping, JobValue, RetryRules, SlotLimit, WorkerHealth,
 // WorkerMembership, WorkerChoice, RequestQueue, Attempts and, in policy.cpp, Dispatcher::Impl.
-#ifndef MARLQUAY_SRC_MODULE_BOOKKEEPING_H_
-#define MARLQUAY_SRC_MODULE_BOOKKEEPING_H_
+#ifndef PEARREACH_SRC_DISPATCH_POLICY_BOOKKEEPING_H_
+#define PEARREACH_SRC_DISPATCH_POLICY_BOOKKEEPING_H_
 
 #include <algorithm>
 #include <utility>
 #include <vector>
 
-#include "marlquay/dispatcher.h"
-#include "module/state.h"
+#include "dispatch/policy/state.h"
+#include "pearreach/dispatcher.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 
 constexpr Micros kMs = 1000;
 constexpr Micros kLogEvery = 1000 * kMs;  // no log line of one kind sooner than this
@@ -198,6 +198,6 @@
   std::vector<Action>* actions_ = nullptr;
 };
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
 
-#endif  // MARLQUAY_SRC_MODULE_BOOKKEEPING_H_
+#endif  // PEARREACH_SRC_DISPATCH_POLICY_BOOKKEEPING_H_
--- a/src/module/checkpoint.cpp
+++ b/src/dispatch/policy/checkpoint.cpp
@@ -1,4 +1,4 @@
-#include "module/checkpoint.h"
+#include "dispatch/policy/checkpoint.h"
 
 #include <google/protobuf/io/coded_stream.h>
 #include <google/protobuf/io/zero_copy_stream_impl_lite.h>
@@ -6,9 +6,9 @@
 #include <bit>
 #include <type_traits>
 
-#include "module/state.h"
+#include "dispatch/policy/state.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 namespace {
 
 using google::protobuf::io::CodedInputStream;
@@ -33,7 +33,7 @@
 
 // One list of fields a record. A field that is missing here, or too many, does not compile: the
 // names bind all members of a record, in their order.
-#define MARLQUAY_FIELDS(Type, ...)                                    \
+#define PEARREACH_FIELDS(Type, ...)                                   \
   template <class Visit>                                              \
   static void Each(Type& record, Visit& visit) {                      \
     auto& [__VA_ARGS__] = record;                                     \
@@ -44,33 +44,33 @@
   }
 
 struct Checkpoint::Fields {
-  MARLQUAY_FIELDS(FadingSum, sum, at)
-  MARLQUAY_FIELDS(WindowSum, parts)
-  MARLQUAY_FIELDS(Ref, slot, generation)
-  MARLQUAY_FIELDS(Due, at, ref)
-  MARLQUAY_FIELDS(Member, identity, id)
-  MARLQUAY_FIELDS(MeanGap, mean, last)
-  MARLQUAY_FIELDS(KeySums, sums, all)
-  MARLQUAY_FIELDS(Bucket, left, cap, per_second, at)
-  MARLQUAY_FIELDS(ClassState, work, asked, good, weight)
-  MARLQUAY_FIELDS(Queue, passed, jobs)
-  MARLQUAY_FIELDS(Attempt, worker, sent, started, ran, taken, given_up, late, written_off, zone,
-                  cell)
-  MARLQUAY_FIELDS(Request, id, generation, live, held, late, ended, over_share, cls, slots, arrived,
-                  due, hint, key, preferred, attempts, out, asked_at)
-  MARLQUAY_FIELDS(WorkerEntry, worker, identity, zone, kind, cell, health, weight, ready_at)
-  MARLQUAY_FIELDS(Worker, blocked_until, next_trial, full_until, full_level, busy, slowness,
-                  waiting, idle, failures, silent, member, used, known, recalled, judged, named,
-                  entry, idle_since, probed_at, answered_at, others, taken, part, running, heard,
-                  full_wait, trial_wait, died_at, cold_part, cold_sends, out)
-  MARLQUAY_FIELDS(Pool, members, local, home, used, changed, limit, busy, found, price, refusals,
-                  last_refusal, last_cut, wanted, shut_until, shut_slots, ran, worked, slowdown,
-                  told, slots_seen, tell, repeats)
+  PEARREACH_FIELDS(FadingSum, sum, at)
+  PEARREACH_FIELDS(WindowSum, parts)
+  PEARREACH_FIELDS(Ref, slot, generation)
+  PEARREACH_FIELDS(Due, at, ref)
+  PEARREACH_FIELDS(Member, identity, id)
+  PEARREACH_FIELDS(MeanGap, mean, last)
+  PEARREACH_FIELDS(KeySums, sums, all)
+  PEARREACH_FIELDS(Bucket, left, cap, per_second, at)
+  PEARREACH_FIELDS(ClassState, work, asked, good, weight)
+  PEARREACH_FIELDS(Queue, passed, jobs)
+  PEARREACH_FIELDS(Attempt, worker, sent, started, ran, taken, given_up, late, written_off, zone,
+                   cell)
+  PEARREACH_FIELDS(Request, id, generation, live, held, late, ended, over_share, cls, slots,
+                   arrived, due, hint, key, preferred, attempts, out, asked_at)
+  PEARREACH_FIELDS(WorkerEntry, worker, identity, zone, kind, cell, health, weight, ready_at)
+  PEARREACH_FIELDS(Worker, blocked_until, next_trial, full_until, full_level, busy, slowness,
+                   waiting, idle, failures, silent, member, used, known, recalled, judged, named,
+                   entry, idle_since, probed_at, answered_at, others, taken, part, running, heard,
+                   full_wait, trial_wait, died_at, cold_part, cold_sends, out)
+  PEARREACH_FIELDS(Pool, members, local, home, used, changed, limit, busy, found, price, refusals,
+                   last_refusal, last_cut, wanted, shut_until, shut_slots, ran, worked, slowdown,
+                   told, slots_seen, tell, repeats)
   // The index is made again from the slab: it is only looked up, never walked.
-  MARLQUAY_FIELDS(RequestTable, slab, free, index)
-  MARLQUAY_FIELDS(State, random, now, table, workers, pools, classes, queues, due, looks, lists,
-                  keys, quota, gap, subscribe_at, subscribe_wait, next_check, armed, logged,
-                  largest_weight, held, refused)
+  PEARREACH_FIELDS(RequestTable, slab, free, index)
+  PEARREACH_FIELDS(State, random, now, table, workers, pools, classes, queues, due, looks, lists,
+                   keys, quota, gap, subscribe_at, subscribe_wait, next_check, armed, logged,
+                   largest_weight, held, refused)
 
   class Saver {
    public:
@@ -343,4 +343,4 @@
       for (Member& m : *set) m.identity = identity(m.identity);
 }
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
--- a/src/module/checkpoint.h
+++ b/src/dispatch/policy/checkpoint.h
@@ -2,17 +2,17 @@
 // made from them goes on exactly as the first would have. It owns the list of fields of every
 // record in state.h, request_table.h and records.h; it must never decide anything, and never hand
 // out a Dispatcher whose state does not hold together, whatever the bytes were.
-#ifndef MARLQUAY_SRC_MODULE_CHECKPOINT_H_
-#define MARLQUAY_SRC_MODULE_CHECKPOINT_H_
+#ifndef PEARREACH_SRC_DISPATCH_POLICY_CHECKPOINT_H_
+#define PEARREACH_SRC_DISPATCH_POLICY_CHECKPOINT_H_
 
 #include <cstdint>
 #include <functional>
 #include <string>
 #include <string_view>
 
-#include "marlquay/dispatcher.h"
+#include "pearreach/dispatcher.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 
 class Checkpoint {
  public:
@@ -36,6 +36,6 @@
   struct Fields;  // checkpoint.cpp
 };
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
 
-#endif  // MARLQUAY_SRC_MODULE_CHECKPOINT_H_
+#endif  // PEARREACH_SRC_DISPATCH_POLICY_CHECKPOINT_H_
--- a/src/module/job_value.h
+++ b/src/dispatch/policy/job_value.h
@@ -1,13 +1,13 @@
 // What a job is: its work, the last moment at which a start is still in time, what a slot is worth
 // to it, and the price of a pool's slots after a worthy job has missed its time there.
-#ifndef MARLQUAY_SRC_MODULE_JOB_VALUE_H_
-#define MARLQUAY_SRC_MODULE_JOB_VALUE_H_
+#ifndef PEARREACH_SRC_DISPATCH_POLICY_JOB_VALUE_H_
+#define PEARREACH_SRC_DISPATCH_POLICY_JOB_VALUE_H_
 
 #include <algorithm>
 
-#include "module/bookkeeping.h"
+#include "dispatch/policy/bookkeeping.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 
 constexpr Micros kFirstTry = 50 * kMs;  // estimates refuse nothing sooner than this
 constexpr double kPriceJobs = 40;  // the price fades over so many arrivals at this node, within
@@ -99,6 +99,6 @@
   }
 };
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
 
-#endif  // MARLQUAY_SRC_MODULE_JOB_VALUE_H_
+#endif  // PEARREACH_SRC_DISPATCH_POLICY_JOB_VALUE_H_
--- a/src/module/knowledge.cpp
+++ b/src/dispatch/policy/knowledge.cpp
@@ -2,10 +2,10 @@
 // of knowledge that is handed back is decided in policy.cpp.
 #include <algorithm>
 
-#include "marlquay/dispatcher.h"
-#include "module/state.h"
+#include "dispatch/policy/state.h"
+#include "pearreach/dispatcher.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 
 double Dispatcher::PoolLimit(int pool) const { return state().pools_.at(pool).limit; }
 double Dispatcher::PoolBusy(int pool) const { return state().pools_.at(pool).busy; }
@@ -42,4 +42,4 @@
   return k;
 }
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
--- a/src/module/policy.cpp
+++ b/src/dispatch/policy/policy.cpp
@@ -1,12 +1,13 @@
 // The top layer of the policy: the call that takes events, the pump that sends, the periodic check,
-// and what is made of an earlier process's knowledge. Interface: include/marlquay/dispatcher.h, the
-// layers below: bookkeeping.h, source: docs/design.md.
+// and what is made of an earlier process's knowledge. Interface:
+// include/pearreach::dispatch/dispatcher.h, the layers below: bookkeeping.h, source:
+// docs/design.md.
 #include <algorithm>
 
-#include "marlquay/dispatcher.h"
-#include "module/attempts.h"
+#include "dispatch/policy/attempts.h"
+#include "pearreach/dispatcher.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 namespace {
 
 constexpr Micros kHeldPeriod = 25 * kMs;  // the check while jobs wait
@@ -111,4 +112,4 @@
 void Dispatcher::Observe(Observer* observer) { impl_->Observe(observer); }
 State& Dispatcher::state() const { return *impl_; }
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
--- a/src/module/records.h
+++ b/src/dispatch/policy/records.h
@@ -1,8 +1,8 @@
 // What a Dispatcher remembers, as plain records: requests, workers, pools, classes, keys and
 // tenants. No decision is made here. What is added must be added to its list of fields in
 // checkpoint.cpp, which does not compile without.
-#ifndef MARLQUAY_SRC_MODULE_RECORDS_H_
-#define MARLQUAY_SRC_MODULE_RECORDS_H_
+#ifndef PEARREACH_SRC_DISPATCH_POLICY_RECORDS_H_
+#define PEARREACH_SRC_DISPATCH_POLICY_RECORDS_H_
 
 #include <algorithm>
 #include <cmath>
@@ -13,9 +13,9 @@
 #include <utility>
 #include <vector>
 
-#include "marlquay/dispatcher.h"
+#include "pearreach/dispatcher.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 
 constexpr Micros kLongAgo = std::numeric_limits<Micros>::min() / 4;
 
@@ -309,6 +309,6 @@
   }
 };
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
 
-#endif  // MARLQUAY_SRC_MODULE_RECORDS_H_
+#endif  // PEARREACH_SRC_DISPATCH_POLICY_RECORDS_H_
--- a/src/module/request_queue.h
+++ b/src/dispatch/policy/request_queue.h
@@ -1,12 +1,12 @@
 // Requests: their arrival, their order while they wait, and their one final answer.
-#ifndef MARLQUAY_SRC_MODULE_REQUEST_QUEUE_H_
-#define MARLQUAY_SRC_MODULE_REQUEST_QUEUE_H_
+#ifndef PEARREACH_SRC_DISPATCH_POLICY_REQUEST_QUEUE_H_
+#define PEARREACH_SRC_DISPATCH_POLICY_REQUEST_QUEUE_H_
 
 #include <algorithm>
 
-#include "module/worker_choice.h"
+#include "dispatch/policy/worker_choice.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 
 constexpr std::size_t kLookahead = 8;  // held jobs of one queue tried when its newest must wait
 constexpr double kLearn = 0.05;        // weight of one arrival, or of one finished job
@@ -113,6 +113,6 @@
   }
 };
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
 
-#endif  // MARLQUAY_SRC_MODULE_REQUEST_QUEUE_H_
+#endif  // PEARREACH_SRC_DISPATCH_POLICY_REQUEST_QUEUE_H_
--- a/src/module/request_table.h
+++ b/src/dispatch/policy/request_table.h
@@ -1,7 +1,7 @@
 // The open requests of a Dispatcher, the queues of those that wait and the moments at which
 // something must be done about them. No decision is made here.
-#ifndef MARLQUAY_SRC_MODULE_REQUEST_TABLE_H_
-#define MARLQUAY_SRC_MODULE_REQUEST_TABLE_H_
+#ifndef PEARREACH_SRC_DISPATCH_POLICY_REQUEST_TABLE_H_
+#define PEARREACH_SRC_DISPATCH_POLICY_REQUEST_TABLE_H_
 
 #include <cstdint>
 #include <deque>
@@ -10,9 +10,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "module/records.h"
+#include "dispatch/policy/records.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 
 struct Due {
   Micros at = 0;
@@ -105,6 +105,6 @@
   container_type& container() { return c; }
 };
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
 
-#endif  // MARLQUAY_SRC_MODULE_REQUEST_TABLE_H_
+#endif  // PEARREACH_SRC_DISPATCH_POLICY_REQUEST_TABLE_H_
--- a/src/module/retry_rules.h
+++ b/src/dispatch/policy/retry_rules.h
@@ -1,11 +1,11 @@
 // The rules of sends and retries: whether a request may be sent now, to which workers, and whether
 // it may be refused with the promise that nothing ran.
-#ifndef MARLQUAY_SRC_MODULE_RETRY_RULES_H_
-#define MARLQUAY_SRC_MODULE_RETRY_RULES_H_
+#ifndef PEARREACH_SRC_DISPATCH_POLICY_RETRY_RULES_H_
+#define PEARREACH_SRC_DISPATCH_POLICY_RETRY_RULES_H_
 
-#include "module/job_value.h"
+#include "dispatch/policy/job_value.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 
 constexpr Micros kAnswerMargin = 2 * kMs;  // final answers go out this long before the deadline
 
@@ -37,6 +37,6 @@
   }
 };
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
 
-#endif  // MARLQUAY_SRC_MODULE_RETRY_RULES_H_
+#endif  // PEARREACH_SRC_DISPATCH_POLICY_RETRY_RULES_H_
--- a/src/module/settings.cpp
+++ b/src/dispatch/policy/settings.cpp
@@ -1,6 +1,6 @@
-#include "marlquay/dispatcher.h"
+#include "pearreach/dispatcher.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 
 std::string ValidateSettings(const Settings& s) {
   if (s.classes.empty()) return "no request class";
@@ -11,4 +11,4 @@
   return "";
 }
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
--- a/src/module/slot_limit.h
+++ b/src/dispatch/policy/slot_limit.h
@@ -1,14 +1,14 @@
 // The slot limit of a pool: how many slots this node may have in use there. Jobs served and jobs
 // waiting raise it; refusals cut it.
-#ifndef MARLQUAY_SRC_MODULE_SLOT_LIMIT_H_
-#define MARLQUAY_SRC_MODULE_SLOT_LIMIT_H_
+#ifndef PEARREACH_SRC_DISPATCH_POLICY_SLOT_LIMIT_H_
+#define PEARREACH_SRC_DISPATCH_POLICY_SLOT_LIMIT_H_
 
 #include <algorithm>
 #include <utility>
 
-#include "module/retry_rules.h"
+#include "dispatch/policy/retry_rules.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 
 constexpr double kGrowSlow = 0.25;     // limit gained by a success, per slot of the job
 constexpr double kGrowFast = 1.0;      // the same after a spell without refusals
@@ -62,6 +62,6 @@
   }
 };
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
 
-#endif  // MARLQUAY_SRC_MODULE_SLOT_LIMIT_H_
+#endif  // PEARREACH_SRC_DISPATCH_POLICY_SLOT_LIMIT_H_
--- a/src/module/state.h
+++ b/src/dispatch/policy/state.h
@@ -1,19 +1,19 @@
 // State holds all of a Dispatcher that outlives a call. No decision is made here: the files under
 // `policy` in deploy/balancer.toml hold them. What is added here must be added to its list of
 // fields in checkpoint.cpp, which does not compile without.
-#ifndef MARLQUAY_SRC_MODULE_STATE_H_
-#define MARLQUAY_SRC_MODULE_STATE_H_
+#ifndef PEARREACH_SRC_DISPATCH_POLICY_STATE_H_
+#define PEARREACH_SRC_DISPATCH_POLICY_STATE_H_
 
 #include <array>
 #include <cstdint>
 #include <limits>
 #include <vector>
 
-#include "marlquay/dispatcher.h"
-#include "module/records.h"
-#include "module/request_table.h"
+#include "dispatch/policy/records.h"
+#include "dispatch/policy/request_table.h"
+#include "pearreach/dispatcher.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 
 class State {
  protected:
@@ -64,6 +64,6 @@
   int held_ = 0, refused_ = 0;
 };
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
 
-#endif  // MARLQUAY_SRC_MODULE_STATE_H_
+#endif  // PEARREACH_SRC_DISPATCH_POLICY_STATE_H_
--- a/src/module/worker_choice.h
+++ b/src/dispatch/policy/worker_choice.h
@@ -1,7 +1,7 @@
 // The choice of a worker for one job: the least busy of a few that are sampled, in pools whose
 // limit has room.
-#ifndef MARLQUAY_SRC_MODULE_WORKER_CHOICE_H_
-#define MARLQUAY_SRC_MODULE_WORKER_CHOICE_H_
+#ifndef PEARREACH_SRC_DISPATCH_POLICY_WORKER_CHOICE_H_
+#define PEARREACH_SRC_DISPATCH_POLICY_WORKER_CHOICE_H_
 
 #include <algorithm>
 #include <cmath>
@@ -10,9 +10,9 @@
 #include <utility>
 #include <vector>
 
-#include "module/worker_membership.h"
+#include "dispatch/policy/worker_membership.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 
 constexpr int kSample = 4;                   // workers looked at for one job
 constexpr double kRemoteCost = 0.5;          // slots that another zone counts for
@@ -230,6 +230,6 @@
   std::vector<std::pair<std::uint64_t, WorkerId>> order_;  // of its key
 };
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
 
-#endif  // MARLQUAY_SRC_MODULE_WORKER_CHOICE_H_
+#endif  // PEARREACH_SRC_DISPATCH_POLICY_WORKER_CHOICE_H_
--- a/src/module/worker_health.h
+++ b/src/dispatch/policy/worker_health.h
@@ -1,15 +1,15 @@
 // Evidence of workers' health: which are silent, failing, full or left out by what several nodes
 // have seen, when each may be tried again, how much a fresh one may be sent before it is warm, and
 // the check of the attempts that are out at one.
-#ifndef MARLQUAY_SRC_MODULE_WORKER_HEALTH_H_
-#define MARLQUAY_SRC_MODULE_WORKER_HEALTH_H_
+#ifndef PEARREACH_SRC_DISPATCH_POLICY_WORKER_HEALTH_H_
+#define PEARREACH_SRC_DISPATCH_POLICY_WORKER_HEALTH_H_
 
 #include <algorithm>
 #include <cmath>
 
-#include "module/slot_limit.h"
+#include "dispatch/policy/slot_limit.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 
 constexpr Micros kStartGrace = 100 * kMs;   // a start later than this (or a connect) is a refusal
 constexpr Micros kMissedLast = 1000 * kMs;  // a job not taken by then never will be
@@ -191,6 +191,6 @@
   }
 };
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
 
-#endif  // MARLQUAY_SRC_MODULE_WORKER_HEALTH_H_
+#endif  // PEARREACH_SRC_DISPATCH_POLICY_WORKER_HEALTH_H_
--- a/src/module/worker_membership.h
+++ b/src/dispatch/policy/worker_membership.h
@@ -1,14 +1,14 @@
 // The list of workers: who is a member of which pool, what a new process of a worker voids, and
 // which part of each worker is this node's own.
-#ifndef MARLQUAY_SRC_MODULE_WORKER_MEMBERSHIP_H_
-#define MARLQUAY_SRC_MODULE_WORKER_MEMBERSHIP_H_
+#ifndef PEARREACH_SRC_DISPATCH_POLICY_WORKER_MEMBERSHIP_H_
+#define PEARREACH_SRC_DISPATCH_POLICY_WORKER_MEMBERSHIP_H_
 
 #include <algorithm>
 #include <utility>
 
-#include "module/worker_health.h"
+#include "dispatch/policy/worker_health.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 
 constexpr Micros kSubscribeFirst = 250 * kMs;  // wait after a failed call of the list; it doubles
 
@@ -63,6 +63,6 @@
   }
 };
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
 
-#endif  // MARLQUAY_SRC_MODULE_WORKER_MEMBERSHIP_H_
+#endif  // PEARREACH_SRC_DISPATCH_POLICY_WORKER_MEMBERSHIP_H_
--- a/src/site/site.cpp
+++ b/src/dispatch/settings/site.cpp
@@ -1,10 +1,10 @@
-#include "site/site.h"
+#include "dispatch/settings/site.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-namespace marlquay {
+namespace pearreach::dispatch {
 
 std::string Quote(Text t) { return std::string(1, '\'').append(t).append(1, '\''); }
 
@@ -186,4 +186,4 @@
   if (name == "rif") load->in_flight = Number<double>(value, "rif");
 }
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
--- a/src/site/site.h
+++ b/src/dispatch/settings/site.h
@@ -2,8 +2,8 @@
 // as path=text with the wire's dotted paths, into the module's Settings and the names that go with
 // them. It owns no connection to where the text came from and must never guess: what it cannot read
 // is Malformed, and paths that it does not know are passed over.
-#ifndef MARLQUAY_SRC_SITE_SITE_H_
-#define MARLQUAY_SRC_SITE_SITE_H_
+#ifndef PEARREACH_SRC_DISPATCH_SETTINGS_SITE_H_
+#define PEARREACH_SRC_DISPATCH_SETTINGS_SITE_H_
 
 #include <charconv>
 #include <cmath>
@@ -14,9 +14,9 @@
 #include <string_view>
 #include <vector>
 
-#include "marlquay/dispatcher.h"
+#include "pearreach/dispatcher.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 
 using Text = std::string_view;
 using Names = std::vector<std::string>;
@@ -89,6 +89,6 @@
 // One value of a load report; those that the module does not use are passed over.
 void TakeLoad(const Site& site, Text name, Text value, LoadReport* load);
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
 
-#endif  // MARLQUAY_SRC_SITE_SITE_H_
+#endif  // PEARREACH_SRC_DISPATCH_SETTINGS_SITE_H_
--- a/src/adapter/wire.cpp
+++ b/src/dispatch/simulator/wire.cpp
@@ -1,4 +1,4 @@
-#include "adapter/wire.h"
+#include "dispatch/simulator/wire.h"
 
 #include <algorithm>
 #include <array>
@@ -14,10 +14,10 @@
 #include <unordered_map>
 #include <utility>
 
-#include "marlquay/dispatcher.h"
-#include "site/site.h"
+#include "dispatch/settings/site.h"
+#include "pearreach/dispatcher.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 namespace {
 
 // The values of one line, taken in order. '-' and a value left off at the end are absent.
@@ -444,10 +444,10 @@
     }
     if (!host.Idle()) throw Malformed("the input ends inside a batch");
   } catch (const Malformed& wrong) {
-    err << "marlquay_wirehost: line " << number << ": " << wrong.what() << '\n';
+    err << "pearreach-simulator-adapter: line " << number << ": " << wrong.what() << '\n';
     return 1;
   }
   return 0;
 }
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
--- a/src/adapter/wire.h
+++ b/src/dispatch/simulator/wire.h
@@ -1,15 +1,15 @@
 // The simulator's text wire: reads batches of events, keeps one Dispatcher for each instance and
 // writes their actions. It decides nothing.
-#ifndef MARLQUAY_SRC_ADAPTER_WIRE_H_
-#define MARLQUAY_SRC_ADAPTER_WIRE_H_
+#ifndef PEARREACH_SRC_DISPATCH_SIMULATOR_WIRE_H_
+#define PEARREACH_SRC_DISPATCH_SIMULATOR_WIRE_H_
 
 #include <iosfwd>
 #include <vector>
 
-#include "marlquay/dispatcher.h"
-#include "site/site.h"
+#include "dispatch/settings/site.h"
+#include "pearreach/dispatcher.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 
 // Watches what the instances are told and decide. References hold during the call only.
 class WireWatcher {
@@ -28,6 +28,6 @@
 int ServeWire(std::istream& in, std::ostream& out, std::ostream& err,
               WireWatcher* watcher = nullptr);
 
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
 
-#endif  // MARLQUAY_SRC_ADAPTER_WIRE_H_
+#endif  // PEARREACH_SRC_DISPATCH_SIMULATOR_WIRE_H_
--- a/src/admin/bans.cpp
+++ b/src/node/admin/bans.cpp
@@ -1,9 +1,9 @@
-#include "admin/bans.h"
+#include "node/admin/bans.h"
 
 #include <glib.h>
 #include <sys/stat.h>
 
-#include "base/log.h"
+#include "common/diagnostics/log.h"
 
 namespace pearreach::admin {
 namespace {
--- a/src/admin/bans.h
+++ b/src/node/admin/bans.h
@@ -3,8 +3,8 @@
 // side in an upgrade. It owns that file's form and its reading and writing; it must never decide
 // whether an id may be banned (the node says that), never leave a half-written file for the other
 // process to read, and never stop the node for a file it cannot read or write.
-#ifndef PEARREACH_SRC_ADMIN_BANS_H_
-#define PEARREACH_SRC_ADMIN_BANS_H_
+#ifndef PEARREACH_SRC_NODE_ADMIN_BANS_H_
+#define PEARREACH_SRC_NODE_ADMIN_BANS_H_
 
 #include <cstdint>
 #include <set>
@@ -46,4 +46,4 @@
 
 }  // namespace pearreach::admin
 
-#endif  // PEARREACH_SRC_ADMIN_BANS_H_
+#endif  // PEARREACH_SRC_NODE_ADMIN_BANS_H_
--- a/src/admin/door.cpp
+++ b/src/node/admin/door.cpp
@@ -1,4 +1,4 @@
-#include "admin/door.h"
+#include "node/admin/door.h"
 
 #include <glib.h>
 
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <utility>
 
-#include "base/log.h"
+#include "common/diagnostics/log.h"
 
 namespace pearreach::admin {
 namespace {
--- a/src/admin/door.h
+++ b/src/node/admin/door.h
@@ -4,8 +4,8 @@
 // node as a ban, and the module decides as for any drain), must never answer later than a second
 // after a call's connection came, and never let a caller that sends nothing or half a call hold
 // more than its own bounded share of descriptors.
-#ifndef PEARREACH_SRC_ADMIN_DOOR_H_
-#define PEARREACH_SRC_ADMIN_DOOR_H_
+#ifndef PEARREACH_SRC_NODE_ADMIN_DOOR_H_
+#define PEARREACH_SRC_NODE_ADMIN_DOOR_H_
 
 #include <cstdint>
 #include <functional>
@@ -16,8 +16,8 @@
 #include <utility>
 #include <vector>
 
-#include "base/io.h"
-#include "http/http.h"
+#include "common/event_loop/io.h"
+#include "common/http/http.h"
 
 namespace pearreach::admin {
 
@@ -100,4 +100,4 @@
 
 }  // namespace pearreach::admin
 
-#endif  // PEARREACH_SRC_ADMIN_DOOR_H_
+#endif  // PEARREACH_SRC_NODE_ADMIN_DOOR_H_
--- a/src/admin/zone_orders.cpp
+++ b/src/node/admin/zone_orders.cpp
@@ -1,10 +1,10 @@
-#include "admin/zone_orders.h"
+#include "node/admin/zone_orders.h"
 
 #include <glib.h>
 
 #include <charconv>
 
-#include "base/log.h"
+#include "common/diagnostics/log.h"
 
 namespace pearreach::admin {
 namespace {
--- a/src/admin/zone_orders.h
+++ b/src/node/admin/zone_orders.h
@@ -2,8 +2,8 @@
 // and in both processes of an upgrade. It owns the file's form, its reading and writing; it must
 // never decide what an order means, never leave half a file, and never stop the node for a line
 // that it cannot read.
-#ifndef PEARREACH_SRC_ADMIN_ZONE_ORDERS_H_
-#define PEARREACH_SRC_ADMIN_ZONE_ORDERS_H_
+#ifndef PEARREACH_SRC_NODE_ADMIN_ZONE_ORDERS_H_
+#define PEARREACH_SRC_NODE_ADMIN_ZONE_ORDERS_H_
 
 #include <cstdint>
 #include <string>
@@ -35,4 +35,4 @@
 
 }  // namespace pearreach::admin
 
-#endif  // PEARREACH_SRC_ADMIN_ZONE_ORDERS_H_
+#endif  // PEARREACH_SRC_NODE_ADMIN_ZONE_ORDERS_H_
--- a/src/capture/audit.cpp
+++ b/src/node/capture/audit.cpp
@@ -1,4 +1,4 @@
-#include "capture/audit.h"
+#include "node/capture/audit.h"
 
 #include <algorithm>
 #include <map>
@@ -8,7 +8,7 @@
 namespace pearreach::capture {
 namespace {
 
-using namespace marlquay;
+using namespace pearreach::dispatch;
 
 constexpr std::size_t kMostBreaches = 1000;
 constexpr Micros kDefaultSlack = 50'000;  // where the settings name none
--- a/src/capture/audit.h
+++ b/src/node/capture/audit.h
@@ -1,14 +1,14 @@
 // Checks the four rules over a segment from what was told and decided alone. It owns books of its
 // own and shares no code with the module, so that one mistake is not made twice; it must never call
 // a rule kept of which it could not see enough: that is counted as not seen.
-#ifndef PEARREACH_SRC_CAPTURE_AUDIT_H_
-#define PEARREACH_SRC_CAPTURE_AUDIT_H_
+#ifndef PEARREACH_SRC_NODE_CAPTURE_AUDIT_H_
+#define PEARREACH_SRC_NODE_CAPTURE_AUDIT_H_
 
 #include <cstdint>
 #include <string>
 #include <vector>
 
-#include "capture/segment.h"
+#include "node/capture/segment.h"
 
 namespace pearreach::capture {
 
@@ -35,4 +35,4 @@
 
 }  // namespace pearreach::capture
 
-#endif  // PEARREACH_SRC_CAPTURE_AUDIT_H_
+#endif  // PEARREACH_SRC_NODE_CAPTURE_AUDIT_H_
--- a/src/capture/edit.cpp
+++ b/src/node/capture/edit.cpp
@@ -1,4 +1,4 @@
-#include "capture/edit.h"
+#include "node/capture/edit.h"
 
 #include <sodium.h>
 
@@ -9,15 +9,15 @@
 #include <set>
 #include <sstream>
 
-#include "adapter/wire.h"
-#include "module/checkpoint.h"
+#include "dispatch/policy/checkpoint.h"
+#include "dispatch/simulator/wire.h"
 
 namespace pearreach::capture {
 namespace {
 
-using marlquay::Action;
-using marlquay::Event;
-using marlquay::Text;
+using dispatch::Action;
+using dispatch::Event;
+using dispatch::Text;
 
 void MustBeWhole(const Segment& segment) {
   if (!segment.damage().empty()) throw Unreadable(segment.name() + ": " + segment.damage());
@@ -28,7 +28,7 @@
 // ---------------------------------------------------------------- cut
 
 std::string Cut(Segment* segment, const Window& window) {
-  marlquay::Dispatcher dispatcher = segment->Restore();
+  dispatch::Dispatcher dispatcher = segment->Restore();
   Origin origin = segment->origin();
   std::optional<SegmentWriter> writer;
   std::uint64_t before = 0;
@@ -49,7 +49,7 @@
             segment->workers().end() - static_cast<std::ptrdiff_t>(turn.workers.size()));
         origin.edited = true;
         const bool fresh = before == 0 && !segment->checkpoint();
-        const std::string state = fresh ? "" : marlquay::Checkpoint::Save(dispatcher);
+        const std::string state = fresh ? "" : dispatch::Checkpoint::Save(dispatcher);
         writer.emplace(origin, fresh ? nullptr : &state);
       }
       writer->Add(turn);
@@ -72,7 +72,7 @@
 
 namespace {
 
-// The inverse of marlquay::Mix (splitmix64's last step), so that identities can be chosen by the
+// The inverse of dispatch::Mix (splitmix64's last step), so that identities can be chosen by the
 // place that they give a worker in the common order.
 std::uint64_t Unmix(std::uint64_t x) {
   x = (x ^ (x >> 31) ^ (x >> 62)) * 0x319642b2d24d8ec3u;
@@ -136,13 +136,13 @@
 
 std::string MaskList(const Masks& masks, const char* kind, Text list) {
   std::string out;
-  for (const Text name : marlquay::Split(list, ','))
+  for (const Text name : dispatch::Split(list, ','))
     out += (out.empty() ? "" : ",") + masks.Name(kind, name);
   return out;
 }
 
-marlquay::Conf::Values MaskSettings(const Masks& masks, const marlquay::Conf::Values& settings) {
-  marlquay::Conf::Values out;
+dispatch::Conf::Values MaskSettings(const Masks& masks, const dispatch::Conf::Values& settings) {
+  dispatch::Conf::Values out;
   for (const auto& [path, value] : settings) {
     if (!IsUsed(path)) continue;
     std::string text = value;
@@ -167,16 +167,16 @@
   bool keyed = false;
   {
     Segment first(bytes, path);
-    marlquay::Dispatcher dispatcher = first.Restore();
-    marlquay::Checkpoint::Rename(
+    dispatch::Dispatcher dispatcher = first.Restore();
+    dispatch::Checkpoint::Rename(
         &dispatcher, [](std::uint64_t id) { return id; },
         [&](std::uint64_t identity) { return identities.insert(identity), identity; }, &keyed);
     Turn turn;
     while (first.Next(&turn))
       for (const Event& e : turn.events) {
-        if (const auto* list = std::get_if<marlquay::WorkerList>(&e))
+        if (const auto* list = std::get_if<dispatch::WorkerList>(&e))
           for (const auto& entry : list->entries) identities.insert(entry.identity);
-        if (const auto* arrived = std::get_if<marlquay::RequestArrived>(&e))
+        if (const auto* arrived = std::get_if<dispatch::RequestArrived>(&e))
           keyed = keyed || arrived->key.has_value();
       }
     MustBeWhole(first);
@@ -201,7 +201,7 @@
   const auto request = [&](std::uint64_t id) { return masks.Request(id); };
 
   Segment segment(bytes, path);
-  marlquay::Dispatcher dispatcher = segment.Restore();
+  dispatch::Dispatcher dispatcher = segment.Restore();
   Origin origin = segment.origin();
   origin.node = masks.Name("node", origin.node);
   origin.settings = MaskSettings(masks, origin.settings);
@@ -209,8 +209,8 @@
   origin.edited = true;
   std::string state;
   if (segment.checkpoint()) {
-    marlquay::Checkpoint::Rename(&dispatcher, request, identity, nullptr);
-    state = marlquay::Checkpoint::Save(dispatcher);
+    dispatch::Checkpoint::Rename(&dispatcher, request, identity, nullptr);
+    state = dispatch::Checkpoint::Save(dispatcher);
   }
   SegmentWriter writer(origin, segment.checkpoint() ? &state : nullptr);
   Turn turn;
@@ -246,16 +246,16 @@
   Micros now = 0;
   std::vector<Event> events;
   std::vector<Action> actions;  // of this build
-  marlquay::Names workers;      // new ones
+  dispatch::Names workers;      // new ones
 };
 
 // Keeps what one life of one instance was told.
-class Watch : public marlquay::WireWatcher {
+class Watch : public dispatch::WireWatcher {
  public:
   Watch(std::uint64_t instance, std::uint64_t life) : instance_(instance), life_(life) {}
 
   void OnStart(std::uint64_t node, std::uint64_t seed, Micros now,
-               const marlquay::Conf::Values& settings) override {
+               const dispatch::Conf::Values& settings) override {
     if (node != instance_ || ++lives_ != life_) return;
     origin.node = "instance-" + std::to_string(node);
     origin.seed = seed;
@@ -264,7 +264,7 @@
     found = true;
   }
   void OnTurn(std::uint64_t node, std::size_t batch, Micros now, const std::vector<Event>& events,
-              const std::vector<Action>& actions, const marlquay::Names& workers) override {
+              const std::vector<Action>& actions, const dispatch::Names& workers) override {
     if (node != instance_ || lives_ != life_) return;
     TapTurn turn{batch, now, events, actions, {}};
     turn.workers.assign(workers.begin() + static_cast<std::ptrdiff_t>(names.size()), workers.end());
@@ -275,7 +275,7 @@
   Origin origin;
   bool found = false;
   std::vector<TapTurn> turns;
-  marlquay::Names names;
+  dispatch::Names names;
 
  private:
   std::uint64_t instance_, life_, lives_ = 0;
@@ -298,13 +298,13 @@
         comma == std::string_view::npos || !line.ends_with(" bytes"))
       throw Unreadable(name + ": byte " + std::to_string(at) + " begins no frame of a tap");
     try {
-      const auto process = marlquay::Number<std::uint64_t>(line.substr(11, comma - 11), "process");
-      const auto size = marlquay::Number<std::uint64_t>(
+      const auto process = dispatch::Number<std::uint64_t>(line.substr(11, comma - 11), "process");
+      const auto size = dispatch::Number<std::uint64_t>(
           line.substr(comma + 2, line.size() - comma - 8), "length");
-      if (size > tap.size() - end - 1) throw marlquay::Malformed("cut off inside a frame");
+      if (size > tap.size() - end - 1) throw dispatch::Malformed("cut off inside a frame");
       (in ? processes[process].in : processes[process].out) += tap.substr(end + 1, size);
       at = end + 1 + size;
-    } catch (const marlquay::Malformed& wrong) {
+    } catch (const dispatch::Malformed& wrong) {
       throw Unreadable(name + ": byte " + std::to_string(at) + ": " + wrong.what());
     }
   }
@@ -313,31 +313,31 @@
 
 // A recorded reply line as an action; nothing for a line of the log.
 std::optional<Action> ReadReply(const std::vector<Text>& words,
-                                const std::map<std::string, marlquay::WorkerId, std::less<>>& ids) {
+                                const std::map<std::string, dispatch::WorkerId, std::less<>>& ids) {
   const auto id = [&] {
-    return marlquay::Number<marlquay::RequestId>(words.at(2), "request id", 16);
+    return dispatch::Number<dispatch::RequestId>(words.at(2), "request id", 16);
   };
   const auto worker = [&] {
     const auto it = ids.find(words.at(2));
-    if (it == ids.end()) throw marlquay::Malformed("an executor that was never listed");
+    if (it == ids.end()) throw dispatch::Malformed("an executor that was never listed");
     return it->second;
   };
   const Text verb = words.at(0);
   if (verb == "hand_off") {
     const auto it = ids.find(words.at(3));
-    if (it == ids.end()) throw marlquay::Malformed("an executor that was never listed");
-    return marlquay::Send{id(), it->second};
+    if (it == ids.end()) throw dispatch::Malformed("an executor that was never listed");
+    return dispatch::Send{id(), it->second};
   }
   if (verb == "overload_reply")
-    return marlquay::Refuse{id(), words.size() > 3 ? marlquay::Millis(words[3], "time") : 0};
-  if (verb == "give_up") return marlquay::Fail{id()};
+    return dispatch::Refuse{id(), words.size() > 3 ? dispatch::Millis(words[3], "time") : 0};
+  if (verb == "give_up") return dispatch::Fail{id()};
   if (verb == "withdraw")
-    return marlquay::Cancel{id(), marlquay::Number<int>(words.at(3), "attempt")};
-  if (verb == "remind") return marlquay::SetTimer{marlquay::Millis(words.at(2), "time")};
-  if (verb == "touch") return marlquay::Probe{worker()};
-  if (verb == "follow") return marlquay::Subscribe{};
+    return dispatch::Cancel{id(), dispatch::Number<int>(words.at(3), "attempt")};
+  if (verb == "remind") return dispatch::SetTimer{dispatch::Millis(words.at(2), "time")};
+  if (verb == "touch") return dispatch::Probe{worker()};
+  if (verb == "follow") return dispatch::Subscribe{};
   if (verb == "log") return std::nullopt;
-  throw marlquay::Malformed("a reply not known here: " + marlquay::Quote(verb));
+  throw dispatch::Malformed("a reply not known here: " + dispatch::Quote(verb));
 }
 
 }  // namespace
@@ -348,30 +348,30 @@
     Watch watch(instance, life);
     std::istringstream in(frames.in);
     std::ostringstream out, err;
-    if (marlquay::ServeWire(in, out, err, &watch) != 0)
+    if (dispatch::ServeWire(in, out, err, &watch) != 0)
       throw Unreadable(name + ": process " + std::to_string(process) + ": " + err.str());
     if (!watch.found) continue;
 
     // The recorded replies, by batch.
     std::vector<std::vector<Text>> batches(1);
-    for (Text line : marlquay::Split(frames.out, '\n')) {
+    for (Text line : dispatch::Split(frames.out, '\n')) {
       if (line == "end")
         batches.emplace_back();
       else
         batches.back().push_back(line);
     }
-    const marlquay::Site site = watch.origin.Site();
+    const dispatch::Site site = watch.origin.Site();
     Imported result;
     watch.origin.build = build;
     watch.origin.policy_hash = policy_hash;
     watch.origin.edited = true;
     SegmentWriter writer(watch.origin, nullptr);
-    std::map<std::string, marlquay::WorkerId, std::less<>> ids;
-    marlquay::Names names;
+    std::map<std::string, dispatch::WorkerId, std::less<>> ids;
+    dispatch::Names names;
     const std::string number = std::to_string(instance);
     for (TapTurn& t : watch.turns) {
       for (const std::string& w : t.workers) {
-        ids.emplace(w, static_cast<marlquay::WorkerId>(names.size()));
+        ids.emplace(w, static_cast<dispatch::WorkerId>(names.size()));
         names.push_back(w);
       }
       if (t.batch >= batches.size() || batches[t.batch].empty()) {
@@ -382,7 +382,7 @@
       turn.workers = t.workers;
       for (const Event& e : t.events) {
         Note& note = turn.notes.emplace_back();
-        if (const auto* arrived = std::get_if<marlquay::RequestArrived>(&e)) {
+        if (const auto* arrived = std::get_if<dispatch::RequestArrived>(&e)) {
           char text[24];
           std::snprintf(text, sizeof text, "%016llx",
                         static_cast<unsigned long long>(arrived->request));
@@ -390,7 +390,7 @@
         }
       }
       for (const Text line : batches[t.batch]) {
-        const std::vector<Text> words = marlquay::Split(line, ' ');
+        const std::vector<Text> words = dispatch::Split(line, ' ');
         if (words.size() < 2 || words[1] != number) continue;
         std::optional<Action> action;
         try {
@@ -400,8 +400,8 @@
         }
         if (!action)  // a line's figures are rounded on the wire: this build's are taken
           for (const Action& a : t.actions)
-            if (const auto* log = std::get_if<marlquay::LogLine>(&a);
-                log != nullptr && line.ends_with(" " + marlquay::Words(*log, site, names)))
+            if (const auto* log = std::get_if<dispatch::LogLine>(&a);
+                log != nullptr && line.ends_with(" " + dispatch::Words(*log, site, names)))
               action = a;
         if (action)
           turn.actions.push_back(*action);
--- a/src/capture/edit.h
+++ b/src/node/capture/edit.h
@@ -1,15 +1,15 @@
 // Makes captures out of captures and of the simulator's recordings: a part, one without names, one
 // instance of a tap. It owns nothing; it must never hand out a capture of which it has not seen
 // that it replays as it should.
-#ifndef PEARREACH_SRC_CAPTURE_EDIT_H_
-#define PEARREACH_SRC_CAPTURE_EDIT_H_
+#ifndef PEARREACH_SRC_NODE_CAPTURE_EDIT_H_
+#define PEARREACH_SRC_NODE_CAPTURE_EDIT_H_
 
 #include <cstdint>
 #include <string>
 #include <string_view>
 
-#include "capture/replay.h"
-#include "capture/segment.h"
+#include "node/capture/replay.h"
+#include "node/capture/segment.h"
 
 namespace pearreach::capture {
 
@@ -41,4 +41,4 @@
 
 }  // namespace pearreach::capture
 
-#endif  // PEARREACH_SRC_CAPTURE_EDIT_H_
+#endif  // PEARREACH_SRC_NODE_CAPTURE_EDIT_H_
--- a/src/capture/explain.cpp
+++ b/src/node/capture/explain.cpp
@@ -1,4 +1,4 @@
-#include "capture/explain.h"
+#include "node/capture/explain.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -8,17 +8,17 @@
 namespace pearreach::capture {
 namespace {
 
-using marlquay::Action;
-using marlquay::Event;
+using dispatch::Action;
+using dispatch::Event;
 
 struct Kept {
-  marlquay::Choice choice;
-  std::vector<marlquay::Candidate> sampled;
+  dispatch::Choice choice;
+  std::vector<dispatch::Candidate> sampled;
 };
 
-class Watcher : public marlquay::Observer {
+class Watcher : public dispatch::Observer {
  public:
-  void OnChoice(const marlquay::Choice& choice) override {
+  void OnChoice(const dispatch::Choice& choice) override {
     Kept& kept = choices.emplace_back(Kept{choice, {}});
     kept.sampled.assign(choice.sampled.begin(), choice.sampled.end());
   }
@@ -33,22 +33,22 @@
 
 // Which request and which workers an event or an action is about.
 struct About {
-  std::optional<marlquay::RequestId> request;
-  std::vector<marlquay::WorkerId> workers;
+  std::optional<dispatch::RequestId> request;
+  std::vector<dispatch::WorkerId> workers;
 
   template <class T>
   void Take(const T& v) {
     if constexpr (requires { v.request; }) request = v.request;
     if constexpr (requires { v.worker; }) workers.push_back(v.worker);
   }
-  void Take(const marlquay::WorkerList& list) {
+  void Take(const dispatch::WorkerList& list) {
     for (const auto& e : list.entries) workers.push_back(e.worker);
   }
-  void Take(const marlquay::Knowledge& k) {
+  void Take(const dispatch::Knowledge& k) {
     for (const auto& w : k.workers) workers.push_back(w.worker);
   }
-  void Take(const marlquay::LogLine& line) {
-    using What = marlquay::LogLine::What;
+  void Take(const dispatch::LogLine& line) {
+    using What = dispatch::LogLine::What;
     if (line.what == What::kWorkerSilent || line.what == What::kWorkerBack)
       workers.push_back(line.worker);
   }
@@ -68,7 +68,7 @@
       : segment_(segment), subject_(subject), window_(window), out_(out) {}
 
   Explained Run() {
-    marlquay::Dispatcher dispatcher = segment_->Restore();
+    dispatch::Dispatcher dispatcher = segment_->Restore();
     Watcher watcher;
     dispatcher.Observe(&watcher);
     Turn turn;
@@ -92,9 +92,9 @@
   void Look(const Turn& turn) {
     for (; names_seen_ < segment_->workers().size(); ++names_seen_)
       if (segment_->workers()[names_seen_] == subject_.worker)
-        worker_ = static_cast<marlquay::WorkerId>(names_seen_);
+        worker_ = static_cast<dispatch::WorkerId>(names_seen_);
     for (std::size_t i = 0; i < turn.events.size(); ++i) {
-      const auto* arrived = std::get_if<marlquay::RequestArrived>(&turn.events[i]);
+      const auto* arrived = std::get_if<dispatch::RequestArrived>(&turn.events[i]);
       if (arrived == nullptr || subject_.job.empty()) continue;
       if (turn.notes[i].id == subject_.job || std::to_string(arrived->request) == subject_.job)
         jobs_.insert(arrived->request);
@@ -130,7 +130,7 @@
       const Event& e = turn.events[i];
       if (Wanted(AboutOf(e)))
         Say(turn.notes[i].seen > 0 ? turn.notes[i].seen : turn.now,
-            std::holds_alternative<marlquay::WorkerList>(e) ? "list" : "event",
+            std::holds_alternative<dispatch::WorkerList>(e) ? "list" : "event",
             TellEvent(e, turn, i));
     }
     for (const Kept& kept : choices) {
@@ -141,13 +141,13 @@
     }
     for (const Action& a : turn.actions)
       if (Wanted(AboutOf(a)))
-        Say(turn.now, std::holds_alternative<marlquay::LogLine>(a) ? "log" : "decision",
+        Say(turn.now, std::holds_alternative<dispatch::LogLine>(a) ? "log" : "decision",
             Words(a, site, workers));
   }
 
   // A job that waits is looked at again and again: said once, and how often when that ends.
   void SayChoice(const Kept& kept, Micros now) {
-    const marlquay::Choice& c = kept.choice;
+    const dispatch::Choice& c = kept.choice;
     const int reason = c.chosen ? 0 : c.room ? 1 : 2;
     auto& [last, times] = waits_[c.request];
     if (reason != 0 && reason == last) {
@@ -164,8 +164,8 @@
 
   // Of a list, the worker asked for alone.
   std::string TellEvent(const Event& e, const Turn& turn, std::size_t i) const {
-    if (const auto* list = std::get_if<marlquay::WorkerList>(&e); list != nullptr && worker_) {
-      marlquay::WorkerList part{list->form, {}};
+    if (const auto* list = std::get_if<dispatch::WorkerList>(&e); list != nullptr && worker_) {
+      dispatch::WorkerList part{list->form, {}};
       for (const auto& entry : list->entries) {
         if (entry.worker != *worker_) continue;
         part.entries.push_back(entry);
@@ -178,7 +178,7 @@
   }
 
   std::string Why(const Kept& kept, Micros now) const {
-    const marlquay::Choice& c = kept.choice;
+    const dispatch::Choice& c = kept.choice;
     std::string text = "job " + std::to_string(c.request) + ": ";
     char part[240];
     if (!c.chosen) {
@@ -190,7 +190,7 @@
                     Name(*c.chosen).c_str(), kept.sampled.size(), c.busy, c.limit);
       text += part;
     }
-    for (const marlquay::Candidate& w : kept.sampled) {
+    for (const dispatch::Candidate& w : kept.sampled) {
       std::snprintf(part, sizeof part,
                     "\n      %c %s: cost %.2f, ours %.1f, others' %.1f, slowness %.2f, fails %.2f",
                     c.chosen && w.worker == *c.chosen ? '>' : ' ', Name(w.worker).c_str(), w.cost,
@@ -204,7 +204,7 @@
     return text;
   }
 
-  std::string Name(marlquay::WorkerId id) const {
+  std::string Name(dispatch::WorkerId id) const {
     return id < segment_->workers().size() ? segment_->workers()[id] : "#" + std::to_string(id);
   }
 
@@ -213,9 +213,9 @@
   const Window& window_;
   const std::function<void(const Line&)>& out_;
   std::size_t names_seen_ = 0;
-  std::optional<marlquay::WorkerId> worker_;
-  std::set<marlquay::RequestId> jobs_;
-  std::map<marlquay::RequestId, std::pair<int, int>> waits_;  // the last reason, how often since
+  std::optional<dispatch::WorkerId> worker_;
+  std::set<dispatch::RequestId> jobs_;
+  std::map<dispatch::RequestId, std::pair<int, int>> waits_;  // the last reason, how often since
   Explained result_;
 };
 
--- a/src/capture/explain.h
+++ b/src/node/capture/explain.h
@@ -1,13 +1,13 @@
 // Says in lines for a person what happened around one worker or one job, and why each send went
 // where it went. It owns the observer of a replay; it must never say what the module did not tell.
-#ifndef PEARREACH_SRC_CAPTURE_EXPLAIN_H_
-#define PEARREACH_SRC_CAPTURE_EXPLAIN_H_
+#ifndef PEARREACH_SRC_NODE_CAPTURE_EXPLAIN_H_
+#define PEARREACH_SRC_NODE_CAPTURE_EXPLAIN_H_
 
 #include <functional>
 #include <string>
 
-#include "capture/replay.h"
-#include "capture/segment.h"
+#include "node/capture/replay.h"
+#include "node/capture/segment.h"
 
 namespace pearreach::capture {
 
@@ -36,4 +36,4 @@
 
 }  // namespace pearreach::capture
 
-#endif  // PEARREACH_SRC_CAPTURE_EXPLAIN_H_
+#endif  // PEARREACH_SRC_NODE_CAPTURE_EXPLAIN_H_
--- a/src/capture/format.cpp
+++ b/src/node/capture/format.cpp
@@ -1,4 +1,4 @@
-#include "capture/format.h"
+#include "node/capture/format.h"
 
 #include <xxhash.h>
 
--- a/src/capture/format.h
+++ b/src/node/capture/format.h
@@ -1,8 +1,8 @@
 // The capture file: a header and blocks, each with checksums of its own. It owns the bytes around
 // the records (docs/capture-format.md gives them one by one); it must never touch a file, and never
 // take a byte for good that its checksum does not vouch for.
-#ifndef PEARREACH_SRC_CAPTURE_FORMAT_H_
-#define PEARREACH_SRC_CAPTURE_FORMAT_H_
+#ifndef PEARREACH_SRC_NODE_CAPTURE_FORMAT_H_
+#define PEARREACH_SRC_NODE_CAPTURE_FORMAT_H_
 
 #include <zstd.h>
 
@@ -74,4 +74,4 @@
 
 }  // namespace pearreach::capture
 
-#endif  // PEARREACH_SRC_CAPTURE_FORMAT_H_
+#endif  // PEARREACH_SRC_NODE_CAPTURE_FORMAT_H_
--- a/src/capture/record.cpp
+++ b/src/node/capture/record.cpp
@@ -1,4 +1,4 @@
-#include "capture/record.h"
+#include "node/capture/record.h"
 
 #include <google/protobuf/arena.h>
 
@@ -6,13 +6,13 @@
 #include <cstdio>
 #include <limits>
 
-#include "capture/capture.pb.h"
+#include "node/capture/capture.pb.h"
 
 namespace pearreach::capture {
 namespace {
 
-using marlquay::Action;
-using marlquay::Event;
+using dispatch::Action;
+using dispatch::Event;
 
 // A record's kind is the place among the events, or actions, and one more.
 static_assert(wire::EventKind_MAX == std::variant_size_v<Event>);
@@ -38,13 +38,13 @@
     out->set_attempt(attempt);
     out->set_worker(worker);
   }
-  void Load(const marlquay::LoadReport& load) {
+  void Load(const dispatch::LoadReport& load) {
     if (load.free_slots) out->set_free_slots(*load.free_slots);
     if (load.in_flight) out->set_in_flight(*load.in_flight);
   }
-  void operator()(const marlquay::WorkerList& e) {
+  void operator()(const dispatch::WorkerList& e) {
     out->set_form(static_cast<std::uint32_t>(e.form));
-    for (const marlquay::WorkerEntry& entry : e.entries) {
+    for (const dispatch::WorkerEntry& entry : e.entries) {
       wire::Entry* to = out->add_entries();
       to->set_worker(entry.worker);
       to->set_identity(entry.identity);
@@ -56,7 +56,7 @@
       to->set_ready_at(entry.ready_at);
     }
   }
-  void operator()(const marlquay::RequestArrived& e) {
+  void operator()(const dispatch::RequestArrived& e) {
     out->set_request(e.request);
     out->set_cls(e.cls);
     out->set_tenant(e.tenant);
@@ -66,40 +66,40 @@
     if (e.hint) out->set_hint(*e.hint);
     if (e.key) out->set_key(*e.key);
     if (e.over_share) out->set_over_share(*e.over_share);
-    for (const marlquay::WorkerId worker : e.preferred) out->add_preferred(worker);
+    for (const dispatch::WorkerId worker : e.preferred) out->add_preferred(worker);
   }
-  void operator()(const marlquay::AttemptTaken& e) { Attempt(e.request, e.attempt, e.worker); }
-  void operator()(const marlquay::AttemptStarted& e) { Attempt(e.request, e.attempt, e.worker); }
-  void operator()(const marlquay::AttemptProgress& e) {
+  void operator()(const dispatch::AttemptTaken& e) { Attempt(e.request, e.attempt, e.worker); }
+  void operator()(const dispatch::AttemptStarted& e) { Attempt(e.request, e.attempt, e.worker); }
+  void operator()(const dispatch::AttemptProgress& e) {
     Attempt(e.request, e.attempt, e.worker);
     out->set_share(e.share_done);
   }
-  void operator()(const marlquay::StreamBegan& e) { Attempt(e.request, e.attempt, e.worker); }
-  void operator()(const marlquay::AttemptEnded& e) {
+  void operator()(const dispatch::StreamBegan& e) { Attempt(e.request, e.attempt, e.worker); }
+  void operator()(const dispatch::AttemptEnded& e) {
     Attempt(e.request, e.attempt, e.worker);
     out->set_outcome(static_cast<std::uint32_t>(e.outcome));
     out->set_latency(e.latency);
     out->set_settled(e.settled);
     Load(e.load);
   }
-  void operator()(const marlquay::RequestLapsed& e) { out->set_request(e.request); }
-  void operator()(const marlquay::TimerFired&) {}
-  void operator()(const marlquay::ProbeEnded& e) {
+  void operator()(const dispatch::RequestLapsed& e) { out->set_request(e.request); }
+  void operator()(const dispatch::TimerFired&) {}
+  void operator()(const dispatch::ProbeEnded& e) {
     out->set_worker(e.worker);
     out->set_good(e.good);
     Load(e.load);
   }
-  void operator()(const marlquay::PeerMessage& e) {
+  void operator()(const dispatch::PeerMessage& e) {
     out->set_from(e.from);
     out->set_data(e.data);
   }
-  void operator()(const marlquay::AttemptAdopted& e) {
+  void operator()(const dispatch::AttemptAdopted& e) {
     Attempt(e.request, 0, e.worker);
     out->set_sent_ago(now - e.sent);
     out->set_started(e.started);
     out->set_was(static_cast<std::uint32_t>(e.was));
   }
-  void operator()(const marlquay::Judgement& e) {
+  void operator()(const dispatch::Judgement& e) {
     out->set_worker(e.worker);
     out->set_out(e.out);
     out->set_trial(e.trial);
@@ -107,9 +107,9 @@
     out->set_judged_ago(now - e.at);
     for (const int witness : e.witnesses) out->add_witnesses(witness);
   }
-  void operator()(const marlquay::Knowledge& e) {
+  void operator()(const dispatch::Knowledge& e) {
     wire::Knowledge* to = out->mutable_knowledge();
-    for (const marlquay::PoolKnowledge& p : e.pools) {
+    for (const dispatch::PoolKnowledge& p : e.pools) {
       wire::PoolKnowledge* k = to->add_pools();
       k->set_pool(p.pool);
       k->set_limit(p.limit);
@@ -119,7 +119,7 @@
       k->set_worked(p.worked);
       k->set_tell(p.tell);
     }
-    for (const marlquay::WorkerKnowledge& w : e.workers) {
+    for (const dispatch::WorkerKnowledge& w : e.workers) {
       wire::WorkerKnowledge* k = to->add_workers();
       k->set_worker(w.worker);
       k->set_slowness(w.slowness);
@@ -132,8 +132,8 @@
         send->set_work(work);
       }
     }
-    for (const marlquay::ClassKnowledge& c : e.classes) Figure(c.cls, c.work, to->add_classes());
-    for (const marlquay::TenantKnowledge& t : e.tenants)
+    for (const dispatch::ClassKnowledge& c : e.classes) Figure(c.cls, c.work, to->add_classes());
+    for (const dispatch::TenantKnowledge& t : e.tenants)
       Figure(t.tenant, t.left, to->add_tenants());
   }
   static void Figure(int index, double value, wire::Figure* to) {
@@ -146,23 +146,23 @@
   wire::Action* out;
   Micros now;
 
-  void operator()(const marlquay::Send& a) {
+  void operator()(const dispatch::Send& a) {
     out->set_request(a.request);
     out->set_worker(a.worker);
   }
-  void operator()(const marlquay::Refuse& a) {
+  void operator()(const dispatch::Refuse& a) {
     out->set_request(a.request);
     out->set_time(a.retry_after);
   }
-  void operator()(const marlquay::Fail& a) { out->set_request(a.request); }
-  void operator()(const marlquay::Cancel& a) {
+  void operator()(const dispatch::Fail& a) { out->set_request(a.request); }
+  void operator()(const dispatch::Cancel& a) {
     out->set_request(a.request);
     out->set_attempt(a.attempt);
   }
-  void operator()(const marlquay::SetTimer& a) { out->set_time(a.at - now); }
-  void operator()(const marlquay::Probe& a) { out->set_worker(a.worker); }
-  void operator()(const marlquay::Subscribe&) {}
-  void operator()(const marlquay::LogLine& a) {
+  void operator()(const dispatch::SetTimer& a) { out->set_time(a.at - now); }
+  void operator()(const dispatch::Probe& a) { out->set_worker(a.worker); }
+  void operator()(const dispatch::Subscribe&) {}
+  void operator()(const dispatch::LogLine& a) {
     out->set_what(static_cast<std::uint32_t>(a.what));
     out->set_worker(a.worker);
     out->set_pool(a.pool);
@@ -180,7 +180,7 @@
       case wire::WORKER_LIST:
         return List(in);
       case wire::REQUEST_ARRIVED: {
-        marlquay::RequestArrived e;
+        dispatch::RequestArrived e;
         e.request = in.request();
         e.cls = in.cls();
         e.tenant = in.tenant();
@@ -195,50 +195,50 @@
         return e;
       }
       case wire::ATTEMPT_TAKEN:
-        return Attempt<marlquay::AttemptTaken>(in);
+        return Attempt<dispatch::AttemptTaken>(in);
       case wire::ATTEMPT_STARTED:
-        return Attempt<marlquay::AttemptStarted>(in);
+        return Attempt<dispatch::AttemptStarted>(in);
       case wire::ATTEMPT_PROGRESS: {
-        auto e = Attempt<marlquay::AttemptProgress>(in);
+        auto e = Attempt<dispatch::AttemptProgress>(in);
         e.share_done = Real(in.share());
         return e;
       }
       case wire::STREAM_BEGAN:
-        return Attempt<marlquay::StreamBegan>(in);
+        return Attempt<dispatch::StreamBegan>(in);
       case wire::ATTEMPT_ENDED: {
-        auto e = Attempt<marlquay::AttemptEnded>(in);
-        e.outcome = Enum<marlquay::Outcome>(in.outcome(), 7);
+        auto e = Attempt<dispatch::AttemptEnded>(in);
+        e.outcome = Enum<dispatch::Outcome>(in.outcome(), 7);
         e.latency = in.latency();
         e.settled = in.settled();
         e.load = Load(in);
         return e;
       }
       case wire::REQUEST_LAPSED:
-        return marlquay::RequestLapsed{in.request()};
+        return dispatch::RequestLapsed{in.request()};
       case wire::TIMER_FIRED:
-        return marlquay::TimerFired{};
+        return dispatch::TimerFired{};
       case wire::PROBE_ENDED: {
-        marlquay::ProbeEnded e;
+        dispatch::ProbeEnded e;
         e.worker = Worker(in.worker());
         e.good = in.good();
         e.load = Load(in);
         return e;
       }
       case wire::PEER_MESSAGE:
-        return marlquay::PeerMessage{in.from(), in.data()};
+        return dispatch::PeerMessage{in.from(), in.data()};
       case wire::ATTEMPT_ADOPTED: {
-        marlquay::AttemptAdopted e;
+        dispatch::AttemptAdopted e;
         e.request = in.request();
         e.worker = Worker(in.worker());
         Must(Within(in.sent_ago(), kMostTime) && Plus(now_, -in.sent_ago(), &e.sent), "a time");
         e.started = in.started();
-        e.was = Enum<marlquay::AttemptAdopted::Was>(in.was(), 2);
+        e.was = Enum<dispatch::AttemptAdopted::Was>(in.was(), 2);
         return e;
       }
       case wire::KNOWLEDGE:
         return Knowledge(in.knowledge());
       case wire::JUDGEMENT: {
-        marlquay::Judgement e;
+        dispatch::Judgement e;
         e.worker = Worker(in.worker());
         e.out = in.out();
         e.trial = in.trial();
@@ -249,39 +249,39 @@
       }
       default:
         Must(false, "an event of a kind not known here");
-        return marlquay::TimerFired{};
+        return dispatch::TimerFired{};
     }
   }
 
   Action Read(const wire::Action& in) {
     switch (in.kind()) {
       case wire::SEND:
-        return marlquay::Send{in.request(), Worker(in.worker())};
+        return dispatch::Send{in.request(), Worker(in.worker())};
       case wire::REFUSE:
-        return marlquay::Refuse{in.request(), in.time()};
+        return dispatch::Refuse{in.request(), in.time()};
       case wire::FAIL:
-        return marlquay::Fail{in.request()};
+        return dispatch::Fail{in.request()};
       case wire::CANCEL:
-        return marlquay::Cancel{in.request(), in.attempt()};
+        return dispatch::Cancel{in.request(), in.attempt()};
       case wire::SET_TIMER: {
-        marlquay::SetTimer a;
+        dispatch::SetTimer a;
         Must(Plus(now_, in.time(), &a.at), "a timer");
         return a;
       }
       case wire::PROBE:
-        return marlquay::Probe{Worker(in.worker())};
+        return dispatch::Probe{Worker(in.worker())};
       case wire::SUBSCRIBE:
-        return marlquay::Subscribe{};
+        return dispatch::Subscribe{};
       case wire::LOG_LINE: {
-        const auto what = Enum<marlquay::LogLine::What>(in.what(), 4);
-        const bool names = what == marlquay::LogLine::What::kWorkerSilent ||
-                           what == marlquay::LogLine::What::kWorkerBack;
-        return marlquay::LogLine{what, names ? Worker(in.worker()) : in.worker(), in.pool(),
+        const auto what = Enum<dispatch::LogLine::What>(in.what(), 4);
+        const bool names = what == dispatch::LogLine::What::kWorkerSilent ||
+                           what == dispatch::LogLine::What::kWorkerBack;
+        return dispatch::LogLine{what, names ? Worker(in.worker()) : in.worker(), in.pool(),
                                  Real(in.value())};
       }
       default:
         Must(false, "an action of a kind not known here");
-        return marlquay::Subscribe{};
+        return dispatch::Subscribe{};
     }
   }
 
@@ -296,7 +296,7 @@
     return v;
   }
   // Ids are dense: without this check one record could ask the module for gigabytes.
-  marlquay::WorkerId Worker(std::uint32_t id) {
+  dispatch::WorkerId Worker(std::uint32_t id) {
     Must(id < workers_, "a worker without a name");
     return id;
   }
@@ -313,8 +313,8 @@
     e.worker = Worker(in.worker());
     return e;
   }
-  marlquay::LoadReport Load(const wire::Event& in) {
-    marlquay::LoadReport load;
+  dispatch::LoadReport Load(const wire::Event& in) {
+    dispatch::LoadReport load;
     if (in.has_free_slots()) load.free_slots = Real(in.free_slots());
     if (in.has_in_flight()) load.in_flight = Real(in.in_flight());
     return load;
@@ -325,14 +325,14 @@
     return at;
   }
   Event Knowledge(const wire::Knowledge& in) {
-    marlquay::Knowledge e;
+    dispatch::Knowledge e;
     for (const wire::PoolKnowledge& p : in.pools()) {
       e.pools.push_back({p.pool(), Real(p.limit()), Real(p.found()), Real(p.slots_seen()),
                          Real(p.ran()), Real(p.worked()), Real(p.tell())});
       Must(p.ran() >= 0 && p.worked() >= 0, "a running time below nought");
     }
     for (const wire::WorkerKnowledge& w : in.workers()) {
-      marlquay::WorkerKnowledge k;
+      dispatch::WorkerKnowledge k;
       k.worker = Worker(w.worker());
       k.slowness = Real(w.slowness());
       k.failures = Real(w.failures());
@@ -347,16 +347,16 @@
     return e;
   }
   Event List(const wire::Event& in) {
-    marlquay::WorkerList list;
-    list.form = Enum<marlquay::WorkerList::Form>(in.form(), 2);
+    dispatch::WorkerList list;
+    list.form = Enum<dispatch::WorkerList::Form>(in.form(), 2);
     for (const wire::Entry& entry : in.entries()) {
-      marlquay::WorkerEntry e;
+      dispatch::WorkerEntry e;
       e.worker = Worker(entry.worker());
       e.identity = entry.identity();
       e.zone = entry.zone();
       e.kind = entry.kind();
       e.cell = entry.cell();
-      e.health = Enum<marlquay::Health>(entry.health(), 2);
+      e.health = Enum<dispatch::Health>(entry.health(), 2);
       e.weight = Real(entry.weight());
       e.ready_at = entry.ready_at();
       Must(Within(e.ready_at, kMostTime), "a start out of range");
@@ -372,8 +372,8 @@
 
 }  // namespace
 
-marlquay::Site Origin::Site() const {
-  marlquay::Site site = marlquay::ReadSite(marlquay::Conf(settings));
+dispatch::Site Origin::Site() const {
+  dispatch::Site site = dispatch::ReadSite(dispatch::Conf(settings));
   site.settings.tells_taken = tells_taken;
   return site;
 }
@@ -514,7 +514,7 @@
 
 namespace {
 
-std::string NameOf(const marlquay::Names& names, std::int64_t at) {
+std::string NameOf(const dispatch::Names& names, std::int64_t at) {
   if (at < 0) return "none";
   const auto place = static_cast<std::size_t>(at);
   return place < names.size() ? names[place] : "#" + std::to_string(at);
@@ -529,7 +529,7 @@
   std::snprintf(text, sizeof text, "%.3g", v);
   return text;
 }
-std::string LoadWords(const marlquay::LoadReport& load) {
+std::string LoadWords(const dispatch::LoadReport& load) {
   std::string text;
   if (load.free_slots) text += ", reports " + Figure(*load.free_slots) + " slots free";
   if (load.in_flight) text += ", reports " + Figure(*load.in_flight) + " in flight";
@@ -538,65 +538,65 @@
 
 struct EventWords {
   const Note& note;
-  const marlquay::Site& site;
-  const marlquay::Names& workers;
+  const dispatch::Site& site;
+  const dispatch::Names& workers;
 
   std::string Attempt(const char* what, std::uint64_t request, int attempt,
                       std::uint32_t worker) const {
     return std::string(what) + ": job " + std::to_string(request) + " attempt " +
            std::to_string(attempt) + " at " + NameOf(workers, worker);
   }
-  std::string operator()(const marlquay::WorkerList& e) const {
+  std::string operator()(const dispatch::WorkerList& e) const {
     static constexpr const char* kForms[] = {"changes", "complete", "failed"};
     static constexpr const char* kHealth[] = {"in service", "draining", "gone"};
     std::string text = std::string("list (") + kForms[static_cast<int>(e.form)] + ", version " +
                        std::to_string(note.version) + "):";
-    for (const marlquay::WorkerEntry& w : e.entries)
+    for (const dispatch::WorkerEntry& w : e.entries)
       text += " " + NameOf(workers, w.worker) + " " + kHealth[static_cast<int>(w.health)] + ";";
     return text;
   }
-  std::string operator()(const marlquay::RequestArrived& e) const {
+  std::string operator()(const dispatch::RequestArrived& e) const {
     return "arrived: job " + std::to_string(e.request) + (note.id.empty() ? "" : " " + note.id) +
            " of " + NameOf(site.classes, e.cls) + " for " + NameOf(site.tenants, e.tenant) + ", " +
            Figure(e.slots) + " slots, due in " + Ms(e.due - note.seen) +
            (e.over_share.value_or(false) ? ", over its share" : "");
   }
-  std::string operator()(const marlquay::AttemptTaken& e) const {
+  std::string operator()(const dispatch::AttemptTaken& e) const {
     return Attempt("taken", e.request, e.attempt, e.worker);
   }
-  std::string operator()(const marlquay::AttemptStarted& e) const {
+  std::string operator()(const dispatch::AttemptStarted& e) const {
     return Attempt("started", e.request, e.attempt, e.worker);
   }
-  std::string operator()(const marlquay::AttemptProgress& e) const {
+  std::string operator()(const dispatch::AttemptProgress& e) const {
     return Attempt("progress", e.request, e.attempt, e.worker) + ", " + Figure(e.share_done);
   }
-  std::string operator()(const marlquay::StreamBegan& e) const {
+  std::string operator()(const dispatch::StreamBegan& e) const {
     return Attempt("answer begun", e.request, e.attempt, e.worker);
   }
-  std::string operator()(const marlquay::AttemptEnded& e) const {
+  std::string operator()(const dispatch::AttemptEnded& e) const {
     return Attempt("ended", e.request, e.attempt, e.worker) + ": " +
            kOutcomes[static_cast<int>(e.outcome)] + " after " + Ms(e.latency) +
            (e.settled ? ", settled" : "") + LoadWords(e.load);
   }
-  std::string operator()(const marlquay::RequestLapsed& e) const {
+  std::string operator()(const dispatch::RequestLapsed& e) const {
     return "client gone: job " + std::to_string(e.request);
   }
-  std::string operator()(const marlquay::TimerFired&) const { return "timer"; }
-  std::string operator()(const marlquay::ProbeEnded& e) const {
+  std::string operator()(const dispatch::TimerFired&) const { return "timer"; }
+  std::string operator()(const dispatch::ProbeEnded& e) const {
     return "probe of " + NameOf(workers, e.worker) + (e.good ? ": good" : ": bad") +
            LoadWords(e.load);
   }
-  std::string operator()(const marlquay::AttemptAdopted& e) const {
+  std::string operator()(const dispatch::AttemptAdopted& e) const {
     static constexpr const char* kWas[] = {"may be running", "never ran", "may have run"};
     return "adopted: job " + std::to_string(e.request) + " at " + NameOf(workers, e.worker) +
            ", sent " + Ms(note.seen - e.sent) + " ago, " + kWas[static_cast<int>(e.was)];
   }
-  std::string operator()(const marlquay::Knowledge& e) const {
+  std::string operator()(const dispatch::Knowledge& e) const {
     return "knowledge of an earlier process: " + std::to_string(e.pools.size()) + " pools, " +
            std::to_string(e.workers.size()) + " workers";
   }
   // "left out because n3 and n7 ..."
-  std::string operator()(const marlquay::Judgement& e) const {
+  std::string operator()(const dispatch::Judgement& e) const {
     std::string nodes;
     for (std::size_t i = 0; i < e.witnesses.size(); ++i)
       nodes += (i == 0                        ? "n"
@@ -609,50 +609,50 @@
            (e.cold ? " saw its process die " : " heard nothing good of it since ") +
            Ms(note.seen - e.at) + " ago" + (e.trial ? "; this node tries it with one job" : "");
   }
-  std::string operator()(const marlquay::PeerMessage& e) const {
+  std::string operator()(const dispatch::PeerMessage& e) const {
     return "message of node " + std::to_string(e.from) + ", " + std::to_string(e.data.size()) +
            " bytes";
   }
 };
 
 struct ActionWords {
-  const marlquay::Site& site;
-  const marlquay::Names& workers;
+  const dispatch::Site& site;
+  const dispatch::Names& workers;
 
-  std::string operator()(const marlquay::Send& a) const {
+  std::string operator()(const dispatch::Send& a) const {
     return "send job " + std::to_string(a.request) + " to " + NameOf(workers, a.worker);
   }
-  std::string operator()(const marlquay::Refuse& a) const {
+  std::string operator()(const dispatch::Refuse& a) const {
     return "refuse job " + std::to_string(a.request) + ", back in " + Ms(a.retry_after);
   }
-  std::string operator()(const marlquay::Fail& a) const {
+  std::string operator()(const dispatch::Fail& a) const {
     return "fail job " + std::to_string(a.request);
   }
-  std::string operator()(const marlquay::Cancel& a) const {
+  std::string operator()(const dispatch::Cancel& a) const {
     return "cancel job " + std::to_string(a.request) + " attempt " + std::to_string(a.attempt);
   }
-  std::string operator()(const marlquay::SetTimer& a) const { return "set timer at " + Ms(a.at); }
-  std::string operator()(const marlquay::Probe& a) const {
+  std::string operator()(const dispatch::SetTimer& a) const { return "set timer at " + Ms(a.at); }
+  std::string operator()(const dispatch::Probe& a) const {
     return "probe " + NameOf(workers, a.worker);
   }
-  std::string operator()(const marlquay::Subscribe&) const { return "subscribe"; }
-  std::string operator()(const marlquay::LogLine& a) const {
-    using What = marlquay::LogLine::What;
+  std::string operator()(const dispatch::Subscribe&) const { return "subscribe"; }
+  std::string operator()(const dispatch::LogLine& a) const {
+    using What = dispatch::LogLine::What;
     if (a.what == What::kLimitCut && (a.pool < 0 || a.pool >= static_cast<int>(site.kinds.size())))
       return "log line of a pool that is none";
-    return "log: " + marlquay::Words(a, site, workers);
+    return "log: " + dispatch::Words(a, site, workers);
   }
 };
 
 }  // namespace
 
-std::string Words(const Event& event, const Note& note, const marlquay::Site& site,
-                  const marlquay::Names& workers) {
+std::string Words(const Event& event, const Note& note, const dispatch::Site& site,
+                  const dispatch::Names& workers) {
   return std::visit(EventWords{note, site, workers}, event);
 }
 
-std::string Words(const Action& action, const marlquay::Site& site,
-                  const marlquay::Names& workers) {
+std::string Words(const Action& action, const dispatch::Site& site,
+                  const dispatch::Names& workers) {
   return std::visit(ActionWords{site, workers}, action);
 }
 
--- a/src/capture/record.h
+++ b/src/node/capture/record.h
@@ -1,8 +1,8 @@
 // The records of a capture: what the module was told and what it answered, as the program's own
 // types and as bytes. It owns the way between the two; it must never lose a bit of a number, and
 // never let through an event that names a worker without a name or a number that is none.
-#ifndef PEARREACH_SRC_CAPTURE_RECORD_H_
-#define PEARREACH_SRC_CAPTURE_RECORD_H_
+#ifndef PEARREACH_SRC_NODE_CAPTURE_RECORD_H_
+#define PEARREACH_SRC_NODE_CAPTURE_RECORD_H_
 
 #include <cstdint>
 #include <memory>
@@ -11,12 +11,12 @@
 #include <string_view>
 #include <vector>
 
-#include "marlquay/dispatcher.h"
-#include "site/site.h"
+#include "dispatch/settings/site.h"
+#include "pearreach/dispatcher.h"
 
 namespace pearreach::capture {
 
-using marlquay::Micros;
+using dispatch::Micros;
 
 // What a segment says of itself at its head.
 struct Origin {
@@ -27,14 +27,14 @@
   Micros clock = 0;          // the module's, when the segment begins
   std::int64_t unix_us = 0;  // the wall clock then
   std::uint64_t first_turn = 0;
-  marlquay::Conf::Values settings;  // by the wire's dotted paths
+  dispatch::Conf::Values settings;  // by the wire's dotted paths
   bool tells_taken = false;
   std::uint64_t layout = 0;  // of the checkpoint, where the segment begins with one
-  marlquay::Names workers;   // by id, known when it begins
+  dispatch::Names workers;   // by id, known when it begins
   std::uint64_t segment = 0;
   bool edited = false;
 
-  marlquay::Site Site() const;  // throws marlquay::Malformed
+  dispatch::Site Site() const;  // throws dispatch::Malformed
 };
 
 // What the module is not told of an event, for people.
@@ -47,9 +47,9 @@
 // One call of Handle.
 struct Turn {
   Micros now = 0;
-  std::vector<marlquay::Event> events;
+  std::vector<dispatch::Event> events;
   std::vector<Note> notes;  // one an event
-  std::vector<marlquay::Action> actions;
+  std::vector<dispatch::Action> actions;
   std::vector<std::string> workers;  // names new in this turn, ids counted on
   std::string mark;
   std::int64_t unix_us = 0;  // 0: not noted
@@ -71,8 +71,8 @@
   TurnWriter();
   ~TurnWriter();
   // `notes`: none, or one an event. `before`: the clock of the turn before.
-  void Add(Micros before, Micros now, std::span<const marlquay::Event> events,
-           std::span<const Note> notes, std::span<const marlquay::Action> actions,
+  void Add(Micros before, Micros now, std::span<const dispatch::Event> events,
+           std::span<const Note> notes, std::span<const dispatch::Action> actions,
            std::span<const std::string> workers, std::string_view mark, std::int64_t unix_us);
   std::size_t size() const { return bytes_.size(); }
   std::string Take();  // the block's bytes so far
@@ -89,12 +89,12 @@
                       std::vector<Turn>* turns);
 
 // In words, for a person; `workers` by id.
-std::string Words(const marlquay::Event& event, const Note& note, const marlquay::Site& site,
-                  const marlquay::Names& workers);
-std::string Words(const marlquay::Action& action, const marlquay::Site& site,
-                  const marlquay::Names& workers);
+std::string Words(const dispatch::Event& event, const Note& note, const dispatch::Site& site,
+                  const dispatch::Names& workers);
+std::string Words(const dispatch::Action& action, const dispatch::Site& site,
+                  const dispatch::Names& workers);
 
-// The kinds of actions by their place in marlquay::Action, e.g. "send".
+// The kinds of actions by their place in dispatch::Action, e.g. "send".
 constexpr const char* kActionKinds[] = {"send",      "refuse", "fail",      "cancel",
                                         "set timer", "probe",  "subscribe", "log line"};
 constexpr const char* kOutcomes[] = {"good",          "error", "full",      "timeout",
@@ -102,4 +102,4 @@
 
 }  // namespace pearreach::capture
 
-#endif  // PEARREACH_SRC_CAPTURE_RECORD_H_
+#endif  // PEARREACH_SRC_NODE_CAPTURE_RECORD_H_
--- a/src/capture/recorder.cpp
+++ b/src/node/capture/recorder.cpp
@@ -1,4 +1,4 @@
-#include "capture/recorder.h"
+#include "node/capture/recorder.h"
 
 #include <fcntl.h>
 #include <sys/stat.h>
@@ -11,7 +11,7 @@
 #include <filesystem>
 #include <utility>
 
-#include "module/checkpoint.h"
+#include "dispatch/policy/checkpoint.h"
 
 namespace pearreach::capture {
 namespace {
@@ -126,8 +126,8 @@
 
 }  // namespace
 
-Recorder::Recorder(CaptureSettings settings, Origin origin, const marlquay::Dispatcher& dispatcher,
-                   const marlquay::Names& workers, Micros now, bool fresh, DiskWrite write)
+Recorder::Recorder(CaptureSettings settings, Origin origin, const dispatch::Dispatcher& dispatcher,
+                   const dispatch::Names& workers, Micros now, bool fresh, DiskWrite write)
     : settings_(std::move(settings)),
       write_(write ? std::move(write) : DiskWrite(::write)),
       origin_(std::move(origin)),
@@ -148,7 +148,7 @@
 
 // ---------------------------------------------------------------- the loop's side
 
-bool Recorder::Begin(const marlquay::Dispatcher* checkpoint, const marlquay::Names& workers,
+bool Recorder::Begin(const dispatch::Dispatcher* checkpoint, const dispatch::Names& workers,
                      Micros now) {
   {
     const std::lock_guard lock(mutex_);
@@ -159,7 +159,7 @@
   origin_.clock = clock_ = now;
   origin_.unix_us = g_get_real_time();
   origin_.first_turn = first_turn_ += std::exchange(ending_, {}).turns;
-  origin_.layout = checkpoint != nullptr ? marlquay::Checkpoint::Layout() : 0;
+  origin_.layout = checkpoint != nullptr ? dispatch::Checkpoint::Layout() : 0;
   origin_.workers = workers;
   ++origin_.segment;
   named_ = workers.size();
@@ -172,7 +172,7 @@
   Task state;
   if (checkpoint != nullptr)
     state = {Task::Kind::kBlock, BlockType::kCheckpoint, 0,
-             marlquay::Checkpoint::Save(*checkpoint)};
+             dispatch::Checkpoint::Save(*checkpoint)};
   if (head.bytes.size() + state.bytes.size() + kTurnBlockBytes > settings_.memory) {
     Suspend("a checkpoint of " + std::to_string(state.bytes.size()) + " bytes is too large", now);
     return false;
@@ -187,9 +187,9 @@
   return true;
 }
 
-void Recorder::OnTurn(Micros now, std::span<const marlquay::Event> events,
-                      std::span<const Note> notes, std::span<const marlquay::Action> actions,
-                      const marlquay::Dispatcher& dispatcher, const marlquay::Names& workers) {
+void Recorder::OnTurn(Micros now, std::span<const dispatch::Event> events,
+                      std::span<const Note> notes, std::span<const dispatch::Action> actions,
+                      const dispatch::Dispatcher& dispatcher, const dispatch::Names& workers) {
   Report report;
   bool failed = false;
   std::size_t waiting = 0;
--- a/src/capture/recorder.h
+++ b/src/node/capture/recorder.h
@@ -2,8 +2,8 @@
 // It owns the folder's segments of this node, the memory that waits for the disk and the thread
 // that writes; it must never make the loop wait for the disk, never hold more than its memory, and
 // never leave out a turn inside a segment: where one cannot be kept, the segment ends before it.
-#ifndef PEARREACH_SRC_CAPTURE_RECORDER_H_
-#define PEARREACH_SRC_CAPTURE_RECORDER_H_
+#ifndef PEARREACH_SRC_NODE_CAPTURE_RECORDER_H_
+#define PEARREACH_SRC_NODE_CAPTURE_RECORDER_H_
 
 #include <condition_variable>
 #include <deque>
@@ -14,11 +14,11 @@
 #include <thread>
 #include <vector>
 
-#include "base/io.h"
-#include "capture/format.h"
-#include "capture/record.h"
-#include "config/operator.h"
-#include "marlquay/dispatcher.h"
+#include "common/event_loop/io.h"
+#include "node/capture/format.h"
+#include "node/capture/record.h"
+#include "node/config/operator.h"
+#include "pearreach/dispatcher.h"
 
 namespace pearreach::capture {
 
@@ -29,16 +29,16 @@
  public:
   // `origin`: node, build, hash, seed, settings. The first segment begins with `dispatcher` as it
   // is: `fresh` says that it has not taken a turn yet, so that it needs no checkpoint.
-  Recorder(CaptureSettings settings, Origin origin, const marlquay::Dispatcher& dispatcher,
-           const marlquay::Names& workers, Micros now, bool fresh, DiskWrite write = {});
+  Recorder(CaptureSettings settings, Origin origin, const dispatch::Dispatcher& dispatcher,
+           const dispatch::Names& workers, Micros now, bool fresh, DiskWrite write = {});
   ~Recorder();  // writes what it holds and ends the segment
   Recorder(const Recorder&) = delete;
   Recorder& operator=(const Recorder&) = delete;
 
   // What has just been handled. `notes`: one an event. `workers`: all names by id, so far.
-  void OnTurn(Micros now, std::span<const marlquay::Event> events, std::span<const Note> notes,
-              std::span<const marlquay::Action> actions, const marlquay::Dispatcher& dispatcher,
-              const marlquay::Names& workers);
+  void OnTurn(Micros now, std::span<const dispatch::Event> events, std::span<const Note> notes,
+              std::span<const dispatch::Action> actions, const dispatch::Dispatcher& dispatcher,
+              const dispatch::Names& workers);
   // A word for people, kept with the next turn.
   void Mark(const std::string& what);
 
@@ -64,7 +64,7 @@
     std::uint64_t segment_bytes = 0;  // of the open file
   };
 
-  bool Begin(const marlquay::Dispatcher* checkpoint, const marlquay::Names& workers, Micros now);
+  bool Begin(const dispatch::Dispatcher* checkpoint, const dispatch::Names& workers, Micros now);
   void Flush();
   void End(const std::string& reason);
   void Suspend(const std::string& why, Micros now);
@@ -95,4 +95,4 @@
 
 }  // namespace pearreach::capture
 
-#endif  // PEARREACH_SRC_CAPTURE_RECORDER_H_
+#endif  // PEARREACH_SRC_NODE_CAPTURE_RECORDER_H_
--- a/src/capture/replay.cpp
+++ b/src/node/capture/replay.cpp
@@ -1,4 +1,4 @@
-#include "capture/replay.h"
+#include "node/capture/replay.h"
 
 #include <chrono>
 #include <cstdio>
@@ -6,13 +6,13 @@
 namespace pearreach::capture {
 namespace {
 
-using marlquay::Action;
+using dispatch::Action;
 
 void Tally(const std::vector<Action>& actions, bool replayed, Changes* to) {
   for (const Action& a : actions) {
     const auto count = [replayed](auto& pair) { ++(replayed ? pair.second : pair.first); };
     count(to->kinds[a.index()]);
-    if (const auto* send = std::get_if<marlquay::Send>(&a)) count(to->sends[send->worker]);
+    if (const auto* send = std::get_if<dispatch::Send>(&a)) count(to->sends[send->worker]);
   }
 }
 
@@ -23,10 +23,10 @@
   if (recorded == actual) return;
   ++to->turns_that_differ;
   for (const Action& a : recorded) {
-    const auto* was = std::get_if<marlquay::Send>(&a);
+    const auto* was = std::get_if<dispatch::Send>(&a);
     if (was == nullptr) continue;
     for (const Action& b : actual)
-      if (const auto* is = std::get_if<marlquay::Send>(&b);
+      if (const auto* is = std::get_if<dispatch::Send>(&b);
           is != nullptr && is->request == was->request) {
         to->sent_elsewhere += is->worker != was->worker ? 1 : 0;
         break;
@@ -36,8 +36,8 @@
 
 }  // namespace
 
-std::vector<std::string> Figures(const marlquay::Dispatcher& dispatcher,
-                                 const marlquay::Site& site) {
+std::vector<std::string> Figures(const dispatch::Dispatcher& dispatcher,
+                                 const dispatch::Site& site) {
   std::vector<std::string> lines;
   char text[160];
   for (std::size_t k = 0; k < site.kinds.size(); ++k) {
@@ -54,7 +54,7 @@
 
 Replayed Replay(Segment* segment, const Window& window) {
   Replayed result;
-  marlquay::Dispatcher dispatcher = segment->Restore();
+  dispatch::Dispatcher dispatcher = segment->Restore();
   const auto begin = std::chrono::steady_clock::now();
   Turn turn;
   std::vector<Action> actions;
@@ -79,11 +79,11 @@
   return result;
 }
 
-Changes WhatIf(Segment* segment, const marlquay::Conf::Values& set, const Window& window) {
+Changes WhatIf(Segment* segment, const dispatch::Conf::Values& set, const Window& window) {
   Origin altered = segment->origin();
   for (const auto& [path, value] : set) altered.settings[path] = value;
-  const marlquay::Settings settings = altered.Site().settings;
-  marlquay::Dispatcher dispatcher = segment->Restore(&settings);
+  const dispatch::Settings settings = altered.Site().settings;
+  dispatch::Dispatcher dispatcher = segment->Restore(&settings);
   Changes changes;
   Turn turn;
   std::vector<Action> actions;
@@ -98,7 +98,7 @@
 
 std::string Accept(Segment* segment, const std::string& build, std::uint64_t policy_hash,
                    Changes* changes) {
-  marlquay::Dispatcher dispatcher = segment->Restore();
+  dispatch::Dispatcher dispatcher = segment->Restore();
   Origin origin = segment->origin();
   origin.build = build;
   origin.policy_hash = policy_hash;
--- a/src/capture/replay.h
+++ b/src/node/capture/replay.h
@@ -1,8 +1,8 @@
 // Replays segments: hands the module the recorded events and compares what it decides. It owns no
 // file; it must never hand the module anything but what was recorded, never read a clock for it,
 // and never call a segment identical that was not read to its end without damage.
-#ifndef PEARREACH_SRC_CAPTURE_REPLAY_H_
-#define PEARREACH_SRC_CAPTURE_REPLAY_H_
+#ifndef PEARREACH_SRC_NODE_CAPTURE_REPLAY_H_
+#define PEARREACH_SRC_NODE_CAPTURE_REPLAY_H_
 
 #include <array>
 #include <limits>
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "capture/segment.h"
+#include "node/capture/segment.h"
 
 namespace pearreach::capture {
 
@@ -26,7 +26,7 @@
 struct Difference {
   std::uint64_t turn = 0;  // of the segment, from 0
   Turn recorded;
-  std::vector<marlquay::Action> actual;
+  std::vector<dispatch::Action> actual;
   std::vector<std::string> figures;  // the module's, after it
 };
 
@@ -48,15 +48,15 @@
 struct Changes {
   std::uint64_t turns = 0, turns_that_differ = 0;
   // recorded, replayed
-  std::array<std::pair<std::uint64_t, std::uint64_t>, std::variant_size_v<marlquay::Action>> kinds;
-  std::map<marlquay::WorkerId, std::pair<std::uint64_t, std::uint64_t>> sends;
+  std::array<std::pair<std::uint64_t, std::uint64_t>, std::variant_size_v<dispatch::Action>> kinds;
+  std::map<dispatch::WorkerId, std::pair<std::uint64_t, std::uint64_t>> sends;
   std::uint64_t sent_elsewhere = 0;  // jobs whose first send in a turn went to another worker
   std::string damage;
 };
 
 // With other settings: `set` maps the wire's dotted paths to values. Throws Unreadable, and
-// marlquay::Malformed for settings that make no sense.
-Changes WhatIf(Segment* segment, const marlquay::Conf::Values& set, const Window& window);
+// dispatch::Malformed for settings that make no sense.
+Changes WhatIf(Segment* segment, const dispatch::Conf::Values& set, const Window& window);
 
 // The segment with this module's decisions in place of the recorded ones; `changes` says how they
 // differ. Throws Unreadable, also where the segment is damaged or cut off.
@@ -64,9 +64,9 @@
                    Changes* changes);
 
 // The module's figures in words, a line each.
-std::vector<std::string> Figures(const marlquay::Dispatcher& dispatcher,
-                                 const marlquay::Site& site);
+std::vector<std::string> Figures(const dispatch::Dispatcher& dispatcher,
+                                 const dispatch::Site& site);
 
 }  // namespace pearreach::capture
 
-#endif  // PEARREACH_SRC_CAPTURE_REPLAY_H_
+#endif  // PEARREACH_SRC_NODE_CAPTURE_REPLAY_H_
--- a/src/capture/segment.cpp
+++ b/src/node/capture/segment.cpp
@@ -1,10 +1,10 @@
-#include "capture/segment.h"
+#include "node/capture/segment.h"
 
 #include <glib.h>
 
 #include <utility>
 
-#include "module/checkpoint.h"
+#include "dispatch/policy/checkpoint.h"
 
 namespace pearreach::capture {
 namespace {
@@ -51,7 +51,7 @@
     throw Unreadable(name_ + ": the head cannot be read");
   try {
     site_ = origin_.Site();
-  } catch (const marlquay::Malformed& wrong) {
+  } catch (const dispatch::Malformed& wrong) {
     throw Unreadable(name_ + ": settings: " + wrong.what());
   }
   workers_ = origin_.workers;
@@ -65,16 +65,16 @@
   checkpoint_ = std::move(block.bytes);
 }
 
-marlquay::Dispatcher Segment::Restore(const marlquay::Settings* settings) const {
-  marlquay::Dispatcher dispatcher(settings != nullptr ? *settings : site_.settings, origin_.seed,
+dispatch::Dispatcher Segment::Restore(const dispatch::Settings* settings) const {
+  dispatch::Dispatcher dispatcher(settings != nullptr ? *settings : site_.settings, origin_.seed,
                                   origin_.clock);
   if (!checkpoint_) return dispatcher;
-  if (origin_.layout != marlquay::Checkpoint::Layout())
+  if (origin_.layout != dispatch::Checkpoint::Layout())
     throw Unreadable(name_ +
                      ": it begins with the state of another version of the module; replay it with "
                      "build " +
                      origin_.build);
-  const std::string wrong = marlquay::Checkpoint::Load(*checkpoint_, &dispatcher);
+  const std::string wrong = dispatch::Checkpoint::Load(*checkpoint_, &dispatcher);
   if (!wrong.empty()) throw Unreadable(name_ + ": the checkpoint does not hold: " + wrong);
   return dispatcher;
 }
@@ -142,7 +142,7 @@
 SegmentWriter::SegmentWriter(const Origin& origin, const std::string* checkpoint)
     : out_(BlockWriter::FileHeader()), clock_(origin.clock) {
   Origin head = origin;
-  head.layout = checkpoint != nullptr ? marlquay::Checkpoint::Layout() : 0;
+  head.layout = checkpoint != nullptr ? dispatch::Checkpoint::Layout() : 0;
   blocks_.Append(BlockType::kHead, 0, WriteOrigin(head), &out_);
   if (checkpoint != nullptr) blocks_.Append(BlockType::kCheckpoint, 0, *checkpoint, &out_);
 }
--- a/src/capture/segment.h
+++ b/src/node/capture/segment.h
@@ -1,8 +1,8 @@
 // A segment of a capture as a whole: reading one from a file, and writing one without a node, for
 // the tools that make captures out of others. It owns the file's bytes while it reads; it must
 // never call a segment whole that was cut off or damaged.
-#ifndef PEARREACH_SRC_CAPTURE_SEGMENT_H_
-#define PEARREACH_SRC_CAPTURE_SEGMENT_H_
+#ifndef PEARREACH_SRC_NODE_CAPTURE_SEGMENT_H_
+#define PEARREACH_SRC_NODE_CAPTURE_SEGMENT_H_
 
 #include <functional>
 #include <memory>
@@ -10,9 +10,9 @@
 #include <string>
 #include <vector>
 
-#include "capture/format.h"
-#include "capture/record.h"
-#include "marlquay/dispatcher.h"
+#include "node/capture/format.h"
+#include "node/capture/record.h"
+#include "pearreach/dispatcher.h"
 
 namespace pearreach::capture {
 
@@ -30,14 +30,14 @@
 
   const std::string& name() const { return name_; }
   const Origin& origin() const { return origin_; }
-  const marlquay::Site& site() const { return site_; }
+  const dispatch::Site& site() const { return site_; }
   const std::optional<std::string>& checkpoint() const { return checkpoint_; }
   // Of all workers named so far: those at the head and of the turns read.
-  const marlquay::Names& workers() const { return workers_; }
+  const dispatch::Names& workers() const { return workers_; }
 
   // The module as it was when the segment began. Throws Unreadable where it begins with a
   // checkpoint that this build cannot load. With `settings`, those in place of its own.
-  marlquay::Dispatcher Restore(const marlquay::Settings* settings = nullptr) const;
+  dispatch::Dispatcher Restore(const dispatch::Settings* settings = nullptr) const;
 
   // Called after each block with the part of the file that has been read, 0 to 1.
   void OnProgress(std::function<void(double)> tell) { progress_ = std::move(tell); }
@@ -60,9 +60,9 @@
   std::string name_, bytes_;
   std::unique_ptr<BlockReader> blocks_;
   Origin origin_;
-  marlquay::Site site_;
+  dispatch::Site site_;
   std::optional<std::string> checkpoint_;
-  marlquay::Names workers_;
+  dispatch::Names workers_;
   std::vector<Turn> turns_;
   std::size_t at_ = 0, known_ = 0, raw_bytes_ = 0, missing_ = 0;
   std::uint64_t read_ = 0, events_ = 0, actions_ = 0;
@@ -97,4 +97,4 @@
 
 }  // namespace pearreach::capture
 
-#endif  // PEARREACH_SRC_CAPTURE_SEGMENT_H_
+#endif  // PEARREACH_SRC_NODE_CAPTURE_SEGMENT_H_
--- a/src/cli/ban_list.cpp
+++ b/src/node/cli/ban_list.cpp
@@ -1,4 +1,4 @@
-#include "cli/ban_list.h"
+#include "node/cli/ban_list.h"
 
 namespace pearreach::cli {
 namespace {
--- a/src/cli/ban_list.h
+++ b/src/node/cli/ban_list.h
@@ -1,15 +1,15 @@
 // The bans of workers that hold at this node: those of the operators' door and those of the rules,
 // each whatever the other says.
-#ifndef PEARREACH_SRC_CLI_BAN_LIST_H_
-#define PEARREACH_SRC_CLI_BAN_LIST_H_
+#ifndef PEARREACH_SRC_NODE_CLI_BAN_LIST_H_
+#define PEARREACH_SRC_NODE_CLI_BAN_LIST_H_
 
 #include <optional>
 #include <set>
 #include <string>
 
-#include "admin/bans.h"
-#include "base/io.h"
-#include "node/node.h"
+#include "common/event_loop/io.h"
+#include "node/admin/bans.h"
+#include "node/engine/node.h"
 
 namespace pearreach::cli {
 
@@ -35,4 +35,4 @@
 
 }  // namespace pearreach::cli
 
-#endif  // PEARREACH_SRC_CLI_BAN_LIST_H_
+#endif  // PEARREACH_SRC_NODE_CLI_BAN_LIST_H_
--- a/src/cli/call.cpp
+++ b/src/node/cli/call.cpp
@@ -1,11 +1,11 @@
-#include "cli/call.h"
+#include "node/cli/call.h"
 
 #include <gio/gio.h>
 
 #include <cstdlib>
 
-#include "cli/cli.h"
-#include "http/http.h"
+#include "common/http/http.h"
+#include "node/cli/cli.h"
 
 namespace pearreach::cli {
 namespace {
--- a/src/cli/call.h
+++ b/src/node/cli/call.h
@@ -1,7 +1,7 @@
 // One call at a node's operators' door, for the sub-commands that speak to a node that runs. It
 // owns its connection; it must never wait for longer than a few seconds.
-#ifndef PEARREACH_SRC_CLI_CALL_H_
-#define PEARREACH_SRC_CLI_CALL_H_
+#ifndef PEARREACH_SRC_NODE_CLI_CALL_H_
+#define PEARREACH_SRC_NODE_CLI_CALL_H_
 
 #include <cxxopts.hpp>
 #include <string>
@@ -24,4 +24,4 @@
 
 }  // namespace pearreach::cli
 
-#endif  // PEARREACH_SRC_CLI_CALL_H_
+#endif  // PEARREACH_SRC_NODE_CLI_CALL_H_
