--- a/src/cli/captures.cpp
+++ b/src/node/cli/captures.cpp
@@ -8,18 +8,18 @@
 #include <cstdio>
 #include <iostream>
 
-#include "capture/audit.h"
-#include "capture/edit.h"
-#include "capture/explain.h"
-#include "capture/replay.h"
-#include "cli/cli.h"
+#include "node/capture/audit.h"
+#include "node/capture/edit.h"
+#include "node/capture/explain.h"
+#include "node/capture/replay.h"
+#include "node/cli/cli.h"
 
 namespace pearreach::cli {
 namespace {
 
 using capture::Segment;
 using capture::Unreadable;
-using marlquay::Micros;
+using dispatch::Micros;
 using Json = rapidjson::Writer<rapidjson::StringBuffer>;
 
 void Put(Json& json, const char* key, const std::string& value) {
@@ -51,12 +51,12 @@
   options->positional_help("FILE...");
 }
 std::vector<std::string> Files(const cxxopts::ParseResult& args) {
-  if (args.count("files") == 0) throw marlquay::Malformed("no capture named");
+  if (args.count("files") == 0) throw dispatch::Malformed("no capture named");
   return args["files"].as<std::vector<std::string>>();
 }
 std::string OneFile(const cxxopts::ParseResult& args) {
   const auto files = Files(args);
-  if (files.size() != 1) throw marlquay::Malformed("one capture at a time");
+  if (files.size() != 1) throw dispatch::Malformed("one capture at a time");
   return files.front();
 }
 
@@ -70,13 +70,13 @@
   const auto take = [&](const char* name, Micros* to) {
     const std::string text = args[name].as<std::string>();
     if (text.empty()) return;
-    const double s = marlquay::Number<double>(text, std::string("--") + name);
-    if (std::abs(s) > 1e9) throw marlquay::Malformed(std::string("--") + name + ": out of range");
+    const double s = dispatch::Number<double>(text, std::string("--") + name);
+    if (std::abs(s) > 1e9) throw dispatch::Malformed(std::string("--") + name + ": out of range");
     *to = static_cast<Micros>(std::llround(s * 1e6));
   };
   take("from", &w.from);
   take("until", &w.until);
-  if (w.from >= w.until) throw marlquay::Malformed("--from is not before --until");
+  if (w.from >= w.until) throw dispatch::Malformed("--from is not before --until");
   return w;
 }
 
@@ -101,7 +101,7 @@
               << '\n';
   const std::size_t n = std::max(d.recorded.actions.size(), d.actual.size());
   std::cout << "  actions, recorded and now:\n";
-  const auto words = [&](const std::vector<marlquay::Action>& all, std::size_t i) {
+  const auto words = [&](const std::vector<dispatch::Action>& all, std::size_t i) {
     return i < all.size() ? capture::Words(all[i], segment.site(), segment.workers()) : "-";
   };
   for (std::size_t i = 0; i < n; ++i) {
@@ -224,17 +224,17 @@
   const auto args = Parse(&options, argc, argv, &done);
   if (done) return kGood;
   const capture::Window window = ReadWindow(args);
-  marlquay::Conf::Values set;
+  dispatch::Conf::Values set;
   if (args.count("set") > 0)
     for (const std::string& pair : args["set"].as<std::vector<std::string>>()) {
       const std::size_t eq = pair.find('=');
       if (eq == std::string::npos || eq == 0)
-        throw marlquay::Malformed("--set wants PATH=VALUE, not '" + pair + "'");
+        throw dispatch::Malformed("--set wants PATH=VALUE, not '" + pair + "'");
       set[pair.substr(0, eq)] = pair.substr(eq + 1);
     }
   const bool as_json = args.count("json") > 0;
   if (args.count("accept") > 0 && !set.empty())
-    throw marlquay::Malformed("--accept and --set do not go together");
+    throw dispatch::Malformed("--accept and --set do not go together");
   int result = kGood;
   for (const std::string& file : Files(args)) {
     Segment segment(file);
@@ -279,7 +279,7 @@
   if (done) return kGood;
   const capture::Subject subject{args["worker"].as<std::string>(), args["job"].as<std::string>()};
   if (subject.worker.empty() && subject.job.empty())
-    throw marlquay::Malformed("explain what? Give --worker or --job");
+    throw dispatch::Malformed("explain what? Give --worker or --job");
   const std::string file = OneFile(args);
   Segment segment(file);
   const bool as_json = args.count("json") > 0;
@@ -377,7 +377,7 @@
   options->add_options()("o,output", "the capture to write", cxxopts::value<std::string>(), "FILE");
 }
 std::string Out(const cxxopts::ParseResult& args) {
-  if (args.count("output") == 0) throw marlquay::Malformed("no -o FILE to write to");
+  if (args.count("output") == 0) throw dispatch::Malformed("no -o FILE to write to");
   return args["output"].as<std::string>();
 }
 
--- a/src/cli/cli.h
+++ b/src/node/cli/cli.h
@@ -1,8 +1,8 @@
 // The command line of pearreach: one function a sub-command, each with its own options. Exit codes:
 // 0 good, 1 the answer is no (a difference, a broken rule, a node that could not serve), 2 wrong
 // use or bad input. Results go to standard output, complaints to standard error in one line.
-#ifndef PEARREACH_SRC_CLI_CLI_H_
-#define PEARREACH_SRC_CLI_CLI_H_
+#ifndef PEARREACH_SRC_NODE_CLI_CLI_H_
+#define PEARREACH_SRC_NODE_CLI_CLI_H_
 
 #include <cstdint>
 #include <cxxopts.hpp>
@@ -37,4 +37,4 @@
 
 }  // namespace pearreach::cli
 
-#endif  // PEARREACH_SRC_CLI_CLI_H_
+#endif  // PEARREACH_SRC_NODE_CLI_CLI_H_
--- a/src/cli/fleet_setup.cpp
+++ b/src/node/cli/fleet_setup.cpp
@@ -1,11 +1,11 @@
-#include "cli/fleet_setup.h"
+#include "node/cli/fleet_setup.h"
 
 #include <algorithm>
 #include <optional>
 #include <utility>
 
-#include "admin/zone_orders.h"
-#include "base/log.h"
+#include "common/diagnostics/log.h"
+#include "node/admin/zone_orders.h"
 
 namespace pearreach::cli {
 namespace {
@@ -13,12 +13,12 @@
 constexpr Micros kHeardOfLate = 500 * kMs;   // a worker heard of within it is waited for
 constexpr Micros kRulesEveryNode = 8 * kMs;  // a round of questions lasts so long a node
 
-shared::SharedOptions SharedOptionsOf(const SharedSettings& s, const marlquay::Site& site) {
-  shared::SharedOptions shares;
+shared_state::SharedOptions SharedOptionsOf(const SharedSettings& s, const dispatch::Site& site) {
+  shared_state::SharedOptions shares;
   shares.zone = std::max(0, site.settings.zone);
   shares.zones = std::max<int>(1, static_cast<int>(site.zones.size()));
   if (s.counts)
-    for (const marlquay::TenantSettings& t : site.settings.tenants)
+    for (const dispatch::TenantSettings& t : site.settings.tenants)
       shares.shares.push_back(t.quota_per_s);
   shares.repeats = s.repeats;
   shares.every = s.every;
@@ -37,22 +37,22 @@
 }
 
 zones::Target RegionOf(const ZoneSettings::Region& r, const std::string& file,
-                       const marlquay::Site& site) {
+                       const dispatch::Site& site) {
   zones::Target region{r.name, {}};
   for (const std::string& zone : r.zones) {
-    const int at = marlquay::IndexOf(site.zones, zone);
-    if (at < 0) throw marlquay::Malformed(RegionWrong(file, r, "there is no zone " + zone));
+    const int at = dispatch::IndexOf(site.zones, zone);
+    if (at < 0) throw dispatch::Malformed(RegionWrong(file, r, "there is no zone " + zone));
     region.zones.push_back(at);
   }
-  if (marlquay::IndexOf(site.zones, r.name) >= 0)
-    throw marlquay::Malformed(RegionWrong(file, r, "a zone has that name"));
+  if (dispatch::IndexOf(site.zones, r.name) >= 0)
+    throw dispatch::Malformed(RegionWrong(file, r, "a zone has that name"));
   if (region.zones.size() >= site.zones.size())
-    throw marlquay::Malformed(RegionWrong(file, r, "it has all zones: none would be left"));
+    throw dispatch::Malformed(RegionWrong(file, r, "it has all zones: none would be left"));
   return region;
 }
 
 zones::Options ZoneOptionsOf(const ZoneSettings& z, const std::string& file,
-                             const marlquay::Site& site) {
+                             const dispatch::Site& site) {
   zones::Options zoned;
   zoned.zone = std::max(0, site.settings.zone);
   zoned.zones.assign(site.zones.begin(), site.zones.end());
@@ -69,7 +69,7 @@
   RulesSettings agreed;
   const int nodes = static_cast<int>(config.peers.size());
   const auto wrong = [&](const std::string& what) {
-    throw marlquay::Malformed(file + ":" + std::to_string(r.line) + ": rules: " + what);
+    throw dispatch::Malformed(file + ":" + std::to_string(r.line) + ": rules: " + what);
   };
   rules::Options& o = agreed.options;
   o.voters = r.voters;
@@ -98,7 +98,7 @@
     return to;
   });
   if (settings.judgements)
-    fleet->OnJudged([node](const std::string& worker, const shared::Standing& s) {
+    fleet->OnJudged([node](const std::string& worker, const shared_state::Standing& s) {
       node->OnJudgement(worker, {0, s.out, s.trial, s.cold, s.at, s.witnesses});
     });
 }
@@ -145,7 +145,7 @@
     CountFault("peers_off", wrong);
     return nullptr;
   }
-  const marlquay::Site& site = node->site();
+  const dispatch::Site& site = node->site();
   FleetSettings made{.listen = config.peer_listen,
                      .nodes = config.peers,
                      .all = config.peers_all,
--- a/src/cli/fleet_setup.h
+++ b/src/node/cli/fleet_setup.h
@@ -1,20 +1,20 @@
 // The node's part in the fleet, made from the configuration and the operator's file.
-#ifndef PEARREACH_SRC_CLI_FLEET_SETUP_H_
-#define PEARREACH_SRC_CLI_FLEET_SETUP_H_
+#ifndef PEARREACH_SRC_NODE_CLI_FLEET_SETUP_H_
+#define PEARREACH_SRC_NODE_CLI_FLEET_SETUP_H_
 
 #include <memory>
 #include <string>
 
-#include "config/config.h"
-#include "config/operator.h"
-#include "fleet/fleet.h"
-#include "node/node.h"
+#include "node/config/config.h"
+#include "node/config/operator.h"
+#include "node/engine/node.h"
+#include "node/fleet/fleet.h"
 
 namespace pearreach::cli {
 
 // Where the operator's file asks for words with other nodes, and the configuration and the
 // platform's settings give what they need; else null: one line says what is missing, and the node
-// serves without. `file`: the operator's, for complaints. Throws marlquay::Malformed where the two
+// serves without. `file`: the operator's, for complaints. Throws dispatch::Malformed where the two
 // do not fit together.
 std::unique_ptr<Fleet> MakeFleet(const OperatorSettings& settings, const std::string& file,
                                  const Config& config, Node* node);
@@ -29,9 +29,9 @@
   void OnGone(const std::string& worker) override { fleet_->WorkerGone(worker); }
   void OnSent(const std::string& worker) override { fleet_->WorkerSent(worker); }
   void OnHeard(const std::string& worker) override { fleet_->WorkerHeard(worker); }
-  void OnEnded(const std::string& worker, marlquay::Outcome outcome, int cls, Micros run) override {
-    using End = shared::Judgements::End;
-    using marlquay::Outcome;
+  void OnEnded(const std::string& worker, dispatch::Outcome outcome, int cls, Micros run) override {
+    using End = shared_state::Judgements::End;
+    using dispatch::Outcome;
     // A cancel is this node's own; a job turned away was answered, which is life.
     if (outcome == Outcome::kFull) fleet_->WorkerHeard(worker);
     fleet_->WorkerEnded(worker,
@@ -49,4 +49,4 @@
 
 }  // namespace pearreach::cli
 
-#endif  // PEARREACH_SRC_CLI_FLEET_SETUP_H_
+#endif  // PEARREACH_SRC_NODE_CLI_FLEET_SETUP_H_
--- a/src/cli/jobs.cpp
+++ b/src/node/cli/jobs.cpp
@@ -11,16 +11,16 @@
 #include <functional>
 #include <iostream>
 
-#include "cli/cli.h"
-#include "durable/orders.h"
-#include "jobs/ledger.h"
-#include "site/site.h"
-#include "store/store.h"
+#include "dispatch/settings/site.h"
+#include "node/cli/cli.h"
+#include "node/durable_jobs/orders.h"
+#include "node/job_state/ledger.h"
+#include "node/job_store/store.h"
 
 namespace pearreach::cli {
 namespace {
 
-using jobs::Job;
+using job_state::Job;
 using Json = rapidjson::Writer<rapidjson::StringBuffer>;
 
 void Put(Json& json, const char* key, const std::string& value) {
@@ -35,7 +35,7 @@
   json.StartObject();
   Put(json, "id", job.id);
   Put(json, "request", job.request_id);
-  Put(json, "state", jobs::kStateNames[static_cast<int>(job.state)]);
+  Put(json, "state", job_state::kStateNames[static_cast<int>(job.state)]);
   Put(json, "class", job.cls);
   Put(json, "account", job.tenant);
   json.Key("created_s");
@@ -43,10 +43,10 @@
   json.Key("due_s");
   json.Double(static_cast<double>(job.due) / 1e6);
   if (!job.reason.empty()) Put(json, "reason", job.reason);
-  if (whole && job.state == jobs::State::kServed) Put(json, "result", job.result);
+  if (whole && job.state == job_state::State::kServed) Put(json, "result", job.result);
   json.Key("attempts");
   json.StartArray();
-  for (const jobs::Attempt& a : job.attempts) {
+  for (const job_state::Attempt& a : job.attempts) {
     json.StartObject();
     Put(json, "worker", a.worker);
     Put(json, "ran", kRan[static_cast<int>(a.ran)]);
@@ -75,15 +75,16 @@
   std::puts(buffer.GetString());
 }
 
-std::unique_ptr<store::Store> Open(const std::string& path) {
-  if (!std::filesystem::exists(path)) throw store::StoreError(path + ": there is no such store");
-  return store::OpenSqlite({.path = path, .owner = "", .read_only = true, .fault = {}});
+std::unique_ptr<job_store::Store> Open(const std::string& path) {
+  if (!std::filesystem::exists(path))
+    throw job_store::StoreError(path + ": there is no such store");
+  return job_store::OpenSqlite({.path = path, .owner = "", .read_only = true, .fault = {}});
 }
 
 int List(const std::string& path, const std::string& state, bool as_json) {
   std::uint64_t shown = 0;
   Open(path)->Load([&](const Job& j) {
-    const char* name = jobs::kStateNames[static_cast<int>(j.state)];
+    const char* name = job_state::kStateNames[static_cast<int>(j.state)];
     if (!state.empty() && state != name) return;
     ++shown;
     if (as_json)
@@ -101,10 +102,10 @@
 // By its public id, or by its request's.
 std::optional<Job> FindJob(const std::string& path, const std::string& id) {
   const auto store = Open(path);
-  for (const store::Question& question :
-       {store::Question(store::ById{id}), store::Question(store::ByRequest{id})}) {
-    store::Found found = store->AskNow(question);
-    if (!found.error.empty()) throw store::StoreError(path + ": " + found.error);
+  for (const job_store::Question& question :
+       {job_store::Question(job_store::ById{id}), job_store::Question(job_store::ByRequest{id})}) {
+    job_store::Found found = store->AskNow(question);
+    if (!found.error.empty()) throw job_store::StoreError(path + ": " + found.error);
     if (!found.jobs.empty()) return std::move(found.jobs.front());
   }
   return std::nullopt;
@@ -119,28 +120,28 @@
 // Where no node has the store, here; else by an order, waited for.
 int Resolve(const std::string& path, const std::string& id, const std::string& as,
             const std::string& reason, bool as_json) {
-  jobs::State state{};
+  job_state::State state{};
   if (as == "served")
-    state = jobs::State::kServed;
+    state = job_state::State::kServed;
   else if (as == "failed")
-    state = jobs::State::kFailed;
+    state = job_state::State::kFailed;
   else if (as == "refused")
-    state = jobs::State::kRefused;
+    state = job_state::State::kRefused;
   else
-    throw marlquay::Malformed("--as wants served, failed or refused, not '" + as + "'");
+    throw dispatch::Malformed("--as wants served, failed or refused, not '" + as + "'");
   std::optional<Job> job = FindJob(path, id);
-  if (!job || job->id != id || job->state != jobs::State::kInDoubt) {
+  if (!job || job->id != id || job->state != job_state::State::kInDoubt) {
     std::cerr << "pearreach: " << path << ": no job " << id << " in doubt\n";
     return kNo;
   }
   try {
-    const auto store = store::OpenSqlite({.path = path, .owner = "person", .fault = {}});
+    const auto store = job_store::OpenSqlite({.path = path, .owner = "person", .fault = {}});
     job->state = state;
     job->reason = reason;
-    job->ended = static_cast<jobs::UnixMicros>(std::time(nullptr)) * 1'000'000;
-    jobs::PlanAfterEnd(&*job, {}, job->ended, 0);
-    store->Submit({{store::PutJob{*job}}, nullptr});
-  } catch (const store::StoreError&) {  // a node has it
+    job->ended = static_cast<job_state::UnixMicros>(std::time(nullptr)) * 1'000'000;
+    job_state::PlanAfterEnd(&*job, {}, job->ended, 0);
+    store->Submit({{job_store::PutJob{*job}}, nullptr});
+  } catch (const job_store::StoreError&) {  // a node has it
     WriteOrder(path, {id, state, reason});
     for (int i = 0; i < 100 && OrderWaits(path, id); ++i) usleep(100'000);
     if (OrderWaits(path, id)) {
@@ -183,10 +184,10 @@
   const std::string what = words.empty() ? "" : words[0];
   const bool named = what == "show" || what == "resolve";
   if (what != "list" && what != "export" && what != "verify" && what != "compact" && !named)
-    throw marlquay::Malformed("jobs wants list, show, export, resolve, verify or compact");
+    throw dispatch::Malformed("jobs wants list, show, export, resolve, verify or compact");
   if (words.size() != (named ? 2u : 1u))
-    throw marlquay::Malformed(named ? "jobs " + what + " wants one ID" : "too many arguments");
-  if (args.count("store") == 0) throw marlquay::Malformed("no --store FILE");
+    throw dispatch::Malformed(named ? "jobs " + what + " wants one ID" : "too many arguments");
+  if (args.count("store") == 0) throw dispatch::Malformed("no --store FILE");
   const std::string path = args["store"].as<std::string>();
   const bool as_json = args.count("json") > 0;
   try {
@@ -199,9 +200,10 @@
     if (what == "resolve")
       return Resolve(path, words[1], args["as"].as<std::string>(), args["reason"].as<std::string>(),
                      as_json);
-    if (!std::filesystem::exists(path)) throw store::StoreError(path + ": there is no such store");
+    if (!std::filesystem::exists(path))
+      throw job_store::StoreError(path + ": there is no such store");
     if (what == "verify") {
-      const auto wrong = store::VerifySqlite(path);
+      const auto wrong = job_store::VerifySqlite(path);
       if (as_json)
         PrintJson([&](Json& json) {
           Put(json, "store", path);
@@ -217,7 +219,7 @@
       if (wrong.empty() && !as_json) std::cout << path << ": sound\n";
       return wrong.empty() ? kGood : kNo;
     }
-    const auto [before, after] = store::CompactSqlite(path);
+    const auto [before, after] = job_store::CompactSqlite(path);
     if (as_json)
       PrintJson([&, before = before, after = after](Json& json) {
         Put(json, "store", path);
@@ -229,7 +231,7 @@
     else
       std::cout << path << ": " << before << " bytes, now " << after << '\n';
     return kGood;
-  } catch (const store::StoreError& wrong) {
+  } catch (const job_store::StoreError& wrong) {
     std::cerr << "pearreach: " << wrong.what() << '\n';
     return kUsage;
   }
--- a/src/cli/knowledge.cpp
+++ b/src/node/cli/knowledge.cpp
@@ -10,9 +10,9 @@
 #include <ctime>
 #include <iostream>
 
-#include "cli/cli.h"
-#include "config/config.h"
-#include "knowledge/file.h"
+#include "node/cli/cli.h"
+#include "node/config/config.h"
+#include "node/knowledge/file.h"
 
 namespace pearreach::cli {
 namespace {
@@ -32,7 +32,7 @@
 Decoded Read(const std::string& path, const knowledge::Key& key) {
   std::string bytes;
   if (knowledge::SystemDisk().Read(path, knowledge::kMostBytes, &bytes) != 0)
-    throw marlquay::Malformed(path + ": " + std::strerror(errno));
+    throw dispatch::Malformed(path + ": " + std::strerror(errno));
   return knowledge::Decode(bytes, key);
 }
 
@@ -132,10 +132,10 @@
                 w.what.died_at != 0 ? ", its process died" : "");
 }
 
-int Show(const Options& o, const marlquay::Site* site, double later) {
+int Show(const Options& o, const dispatch::Site* site, double later) {
   for (const std::string& path : o.files) {
     const Decoded d = Read(path, o.key);
-    if (!d.memory) throw marlquay::Malformed(path + ": " + d.wrong);
+    if (!d.memory) throw dispatch::Malformed(path + ": " + d.wrong);
     Memory m = *d.memory;
     if (site != nullptr)
       m = knowledge::Aged(m, *site, {static_cast<knowledge::Micros>(later * kSecondsOf), false});
@@ -195,24 +195,24 @@
   if (args.count("words") > 0) o.files = args["words"].as<std::vector<std::string>>();
   const std::string what = o.files.empty() ? "" : o.files[0];
   if (what != "show" && what != "verify" && what != "age" && what != "drop")
-    throw marlquay::Malformed("knowledge wants show, verify, age or drop");
+    throw dispatch::Malformed("knowledge wants show, verify, age or drop");
   o.files.erase(o.files.begin());
-  if (o.files.empty()) throw marlquay::Malformed("knowledge " + what + " wants a path");
+  if (o.files.empty()) throw dispatch::Malformed("knowledge " + what + " wants a path");
   if (const std::string key = args["key-file"].as<std::string>(); !key.empty())
     o.key = knowledge::ReadKeyFile(key);
   if (what == "show") return Show(o, nullptr, 0);
   if (what == "verify") return Verify(o);
   if (what == "age") {
     const double by = args["by"].as<double>();
-    if (!(by >= 0 && by <= 1e9)) throw marlquay::Malformed("--by is out of range");
+    if (!(by >= 0 && by <= 1e9)) throw dispatch::Malformed("--by is out of range");
     const Config config = LoadConfig(args["config"].as<std::string>());
     return Show(o, &config.site, by);
   }
   const std::string node = args["node"].as<std::string>();
   if (node.empty() || o.files.size() != 1)
-    throw marlquay::Malformed("knowledge drop wants one folder and --node NAME");
+    throw dispatch::Malformed("knowledge drop wants one folder and --node NAME");
   if (const std::string wrong = knowledge::Folder(o.files[0], node, {}).Drop(); !wrong.empty())
-    throw marlquay::Malformed(wrong);
+    throw dispatch::Malformed(wrong);
   std::printf("%s: nothing of %s is kept\n", o.files[0].c_str(), node.c_str());
   return kGood;
 }
--- a/src/cli/main.cpp
+++ b/src/node/cli/main.cpp
@@ -6,10 +6,10 @@
 #include <cstdio>
 #include <iostream>
 
-#include "capture/segment.h"
-#include "cli/cli.h"
-#include "cli/policy_hash.h"
-#include "site/site.h"
+#include "dispatch/settings/site.h"
+#include "node/capture/segment.h"
+#include "node/cli/cli.h"
+#include "node/cli/policy_hash.h"
 
 #ifndef PEARREACH_VERSION
 #define PEARREACH_VERSION "unknown"
@@ -66,7 +66,7 @@
       return e.run(argc - 1, argv + 1);
     } catch (const cxxopts::exceptions::exception& wrong) {
       std::cerr << "pearreach: " << wrong.what() << "; see 'pearreach " << command << " --help'\n";
-    } catch (const marlquay::Malformed& wrong) {
+    } catch (const dispatch::Malformed& wrong) {
       std::cerr << "pearreach: " << wrong.what() << '\n';
     } catch (const capture::Unreadable& wrong) {
       std::cerr << "pearreach: " << wrong.what() << '\n';
--- a/src/cli/node_process.cpp
+++ b/src/node/cli/node_process.cpp
@@ -1,4 +1,4 @@
-#include "cli/node_process.h"
+#include "node/cli/node_process.h"
 
 #include <glib-unix.h>
 #include <sys/resource.h>
@@ -7,9 +7,9 @@
 #include <filesystem>
 #include <iostream>
 
-#include "base/log.h"
-#include "cli/cli.h"
-#include "cli/recall.h"
+#include "common/diagnostics/log.h"
+#include "node/cli/cli.h"
+#include "node/cli/recall.h"
 
 namespace pearreach::cli {
 namespace {
@@ -77,19 +77,19 @@
   bounded.sockets = sockets_;
   node_.emplace(bounded);
   if (!settings_.jobs) {
-    keeper_.emplace(&*node_, nullptr, jobs::Policy());
+    keeper_.emplace(&*node_, nullptr, job_state::Policy());
     return kGood;
   }
   const auto& j = *settings_.jobs;
-  const jobs::Policy policy = {.lease = j.lease,
-                               .keep = j.keep,
-                               .recovered_at_once = j.recovered_at_once,
-                               .in_hand = j.in_hand,
-                               .in_hand_bytes = j.in_hand_bytes};
-  std::unique_ptr<store::Store> store;
+  const job_state::Policy policy = {.lease = j.lease,
+                                    .keep = j.keep,
+                                    .recovered_at_once = j.recovered_at_once,
+                                    .in_hand = j.in_hand,
+                                    .in_hand_bytes = j.in_hand_bytes};
+  std::unique_ptr<job_store::Store> store;
   try {
     std::filesystem::create_directories(std::filesystem::path(j.store).parent_path());
-    store = store::OpenSqlite({.path = j.store, .owner = config_.name, .fault = {}});
+    store = job_store::OpenSqlite({.path = j.store, .owner = config_.name, .fault = {}});
   } catch (const std::exception& wrong) {
     std::cerr << "pearreach: durable jobs: " << wrong.what() << '\n';
     return kUsage;
@@ -121,13 +121,13 @@
 int NodeProcess::MakeFleetAndKnowledge() {
   try {
     saver_ = Remember(settings_, &*node_, config_.name, takeover_->knowledge());
-  } catch (const marlquay::Malformed& wrong) {
+  } catch (const dispatch::Malformed& wrong) {
     std::cerr << "pearreach: knowledge: " << wrong.what() << '\n';
     return kUsage;
   }
   try {
     fleet_ = MakeFleet(settings_, sources_.operator_file, config_, &*node_);
-  } catch (const marlquay::Malformed& wrong) {
+  } catch (const dispatch::Malformed& wrong) {
     std::cerr << "pearreach: " << wrong.what() << '\n';
     return kUsage;
   }
@@ -245,14 +245,14 @@
                              (moved ? "is" : "stays") + " at " + config_.discovery;
     node_->Mark(line);
     Log("configuration_read", {{"discovery", config_.discovery}}, line);
-  } catch (const marlquay::Malformed& wrong) {
+  } catch (const dispatch::Malformed& wrong) {
     refuse("configuration_refused", std::string("configuration not taken over: ") + wrong.what());
   }
   if (sources_.operator_file.empty()) return;
   try {
     Apply(LoadOperator(sources_));
     Log("operator_file_read", {}, "operator's file read again");
-  } catch (const marlquay::Malformed& wrong) {
+  } catch (const dispatch::Malformed& wrong) {
     refuse("operator_file_refused", std::string("operator's file not taken over: ") + wrong.what());
   }
 }
--- a/src/cli/node_process.h
+++ b/src/node/cli/node_process.h
@@ -1,6 +1,6 @@
 // The process of a node: puts its parts together, serves until a signal, and ends cleanly.
-#ifndef PEARREACH_SRC_CLI_NODE_PROCESS_H_
-#define PEARREACH_SRC_CLI_NODE_PROCESS_H_
+#ifndef PEARREACH_SRC_NODE_CLI_NODE_PROCESS_H_
+#define PEARREACH_SRC_NODE_CLI_NODE_PROCESS_H_
 
 #include <glib.h>
 
@@ -11,16 +11,16 @@
 #include <string>
 #include <utility>
 
-#include "admin/door.h"
-#include "cli/ban_list.h"
-#include "cli/fleet_setup.h"
-#include "cli/takeover.h"
-#include "config/config.h"
-#include "config/operator.h"
-#include "durable/keeper.h"
-#include "fronts/front.h"
-#include "knowledge/saver.h"
-#include "node/node.h"
+#include "node/admin/door.h"
+#include "node/cli/ban_list.h"
+#include "node/cli/fleet_setup.h"
+#include "node/cli/takeover.h"
+#include "node/config/config.h"
+#include "node/config/operator.h"
+#include "node/durable_jobs/keeper.h"
+#include "node/engine/node.h"
+#include "node/http_frontend/front.h"
+#include "node/knowledge/saver.h"
 
 namespace pearreach::cli {
 
@@ -80,4 +80,4 @@
 
 }  // namespace pearreach::cli
 
-#endif  // PEARREACH_SRC_CLI_NODE_PROCESS_H_
+#endif  // PEARREACH_SRC_NODE_CLI_NODE_PROCESS_H_
--- a/src/cli/recall.cpp
+++ b/src/node/cli/recall.cpp
@@ -1,10 +1,10 @@
-#include "cli/recall.h"
+#include "node/cli/recall.h"
 
 #include <filesystem>
 #include <optional>
 #include <utility>
 
-#include "base/log.h"
+#include "common/diagnostics/log.h"
 
 namespace pearreach::cli {
 namespace {
--- a/src/cli/rules.cpp
+++ b/src/node/cli/rules.cpp
@@ -8,11 +8,11 @@
 #include <string>
 #include <vector>
 
-#include "cli/call.h"
-#include "cli/cli.h"
-#include "config/xml.h"
-#include "rules/document.h"
-#include "site/site.h"
+#include "dispatch/settings/site.h"
+#include "node/cli/call.h"
+#include "node/cli/cli.h"
+#include "node/config/xml.h"
+#include "node/rules/document.h"
 
 namespace pearreach::cli {
 namespace {
@@ -72,7 +72,7 @@
 
 // Until every node that is heard has it.
 int Wait(const std::string& door, const std::string& version, gint64 until) {
-  const std::uint64_t wanted = marlquay::Number<std::uint64_t>(version, "VERSION");
+  const std::uint64_t wanted = dispatch::Number<std::uint64_t>(version, "VERSION");
   std::string body;
   for (;;) {
     const int status = CallDoor(door, "GET", "/_rules/have", "", &body);
@@ -89,7 +89,7 @@
       if (status == 0) return Say(door, 0, body);
       const std::string refuses = LineOf(body, "refuses");
       const std::string in_force = body.substr(0, body.find(' '));
-      if (marlquay::Number<std::uint64_t>(in_force, "version") < wanted) {
+      if (dispatch::Number<std::uint64_t>(in_force, "version") < wanted) {
         std::cerr << "pearreach rules: version " << wanted << " is not there; " << in_force
                   << " is the latest at that node\n";
         return kNo;
@@ -133,7 +133,7 @@
   const gint64 until =
       g_get_monotonic_time() + G_USEC_PER_SEC * static_cast<gint64>(args["seconds"].as<int>());
   const auto need_door = [&] {
-    if (door.empty()) throw marlquay::Malformed("rules wants --door ip:port, or $EDGE_OPERATOR");
+    if (door.empty()) throw dispatch::Malformed("rules wants --door ip:port, or $EDGE_OPERATOR");
   };
   std::string body;
   if (verb == "propose" && words.size() == 2) {
@@ -161,13 +161,13 @@
     std::string voters;
     for (std::size_t i = 1; i < words.size(); ++i) {
       if (!IsNumber(words[i]))
-        throw marlquay::Malformed("rules force: " + words[i] + " is no node's number");
+        throw dispatch::Malformed("rules force: " + words[i] + " is no node's number");
       voters += (i > 1 ? " " : "") + words[i];
     }
     const int status = CallDoor(door, "POST", "/_rules/force?voters=" + Escape(voters), "", &body);
     return Say(door, status, body);
   }
-  throw marlquay::Malformed(
+  throw dispatch::Malformed(
       "rules wants propose FILE, show, diff FROM TO, history, wait VERSION or force NODE...");
 }
 
--- a/src/cli/serve.cpp
+++ b/src/node/cli/serve.cpp
@@ -4,10 +4,10 @@
 #include <iostream>
 #include <string>
 
-#include "cli/cli.h"
-#include "cli/node_process.h"
-#include "config/config.h"
-#include "config/operator.h"
+#include "node/cli/cli.h"
+#include "node/cli/node_process.h"
+#include "node/config/config.h"
+#include "node/config/operator.h"
 
 namespace pearreach::cli {
 namespace {
--- a/src/cli/takeover.cpp
+++ b/src/node/cli/takeover.cpp
@@ -1,9 +1,9 @@
-#include "cli/takeover.h"
+#include "node/cli/takeover.h"
 
 #include <utility>
 
-#include "base/log.h"
-#include "knowledge/saver.h"
+#include "common/diagnostics/log.h"
+#include "node/knowledge/saver.h"
 
 namespace pearreach::cli {
 namespace {
--- a/src/cli/takeover.h
+++ b/src/node/cli/takeover.h
@@ -1,19 +1,19 @@
 // This process's part in a hand-over, where the operator's file names a path; else it only opens
 // the listener.
-#ifndef PEARREACH_SRC_CLI_TAKEOVER_H_
-#define PEARREACH_SRC_CLI_TAKEOVER_H_
+#ifndef PEARREACH_SRC_NODE_CLI_TAKEOVER_H_
+#define PEARREACH_SRC_NODE_CLI_TAKEOVER_H_
 
 #include <glib.h>
 
 #include <optional>
 #include <string>
 
-#include "config/config.h"
-#include "config/operator.h"
-#include "fleet/fleet.h"
-#include "fronts/front.h"
-#include "handover/handover.h"
-#include "node/node.h"
+#include "node/config/config.h"
+#include "node/config/operator.h"
+#include "node/engine/node.h"
+#include "node/fleet/fleet.h"
+#include "node/hot_restart/handover.h"
+#include "node/http_frontend/front.h"
 
 namespace pearreach::cli {
 
@@ -56,4 +56,4 @@
 
 }  // namespace pearreach::cli
 
-#endif  // PEARREACH_SRC_CLI_TAKEOVER_H_
+#endif  // PEARREACH_SRC_NODE_CLI_TAKEOVER_H_
--- a/src/cli/zone.cpp
+++ b/src/node/cli/zone.cpp
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "cli/call.h"
-#include "cli/cli.h"
-#include "site/site.h"
+#include "dispatch/settings/site.h"
+#include "node/cli/call.h"
+#include "node/cli/cli.h"
 
 namespace pearreach::cli {
 int Zone(int argc, char** argv) {
@@ -31,8 +31,8 @@
   const bool order =
       words.size() == 2 && (words[0] == "leave" || words[0] == "return" || words[0] == "clear");
   if (!show && !order)
-    throw marlquay::Malformed("zone wants show, or leave, return or clear and a name");
-  if (door.empty()) throw marlquay::Malformed("zone wants --door ip:port, or $EDGE_OPERATOR");
+    throw dispatch::Malformed("zone wants show, or leave, return or clear and a name");
+  if (door.empty()) throw dispatch::Malformed("zone wants --door ip:port, or $EDGE_OPERATOR");
   std::string body;
   char* name = order ? g_uri_escape_string(words[1].c_str(), nullptr, FALSE) : nullptr;
   const int status =
--- a/src/config/config.cpp
+++ b/src/node/config/config.cpp
@@ -1,4 +1,4 @@
-#include "config/config.h"
+#include "node/config/config.h"
 
 #include <rapidjson/document.h>
 #include <rapidjson/error/en.h>
@@ -10,13 +10,13 @@
 #include <fstream>
 #include <iterator>
 
-#include "base/io.h"
+#include "common/event_loop/io.h"
 
 namespace pearreach {
 namespace {
 
-using marlquay::Conf;
-using marlquay::Malformed;
+using dispatch::Conf;
+using dispatch::Malformed;
 using rapidjson::Value;
 
 // Iterative: a deeply nested text must not exhaust the stack.
@@ -99,12 +99,12 @@
       state = String(s, "state");
     }
     if (state == "draining")
-      e.health = marlquay::Health::kDraining;
+      e.health = dispatch::Health::kDraining;
     else if (state == "removed")
-      e.health = marlquay::Health::kGone;
+      e.health = dispatch::Health::kGone;
     else if (state != "up")
       e.id.clear();
-    if (e.id.empty() || (e.address.empty() && e.health != marlquay::Health::kGone)) {
+    if (e.id.empty() || (e.address.empty() && e.health != dispatch::Health::kGone)) {
       CountFault("bad_list_entry", "'" + e.id + "' in state '" + state + "' is left out");
       continue;
     }
@@ -113,12 +113,12 @@
   return list;
 }
 
-marlquay::LoadReport TakeLoad(const Value& load, const marlquay::Site& site) {
-  marlquay::LoadReport report;
+dispatch::LoadReport TakeLoad(const Value& load, const dispatch::Site& site) {
+  dispatch::LoadReport report;
   if (!load.IsObject()) return report;
   for (const auto& m : load.GetObject())
     if (m.value.IsNumber())
-      marlquay::TakeLoad(site, TextOf(m.name), std::to_string(m.value.GetDouble()), &report);
+      dispatch::TakeLoad(site, TextOf(m.name), std::to_string(m.value.GetDouble()), &report);
   return report;
 }
 
@@ -163,7 +163,7 @@
   return {text.GetString(), text.GetSize()};
 }
 
-std::optional<News> ReadNews(std::string_view json, const marlquay::Site& site) {
+std::optional<News> ReadNews(std::string_view json, const dispatch::Site& site) {
   rapidjson::Document d;
   d.Parse<kFlags>(json.data(), json.size());
   if (d.HasParseError() || !d.IsObject()) return std::nullopt;
@@ -191,15 +191,15 @@
   return news;
 }
 
-marlquay::LoadReport ReadLoadHeader(std::string_view text, const marlquay::Site& site) {
-  marlquay::LoadReport report;
+dispatch::LoadReport ReadLoadHeader(std::string_view text, const dispatch::Site& site) {
+  dispatch::LoadReport report;
   if (!text.starts_with("TEXT ")) return report;
-  for (std::string_view pair : marlquay::Split(text.substr(5), ',')) {
+  for (std::string_view pair : dispatch::Split(text.substr(5), ',')) {
     while (pair.starts_with(' ')) pair.remove_prefix(1);
     const std::size_t eq = pair.find('=');
     if (eq == std::string_view::npos) continue;
     try {
-      marlquay::TakeLoad(site, pair.substr(0, eq), pair.substr(eq + 1), &report);
+      dispatch::TakeLoad(site, pair.substr(0, eq), pair.substr(eq + 1), &report);
     } catch (const Malformed& wrong) {
       CountFault("bad_load_report", wrong.what());
     }
@@ -230,17 +230,17 @@
     }
   }
   if (const std::string seed = String(d, "seed"); !seed.empty())
-    c.seed = marlquay::Number<std::uint64_t>(seed, "seed", 16);
+    c.seed = dispatch::Number<std::uint64_t>(seed, "seed", 16);
   if (const Value* limits = Member(d, "limits"); limits != nullptr && limits->IsObject())
     if (const std::string sockets = String(*limits, "sockets"); !sockets.empty())
-      c.sockets = static_cast<int>(marlquay::Number<double>(sockets, "limits.sockets"));
+      c.sockets = static_cast<int>(dispatch::Number<double>(sockets, "limits.sockets"));
   if (c.sockets < 64) throw Malformed("limits.sockets: a node needs 64 descriptors at least");
   const Value* settings = Member(d, "settings");
   if (settings == nullptr || !settings->IsObject()) throw Malformed("no settings");
   Conf::Values values;
   Flatten(*settings, "", 0, &values);
   c.settings = values;
-  c.site = marlquay::ReadSite(Conf(std::move(values)));
+  c.site = dispatch::ReadSite(Conf(std::move(values)));
   // The list is read a second time for its numbers.
   rapidjson::Document again;
   again.Parse<kFlags>(json.data(), json.size());
--- a/src/config/config.h
+++ b/src/node/config/config.h
@@ -1,8 +1,8 @@
 // What a node is told at its start: EDGE_CONFIG and the variables beside it. It owns the reading of
 // JSON into the types that the other files use; it must never listen, connect or carry on with half
 // a configuration: what is wrong is said in one line.
-#ifndef PEARREACH_SRC_CONFIG_CONFIG_H_
-#define PEARREACH_SRC_CONFIG_CONFIG_H_
+#ifndef PEARREACH_SRC_NODE_CONFIG_CONFIG_H_
+#define PEARREACH_SRC_NODE_CONFIG_CONFIG_H_
 
 #include <cstdint>
 #include <optional>
@@ -10,8 +10,8 @@
 #include <string_view>
 #include <vector>
 
-#include "marlquay/dispatcher.h"
-#include "site/site.h"
+#include "dispatch/settings/site.h"
+#include "pearreach/dispatcher.h"
 
 namespace pearreach {
 
@@ -19,7 +19,7 @@
 struct ServerEntry {
   std::string id, address, zone, kind;
   int cell = 0;
-  marlquay::Health health = marlquay::Health::kInService;
+  dispatch::Health health = dispatch::Health::kInService;
   double weight = 1;
   std::int64_t started_ms = 0;  // Unix time; 0: long ago
 };
@@ -42,14 +42,14 @@
   double share = 0;
   std::uint64_t fence = 0;  // of the attempt it is about, where the worker says so
   std::string result;
-  marlquay::LoadReport load;
+  dispatch::LoadReport load;
 };
 
 std::string WriteNews(const News& news);  // but for its load
-std::optional<News> ReadNews(std::string_view json, const marlquay::Site& site);
+std::optional<News> ReadNews(std::string_view json, const dispatch::Site& site);
 
 // The header form of a load report: "TEXT name=value, name=value".
-marlquay::LoadReport ReadLoadHeader(std::string_view text, const marlquay::Site& site);
+dispatch::LoadReport ReadLoadHeader(std::string_view text, const dispatch::Site& site);
 
 struct Config {
   std::string name = "pearreach", listen, discovery;
@@ -59,21 +59,21 @@
   std::string peer_listen, peers_all;
   std::vector<std::string> peers;
   std::string named_discovery;      // as the file has it: a variable may have overridden it
-  marlquay::Conf::Values settings;  // as the file has them, to see whether they have changed
+  dispatch::Conf::Values settings;  // as the file has them, to see whether they have changed
   std::uint64_t seed = 0;
   int sockets = 1024;
   std::optional<Listing> known;
-  marlquay::Site site;
+  dispatch::Site site;
 };
 
-// Throws marlquay::Malformed. The settings' nested JSON is flattened to the wire's dotted paths and
+// Throws dispatch::Malformed. The settings' nested JSON is flattened to the wire's dotted paths and
 // read by the reader that the adapter uses.
 Config ReadConfig(std::string_view json);
 // The file named, or $EDGE_CONFIG if `path` is empty; the variables EDGE_* override what is in it.
 Config LoadConfig(const std::string& path);
 // Reads the file again for a node that runs. What may change while it runs, which is the address of
 // discovery, is taken over into `config`; what else has changed is named in the log and waits for a
-// restart. True: discovery has moved. Throws marlquay::Malformed, and `config` stays as it was.
+// restart. True: discovery has moved. Throws dispatch::Malformed, and `config` stays as it was.
 bool ReloadConfig(const std::string& path, Config* config);
 
 // Empty, or why this node cannot have words with others: what the configuration lacks, or that the
@@ -82,4 +82,4 @@
 
 }  // namespace pearreach
 
-#endif  // PEARREACH_SRC_CONFIG_CONFIG_H_
+#endif  // PEARREACH_SRC_NODE_CONFIG_CONFIG_H_
--- a/src/config/operator.cpp
+++ b/src/node/config/operator.cpp
@@ -1,12 +1,12 @@
-#include "config/operator.h"
+#include "node/config/operator.h"
 
 #include <algorithm>
 #include <cstdlib>
 #include <set>
 
-#include "config/operator_schema.h"
-#include "config/xml.h"
-#include "site/site.h"
+#include "dispatch/settings/site.h"
+#include "node/config/operator_schema.h"
+#include "node/config/xml.h"
 
 namespace pearreach {
 namespace {
@@ -43,7 +43,7 @@
 template <typename T>
 void Take(const xmlNode* node, const char* attribute, std::int64_t unit, T* to) {
   const std::string text = Text(node, attribute);
-  if (!text.empty()) *to = static_cast<T>(marlquay::Number<std::int64_t>(text, attribute) * unit);
+  if (!text.empty()) *to = static_cast<T>(dispatch::Number<std::int64_t>(text, attribute) * unit);
 }
 
 CaptureSettings ReadCapture(const xmlNode* node, const std::string& name) {
@@ -71,7 +71,7 @@
   Take(node, "in-hand", 1, &j.in_hand);
   Take(node, "in-hand-kib", 1024, &j.in_hand_bytes);
   const std::string prefixes = Text(node, "callback-prefixes");  // outlives the views of it
-  for (const marlquay::Text prefix : marlquay::Split(prefixes, ' '))
+  for (const dispatch::Text prefix : dispatch::Split(prefixes, ' '))
     if (!prefix.empty()) j.callback_prefixes.emplace_back(prefix);
   if (j.store.front() != '/')
     Fail(name, xml::Line(node), "jobs: store '" + j.store + "' is not absolute");
@@ -135,7 +135,7 @@
     r.line = xml::Line(n);
     if (!names.insert(r.name).second) Fail(name, r.line, "region " + r.name + " is there twice");
     const std::string zones = Text(n, "zones");  // outlives the views of it
-    for (const marlquay::Text zone : marlquay::Split(zones, ' ')) {
+    for (const dispatch::Text zone : dispatch::Split(zones, ' ')) {
       if (zone.empty()) continue;
       if (!grouped.insert(std::string(zone)).second)
         Fail(name, r.line, "zone " + std::string(zone) + " is in two regions, or twice in one");
@@ -158,9 +158,9 @@
   Take(node, "every-ms", kMs, &r.every);
   Take(node, "ready-ms", kMs, &r.ready);
   const std::string voters = Text(node, "voters");  // outlives the views of it
-  for (const marlquay::Text voter : marlquay::Split(voters, ' ')) {
+  for (const dispatch::Text voter : dispatch::Split(voters, ' ')) {
     if (voter.empty()) continue;
-    r.voters.push_back(marlquay::Number<int>(voter, "voters"));
+    r.voters.push_back(dispatch::Number<int>(voter, "voters"));
   }
   std::sort(r.voters.begin(), r.voters.end());
   if (std::adjacent_find(r.voters.begin(), r.voters.end()) != r.voters.end())
--- a/src/config/operator.h
+++ b/src/node/config/operator.h
@@ -1,8 +1,8 @@
 // The operator's own file: what the platform's configuration does not know. XML after
 // deploy/pearreach.xsd, which is part of the program. It owns the reading and the checking; it must
 // never reach for another file or the network, and never carry on with half a file.
-#ifndef PEARREACH_SRC_CONFIG_OPERATOR_H_
-#define PEARREACH_SRC_CONFIG_OPERATOR_H_
+#ifndef PEARREACH_SRC_NODE_CONFIG_OPERATOR_H_
+#define PEARREACH_SRC_NODE_CONFIG_OPERATOR_H_
 
 #include <cstdint>
 #include <optional>
@@ -10,8 +10,8 @@
 #include <string_view>
 #include <vector>
 
-#include "base/io.h"
-#include "base/log.h"
+#include "common/diagnostics/log.h"
+#include "common/event_loop/io.h"
 
 namespace pearreach {
 
@@ -121,10 +121,10 @@
   std::optional<BanSettings> bans;             // none: bans end with the process
 };
 
-// Throws marlquay::Malformed with "NAME:LINE: what".
+// Throws dispatch::Malformed with "NAME:LINE: what".
 OperatorSettings ReadOperatorFile(std::string_view xml, const std::string& name);
 OperatorSettings LoadOperatorFile(const std::string& path);
 
 }  // namespace pearreach
 
-#endif  // PEARREACH_SRC_CONFIG_OPERATOR_H_
+#endif  // PEARREACH_SRC_NODE_CONFIG_OPERATOR_H_
--- a/src/config/xml.cpp
+++ b/src/node/config/xml.cpp
@@ -1,4 +1,4 @@
-#include "config/xml.h"
+#include "node/config/xml.h"
 
 #include <libxml/parser.h>
 #include <libxml/xmlschemas.h>
@@ -8,7 +8,7 @@
 #include <fstream>
 #include <iterator>
 
-#include "site/site.h"
+#include "dispatch/settings/site.h"
 
 namespace pearreach::xml {
 namespace {
@@ -45,7 +45,7 @@
 }  // namespace
 
 void Fail(const std::string& name, int line, const std::string& what) {
-  throw marlquay::Malformed(name + ":" + std::to_string(line) + ": " + what);
+  throw dispatch::Malformed(name + ":" + std::to_string(line) + ": " + what);
 }
 
 Document Read(std::string_view text, const std::string& name, std::string_view schema_text) {
@@ -78,7 +78,7 @@
 std::string LoadText(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   std::string text{std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
-  if (!in || in.bad()) throw marlquay::Malformed(path + ": cannot be read");
+  if (!in || in.bad()) throw dispatch::Malformed(path + ": cannot be read");
   return text;
 }
 
--- a/src/config/xml.h
+++ b/src/node/config/xml.h
@@ -1,8 +1,8 @@
 // Settings in XML, read whole and checked against a schema that is part of the program. It owns the
 // reading; it must never reach for another file or the network, and never hand out a document that
 // its schema has not passed.
-#ifndef PEARREACH_SRC_CONFIG_XML_H_
-#define PEARREACH_SRC_CONFIG_XML_H_
+#ifndef PEARREACH_SRC_NODE_CONFIG_XML_H_
+#define PEARREACH_SRC_NODE_CONFIG_XML_H_
 
 #include <libxml/tree.h>
 
@@ -18,9 +18,9 @@
 };
 using Document = std::unique_ptr<xmlDoc, FreeDocument>;
 
-// Throws marlquay::Malformed with "NAME:LINE: what", also for more than a mebibyte.
+// Throws dispatch::Malformed with "NAME:LINE: what", also for more than a mebibyte.
 Document Read(std::string_view text, const std::string& name, std::string_view schema);
-// A file's bytes. Throws marlquay::Malformed.
+// A file's bytes. Throws dispatch::Malformed.
 std::string LoadText(const std::string& path);
 
 [[noreturn]] void Fail(const std::string& name, int line, const std::string& what);
@@ -34,4 +34,4 @@
 
 }  // namespace pearreach::xml
 
-#endif  // PEARREACH_SRC_CONFIG_XML_H_
+#endif  // PEARREACH_SRC_NODE_CONFIG_XML_H_
--- a/src/durable/callback.cpp
+++ b/src/node/durable_jobs/callback.cpp
@@ -1,4 +1,4 @@
-#include "durable/callback.h"
+#include "node/durable_jobs/callback.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/durable/callback.h
+++ b/src/node/durable_jobs/callback.h
@@ -1,8 +1,8 @@
 // Tells the ends of durable jobs to the URLs that their clients named. It owns the connections to
 // them, one a call, a few at once; it must never call an address that is not allowed, never follow
 // a redirect, and never look up a name.
-#ifndef PEARREACH_SRC_DURABLE_CALLBACK_H_
-#define PEARREACH_SRC_DURABLE_CALLBACK_H_
+#ifndef PEARREACH_SRC_NODE_DURABLE_JOBS_CALLBACK_H_
+#define PEARREACH_SRC_NODE_DURABLE_JOBS_CALLBACK_H_
 
 #include <functional>
 #include <list>
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-#include "base/io.h"
-#include "http/http.h"
+#include "common/event_loop/io.h"
+#include "common/http/http.h"
 
 namespace pearreach {
 
@@ -51,4 +51,4 @@
 
 }  // namespace pearreach
 
-#endif  // PEARREACH_SRC_DURABLE_CALLBACK_H_
+#endif  // PEARREACH_SRC_NODE_DURABLE_JOBS_CALLBACK_H_
--- a/src/durable/keeper.h
+++ b/src/node/durable_jobs/keeper.h
@@ -4,8 +4,8 @@
 // worker's word is acknowledged only when what it says is) and, in memory, no more than the jobs
 // that the module has or whose records are being written. It must never decide what the module or
 // the ledger decides.
-#ifndef PEARREACH_SRC_DURABLE_KEEPER_H_
-#define PEARREACH_SRC_DURABLE_KEEPER_H_
+#ifndef PEARREACH_SRC_NODE_DURABLE_JOBS_KEEPER_H_
+#define PEARREACH_SRC_NODE_DURABLE_JOBS_KEEPER_H_
 
 #include <array>
 #include <functional>
@@ -16,11 +16,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "durable/callback.h"
-#include "jobs/ledger.h"
-#include "node/core.h"
-#include "node/node.h"
-#include "store/store.h"
+#include "node/durable_jobs/callback.h"
+#include "node/engine/core.h"
+#include "node/engine/node.h"
+#include "node/job_state/ledger.h"
+#include "node/job_store/store.h"
 
 namespace pearreach {
 
@@ -29,12 +29,12 @@
   // `store`: null keeps nothing; durable jobs are then refused. Jobs in the store are recovered
   // once the node has a list. `orders`: the store's path, beside which a person's orders lie;
   // empty: none are looked for.
-  Keeper(Node* node, std::unique_ptr<store::Store> store, const jobs::Policy& policy,
+  Keeper(Node* node, std::unique_ptr<job_store::Store> store, const job_state::Policy& policy,
          const std::string& orders = "", std::vector<std::string> callback_prefixes = {});
   ~Keeper() override;
 
   // ---- Core, for fronts
-  const marlquay::Site& site() const override { return node_->site(); }
+  const dispatch::Site& site() const override { return node_->site(); }
   bool ready() const override { return node_->ready(); }
   // Durable ones outlive the process: its end does not wait for them.
   std::size_t open_jobs() const override { return node_->open_jobs() - by_ticket_.size(); }
@@ -56,13 +56,15 @@
   // Figures for tests and the log.
   std::size_t records() const { return records_.size(); }  // in memory
   std::size_t waits() const { return waits_.size(); }
-  const jobs::Pacer& pacer() const { return pacer_; }
-  store::Figures figures() { return store_ == nullptr ? store::Figures() : store_->figures(); }
+  const job_state::Pacer& pacer() const { return pacer_; }
+  job_store::Figures figures() {
+    return store_ == nullptr ? job_store::Figures() : store_->figures();
+  }
 
  private:
   using Written = std::function<void(bool durable)>;
   struct Record {
-    jobs::Job job;               // without its body once it has been handed over
+    job_state::Job job;          // without its body once it has been handed over
     Ticket ticket = 0;           // in the node's hands; 0: not
     bool backlog = false;        // how it counts in the pacer, while it has a ticket
     std::size_t bytes = 0;       // likewise
@@ -72,8 +74,8 @@
   };
   // A walk over the jobs of a state in the store, a page at a time, by their order of intake.
   struct Walk {
-    jobs::State state;
-    std::function<void(jobs::Job)> each;
+    job_state::State state;
+    std::function<void(job_state::Job)> each;
     std::uint64_t after = 0;
     std::uint64_t again = 0;  // a job that this walk has passed and must see in the next; 0: none
     bool wanted = false, asking = false;
@@ -88,42 +90,42 @@
   void Recover();
   void Pump(Walk* walk);
   void PumpBoth();
-  void Back(Record& record, jobs::Pacer::End end);
+  void Back(Record& record, job_state::Pacer::End end);
   void ToBacklog(std::uint64_t seq);
   static void MeetAgain(Walk* walk, std::uint64_t seq);
-  void MeetQueued(jobs::Job job);
-  void MeetDoubt(jobs::Job job);
+  void MeetQueued(job_state::Job job);
+  void MeetDoubt(job_state::Job job);
   void Judge(Record& record, bool fits);
   bool HandOver(Record& record, bool backlog, bool adopt);
-  Record& Hold(jobs::Job job);
+  Record& Hold(job_state::Job job);
   void MaybeDrop(std::uint64_t seq);
   // Calls with the job's record, or null: it is not kept. The record is let go where nothing holds
   // it after the call.
-  void Bring(store::Question question, std::function<void(Record*)> use);
+  void Bring(job_store::Question question, std::function<void(Record*)> use);
   Record* ByRequest(const std::string& request_id);
-  void Write(Record& record, std::vector<store::Change> changes, Written done);
+  void Write(Record& record, std::vector<job_store::Change> changes, Written done);
   void SaveWhole(Record& record);
-  void End(Record& record, jobs::State state, const std::string& reason, Written done);
+  void End(Record& record, job_state::State state, const std::string& reason, Written done);
   void Orphan(const News& news, Heard heard);
   void AfterEnd(Record& record);
   void ForgetOld();
   void EndOverdue();
   void FillCallbacks();
   void CallBack();
-  void PlanCall(const jobs::Job& job);
+  void PlanCall(const job_state::Job& job);
   void TellWaits(Record& record);
   void RunWaits();
   Record* Find(Ticket ticket);
-  jobs::Attempt* OutAt(Record& record, const std::string& worker);
-  const marlquay::ClassSettings* ClassOf(const jobs::Job& job) const;
-  static JobView View(const jobs::Job& job);
+  job_state::Attempt* OutAt(Record& record, const std::string& worker);
+  const dispatch::ClassSettings* ClassOf(const job_state::Job& job) const;
+  static JobView View(const job_state::Job& job);
   void Learn(const std::string& worker);
   void Sweep();
 
   Node* node_;
-  std::unique_ptr<store::Store> store_;
-  jobs::Policy policy_;
-  jobs::Pacer pacer_;
+  std::unique_ptr<job_store::Store> store_;
+  job_state::Policy policy_;
+  job_state::Pacer pacer_;
   std::unordered_map<std::uint64_t, Record> records_;          // by seq
   std::unordered_map<std::string, std::uint64_t> by_request_;  // of records, not ended
   std::unordered_map<Ticket, std::uint64_t> by_ticket_;
@@ -148,12 +150,12 @@
   std::set<std::pair<Micros, std::uint64_t>> waits_due_;
   Alarm wait_alarm_;
 
-  store::Figures counted_;  // in the counts of the process
-  Heard hearing_;           // of the word that is being told to the node
+  job_store::Figures counted_;  // in the counts of the process
+  Heard hearing_;               // of the word that is being told to the node
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   Alarm sweep_;
 };
 
 }  // namespace pearreach
 
-#endif  // PEARREACH_SRC_DURABLE_KEEPER_H_
+#endif  // PEARREACH_SRC_NODE_DURABLE_JOBS_KEEPER_H_
--- a/src/durable/keeper_attempts.cpp
+++ b/src/node/durable_jobs/keeper_attempts.cpp
@@ -1,14 +1,14 @@
 // Attempts of durable jobs: the intent before the send, what workers say, and the job's end.
 #include <utility>
 
-#include "durable/job_times.h"
-#include "durable/keeper.h"
+#include "node/durable_jobs/job_times.h"
+#include "node/durable_jobs/keeper.h"
 
 namespace pearreach {
 namespace {
 
-using jobs::Ran;
-using jobs::State;
+using job_state::Ran;
+using job_state::State;
 
 }  // namespace
 
@@ -16,15 +16,15 @@
 void Keeper::BeforeSend(Ticket ticket, const std::string& worker, Go go) {
   Record* r = Find(ticket);
   if (!Must(r != nullptr, "guarded_job_unknown")) return go(0);
-  jobs::Attempt a;
+  job_state::Attempt a;
   a.number = static_cast<int>(r->job.attempts.size());
   a.worker = worker;
-  a.fence = jobs::NextFence(r->job);
+  a.fence = job_state::NextFence(r->job);
   a.sent = UnixNow();
   a.lease_until = a.sent + policy_.lease;
   r->job.attempts.push_back(a);
   r->job.state = State::kRunning;
-  Write(*r, {store::PutJob{r->job}, store::PutAttempt{r->job.seq, a}},
+  Write(*r, {job_store::PutJob{r->job}, job_store::PutAttempt{r->job.seq, a}},
         [this, seq = r->job.seq, a, go](bool good) {
           if (good) return go(a.fence);
           records_.at(seq).job.attempts[static_cast<std::size_t>(a.number)].ran = Ran::kNever;
@@ -32,7 +32,7 @@
         });
 }
 
-jobs::Attempt* Keeper::OutAt(Record& r, const std::string& worker) {
+job_state::Attempt* Keeper::OutAt(Record& r, const std::string& worker) {
   for (auto it = r.job.attempts.rbegin(); it != r.job.attempts.rend(); ++it)
     if (it->worker == worker && it->ran == Ran::kOut) return &*it;
   return nullptr;
@@ -40,9 +40,9 @@
 
 void Keeper::OnAttempt(Ticket ticket, const std::string& worker, AttemptState state) {
   Record* r = Find(ticket);
-  jobs::Attempt* a = r == nullptr ? nullptr : OutAt(*r, worker);
+  job_state::Attempt* a = r == nullptr ? nullptr : OutAt(*r, worker);
   if (a == nullptr) return;
-  const jobs::UnixMicros now = UnixNow();
+  const job_state::UnixMicros now = UnixNow();
   bool save = true;
   switch (state) {
     case AttemptState::kTakenKnowsFences:
@@ -74,7 +74,7 @@
     a->lease_until = std::max(a->lease_until, now + policy_.lease);
   if (!save) return;
   // The word that brought this is acknowledged when it is durable.
-  Write(*r, {store::PutJob{r->job}, store::PutAttempt{r->job.seq, *a}},
+  Write(*r, {job_store::PutJob{r->job}, job_store::PutAttempt{r->job.seq, *a}},
         std::exchange(hearing_, nullptr));
 }
 
@@ -89,22 +89,22 @@
   const auto hear = [heard](bool good) {
     if (heard) heard(good);
   };
-  Bring(store::ByRequest{news.job}, [this, news, hear](Record* r) {
+  Bring(job_store::ByRequest{news.job}, [this, news, hear](Record* r) {
     if (r == nullptr) {
       Count("news_passed_over");
       return hear(true);
     }
     // Its end is not on the disk yet: said again until it is.
-    if (jobs::IsEnd(r->job.state) && r->unsaved) SaveWhole(*r);
-    if (jobs::IsEnd(r->job.state) && r->writes > 0) {
+    if (job_state::IsEnd(r->job.state) && r->unsaved) SaveWhole(*r);
+    if (job_state::IsEnd(r->job.state) && r->writes > 0) {
       r->heard.push_back(hear);
       return;
     }
-    const jobs::Word word = news.state == News::State::kDone       ? jobs::Word::kDone
-                            : news.state == News::State::kFailed   ? jobs::Word::kFailed
-                            : news.state == News::State::kReturned ? jobs::Word::kReturned
-                                                                   : jobs::Word::kLost;
-    const jobs::Resolution what = jobs::Resolve(r->job, news.from, word);
+    const job_state::Word word = news.state == News::State::kDone       ? job_state::Word::kDone
+                                 : news.state == News::State::kFailed   ? job_state::Word::kFailed
+                                 : news.state == News::State::kReturned ? job_state::Word::kReturned
+                                                                        : job_state::Word::kLost;
+    const job_state::Resolution what = job_state::Resolve(r->job, news.from, word);
     if (!what.resolves) {
       Count("news_passed_over");
       return hear(true);
@@ -129,8 +129,8 @@
     case Answer::Kind::kRejected:
       return End(*r, State::kFailed, "no worker takes it", std::move(heard));
     case Answer::Kind::kFailed: {
-      const marlquay::ClassSettings* cls = ClassOf(r->job);
-      const State end = cls == nullptr ? State::kFailed : jobs::EndOfFailure(r->job, *cls);
+      const dispatch::ClassSettings* cls = ClassOf(r->job);
+      const State end = cls == nullptr ? State::kFailed : job_state::EndOfFailure(r->job, *cls);
       if (end == State::kInDoubt) Count("doubts");
       return End(*r, end,
                  end == State::kInDoubt ? "it may have run, and no word of it came"
@@ -146,18 +146,18 @@
   r.job.state = state;
   r.job.reason = reason;
   r.job.ended = UnixNow();
-  Back(r, state == State::kServed    ? jobs::Pacer::End::kServed
-          : state == State::kRefused ? jobs::Pacer::End::kRefused
-                                     : jobs::Pacer::End::kOther);
-  if (jobs::IsEnd(state)) {
-    jobs::PlanAfterEnd(&r.job, policy_, r.job.ended, g_random_double());
+  Back(r, state == State::kServed    ? job_state::Pacer::End::kServed
+          : state == State::kRefused ? job_state::Pacer::End::kRefused
+                                     : job_state::Pacer::End::kOther);
+  if (job_state::IsEnd(state)) {
+    job_state::PlanAfterEnd(&r.job, policy_, r.job.ended, g_random_double());
     if (const auto it = by_request_.find(r.job.request_id);
         it != by_request_.end() && it->second == r.job.seq)
       by_request_.erase(it);
   }
-  std::vector<store::Change> changes = {store::PutJob{r.job}};
+  std::vector<job_store::Change> changes = {job_store::PutJob{r.job}};
   if (!r.job.attempts.empty())
-    changes.push_back(store::PutAttempt{r.job.seq, r.job.attempts.back()});
+    changes.push_back(job_store::PutAttempt{r.job.seq, r.job.attempts.back()});
   Write(r, std::move(changes), [this, seq = r.job.seq, done = std::move(done)](bool good) {
     if (done) done(good);
     if (good) AfterEnd(records_.at(seq));
@@ -169,13 +169,13 @@
 void Keeper::AfterEnd(Record& r) {
   if (r.job.state == State::kInDoubt) {
     // With its body, which is no longer here.
-    store_->Ask({store::BySeq{r.job.seq}, [this, alive = alive_](store::Found found) {
+    store_->Ask({job_store::BySeq{r.job.seq}, [this, alive = alive_](job_store::Found found) {
                    if (*alive && !found.jobs.empty() && !records_.contains(found.jobs[0].seq) &&
                        found.jobs[0].state == State::kInDoubt)
                      MeetDoubt(std::move(found.jobs[0]));
                  }});
   }
-  if (!jobs::IsEnd(r.job.state)) return;
+  if (!job_state::IsEnd(r.job.state)) return;
   PlanCall(r.job);
   TellWaits(r);
 }
--- a/src/durable/keeper_callbacks.cpp
+++ b/src/node/durable_jobs/keeper_callbacks.cpp
@@ -2,9 +2,9 @@
 #include <algorithm>
 #include <utility>
 
-#include "durable/job_times.h"
-#include "durable/keeper.h"
-#include "node/job_view.h"
+#include "node/durable_jobs/job_times.h"
+#include "node/durable_jobs/keeper.h"
+#include "node/engine/job_view.h"
 
 namespace pearreach {
 namespace {
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-void Keeper::PlanCall(const jobs::Job& job) {
+void Keeper::PlanCall(const job_state::Job& job) {
   if (job.callback_at == 0 || calling_.contains(job.seq)) return;
   calls_due_.insert({Now() + std::max<Micros>(0, job.callback_at - UnixNow()), job.seq});
   if (calls_due_.size() > kMostCalls) {  // the store knows the last one, too
@@ -26,12 +26,12 @@
 void Keeper::FillCallbacks() {
   if (!more_calls_ || filling_calls_ || !calls_due_.empty()) return;
   filling_calls_ = true;
-  store_->Ask({store::WantCallback{}, [this, alive = alive_](store::Found found) {
+  store_->Ask({job_store::WantCallback{}, [this, alive = alive_](job_store::Found found) {
                  if (!*alive) return;
                  filling_calls_ = false;
                  if (!found.error.empty()) return CountFault("store_failed", found.error);
                  more_calls_ = false;
-                 for (const jobs::Job& job : found.jobs)
+                 for (const job_state::Job& job : found.jobs)
                    if (!records_.contains(job.seq)) PlanCall(job);
                  more_calls_ = more_calls_ || found.jobs.size() >= 256;
                }});
@@ -43,7 +43,7 @@
     const std::uint64_t seq = calls_due_.begin()->second;
     calls_due_.erase(calls_due_.begin());
     if (!calling_.insert(seq).second) continue;
-    Bring(store::BySeq{seq}, [this, seq](Record* r) {
+    Bring(job_store::BySeq{seq}, [this, seq](Record* r) {
       const auto url = r == nullptr || r->job.callback_at == 0
                            ? std::nullopt
                            : ReadCallbackUrl(r->job.callback, prefixes_);
@@ -53,14 +53,14 @@
       }
       callbacks_.Post(*url, WriteJobView(View(r->job)), [this, seq](bool good) {
         Count(good ? "callbacks_told" : "callbacks_failed");
-        Bring(store::BySeq{seq}, [this, seq, good](Record* r) {
+        Bring(job_store::BySeq{seq}, [this, seq, good](Record* r) {
           calling_.erase(seq);
           if (r == nullptr) return;
           ++r->job.callback_tries;
           r->job.callback_done = good;
-          jobs::PlanAfterEnd(&r->job, policy_, UnixNow(), g_random_double());
-          const jobs::Job planned = r->job;
-          Write(*r, {store::PutJob{r->job}}, nullptr);
+          job_state::PlanAfterEnd(&r->job, policy_, UnixNow(), g_random_double());
+          const job_state::Job planned = r->job;
+          Write(*r, {job_store::PutJob{r->job}}, nullptr);
           PlanCall(planned);
         });
       });
--- a/src/durable/keeper_intake.cpp
+++ b/src/node/durable_jobs/keeper_intake.cpp
@@ -3,14 +3,14 @@
 
 #include <utility>
 
-#include "durable/job_times.h"
-#include "durable/keeper.h"
+#include "node/durable_jobs/job_times.h"
+#include "node/durable_jobs/keeper.h"
 
 namespace pearreach {
 namespace {
 
-using jobs::Ran;
-using jobs::State;
+using job_state::Ran;
+using job_state::State;
 
 constexpr Micros kStoreAway = 1 * kSecond;  // told to clients that the store could not serve
 
@@ -35,9 +35,9 @@
   // Of one that is being written the store tells whether this is its twin or in its way.
   if (node_->IsOpen(job.id) && !by_request_.contains(job.id))
     return taken({TakeResult::Kind::kConflict, "", 0});
-  jobs::Job j;
+  job_state::Job j;
   j.seq = store_->NextSeq();
-  j.id = jobs::MakeId(j.seq, Chance());
+  j.id = job_state::MakeId(j.seq, Chance());
   j.request_id = job.id;
   j.path = std::move(job.path);
   j.body = std::move(job.body);
@@ -51,13 +51,13 @@
   j.due = j.created + std::min(job.patience, policy_.longest);
   j.callback = std::move(job.callback);
   const bool marks = taking_.insert(j.request_id).second;
-  store::TakeJob take{j};
+  job_store::TakeJob take{j};
   store_->Submit({{std::move(take)},
                   [this, j = std::move(j), marks, taken = std::move(taken),
-                   alive = alive_](const store::Outcome& outcome) mutable {
+                   alive = alive_](const job_store::Outcome& outcome) mutable {
                     if (!*alive) return;
                     if (marks) taking_.erase(j.request_id);
-                    using Kind = store::Outcome::Kind;
+                    using Kind = job_store::Outcome::Kind;
                     if (!outcome.error.empty()) {
                       CountFault("store_failed", outcome.error);
                       return taken({TakeResult::Kind::kAway, "", kStoreAway});
@@ -84,22 +84,22 @@
 
 // What becomes of a job that waits: to the module, or to its end where its time is over.
 void Keeper::Judge(Record& r, bool fits) {
-  const jobs::Recovery what = jobs::Recover(r.job, ClassOf(r.job), policy_, UnixNow());
+  const job_state::Recovery what = job_state::Recover(r.job, ClassOf(r.job), policy_, UnixNow());
   switch (what.what) {
-    case jobs::Recovery::What::kNothing:
+    case job_state::Recovery::What::kNothing:
       return;
-    case jobs::Recovery::What::kQueue:
+    case job_state::Recovery::What::kQueue:
       // Guards news by id: an ordinary job of this id is open, and ends by its deadline.
       if (fits && !HandOver(r, r.backlog, false)) MeetAgain(&queued_, r.job.seq);
       return;
-    case jobs::Recovery::What::kAdopt:
+    case job_state::Recovery::What::kAdopt:
       if (!HandOver(r, r.backlog, true))
         End(r, State::kInDoubt, "another request of its id is open", nullptr);
       return;
-    case jobs::Recovery::What::kDoubt:
+    case job_state::Recovery::What::kDoubt:
       return End(r, State::kInDoubt, what.reason, nullptr);
-    case jobs::Recovery::What::kEnd:
-    case jobs::Recovery::What::kWithdraw:
+    case job_state::Recovery::What::kEnd:
+    case job_state::Recovery::What::kWithdraw:
       return End(r, State::kFailed, what.reason, nullptr);
   }
 }
@@ -107,30 +107,30 @@
 // To the module, as a job that waits or with its attempts as they are known.
 bool Keeper::HandOver(Record& r, bool backlog, bool adopt) {
   if (!Must(r.ticket == 0, "handed_over_twice")) return true;
-  const jobs::UnixMicros now = UnixNow();
+  const job_state::UnixMicros now = UnixNow();
   Job job;
   job.id = r.job.request_id;
   job.path = r.job.path;
   job.idempotency_key = r.job.idempotency_key;
   job.content_type = r.job.content_type;
-  job.cls = marlquay::IndexOf(site().classes, r.job.cls);
-  job.tenant = marlquay::IndexOf(site().tenants, r.job.tenant);
+  job.cls = dispatch::IndexOf(site().classes, r.job.cls);
+  job.tenant = dispatch::IndexOf(site().tenants, r.job.tenant);
   job.slots = r.job.slots;
   job.key = r.job.key;
   job.received = Now();
   job.patience = std::max<Micros>(r.job.due - now, kMs);
   job.lease = policy_.lease;
-  job.fence = jobs::NextFence(r.job) - 1;  // of the last attempt, if one is adopted
+  job.fence = job_state::NextFence(r.job) - 1;  // of the last attempt, if one is adopted
   if (node_->IsOpen(job.id)) return false;
   job.body = std::exchange(r.job.body, {});
   r.bytes = job.body.size();
   std::vector<Node::Adopted> attempts;
-  for (const jobs::Attempt& a : r.job.attempts) {
+  for (const job_state::Attempt& a : r.job.attempts) {
     if (a.ran == Ran::kFenced || (a.ran == Ran::kNever && !adopt)) continue;
     attempts.push_back({a.worker, Now() - std::max<Micros>(0, now - a.sent), a.started,
-                        a.ran == Ran::kOut     ? marlquay::AttemptAdopted::Was::kOut
-                        : a.ran == Ran::kNever ? marlquay::AttemptAdopted::Was::kNeverRan
-                                               : marlquay::AttemptAdopted::Was::kMayHaveRun});
+                        a.ran == Ran::kOut     ? dispatch::AttemptAdopted::Was::kOut
+                        : a.ran == Ran::kNever ? dispatch::AttemptAdopted::Was::kNeverRan
+                                               : dispatch::AttemptAdopted::Was::kMayHaveRun});
   }
   const auto ticket = node_->SubmitGuarded(std::move(job), this, this, attempts);
   if (!Must(ticket.has_value(), "open_after_all")) return false;
@@ -141,7 +141,7 @@
   return true;
 }
 
-void Keeper::Back(Record& r, jobs::Pacer::End end) {
+void Keeper::Back(Record& r, job_state::Pacer::End end) {
   if (r.ticket == 0) return;
   by_ticket_.erase(r.ticket);
   r.ticket = 0;
--- a/src/durable/keeper_lookups.cpp
+++ b/src/node/durable_jobs/keeper_lookups.cpp
@@ -1,23 +1,23 @@
 // What clients ask of a durable job: its state, the wait for its end, its cancel.
 #include <utility>
 
-#include "durable/job_times.h"
-#include "durable/keeper.h"
-#include "node/job_view.h"
+#include "node/durable_jobs/job_times.h"
+#include "node/durable_jobs/keeper.h"
+#include "node/engine/job_view.h"
 
 namespace pearreach {
 namespace {
 
-using jobs::State;
+using job_state::State;
 
 }  // namespace
 
-JobView Keeper::View(const jobs::Job& job) {
+JobView Keeper::View(const job_state::Job& job) {
   JobView v;
   v.id = job.id;
-  v.state = jobs::kStateNames[static_cast<int>(job.state)];
+  v.state = job_state::kStateNames[static_cast<int>(job.state)];
   v.cls = job.cls;
-  v.ended = jobs::IsEnd(job.state);
+  v.ended = job_state::IsEnd(job.state);
   v.served = job.state == State::kServed;
   v.refused = job.state == State::kRefused;
   v.overdue = job.reason.starts_with(kOverdue);
@@ -31,14 +31,14 @@
 void Keeper::Look(const std::string& id, Micros wait, Seen seen) {
   if (store_ == nullptr) return seen(std::nullopt);
   const Micros until = Now() + wait;
-  Bring(store::ById{id}, [this, id, wait, until, seen = std::move(seen)](Record* r) {
+  Bring(job_store::ById{id}, [this, id, wait, until, seen = std::move(seen)](Record* r) {
     if (r == nullptr) return seen(std::nullopt);
-    const bool told = jobs::IsEnd(r->job.state) && r->writes == 0 && !r->unsaved;
+    const bool told = job_state::IsEnd(r->job.state) && r->writes == 0 && !r->unsaved;
     if (told || wait <= 0) {
       JobView view = View(r->job);
       // An end that is not on the disk yet may be another after a crash.
       if (view.ended && !told) {
-        view.state = jobs::kStateNames[static_cast<int>(State::kRunning)];
+        view.state = job_state::kStateNames[static_cast<int>(State::kRunning)];
         view.ended = view.served = view.refused = false;
         view.reason.clear();
       }
@@ -95,9 +95,9 @@
 
 void Keeper::GiveUp(const std::string& id, Seen seen) {
   if (store_ == nullptr) return seen(std::nullopt);
-  Bring(store::ById{id}, [this, seen = std::move(seen)](Record* r) {
+  Bring(job_store::ById{id}, [this, seen = std::move(seen)](Record* r) {
     if (r == nullptr) return seen(std::nullopt);
-    if (!jobs::IsEnd(r->job.state) && r->job.state != State::kInDoubt) {
+    if (!job_state::IsEnd(r->job.state) && r->job.state != State::kInDoubt) {
       const bool out = r->job.state == State::kRunning;
       if (r->ticket != 0) node_->Abandon(r->ticket);
       Count("durable_given_up");
--- a/src/durable/keeper_recovery.cpp
+++ b/src/node/durable_jobs/keeper_recovery.cpp
@@ -2,14 +2,14 @@
 // doubt are asked for, a page at a time.
 #include <utility>
 
-#include "durable/job_times.h"
-#include "durable/keeper.h"
+#include "node/durable_jobs/job_times.h"
+#include "node/durable_jobs/keeper.h"
 
 namespace pearreach {
 namespace {
 
-using jobs::Ran;
-using jobs::State;
+using job_state::Ran;
+using job_state::State;
 
 constexpr int kPage = 64;  // jobs that a walk asks for at once
 
@@ -69,13 +69,13 @@
   const int limit = std::min(kPage, pacer_.RoomForBacklog() - fencing_);
   if (limit <= 0) return;
   walk->asking = true;
-  store_->Ask({store::InState{walk->state, walk->after, limit},
-               [this, walk, limit, alive = alive_](store::Found found) {
+  store_->Ask({job_store::InState{walk->state, walk->after, limit},
+               [this, walk, limit, alive = alive_](job_store::Found found) {
                  if (!*alive) return;
                  walk->asking = false;
                  if (!found.error.empty()) return CountFault("store_failed", found.error);
                  const bool last = found.jobs.size() < static_cast<std::size_t>(limit);
-                 for (jobs::Job& job : found.jobs) {
+                 for (job_state::Job& job : found.jobs) {
                    walk->after = job.seq;
                    if (!records_.contains(job.seq)) walk->each(std::move(job));
                  }
@@ -85,7 +85,7 @@
                }});
 }
 
-void Keeper::MeetQueued(jobs::Job job) {
+void Keeper::MeetQueued(job_state::Job job) {
   const std::uint64_t seq = job.seq;
   Record& r = Hold(std::move(job));
   r.backlog = true;
@@ -95,22 +95,22 @@
 
 // A job in doubt whose attempts are all at workers that know fences goes out once more: with a
 // higher fence the old ones can no longer take effect, and one that has taken effect is told again.
-void Keeper::MeetDoubt(jobs::Job job) {
+void Keeper::MeetDoubt(job_state::Job job) {
   // An attempt that got no answer is at a worker that may have said so of another.
-  for (jobs::Attempt& a : job.attempts)
+  for (job_state::Attempt& a : job.attempts)
     a.knows_fences = a.knows_fences || knows_fences_.contains(a.worker);
-  if (!jobs::MayFence(job) || UnixNow() >= job.due || ClassOf(job) == nullptr) return;
+  if (!job_state::MayFence(job) || UnixNow() >= job.due || ClassOf(job) == nullptr) return;
   Count("doubts_fenced");
-  std::vector<store::Change> changes;
-  for (jobs::Attempt& a : job.attempts) {
+  std::vector<job_store::Change> changes;
+  for (job_state::Attempt& a : job.attempts) {
     if (a.ran == Ran::kNever) continue;
     a.ran = Ran::kFenced;
-    changes.push_back(store::PutAttempt{job.seq, a});
+    changes.push_back(job_store::PutAttempt{job.seq, a});
   }
   job.state = State::kQueued;
   job.reason.clear();
   job.ended = 0;
-  changes.insert(changes.begin(), store::PutJob{job});
+  changes.insert(changes.begin(), job_store::PutJob{job});
   const std::uint64_t seq = job.seq;
   Record& r = Hold(std::move(job));
   r.backlog = true;
@@ -130,7 +130,7 @@
 
 void Keeper::Learn(const std::string& worker) {
   if (!knows_fences_.insert(worker).second) return;
-  store_->Submit({{store::KnowsFences{worker}}, nullptr});
+  store_->Submit({{job_store::KnowsFences{worker}}, nullptr});
   MeetAgain(&doubts_, 1);  // those at this worker may be settled now
 }
 
--- a/src/durable/orders.cpp
+++ b/src/node/durable_jobs/orders.cpp
@@ -1,4 +1,4 @@
-#include "durable/orders.h"
+#include "node/durable_jobs/orders.h"
 
 #include <filesystem>
 #include <fstream>
@@ -47,9 +47,9 @@
     std::getline(in, reason);
     std::error_code gone;
     fs::remove(it->path(), gone);
-    if (state >= static_cast<int>(jobs::State::kServed) &&
-        state <= static_cast<int>(jobs::State::kFailed))
-      orders.push_back({id, static_cast<jobs::State>(state), reason.substr(0, 500)});
+    if (state >= static_cast<int>(job_state::State::kServed) &&
+        state <= static_cast<int>(job_state::State::kFailed))
+      orders.push_back({id, static_cast<job_state::State>(state), reason.substr(0, 500)});
   }
   return orders;
 }
--- a/src/durable/orders.h
+++ b/src/node/durable_jobs/orders.h
@@ -1,18 +1,18 @@
 // Orders of a person to a node that has a store open: a file each, in a folder beside the store. It
 // owns their form; it must never apply one itself.
-#ifndef PEARREACH_SRC_DURABLE_ORDERS_H_
-#define PEARREACH_SRC_DURABLE_ORDERS_H_
+#ifndef PEARREACH_SRC_NODE_DURABLE_JOBS_ORDERS_H_
+#define PEARREACH_SRC_NODE_DURABLE_JOBS_ORDERS_H_
 
 #include <string>
 #include <vector>
 
-#include "jobs/job.h"
+#include "node/job_state/job.h"
 
 namespace pearreach {
 
 struct Order {
   std::string id;
-  jobs::State state = jobs::State::kFailed;
+  job_state::State state = job_state::State::kFailed;
   std::string reason;
 };
 
@@ -23,4 +23,4 @@
 
 }  // namespace pearreach
 
-#endif  // PEARREACH_SRC_DURABLE_ORDERS_H_
+#endif  // PEARREACH_SRC_NODE_DURABLE_JOBS_ORDERS_H_
--- a/src/node/answer_grace.h
+++ b/src/node/engine/answer_grace.h
@@ -1,8 +1,8 @@
 // The time that the node gives the module's own answers.
-#ifndef PEARREACH_SRC_NODE_ANSWER_GRACE_H_
-#define PEARREACH_SRC_NODE_ANSWER_GRACE_H_
+#ifndef PEARREACH_SRC_NODE_ENGINE_ANSWER_GRACE_H_
+#define PEARREACH_SRC_NODE_ENGINE_ANSWER_GRACE_H_
 
-#include "base/io.h"
+#include "common/event_loop/io.h"
 
 namespace pearreach {
 
@@ -12,4 +12,4 @@
 
 }  // namespace pearreach
 
-#endif  // PEARREACH_SRC_NODE_ANSWER_GRACE_H_
+#endif  // PEARREACH_SRC_NODE_ENGINE_ANSWER_GRACE_H_
--- a/src/node/core.h
+++ b/src/node/engine/core.h
@@ -1,20 +1,20 @@
 // The narrow interface between a front (a protocol that clients speak) and the node behind it. It
 // owns nothing. It must never name a protocol: another front goes through the same calls, and so
 // through the same decisions and rules.
-#ifndef PEARREACH_SRC_NODE_CORE_H_
-#define PEARREACH_SRC_NODE_CORE_H_
+#ifndef PEARREACH_SRC_NODE_ENGINE_CORE_H_
+#define PEARREACH_SRC_NODE_ENGINE_CORE_H_
 
 #include <cstdint>
 #include <functional>
 #include <optional>
 #include <string>
 
-#include "base/io.h"
-#include "config/config.h"
+#include "common/event_loop/io.h"
+#include "node/config/config.h"
 
 namespace pearreach {
 
-using Ticket = marlquay::RequestId;  // of one taken job, never used twice
+using Ticket = dispatch::RequestId;  // of one taken job, never used twice
 
 // A job as a client submits it. `path`, `body` and both ids reach the worker unchanged.
 struct Job {
@@ -79,7 +79,7 @@
 class Core {
  public:
   virtual ~Core() = default;
-  virtual const marlquay::Site& site() const = 0;
+  virtual const dispatch::Site& site() const = 0;
   virtual bool ready() const = 0;
   virtual std::size_t open_jobs() const = 0;  // taken and not answered
   // Nothing: a job of this id is open.
@@ -101,4 +101,4 @@
 
 }  // namespace pearreach
 
-#endif  // PEARREACH_SRC_NODE_CORE_H_
+#endif  // PEARREACH_SRC_NODE_ENGINE_CORE_H_
--- a/src/node/discovery.cpp
+++ b/src/node/engine/discovery.cpp
@@ -1,4 +1,4 @@
-#include "node/discovery.h"
+#include "node/engine/discovery.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/node/discovery.h
+++ b/src/node/engine/discovery.h
@@ -2,18 +2,18 @@
 // never end because of what comes back, and never lets more than a moment pass between an answer
 // and the next call, for then the watch would start anew. Discovery serves the whole fleet: a node
 // whose calls fail must not come again in step with the others, nor ask for more than it lacks.
-#ifndef PEARREACH_SRC_NODE_DISCOVERY_H_
-#define PEARREACH_SRC_NODE_DISCOVERY_H_
+#ifndef PEARREACH_SRC_NODE_ENGINE_DISCOVERY_H_
+#define PEARREACH_SRC_NODE_ENGINE_DISCOVERY_H_
 
 #include <functional>
 #include <memory>
 #include <optional>
 #include <string>
 
-#include "base/backoff.h"
-#include "base/io.h"
-#include "config/config.h"
-#include "http/http.h"
+#include "common/event_loop/backoff.h"
+#include "common/event_loop/io.h"
+#include "common/http/http.h"
+#include "node/config/config.h"
 
 namespace pearreach {
 
@@ -50,4 +50,4 @@
 
 }  // namespace pearreach
 
-#endif  // PEARREACH_SRC_NODE_DISCOVERY_H_
+#endif  // PEARREACH_SRC_NODE_ENGINE_DISCOVERY_H_
--- a/src/node/job_view.cpp
+++ b/src/node/engine/job_view.cpp
@@ -1,4 +1,4 @@
-#include "node/job_view.h"
+#include "node/engine/job_view.h"
 
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
--- a/src/node/job_view.h
+++ b/src/node/engine/job_view.h
@@ -1,10 +1,10 @@
 // A durable job as its client sees it, in JSON. It owns the names of the fields.
-#ifndef PEARREACH_SRC_NODE_JOB_VIEW_H_
-#define PEARREACH_SRC_NODE_JOB_VIEW_H_
+#ifndef PEARREACH_SRC_NODE_ENGINE_JOB_VIEW_H_
+#define PEARREACH_SRC_NODE_ENGINE_JOB_VIEW_H_
 
 #include <string>
 
-#include "node/core.h"
+#include "node/engine/core.h"
 
 namespace pearreach {
 
@@ -14,4 +14,4 @@
 
 }  // namespace pearreach
 
-#endif  // PEARREACH_SRC_NODE_JOB_VIEW_H_
+#endif  // PEARREACH_SRC_NODE_ENGINE_JOB_VIEW_H_
--- a/src/node/node.cpp
+++ b/src/node/engine/node.cpp
@@ -1,21 +1,21 @@
-#include "node/node.h"
+#include "node/engine/node.h"
 
 #include <algorithm>
 #include <utility>
 #include <variant>
 
-#include "node/answer_grace.h"
+#include "node/engine/answer_grace.h"
 
 namespace pearreach {
 namespace {
 
-using marlquay::Outcome;
+using dispatch::Outcome;
 
 constexpr Micros kRecallFor = 60 * kSecond;  // for a worker's first mention by the list
 constexpr int kWorkerShare = 8;  // a part of so many of the descriptors leads to workers
 
 // The platform's workers answer 202 as soon as they have a job.
-marlquay::Settings WithTaken(marlquay::Settings settings) {
+dispatch::Settings WithTaken(dispatch::Settings settings) {
   settings.tells_taken = true;
   return settings;
 }
@@ -40,10 +40,10 @@
                   Attempt& a = it->second.attempts[static_cast<std::size_t>(key.number)];
                   a.taken = true;
                   Hear(key.job, a, fences ? AttemptState::kTakenKnowsFences : AttemptState::kTaken);
-                  Post(marlquay::AttemptTaken{key.job, key.number, a.worker});
+                  Post(dispatch::AttemptTaken{key.job, key.number, a.worker});
                 },
                 [this](AttemptKey key) { Reject(key); },
-                [this](AttemptKey key, Outcome outcome, const marlquay::LoadReport& load) {
+                [this](AttemptKey key, Outcome outcome, const dispatch::LoadReport& load) {
                   End(key, outcome, load);
                 }}),
       discovery_(config.discovery, site_.settings.must_subscribe ? site_.settings.balancers : 0,
@@ -59,7 +59,7 @@
   known_.reset();
 }
 
-void Node::Post(marlquay::Event event, capture::Note note) {
+void Node::Post(dispatch::Event event, capture::Note note) {
   if (recorder_ != nullptr) {
     note.seen = Now();
     notes_.resize(events_.size());
@@ -85,15 +85,15 @@
   last_turn_ = now;
   bool rang = false;
   for (; !timers_.empty() && timers_.top() <= now; rang = true) timers_.pop();
-  if (rang) events_.push_back(marlquay::TimerFired{});
+  if (rang) events_.push_back(dispatch::TimerFired{});
   RunDeadlines(now);
   Deny();
-  const std::vector<marlquay::Event> events = std::exchange(events_, {});
+  const std::vector<dispatch::Event> events = std::exchange(events_, {});
   const std::vector<capture::Note> notes = std::exchange(notes_, {});
   actions_.clear();
   dispatcher_.Handle(now, events, &actions_);
-  const std::vector<marlquay::Action> actions = std::exchange(actions_, {});
-  for (const marlquay::Action& action : actions) Carry(action);
+  const std::vector<dispatch::Action> actions = std::exchange(actions_, {});
+  for (const dispatch::Action& action : actions) Carry(action);
   if (recorder_ != nullptr) recorder_->OnTurn(now, events, notes, actions, dispatcher_, names_);
   ArmTurn();
 }
@@ -110,7 +110,7 @@
   }
 }
 
-void Node::OnJudgement(const std::string& worker, marlquay::Judgement judgement) {
+void Node::OnJudgement(const std::string& worker, dispatch::Judgement judgement) {
   const auto it = ids_.find(worker);
   if (it == ids_.end()) return;
   judgement.worker = it->second;
@@ -147,10 +147,10 @@
 // another machine at its address, is not the one that something was learned of.
 void Node::HandRecall(const Listing& list) {
   const Micros now = Now();
-  marlquay::Knowledge told = std::exchange(recall_->common, {});
+  dispatch::Knowledge told = std::exchange(recall_->common, {});
   for (const ServerEntry& s : list.servers) {
     const auto it = recall_->workers.find(s.id);
-    if (it == recall_->workers.end() || s.health == marlquay::Health::kGone) continue;
+    if (it == recall_->workers.end() || s.health == dispatch::Health::kGone) continue;
     if (it->second.started_ms == s.started_ms)
       told.workers.push_back(knowledge::ForModule(it->second, IdOf(s.id), now));
     else
@@ -192,7 +192,7 @@
     } else if (!r.answered) {
       Count("answered_overdue");
       Reply(ticket, r, {Answer::Kind::kFailed, "", 0, true});
-      Post(marlquay::RequestLapsed{ticket});
+      Post(dispatch::RequestLapsed{ticket});
     } else {
       Must(r.out == 0, "outcome_missing");
       Forget(ticket);
@@ -200,41 +200,41 @@
   }
 }
 
-void Node::Carry(const marlquay::Action& action) {
+void Node::Carry(const dispatch::Action& action) {
   const auto answer = [this](Ticket ticket, const Answer& a) {
     const auto it = records_.find(ticket);
     if (it == records_.end() || it->second.answered) return Count("answers_passed_over");
     Reply(ticket, it->second, a);
     Forget(ticket);
   };
-  if (const auto* send = std::get_if<marlquay::Send>(&action)) {
+  if (const auto* send = std::get_if<dispatch::Send>(&action)) {
     Send(*send);
-  } else if (const auto* refuse = std::get_if<marlquay::Refuse>(&action)) {
+  } else if (const auto* refuse = std::get_if<dispatch::Refuse>(&action)) {
     Count("refused");
     const Micros wait = std::min(refuse->retry_after, site_.settings.max_retry_after);
     answer(refuse->request, {Answer::Kind::kRefused, "", wait, false});
-  } else if (const auto* fail = std::get_if<marlquay::Fail>(&action)) {
+  } else if (const auto* fail = std::get_if<dispatch::Fail>(&action)) {
     Count("failed");
     const auto it = records_.find(fail->request);
     const bool overdue = it != records_.end() && Now() >= it->second.due;
     answer(fail->request, {Answer::Kind::kFailed, "", 0, overdue});
-  } else if (const auto* cancel = std::get_if<marlquay::Cancel>(&action)) {
+  } else if (const auto* cancel = std::get_if<dispatch::Cancel>(&action)) {
     Cancel(*cancel);
-  } else if (const auto* timer = std::get_if<marlquay::SetTimer>(&action)) {
+  } else if (const auto* timer = std::get_if<dispatch::SetTimer>(&action)) {
     timers_.push(timer->at);
-  } else if (const auto* probe = std::get_if<marlquay::Probe>(&action)) {
+  } else if (const auto* probe = std::get_if<dispatch::Probe>(&action)) {
     // This platform's protocol has no probe; the module asks for none where the settings say so.
     CountFault("probe_not_possible", NameOf(probe->worker));
-    Post(marlquay::ProbeEnded{probe->worker, false, {}});
-  } else if (const auto* line = std::get_if<marlquay::LogLine>(&action)) {
+    Post(dispatch::ProbeEnded{probe->worker, false, {}});
+  } else if (const auto* line = std::get_if<dispatch::LogLine>(&action)) {
     LogDecision(*line);
   }
   // Subscribe needs nothing: the watch runs from the start.
 }
 
-void Node::LogDecision(const marlquay::LogLine& line) {
-  using What = marlquay::LogLine::What;
-  const std::string text = marlquay::Words(line, site_, names_);
+void Node::LogDecision(const dispatch::LogLine& line) {
+  using What = dispatch::LogLine::What;
+  const std::string text = dispatch::Words(line, site_, names_);
   const std::string value = std::to_string(std::lround(line.value));
   switch (line.what) {
     case What::kWorkerSilent:
--- a/src/node/node.h
+++ b/src/node/engine/node.h
@@ -2,8 +2,8 @@
 // into I/O. It owns a job from Submit to its one answer and an attempt from Send to its one
 // outcome; it must never decide what the module decides, never answer a job twice, and never pass
 // on an outcome twice. It knows no protocol: fronts reach it through core.h.
-#ifndef PEARREACH_SRC_NODE_NODE_H_
-#define PEARREACH_SRC_NODE_NODE_H_
+#ifndef PEARREACH_SRC_NODE_ENGINE_NODE_H_
+#define PEARREACH_SRC_NODE_ENGINE_NODE_H_
 
 #include <deque>
 #include <queue>
@@ -12,12 +12,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "capture/recorder.h"
-#include "knowledge/memory.h"
-#include "marlquay/dispatcher.h"
-#include "node/core.h"
-#include "node/discovery.h"
-#include "node/workers.h"
+#include "node/capture/recorder.h"
+#include "node/engine/core.h"
+#include "node/engine/discovery.h"
+#include "node/engine/workers.h"
+#include "node/knowledge/memory.h"
+#include "pearreach/dispatcher.h"
 
 namespace pearreach {
 
@@ -54,7 +54,7 @@
   virtual void OnSent(const std::string& worker) = 0;
   virtual void OnHeard(const std::string& worker) = 0;  // any word of an attempt there
   // `run`: from its start on; 0: not known.
-  virtual void OnEnded(const std::string& worker, marlquay::Outcome outcome, int cls,
+  virtual void OnEnded(const std::string& worker, dispatch::Outcome outcome, int cls,
                        Micros run) = 0;
 };
 
@@ -65,7 +65,7 @@
     std::string worker;
     Micros sent = 0;  // by Now(); may lie before this process began
     bool started = false;
-    marlquay::AttemptAdopted::Was was = marlquay::AttemptAdopted::Was::kOut;
+    dispatch::AttemptAdopted::Was was = dispatch::AttemptAdopted::Was::kOut;
   };
 
   explicit Node(const Config& config);
@@ -86,7 +86,7 @@
   // A word for people that goes into the recording, if there is one.
   void Mark(const std::string& what);
 
-  const marlquay::Site& site() const override { return site_; }
+  const dispatch::Site& site() const override { return site_; }
   bool ready() const override { return listed_; }
   std::size_t open_jobs() const override { return open_; }
   std::optional<Ticket> Submit(Job job, Client* client) override;
@@ -98,7 +98,7 @@
   void TellNode(const News& news);
   // Bytes that another node said for this one's module.
   void OnPeerMessage(int from, std::string bytes) {
-    Post(marlquay::PeerMessage{from, std::move(bytes)});
+    Post(dispatch::PeerMessage{from, std::move(bytes)});
   }
 
   // ---- for state that the fleet shares
@@ -108,7 +108,7 @@
   }
   void Watch(Witness* witness) { witness_ = witness; }
   // What several nodes have seen of a worker; `judgement.at` is Unix time in microseconds.
-  void OnJudgement(const std::string& worker, marlquay::Judgement judgement);
+  void OnJudgement(const std::string& worker, dispatch::Judgement judgement);
 
   // A worker of a zone that the fleet has left takes nothing new: told to the module as draining,
   // like a banned one, until it is open again.
@@ -153,7 +153,7 @@
 
  private:
   struct Attempt {
-    marlquay::WorkerId worker = 0;
+    dispatch::WorkerId worker = 0;
     Micros sent = 0;
     bool out = true;     // its outcome has not been passed on
     bool taken = false;  // the worker has answered 202
@@ -171,34 +171,34 @@
     int out = 0;
   };
 
-  void Post(marlquay::Event event, capture::Note note = {});
+  void Post(dispatch::Event event, capture::Note note = {});
   void Deny();
   void Turn();
   void ArmTurn();
-  void Carry(const marlquay::Action& action);
-  void LogDecision(const marlquay::LogLine& line);
-  void Send(const marlquay::Send& action);
-  void Cancel(const marlquay::Cancel& action);
+  void Carry(const dispatch::Action& action);
+  void LogDecision(const dispatch::LogLine& line);
+  void Send(const dispatch::Send& action);
+  void Cancel(const dispatch::Cancel& action);
   void Reply(Ticket ticket, Record& record, const Answer& answer);
   // Passes an attempt's outcome on, once.
-  void End(AttemptKey key, marlquay::Outcome outcome, const marlquay::LoadReport& load);
+  void End(AttemptKey key, dispatch::Outcome outcome, const dispatch::LoadReport& load);
   void Reject(AttemptKey key);
   void Launch(AttemptKey key);
   void Hear(Ticket ticket, Attempt& attempt, AttemptState state);
   void RunLeases();
   void HandRecall(const Listing& list);
-  marlquay::WorkerId IdOf(const std::string& name);
+  dispatch::WorkerId IdOf(const std::string& name);
   void RunDeadlines(Micros now);
   void Forget(Ticket ticket);
-  void PostHealth(marlquay::WorkerId worker);  // as listed, or draining where not to be used
+  void PostHealth(dispatch::WorkerId worker);  // as listed, or draining where not to be used
   bool Barred(const std::string& id) const { return banned_.contains(id) || shut_.contains(id); }
-  const std::string& NameOf(marlquay::WorkerId worker) const { return names_.at(worker); }
+  const std::string& NameOf(dispatch::WorkerId worker) const { return names_.at(worker); }
 
-  marlquay::Site site_;
+  dispatch::Site site_;
   capture::Origin origin_;  // of what is recorded
   Micros clock_offset_;     // of Unix time before Now(), taken once
   Micros started_;          // the module's clock at its start
-  marlquay::Dispatcher dispatcher_;
+  dispatch::Dispatcher dispatcher_;
   Workers workers_;
   Discovery discovery_;
   std::optional<Listing> known_;
@@ -207,11 +207,11 @@
   std::optional<knowledge::Recall> recall_;  // what of it has not been handed over
   Micros recall_until_ = 0;                  // a worker named later than this is known by itself
 
-  std::unordered_map<marlquay::WorkerId, marlquay::WorkerEntry> hosts_;  // as the list says
+  std::unordered_map<dispatch::WorkerId, dispatch::WorkerEntry> hosts_;  // as the list says
   std::set<std::string> banned_, shut_;  // by operators; by zones that are left
   std::vector<Tally> tally_;
 
-  std::unordered_map<std::string, marlquay::WorkerId> ids_;
+  std::unordered_map<std::string, dispatch::WorkerId> ids_;
   std::vector<std::int64_t> started_ms_;  // by id: of the process that the list names
   std::vector<std::string> names_;
 
@@ -230,9 +230,9 @@
   std::function<bool(const News&)> orphan_;
   Alarm lease_alarm_;
 
-  std::vector<marlquay::Event> events_;
+  std::vector<dispatch::Event> events_;
   std::vector<capture::Note> notes_;  // one an event, while it is recorded
-  std::vector<marlquay::Action> actions_;
+  std::vector<dispatch::Action> actions_;
   std::priority_queue<Micros, std::vector<Micros>, std::greater<>> timers_;
   Micros last_turn_ = 0;
   std::optional<CaptureSettings> recording_;
@@ -242,4 +242,4 @@
 
 }  // namespace pearreach
 
-#endif  // PEARREACH_SRC_NODE_NODE_H_
+#endif  // PEARREACH_SRC_NODE_ENGINE_NODE_H_
--- a/src/node/node_attempts.cpp
+++ b/src/node/engine/node_attempts.cpp
@@ -3,16 +3,16 @@
 #include <cmath>
 #include <utility>
 
-#include "node/node.h"
+#include "node/engine/node.h"
 
 namespace pearreach {
 namespace {
 
-using marlquay::Outcome;
+using dispatch::Outcome;
 
 }  // namespace
 
-void Node::Send(const marlquay::Send& action) {
+void Node::Send(const dispatch::Send& action) {
   const auto it = records_.find(action.request);
   // An answer given since the module was handed its events: to send now would break rule 1.
   if (it == records_.end() || it->second.answered) return Count("sends_passed_over");
@@ -81,7 +81,7 @@
   if (!leases_.empty()) lease_alarm_.Set(leases_.begin()->first);
 }
 
-void Node::Cancel(const marlquay::Cancel& action) {
+void Node::Cancel(const dispatch::Cancel& action) {
   const auto it = records_.find(action.request);
   if (it == records_.end()) return;
   Record& r = it->second;
@@ -93,7 +93,7 @@
   End(key, Outcome::kCancelled, {});
 }
 
-void Node::End(AttemptKey key, Outcome outcome, const marlquay::LoadReport& load) {
+void Node::End(AttemptKey key, Outcome outcome, const dispatch::LoadReport& load) {
   static constexpr const char* kNames[] = {"good",          "error", "full",      "timeout",
                                            "no_connection", "reset", "cancelled", "moot"};
   const auto it = records_.find(key.job);
@@ -117,7 +117,7 @@
   // What never went out says nothing of the worker.
   if (witness_ != nullptr && outcome != Outcome::kMoot)
     witness_->OnEnded(NameOf(a.worker), outcome, r.job.cls, a.started > 0 ? Now() - a.started : 0);
-  marlquay::AttemptEnded e;
+  dispatch::AttemptEnded e;
   e.request = key.job;
   e.attempt = key.number;
   e.worker = a.worker;
@@ -170,10 +170,10 @@
   switch (news.state) {
     case News::State::kStarted:
       Hear(ticket, a, AttemptState::kStarted);
-      return Post(marlquay::AttemptStarted{ticket, number, a.worker});
+      return Post(dispatch::AttemptStarted{ticket, number, a.worker});
     case News::State::kRunning:
       Hear(ticket, a, AttemptState::kProgress);
-      return Post(marlquay::AttemptProgress{ticket, number, a.worker, news.share});
+      return Post(dispatch::AttemptProgress{ticket, number, a.worker, news.share});
     case News::State::kDone:
       workers_.Detach(key);
       if (!r.answered) {
--- a/src/node/node_jobs.cpp
+++ b/src/node/engine/node_jobs.cpp
@@ -3,8 +3,8 @@
 #include <iterator>
 #include <utility>
 
-#include "node/answer_grace.h"
-#include "node/node.h"
+#include "node/engine/answer_grace.h"
+#include "node/engine/node.h"
 
 namespace pearreach {
 namespace {
@@ -24,7 +24,7 @@
   if (!fresh) return std::nullopt;
   const Ticket ticket = ++last_ticket_;
   Count("jobs");
-  marlquay::RequestArrived e;
+  dispatch::RequestArrived e;
   e.request = ticket;
   e.cls = job.cls;
   e.tenant = job.tenant;
@@ -51,8 +51,8 @@
   }
   Post(e, std::move(note));
   for (const Adopted& a : attempts) {
-    marlquay::AttemptAdopted adopted{ticket, IdOf(a.worker), a.sent, a.started, a.was};
-    const bool out = a.was == marlquay::AttemptAdopted::Was::kOut;
+    dispatch::AttemptAdopted adopted{ticket, IdOf(a.worker), a.sent, a.started, a.was};
+    const bool out = a.was == dispatch::AttemptAdopted::Was::kOut;
     r.attempts.push_back({adopted.worker, a.sent, out, true});
     if (out) {
       ++r.out;
@@ -75,7 +75,7 @@
   it->second.answered = true;
   it->second.client = nullptr;
   --open_;
-  Post(marlquay::RequestLapsed{ticket});
+  Post(dispatch::RequestLapsed{ticket});
   Forget(ticket);
 }
 
--- a/src/node/node_workers.cpp
+++ b/src/node/engine/node_workers.cpp
@@ -2,47 +2,47 @@
 #include <algorithm>
 #include <utility>
 
-#include "node/node.h"
+#include "node/engine/node.h"
 
 namespace pearreach {
 
-marlquay::WorkerId Node::IdOf(const std::string& name) {
-  const auto [it, fresh] = ids_.try_emplace(name, static_cast<marlquay::WorkerId>(names_.size()));
+dispatch::WorkerId Node::IdOf(const std::string& name) {
+  const auto [it, fresh] = ids_.try_emplace(name, static_cast<dispatch::WorkerId>(names_.size()));
   if (fresh) names_.push_back(name), started_ms_.push_back(0);
   return it->second;
 }
 
 void Node::OnListing(const Listing& list) {
-  marlquay::WorkerList news;
+  dispatch::WorkerList news;
   news.form =
-      list.full ? marlquay::WorkerList::Form::kComplete : marlquay::WorkerList::Form::kChanges;
+      list.full ? dispatch::WorkerList::Form::kComplete : dispatch::WorkerList::Form::kChanges;
   if (list.full) hosts_.clear();
   for (const ServerEntry& s : list.servers) {
-    marlquay::WorkerEntry e;
+    dispatch::WorkerEntry e;
     e.worker = IdOf(s.id);
-    e.identity = marlquay::HashName(s.id);
-    e.zone = marlquay::IndexOf(site_.zones, s.zone);
-    e.kind = marlquay::IndexOf(site_.kinds, s.kind);
-    if (e.kind < 0 && s.health != marlquay::Health::kGone)
+    e.identity = dispatch::HashName(s.id);
+    e.zone = dispatch::IndexOf(site_.zones, s.zone);
+    e.kind = dispatch::IndexOf(site_.kinds, s.kind);
+    if (e.kind < 0 && s.health != dispatch::Health::kGone)
       CountFault("bad_list_entry", s.id + " is of unknown kind '" + s.kind + "'");
     e.cell = s.cell;
     e.health = s.health;
     e.weight = s.weight;
     e.ready_at = ClockOf(s.started_ms);
-    if (s.health == marlquay::Health::kGone)
+    if (s.health == dispatch::Health::kGone)
       workers_.Remove(e.worker);
     else
       workers_.SetAddress(e.worker, s.address);
     started_ms_[e.worker] = s.started_ms;
-    if (witness_ != nullptr && s.health == marlquay::Health::kGone) witness_->OnGone(s.id);
-    if (witness_ != nullptr && s.health != marlquay::Health::kGone)
+    if (witness_ != nullptr && s.health == dispatch::Health::kGone) witness_->OnGone(s.id);
+    if (witness_ != nullptr && s.health != dispatch::Health::kGone)
       witness_->OnListed(
-          s.id, {e.zone, e.kind, e.weight, s.started_ms, s.health == marlquay::Health::kInService});
-    if (s.health == marlquay::Health::kGone) {
+          s.id, {e.zone, e.kind, e.weight, s.started_ms, s.health == dispatch::Health::kInService});
+    if (s.health == dispatch::Health::kGone) {
       hosts_.erase(e.worker);
     } else {
       hosts_[e.worker] = e;
-      if (Barred(s.id)) e.health = marlquay::Health::kDraining;
+      if (Barred(s.id)) e.health = dispatch::Health::kDraining;
     }
     news.entries.push_back(e);
   }
@@ -93,18 +93,18 @@
 std::size_t Node::hosts_down() const {
   std::size_t down = 0;
   for (const auto& [worker, entry] : hosts_)
-    down += entry.health != marlquay::Health::kInService || banned_.contains(NameOf(worker));
+    down += entry.health != dispatch::Health::kInService || banned_.contains(NameOf(worker));
   return down;
 }
 
 // A change of one worker, as the list would tell it; nothing where no list names it now.
-void Node::PostHealth(marlquay::WorkerId worker) {
+void Node::PostHealth(dispatch::WorkerId worker) {
   const auto it = hosts_.find(worker);
   if (it == hosts_.end()) return;
-  marlquay::WorkerList news;
-  news.form = marlquay::WorkerList::Form::kChanges;
+  dispatch::WorkerList news;
+  news.form = dispatch::WorkerList::Form::kChanges;
   news.entries.push_back(it->second);
-  if (Barred(NameOf(worker))) news.entries.back().health = marlquay::Health::kDraining;
+  if (Barred(NameOf(worker))) news.entries.back().health = dispatch::Health::kDraining;
   Post(std::move(news));
 }
 
--- a/src/node/workers.cpp
+++ b/src/node/engine/workers.cpp
@@ -1,4 +1,4 @@
-#include "node/workers.h"
+#include "node/engine/workers.h"
 
 #include <algorithm>
 #include <utility>
@@ -6,9 +6,9 @@
 namespace pearreach {
 namespace {
 
-using marlquay::LoadReport;
-using marlquay::Outcome;
-using marlquay::WorkerId;
+using dispatch::LoadReport;
+using dispatch::Outcome;
+using dispatch::WorkerId;
 
 constexpr int kRetireShare = 2;  // of ConnIdleMs a connection stays unused
 constexpr Micros kLongestIdle = 30 * kSecond;
@@ -43,7 +43,7 @@
   }
 }
 
-Workers::Workers(const marlquay::Site& site, int budget, Events events)
+Workers::Workers(const dispatch::Site& site, int budget, Events events)
     : site_(site),
       budget_(static_cast<std::size_t>(std::max(budget, 1))),
       // Guards jobs that may not run twice: what is written to a connection that its peer has just
--- a/src/node/workers.h
+++ b/src/node/engine/workers.h
@@ -2,8 +2,8 @@
 // descriptor that leads to a worker, and an attempt from its start to the worker's first answer;
 // what becomes of a job after that is told to the node by call-back. It must never decide where a
 // job goes, never send one twice, and never call an attempt unrun unless PROTOCOL's table does.
-#ifndef PEARREACH_SRC_NODE_WORKERS_H_
-#define PEARREACH_SRC_NODE_WORKERS_H_
+#ifndef PEARREACH_SRC_NODE_ENGINE_WORKERS_H_
+#define PEARREACH_SRC_NODE_ENGINE_WORKERS_H_
 
 #include <array>
 #include <functional>
@@ -14,9 +14,9 @@
 #include <utility>
 #include <vector>
 
-#include "base/io.h"
-#include "http/http.h"
-#include "node/core.h"
+#include "common/event_loop/io.h"
+#include "common/http/http.h"
+#include "node/engine/core.h"
 
 namespace pearreach {
 
@@ -51,18 +51,18 @@
   struct Events {
     std::function<void(AttemptKey, bool knows_fences)> taken;
     std::function<void(AttemptKey)> rejected;
-    std::function<void(AttemptKey, marlquay::Outcome, const marlquay::LoadReport&)> ended;
+    std::function<void(AttemptKey, dispatch::Outcome, const dispatch::LoadReport&)> ended;
   };
 
-  Workers(const marlquay::Site& site, int budget, Events events);
+  Workers(const dispatch::Site& site, int budget, Events events);
   ~Workers();
 
-  void SetAddress(marlquay::WorkerId worker, const std::string& address);
-  void Remove(marlquay::WorkerId worker);  // its idle connections go
+  void SetAddress(dispatch::WorkerId worker, const std::string& address);
+  void Remove(dispatch::WorkerId worker);  // its idle connections go
 
-  void Start(AttemptKey key, marlquay::WorkerId worker, const Job& job, Micros patience);
+  void Start(AttemptKey key, dispatch::WorkerId worker, const Job& job, Micros patience);
   // Gives an attempt up: before the 202 by closing its connection, after it by DELETE.
-  void GiveUp(AttemptKey key, marlquay::WorkerId worker, const std::string& job_id);
+  void GiveUp(AttemptKey key, dispatch::WorkerId worker, const std::string& job_id);
   // News has ended it before its 202: the connection waits for the answer, nobody is told.
   void Detach(AttemptKey key);
 
@@ -72,7 +72,7 @@
   enum class State { kConnecting, kWaiting, kIdle };
   struct Link {
     std::shared_ptr<Stream> stream;
-    marlquay::WorkerId worker = 0;
+    dispatch::WorkerId worker = 0;
     State state = State::kConnecting;
     AttemptKey key;
     bool bound = false;   // an attempt's, which is told of its end
@@ -88,7 +88,7 @@
     std::vector<Link*> idle;  // the last used at the back
   };
 
-  void Send(AttemptKey key, bool bound, marlquay::WorkerId worker, std::string request);
+  void Send(AttemptKey key, bool bound, dispatch::WorkerId worker, std::string request);
   bool WriteOn(Link* link);
   void Written(Link* link);  // its request's last byte has gone out, or was read
   void OnConnected(Link* link);
@@ -96,26 +96,26 @@
   void OnClosed(Link* link);
   void OnMessage(Link* link, const http::Message& message);
   void MakeIdle(Link* link);
-  void Finish(Link* link, marlquay::Outcome outcome, const marlquay::LoadReport& load);
+  void Finish(Link* link, dispatch::Outcome outcome, const dispatch::LoadReport& load);
   void Destroy(Link* link);
   bool EvictIdle();
   void SetExpiry(Link* link, Micros at);
   void Expire();
   // Tells of an end from the loop, as neither event may come from inside Start.
-  void FinishLater(AttemptKey key, marlquay::Outcome outcome);
+  void FinishLater(AttemptKey key, dispatch::Outcome outcome);
 
-  const marlquay::Site& site_;
+  const dispatch::Site& site_;
   std::size_t budget_;
   IdleLimit retire_;  // an idle connection is closed after this
   Events events_;
   std::map<Link*, std::unique_ptr<Link>> links_;
   std::map<AttemptKey, Link*> bound_;
-  std::map<marlquay::WorkerId, Peer> peers_;
+  std::map<dispatch::WorkerId, Peer> peers_;
   std::set<std::pair<Micros, Link*>> expiries_;
-  std::vector<std::pair<AttemptKey, marlquay::Outcome>> later_;
+  std::vector<std::pair<AttemptKey, dispatch::Outcome>> later_;
   Alarm expiry_, tell_;
 };
 
 }  // namespace pearreach
 
-#endif  // PEARREACH_SRC_NODE_WORKERS_H_
+#endif  // PEARREACH_SRC_NODE_ENGINE_WORKERS_H_
--- a/src/fleet/fleet.cpp
+++ b/src/node/fleet/fleet.cpp
@@ -1,4 +1,4 @@
-#include "fleet/fleet.h"
+#include "node/fleet/fleet.h"
 
 #include <algorithm>
 #include <utility>
@@ -6,9 +6,9 @@
 namespace pearreach {
 namespace {
 
-using members::Change;
-using members::Status;
-using peers::Topic;
+using membership::Change;
+using membership::Status;
+using peer_transport::Topic;
 
 constexpr Micros kOpenEvery = 100 * kMs;
 
@@ -30,7 +30,7 @@
   peers_.Register(
       Topic::kMembers,
       {0, nullptr, [this](int from, std::uint64_t process, bool late, std::string_view bytes) {
-         std::vector<members::Out> out;
+         std::vector<membership::Out> out;
          members_->Hear(Now(), from, process, late, bytes, &out);
          Send(&out);
        }});
@@ -44,7 +44,7 @@
         Topic::kShared,
         {1, nullptr, [this](int from, std::uint64_t process, bool, std::string_view bytes) {
            if (shared_ == nullptr) return;
-           std::vector<shared::Shared::Out> out;
+           std::vector<shared_state::Shared::Out> out;
            shared_->Hear(Unix(), from, process, bytes, &out);
            SendShared(&out);
          }});
@@ -76,10 +76,10 @@
   }
   // From the moment at which the address is this process's: of two processes of this node, the one
   // that has it later is later, whichever was started first.
-  members_ = std::make_unique<members::Members>(
-      members::Options{.self = settings_.self,
-                       .nodes = static_cast<int>(settings_.nodes.size()),
-                       .period = settings_.period},
+  members_ = std::make_unique<membership::Members>(
+      membership::Options{.self = settings_.self,
+                          .nodes = static_cast<int>(settings_.nodes.size()),
+                          .period = settings_.period},
       settings_.seed ^ static_cast<std::uint64_t>(g_get_real_time()), Now(),
       static_cast<std::uint64_t>(g_get_real_time() / 1000));
   members_->TakeChanges();
@@ -93,20 +93,20 @@
 }
 
 void Fleet::Turn() {
-  std::vector<members::Out> out;
+  std::vector<membership::Out> out;
   members_->Tick(Now(), &out);
   Send(&out);
 }
 
-void Fleet::Send(std::vector<members::Out>* out) {
-  for (const members::Out& o : *out) peers_.Say(o.to, Topic::kMembers, o.section);
+void Fleet::Send(std::vector<membership::Out>* out) {
+  for (const membership::Out& o : *out) peers_.Say(o.to, Topic::kMembers, o.section);
   Report();
   turn_.Set(members_->next());
 }
 
 void Fleet::Leave() {
   if (yielded_ || !peers_.open()) return;
-  std::vector<members::Out> out;
+  std::vector<membership::Out> out;
   members_->Leave(Now(), &out);
   Send(&out);
 }
@@ -162,7 +162,7 @@
         "node " + std::to_string(c.node) + " is " + NameOf(c.after.status) + " (was " + before +
             "), by " + (c.by == settings_.self ? "this node" : "node " + std::to_string(c.by)));
   }
-  const members::Counts& n = members_->counts();
+  const membership::Counts& n = members_->counts();
   CountGrowth("member_probes", n.probes, &reported_.probes);
   CountGrowth("member_probes_failed", n.failed, &reported_.failed);
   CountGrowth("member_asks", n.asks, &reported_.asks);
@@ -171,7 +171,7 @@
   CountGrowth("member_refutations", n.refutations, &reported_.refutations);
   CountGrowth("member_sections_malformed", n.malformed, &reported_.malformed);
   CountGrowth("member_stalls", n.stalls, &reported_.stalls);
-  const members::View v = members_->view(Now());
+  const membership::View v = members_->view(Now());
   if (v.doubts_itself != doubts_) {
     doubts_ = v.doubts_itself;
     if (MayLog())
@@ -188,10 +188,10 @@
 }
 
 void Fleet::ReportView() {
-  const members::View v = members_->view(Now());
+  const membership::View v = members_->view(Now());
   std::string entries;
   for (int n = 0; n < static_cast<int>(settings_.nodes.size()); ++n) {
-    const members::Entry& e = members_->entry(n);
+    const membership::Entry& e = members_->entry(n);
     const auto [asked, heard] = members_->says(n);
     entries += (n > 0 ? " " : "") + std::to_string(n) + ":" +
                (e.process == 0 ? "unknown" : NameOf(e.status)) + ":" + std::to_string(e.process) +
@@ -248,7 +248,7 @@
   const rules::Agreement::Acting& a = rules_->acting();
   if (rule_bans_) rule_bans_(a.rules.bans);
   if (shared_ != nullptr && settings_.shared) {
-    shared::Budgets& budgets = shared_->budgets();
+    shared_state::Budgets& budgets = shared_->budgets();
     const bool floor = a.basis == rules::Agreement::Basis::kFloor;
     for (std::size_t k = 0; !floor && k < settings_.accounts.size(); ++k) {
       if (k >= settings_.shared->shares.size()) break;
--- a/src/fleet/fleet.h
+++ b/src/node/fleet/fleet.h
@@ -1,8 +1,8 @@
 // This node's part in the fleet: puts the words between nodes, the membership and what is told of
 // them to people together. It owns the socket's words, the clock of the membership and the lines of
 // the log; it decides nothing about jobs, and must never write more lines than it is allowed.
-#ifndef PEARREACH_SRC_FLEET_FLEET_H_
-#define PEARREACH_SRC_FLEET_FLEET_H_
+#ifndef PEARREACH_SRC_NODE_FLEET_FLEET_H_
+#define PEARREACH_SRC_NODE_FLEET_FLEET_H_
 
 #include <functional>
 #include <map>
@@ -12,11 +12,11 @@
 #include <string>
 #include <vector>
 
-#include "fleet/rules_part.h"
-#include "members/members.h"
-#include "peers/peers.h"
-#include "shared/shared.h"
-#include "zones/zones.h"
+#include "node/fleet/rules_part.h"
+#include "node/membership/members.h"
+#include "node/peer_transport/peers.h"
+#include "node/shared_state/shared.h"
+#include "node/zones/zones.h"
 
 namespace pearreach {
 
@@ -30,10 +30,10 @@
   int lines_per_minute = 60;
   Micros view_every = 10 * kSecond;  // a line with what this node hears
   std::uint64_t seed = 0;
-  std::optional<shared::SharedOptions> shared;  // self, nodes are the ones above; none: off
-  std::vector<std::string> accounts;            // their names, for lines
-  std::optional<zones::Options> zones;          // self, nodes are the ones above; none: off
-  std::optional<RulesSettings> rules;           // self, nodes are the ones above; none: off
+  std::optional<shared_state::SharedOptions> shared;  // self, nodes are the ones above; none: off
+  std::vector<std::string> accounts;                  // their names, for lines
+  std::optional<zones::Options> zones;                // self, nodes are the ones above; none: off
+  std::optional<RulesSettings> rules;                 // self, nodes are the ones above; none: off
   bool tells_use = false;  // a line whenever a worker may be used otherwise by its zone
 };
 
@@ -55,16 +55,16 @@
 
   // Words for other nodes' decision module; they come there as its PeerMessage events.
   bool Tell(int to, const std::string& bytes) {
-    return peers_.Say(to, peers::Topic::kModule, bytes);
+    return peers_.Say(to, peer_transport::Topic::kModule, bytes);
   }
   void OnTold(std::function<void(int from, std::string bytes)> told) { told_ = std::move(told); }
-  const members::Members* members() const { return members_.get(); }
+  const membership::Members* members() const { return members_.get(); }
 
   // ---- state that the fleet shares
   // What the limits say of a job; none: nothing is shared. A process that does not speak for its
   // node counts nothing and has no part of any budget: the one that speaks has them.
-  std::optional<shared::Shared::Admission> Admit(int account, bool is_repeat);
-  void OnJudged(std::function<void(const std::string&, const shared::Standing&)> judged) {
+  std::optional<shared_state::Shared::Admission> Admit(int account, bool is_repeat);
+  void OnJudged(std::function<void(const std::string&, const shared_state::Standing&)> judged) {
     judged_ = std::move(judged);
   }
   // ---- rules on which the nodes agree; null: off, or this process does not speak for its node
@@ -103,21 +103,22 @@
   void WorkerGone(const std::string& worker);
   void WorkerSent(const std::string& worker);
   void WorkerHeard(const std::string& worker);
-  void WorkerEnded(const std::string& worker, shared::Judgements::End end, int cls, Micros run);
-  const shared::Shared* shared() const { return shared_.get(); }
+  void WorkerEnded(const std::string& worker, shared_state::Judgements::End end, int cls,
+                   Micros run);
+  const shared_state::Shared* shared() const { return shared_.get(); }
 
  private:
   void Open();
   void Turn();
-  void Send(std::vector<members::Out>* out);
+  void Send(std::vector<membership::Out>* out);
   void Report();
   void ReportView();
   Micros Unix() const { return Now() + unix_offset_; }
   std::vector<int> Alive() const;
   void OpenShared();
   void SharedTurn();
-  void SendShared(std::vector<shared::Shared::Out>* out);
-  void Judged(const shared::Standing& standing);
+  void SendShared(std::vector<shared_state::Shared::Out>* out);
+  void Judged(const shared_state::Standing& standing);
   void ReportShared();
   bool MayLog();
   void OpenZones();
@@ -132,13 +133,13 @@
   void ApplyRules();
 
   FleetSettings settings_;
-  std::unique_ptr<members::Members> members_;  // once the address is this process's
-  peers::Peers peers_;
+  std::unique_ptr<membership::Members> members_;  // once the address is this process's
+  peer_transport::Peers peers_;
   std::function<void(int, std::string)> told_;
   bool yielded_ = false, nobody_ = false, doubts_ = false;
   double lines_ = 0;  // that may be written now
   Micros lines_at_ = 0;
-  members::Counts reported_;
+  membership::Counts reported_;
   Alarm turn_, open_, view_, shared_turn_, zones_turn_;
 
   struct Listed {
@@ -146,12 +147,12 @@
     Listing as;
     zones::Use use = zones::Use::kOpen;  // as the node was told last
   };
-  std::unique_ptr<shared::Shared> shared_;  // while this process speaks for its node
-  std::map<shared::WorkerKey, Listed> listed_;
+  std::unique_ptr<shared_state::Shared> shared_;  // while this process speaks for its node
+  std::map<shared_state::WorkerKey, Listed> listed_;
   std::map<int, double> runs_;  // by class: fading mean of running times, microseconds
-  std::function<void(const std::string&, const shared::Standing&)> judged_;
+  std::function<void(const std::string&, const shared_state::Standing&)> judged_;
   Micros unix_offset_ = 0;  // taken once: a clock that is set must not make leases longer
-  shared::SharedCounts shared_reported_;
+  shared_state::SharedCounts shared_reported_;
 
   std::unique_ptr<RulesPart> rules_;  // while this process speaks for its node
   std::function<void(const std::set<std::string>&)> rule_bans_;
@@ -169,4 +170,4 @@
 
 }  // namespace pearreach
 
-#endif  // PEARREACH_SRC_FLEET_FLEET_H_
+#endif  // PEARREACH_SRC_NODE_FLEET_FLEET_H_
--- a/src/fleet/fleet_shared.cpp
+++ b/src/node/fleet/fleet_shared.cpp
@@ -3,13 +3,13 @@
 #include <cstdio>
 #include <utility>
 
-#include "fleet/fleet.h"
-#include "fleet/worker_key.h"
+#include "node/fleet/fleet.h"
+#include "node/fleet/worker_key.h"
 
 namespace pearreach {
 namespace {
 
-using peers::Topic;
+using peer_transport::Topic;
 
 constexpr double kRunLearn = 0.05;  // weight of one job in what is usual of its class
 
@@ -24,11 +24,11 @@
 void Fleet::OpenShared() {
   if (!settings_.shared) return;
   unix_offset_ = g_get_real_time() - Now();
-  shared::SharedOptions options = *settings_.shared;
+  shared_state::SharedOptions options = *settings_.shared;
   options.self = settings_.self;
   options.nodes = static_cast<int>(settings_.nodes.size());
-  shared_ = std::make_unique<shared::Shared>(std::move(options), members_->process(),
-                                             settings_.seed, Unix());
+  shared_ = std::make_unique<shared_state::Shared>(std::move(options), members_->process(),
+                                                   settings_.seed, Unix());
   shared_reported_ = {};
   for (const auto& [key, w] : listed_)
     shared_->judgements().Listed(key, w.as.kind, w.as.started_ms, w.as.in_service);
@@ -40,16 +40,16 @@
   if (shared_ == nullptr) return;
   const Micros now = Unix();
   const std::vector<int> alive = Alive();
-  for (const shared::Standing& s : shared_->judgements().Look(now, alive)) Judged(s);
-  std::vector<shared::Shared::Out> out;
+  for (const shared_state::Standing& s : shared_->judgements().Look(now, alive)) Judged(s);
+  std::vector<shared_state::Shared::Out> out;
   shared_->Tick(now, alive, &out);
   SendShared(&out);
   shared_turn_.Set(shared_->next() - unix_offset_);
 }
 
-void Fleet::SendShared(std::vector<shared::Shared::Out>* out) {
-  for (const shared::Shared::Out& o : *out) peers_.Say(o.to, Topic::kShared, o.section);
-  const shared::SharedCounts& n = shared_->figures();
+void Fleet::SendShared(std::vector<shared_state::Shared::Out>* out) {
+  for (const shared_state::Shared::Out& o : *out) peers_.Say(o.to, Topic::kShared, o.section);
+  const shared_state::SharedCounts& n = shared_->figures();
   CountGrowth("shared_words", n.words, &shared_reported_.words);
   CountGrowth("shared_words_malformed", n.malformed, &shared_reported_.malformed);
   CountGrowth("shared_news", n.news, &shared_reported_.news);
@@ -61,7 +61,7 @@
   CountGrowth("shared_over_repeats", n.over_repeats, &shared_reported_.over_repeats);
 }
 
-std::optional<shared::Shared::Admission> Fleet::Admit(int account, bool is_repeat) {
+std::optional<shared_state::Shared::Admission> Fleet::Admit(int account, bool is_repeat) {
   if (!settings_.shared) return std::nullopt;
   // Accounts' use may not be shared at all.
   if (account >= static_cast<int>(settings_.shared->shares.size())) account = -1;
@@ -69,17 +69,17 @@
     // A process that was stopped looks at its lease before it acts.
     const bool floor =
         rules_ != nullptr && rules_->acting().basis == rules::Agreement::Basis::kFloor;
-    shared::Shared::Admission a = shared_->Admit(Unix(), account, is_repeat);
+    shared_state::Shared::Admission a = shared_->Admit(Unix(), account, is_repeat);
     if (floor && account >= 0) a.over_share = true;
     return a;
   }
-  shared::Shared::Admission nothing;
+  shared_state::Shared::Admission nothing;
   nothing.over_share = account >= 0;
   return nothing;
 }
 
 void Fleet::WorkerListed(const std::string& worker, const Listing& as) {
-  const shared::WorkerKey key = KeyOf(worker);
+  const shared_state::WorkerKey key = KeyOf(worker);
   Listed& w = listed_[key];
   if (!w.name.empty() && w.name != worker) return Count("shared_worker_keys_alike");
   w.name = worker;
@@ -90,7 +90,7 @@
 }
 
 void Fleet::WorkerGone(const std::string& worker) {
-  const shared::WorkerKey key = KeyOf(worker);
+  const shared_state::WorkerKey key = KeyOf(worker);
   listed_.erase(key);
   if (shared_ != nullptr) shared_->judgements().Unlisted(key);
   if (zones_ != nullptr) zones_->Unlisted(key);
@@ -105,18 +105,18 @@
   if (shared_ != nullptr) shared_->judgements().Heard(Unix(), KeyOf(worker));
 }
 
-void Fleet::WorkerEnded(const std::string& worker, shared::Judgements::End end, int cls,
+void Fleet::WorkerEnded(const std::string& worker, shared_state::Judgements::End end, int cls,
                         Micros run) {
   if (shared_ == nullptr) return;
   using ZoneEnd = zones::Zones::End;
   if (zones_ != nullptr)
     zones_->Ended(Unix(), KeyOf(worker),
-                  end == shared::Judgements::End::kServed   ? ZoneEnd::kServed
-                  : end == shared::Judgements::End::kFailed ? ZoneEnd::kFailed
-                                                            : ZoneEnd::kNoWord,
+                  end == shared_state::Judgements::End::kServed   ? ZoneEnd::kServed
+                  : end == shared_state::Judgements::End::kFailed ? ZoneEnd::kFailed
+                                                                  : ZoneEnd::kNoWord,
                   cls, run);
   double slowness = 0;
-  if (run > 0 && end == shared::Judgements::End::kServed) {
+  if (run > 0 && end == shared_state::Judgements::End::kServed) {
     double& usual = runs_[cls];
     if (usual > 0) slowness = static_cast<double>(run) / usual;
     usual += (usual > 0 ? kRunLearn : 1) * (static_cast<double>(run) - usual);
@@ -125,10 +125,10 @@
 }
 
 // One line a change, and the module's event.
-void Fleet::Judged(const shared::Standing& s) {
+void Fleet::Judged(const shared_state::Standing& s) {
   const auto it = listed_.find(s.worker);
   if (it == listed_.end()) return;
-  shared::Standing told = s;
+  shared_state::Standing told = s;
   if (it->second.use == zones::Use::kTrial) told.out = told.trial = true;  // as its zone has it
   if (judged_) judged_(it->second.name, told);
   if (!MayLog()) return;
@@ -154,7 +154,7 @@
   const Micros now = Unix();
   std::string accounts, line;
   for (int k = 0; k < shared_->counts().accounts(); ++k) {
-    const shared::Reading r = shared_->counts().Read(now, k);
+    const shared_state::Reading r = shared_->counts().Read(now, k);
     const std::string part = std::to_string(shared_->budgets().part(now, k));
     accounts += (k > 0 ? " " : "") + std::to_string(k) + ":" +
                 std::to_string(shared_->counts().value(k)) + ":" +
--- a/src/fleet/fleet_zones.cpp
+++ b/src/node/fleet/fleet_zones.cpp
@@ -2,13 +2,13 @@
 #include <algorithm>
 #include <utility>
 
-#include "fleet/fleet.h"
-#include "fleet/worker_key.h"
+#include "node/fleet/fleet.h"
+#include "node/fleet/worker_key.h"
 
 namespace pearreach {
 namespace {
 
-using peers::Topic;
+using peer_transport::Topic;
 
 }  // namespace
 
@@ -41,7 +41,8 @@
   if (shared_ == nullptr || !judged_) return;
   const auto& standing = shared_->judgements().standing();
   const auto it = standing.find(KeyOf(worker));
-  judged_(worker, it == standing.end() ? shared::Standing{.worker = KeyOf(worker)} : it->second);
+  judged_(worker,
+          it == standing.end() ? shared_state::Standing{.worker = KeyOf(worker)} : it->second);
 }
 
 void Fleet::ZonesTurn() {
--- a/src/fleet/rules_file.cpp
+++ b/src/node/fleet/rules_file.cpp
@@ -1,9 +1,9 @@
-#include "fleet/rules_file.h"
+#include "node/fleet/rules_file.h"
 
 #include <cerrno>
 #include <cstring>
 
-#include "rules/document.h"
+#include "node/rules/document.h"
 
 namespace pearreach {
 namespace {
--- a/src/fleet/rules_file.h
+++ b/src/node/fleet/rules_file.h
@@ -1,14 +1,14 @@
 // The file in which a node keeps what it has accepted of the rules' versions. It owns the form and
 // the order of the system calls: written aside, synced, renamed, the folder synced; it must never
 // leave half a file, nor give bytes for good that their hash does not vouch for.
-#ifndef PEARREACH_SRC_FLEET_RULES_FILE_H_
-#define PEARREACH_SRC_FLEET_RULES_FILE_H_
+#ifndef PEARREACH_SRC_NODE_FLEET_RULES_FILE_H_
+#define PEARREACH_SRC_NODE_FLEET_RULES_FILE_H_
 
 #include <optional>
 #include <string>
 
-#include "knowledge/disk.h"
-#include "rules/rules.h"
+#include "node/knowledge/disk.h"
+#include "node/rules/rules.h"
 
 namespace pearreach {
 
@@ -29,4 +29,4 @@
 
 }  // namespace pearreach
 
-#endif  // PEARREACH_SRC_FLEET_RULES_FILE_H_
+#endif  // PEARREACH_SRC_NODE_FLEET_RULES_FILE_H_
--- a/src/fleet/rules_part.cpp
+++ b/src/node/fleet/rules_part.cpp
@@ -1,4 +1,4 @@
-#include "fleet/rules_part.h"
+#include "node/fleet/rules_part.h"
 
 #include <glib.h>
 
@@ -6,8 +6,8 @@
 #include <cstdio>
 #include <utility>
 
-#include "base/log.h"
-#include "site/site.h"
+#include "common/diagnostics/log.h"
+#include "dispatch/settings/site.h"
 
 namespace pearreach {
 namespace {
@@ -42,7 +42,7 @@
   return text;
 }
 std::uint64_t NumberOf(const std::string& text, const char* what) {
-  return marlquay::Number<std::uint64_t>(text, what);
+  return dispatch::Number<std::uint64_t>(text, what);
 }
 
 rules::Agreement MakeMachine(const rules::Options& options, std::uint64_t seed,
@@ -179,7 +179,7 @@
   try {
     document = rules::ReadXml(text, "rules", machine_.voters(), options_.nodes);
     if (!after.empty()) made_after = NumberOf(after, "after");
-  } catch (const marlquay::Malformed& wrong) {
+  } catch (const dispatch::Malformed& wrong) {
     Count("rules_proposals_malformed");
     return {400, wrong.what()};
   }
@@ -199,7 +199,7 @@
   std::uint64_t number = 0;
   try {
     number = NumberOf(text, "number");
-  } catch (const marlquay::Malformed& wrong) {
+  } catch (const dispatch::Malformed& wrong) {
     return {400, wrong.what()};
   }
   const auto it = outcomes_.find(number);
@@ -211,9 +211,9 @@
 RulesPart::Reply RulesPart::Force(const std::string& text) {
   std::vector<int> voters;
   try {
-    for (const marlquay::Text voter : marlquay::Split(text, ' '))
-      if (!voter.empty()) voters.push_back(marlquay::Number<int>(voter, "voters"));
-  } catch (const marlquay::Malformed& wrong) {
+    for (const dispatch::Text voter : dispatch::Split(text, ' '))
+      if (!voter.empty()) voters.push_back(dispatch::Number<int>(voter, "voters"));
+  } catch (const dispatch::Malformed& wrong) {
     return {400, wrong.what()};
   }
   std::string why;
@@ -289,7 +289,7 @@
       text += (text.empty() ? "voters: " : "\nvoters: ") + List(a->document.voters) + " -> " +
               List(b->document.voters);
     return {200, text.empty() ? "nothing differs" : text};
-  } catch (const marlquay::Malformed& wrong) {
+  } catch (const dispatch::Malformed& wrong) {
     return {400, wrong.what()};
   }
 }
--- a/src/fleet/rules_part.h
+++ b/src/node/fleet/rules_part.h
@@ -2,8 +2,8 @@
 // its words and its file, and the texts that operators read. It owns what it takes to act on a
 // version; it must never say a word before what has to be kept is on the disk, and decides nothing
 // about jobs: who asks what holds gets it as of this moment.
-#ifndef PEARREACH_SRC_FLEET_RULES_PART_H_
-#define PEARREACH_SRC_FLEET_RULES_PART_H_
+#ifndef PEARREACH_SRC_NODE_FLEET_RULES_PART_H_
+#define PEARREACH_SRC_NODE_FLEET_RULES_PART_H_
 
 #include <functional>
 #include <map>
@@ -12,9 +12,9 @@
 #include <string>
 #include <vector>
 
-#include "base/io.h"
-#include "fleet/rules_file.h"
-#include "rules/rules.h"
+#include "common/event_loop/io.h"
+#include "node/fleet/rules_file.h"
+#include "node/rules/rules.h"
 
 namespace pearreach {
 
@@ -76,4 +76,4 @@
 
 }  // namespace pearreach
 
-#endif  // PEARREACH_SRC_FLEET_RULES_PART_H_
+#endif  // PEARREACH_SRC_NODE_FLEET_RULES_PART_H_
--- a/src/handover/handover.cpp
+++ b/src/node/hot_restart/handover.cpp
@@ -1,4 +1,4 @@
-#include "handover/handover.h"
+#include "node/hot_restart/handover.h"
 
 #include <sys/socket.h>
 #include <sys/un.h>
--- a/src/handover/handover.h
+++ b/src/node/hot_restart/handover.h
@@ -11,8 +11,8 @@
 //   old:  CONNECTION (with the descriptor)   a client's, between two requests
 //
 // The old one goes back to accepting where the link ends before it has answered all that it took.
-#ifndef PEARREACH_SRC_HANDOVER_HANDOVER_H_
-#define PEARREACH_SRC_HANDOVER_HANDOVER_H_
+#ifndef PEARREACH_SRC_NODE_HOT_RESTART_HANDOVER_H_
+#define PEARREACH_SRC_NODE_HOT_RESTART_HANDOVER_H_
 
 #include <functional>
 #include <memory>
@@ -21,7 +21,7 @@
 #include <string_view>
 #include <vector>
 
-#include "base/io.h"
+#include "common/event_loop/io.h"
 
 namespace pearreach {
 
@@ -83,4 +83,4 @@
 
 }  // namespace pearreach
 
-#endif  // PEARREACH_SRC_HANDOVER_HANDOVER_H_
+#endif  // PEARREACH_SRC_NODE_HOT_RESTART_HANDOVER_H_
--- a/src/fronts/front.cpp
+++ b/src/node/http_frontend/front.cpp
@@ -1,4 +1,4 @@
-#include "fronts/front.h"
+#include "node/http_frontend/front.h"
 
 #include <unistd.h>
 
@@ -6,12 +6,12 @@
 #include <cstdio>
 #include <utility>
 
-#include "node/job_view.h"
+#include "node/engine/job_view.h"
 
 namespace pearreach {
 namespace {
 
-using marlquay::Malformed;
+using dispatch::Malformed;
 
 constexpr int kWorkerShare = 8;     // a part of so many of the descriptors is not the front's
 constexpr int kReserve = 32;        // descriptors for all else: log, discovery, the loop
@@ -42,11 +42,11 @@
 // "480m" or "1500u".
 Micros ReadTimeout(const std::string& text) {
   if (text.size() < 2 || (text.back() != 'm' && text.back() != 'u'))
-    throw Malformed("bad X-Timeout " + marlquay::Quote(text));
-  const auto number = marlquay::Number<std::int64_t>(
+    throw Malformed("bad X-Timeout " + dispatch::Quote(text));
+  const auto number = dispatch::Number<std::int64_t>(
       std::string_view(text).substr(0, text.size() - 1), "X-Timeout");
   const Micros unit = text.back() == 'm' ? kMs : 1;
-  if (number < 0) throw Malformed("bad X-Timeout " + marlquay::Quote(text));
+  if (number < 0) throw Malformed("bad X-Timeout " + dispatch::Quote(text));
   return number > kLongestPatience / unit ? kLongestPatience : number * unit;
 }
 
@@ -59,12 +59,12 @@
   Prefer prefer;
   const std::string* value = message.Find("Prefer");
   if (value == nullptr) return prefer;
-  for (std::string_view part : marlquay::Split(*value, ',')) {
+  for (std::string_view part : dispatch::Split(*value, ',')) {
     while (part.starts_with(' ')) part.remove_prefix(1);
     while (part.ends_with(' ')) part.remove_suffix(1);
     if (part == "respond-async") prefer.async = true;
     if (!part.starts_with("wait=")) continue;
-    const auto seconds = marlquay::Number<std::int64_t>(part.substr(5), "Prefer: wait");
+    const auto seconds = dispatch::Number<std::int64_t>(part.substr(5), "Prefer: wait");
     if (seconds < 0) throw Malformed("bad Prefer: wait");
     prefer.wait = std::min<std::int64_t>(seconds, kLongestPatience / kSecond) * kSecond;
   }
@@ -190,7 +190,7 @@
     return HandleLook(c, message, path.substr(kJobs.size()));
   const std::string first =
       path.starts_with('/') ? path.substr(1, path.find('/', 1) - 1) : std::string();
-  const bool is_class = marlquay::IndexOf(core_->site().classes, first) >= 0;
+  const bool is_class = dispatch::IndexOf(core_->site().classes, first) >= 0;
   if (path != "/_jobs/news" && (first.empty() || !is_class)) {
     Count("bad_requests");
     return Respond(c, 404, "no such path\n", message.keep_alive);
@@ -328,14 +328,14 @@
 }
 
 void Front::HandleJob(Connection* c, http::Message message, const std::string& cls) {
-  const marlquay::Site& site = core_->site();
+  const dispatch::Site& site = core_->site();
   const auto text = [&](const char* name) {
     const std::string* value = message.Find(name);
     return value == nullptr ? std::string() : *value;
   };
   if ((c->over_budget && connections_.size() > budget_) || refusing_) {
     Count("shed");
-    if (marlquay::IndexOf(site.classes, cls) >= 0) ++shed_[cls];
+    if (dispatch::IndexOf(site.classes, cls) >= 0) ++shed_[cls];
     return Refuse(c, false, site.settings.max_retry_after);
   }
   Job job;
@@ -349,25 +349,25 @@
       throw Malformed("no or bad X-Request-ID");
     if (const std::string named = text("X-Priority-Class"); named != cls)
       throw Malformed("X-Priority-Class does not name the class of the path");
-    job.cls = marlquay::IndexOf(site.classes, cls);
-    const marlquay::ClassSettings& settings =
+    job.cls = dispatch::IndexOf(site.classes, cls);
+    const dispatch::ClassSettings& settings =
         site.settings.classes[static_cast<std::size_t>(job.cls)];
     // One that is there and says nothing is no number either.
     const std::string* timeout = message.Find("X-Timeout");
     job.patience = timeout == nullptr ? settings.deadline : ReadTimeout(*timeout);
     job.idempotency_key = text("Idempotency-Key");
-    if (settings.effect == marlquay::Effect::kByKey && job.idempotency_key.empty())
+    if (settings.effect == dispatch::Effect::kByKey && job.idempotency_key.empty())
       throw Malformed("no Idempotency-Key");
-    job.tenant = marlquay::IndexOf(site.tenants, text("X-Tenant-Id"));
+    job.tenant = dispatch::IndexOf(site.tenants, text("X-Tenant-Id"));
     job.is_repeat = text("X-Retried") == "1";
     if (const std::string key = text("X-Route-Key"); !key.empty())
-      job.key = marlquay::HashName(key);
+      job.key = dispatch::HashName(key);
     const std::string attrs = text("X-Attrs");  // outlives the views that Split returns
-    for (const std::string_view pair : marlquay::Split(attrs, ',')) {
+    for (const std::string_view pair : dispatch::Split(attrs, ',')) {
       const std::size_t eq = pair.find('=');
       if (eq == std::string_view::npos) throw Malformed("bad X-Attrs");
       if (pair.substr(0, eq) == "slots")
-        job.slots = marlquay::Number<double>(pair.substr(eq + 1), "slots");
+        job.slots = dispatch::Number<double>(pair.substr(eq + 1), "slots");
     }
     if (job.slots <= 0 || job.slots > 1e6) throw Malformed("bad number of slots");
   } catch (const Malformed& wrong) {
@@ -533,7 +533,7 @@
   draining_ = true;
   drained_ = std::move(done);
   Micros longest = 0;
-  for (const marlquay::ClassSettings& c : core_->site().settings.classes)
+  for (const dispatch::ClassSettings& c : core_->site().settings.classes)
     longest = std::max(longest, c.deadline);
   drain_began_ = Now();
   stop_by_ = drain_began_ + std::min(longest, kStopCounts) + kStopGrace - kStopMargin;
--- a/src/fronts/front.h
+++ b/src/node/http_frontend/front.h
@@ -2,8 +2,8 @@
 // call-backs at /_jobs/news, which come to the same address. It owns every accepted connection; it
 // decides nothing about a job, must never leave a request that was read without one whole answer,
 // and never ends a connection that still owes one.
-#ifndef PEARREACH_SRC_FRONTS_FRONT_H_
-#define PEARREACH_SRC_FRONTS_FRONT_H_
+#ifndef PEARREACH_SRC_NODE_HTTP_FRONTEND_FRONT_H_
+#define PEARREACH_SRC_NODE_HTTP_FRONTEND_FRONT_H_
 
 #include <functional>
 #include <list>
@@ -13,9 +13,9 @@
 #include <string>
 #include <unordered_map>
 
-#include "base/io.h"
-#include "http/http.h"
-#include "node/core.h"
+#include "common/event_loop/io.h"
+#include "common/http/http.h"
+#include "node/engine/core.h"
 
 namespace pearreach {
 
@@ -110,4 +110,4 @@
 
 }  // namespace pearreach
 
-#endif  // PEARREACH_SRC_FRONTS_FRONT_H_
+#endif  // PEARREACH_SRC_NODE_HTTP_FRONTEND_FRONT_H_
--- a/src/jobs/job.h
+++ b/src/node/job_state/job.h
@@ -1,7 +1,7 @@
 // A durable job and its attempts as they stand in the store. It owns nothing but plain records;
 // times are Unix microseconds, as they must mean the same after a restart.
-#ifndef PEARREACH_SRC_JOBS_JOB_H_
-#define PEARREACH_SRC_JOBS_JOB_H_
+#ifndef PEARREACH_SRC_NODE_JOB_STATE_JOB_H_
+#define PEARREACH_SRC_NODE_JOB_STATE_JOB_H_
 
 #include <cstdint>
 #include <optional>
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-namespace pearreach::jobs {
+namespace pearreach::job_state {
 
 using UnixMicros = std::int64_t;
 
@@ -76,6 +76,6 @@
 // The seq that an id claims; nothing where it is no id.
 std::optional<std::uint64_t> SeqOf(std::string_view id);
 
-}  // namespace pearreach::jobs
+}  // namespace pearreach::job_state
 
-#endif  // PEARREACH_SRC_JOBS_JOB_H_
+#endif  // PEARREACH_SRC_NODE_JOB_STATE_JOB_H_
--- a/src/jobs/ledger.cpp
+++ b/src/node/job_state/ledger.cpp
@@ -1,14 +1,14 @@
-#include "jobs/ledger.h"
+#include "node/job_state/ledger.h"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 
-namespace pearreach::jobs {
+namespace pearreach::job_state {
 namespace {
 
-using marlquay::ClassSettings;
-using marlquay::Effect;
+using dispatch::ClassSettings;
+using dispatch::Effect;
 
 // It never ran, or can no longer take effect where it does.
 bool Harmless(const Attempt& a) { return a.ran == Ran::kNever || a.ran == Ran::kFenced; }
@@ -166,4 +166,4 @@
   return seq;
 }
 
-}  // namespace pearreach::jobs
+}  // namespace pearreach::job_state
--- a/src/jobs/ledger.h
+++ b/src/node/job_state/ledger.h
@@ -2,17 +2,17 @@
 // becomes of a job after a crash and in which order, how fast recovered jobs come back, how long
 // ends are kept. Pure: no I/O, no clock. It must never let a `once` job out again that may have run
 // where the old attempt could still take effect.
-#ifndef PEARREACH_SRC_JOBS_LEDGER_H_
-#define PEARREACH_SRC_JOBS_LEDGER_H_
+#ifndef PEARREACH_SRC_NODE_JOB_STATE_LEDGER_H_
+#define PEARREACH_SRC_NODE_JOB_STATE_LEDGER_H_
 
 #include <cstdint>
 #include <string>
 #include <vector>
 
-#include "jobs/job.h"
-#include "marlquay/dispatcher.h"
+#include "node/job_state/job.h"
+#include "pearreach/dispatcher.h"
 
-namespace pearreach::jobs {
+namespace pearreach::job_state {
 
 struct Policy {
   std::int64_t lease = 10'000'000;             // microseconds without a word of an attempt
@@ -36,16 +36,16 @@
   std::string reason;
 };
 
-Recovery Recover(const Job& job, const marlquay::ClassSettings* cls, const Policy& policy,
+Recovery Recover(const Job& job, const dispatch::ClassSettings* cls, const Policy& policy,
                  UnixMicros now);
 
 // An attempt has been silent for its lease, or ended in a way that proves nothing: may the job go
 // out again by the rules alone (the module decides whether it does)?
-bool MayRepeat(const Job& job, const marlquay::ClassSettings& cls, UnixMicros now);
+bool MayRepeat(const Job& job, const dispatch::ClassSettings& cls, UnixMicros now);
 
 // The end that a 'failed' of the module means for the job: where an attempt may have run and the
 // class forbids a repeat, nobody knows whether it took effect.
-State EndOfFailure(const Job& job, const marlquay::ClassSettings& cls);
+State EndOfFailure(const Job& job, const dispatch::ClassSettings& cls);
 
 // What a word about a job in doubt, or about one that ended without promise, makes of it.
 struct Resolution {
@@ -91,6 +91,6 @@
   int new_ = 0, backlog_ = 0;
 };
 
-}  // namespace pearreach::jobs
+}  // namespace pearreach::job_state
 
-#endif  // PEARREACH_SRC_JOBS_LEDGER_H_
+#endif  // PEARREACH_SRC_NODE_JOB_STATE_LEDGER_H_
--- a/src/store/sqlite.cpp
+++ b/src/node/job_store/sqlite.cpp
@@ -15,13 +15,13 @@
 #include <thread>
 #include <utility>
 
-#include "store/store.h"
+#include "node/job_store/store.h"
 
-namespace pearreach::store {
+namespace pearreach::job_store {
 namespace {
 
-using jobs::Attempt;
-using jobs::Job;
+using job_state::Attempt;
+using job_state::Job;
 
 constexpr int kVersion = 2;                // of the schema; kMigrations leads up to it
 constexpr std::size_t kMostInGroup = 512;  // writes that share a sync
@@ -292,7 +292,7 @@
     Statement& s = connection_->Get(kSelect + " ORDER BY j.seq");
     for (s.Bind(); s.Step();) each(ReadJob(*connection_, s));
   }
-  void LoadState(jobs::State state, const std::function<void(Job)>& each) override {
+  void LoadState(job_state::State state, const std::function<void(Job)>& each) override {
     const std::lock_guard lock(use_);
     Statement& s = connection_->Get(kSelect + " WHERE j.state=? AND j.state < 3 ORDER BY j.seq");
     for (s.Bind(state); s.Step();) each(ReadJob(*connection_, s));
@@ -369,7 +369,7 @@
     j.ended = s.Int(13);
     if (s.Int(14) < 0 || s.Int(14) > 6)
       throw StoreError(options_.path + ": job " + j.id + " is in no known state");
-    j.state = static_cast<jobs::State>(s.Int(14));
+    j.state = static_cast<job_state::State>(s.Int(14));
     j.result = s.Text(15);
     j.reason = s.Text(16);
     j.retry_after = s.Int(17);
@@ -391,7 +391,7 @@
       a.knows_fences = attempts.Int(3) != 0;
       if (attempts.Int(4) < 0 || attempts.Int(4) > 4)
         throw StoreError(options_.path + ": an attempt of job " + j.id + " is in no known state");
-      a.ran = static_cast<jobs::Ran>(attempts.Int(4));
+      a.ran = static_cast<job_state::Ran>(attempts.Int(4));
       a.started = attempts.Int(5) != 0;
       a.sent = attempts.Int(6);
       a.lease_until = attempts.Int(7);
@@ -410,7 +410,7 @@
         while (s.Step()) found.jobs.push_back(ReadJob(c, s));
       };
       if (const auto* q = std::get_if<ById>(&question)) {
-        if (const auto seq = jobs::SeqOf(q->id))
+        if (const auto seq = job_state::SeqOf(q->id))
           take(c.Get(kSelect + " WHERE j.seq=? AND j.id=?").Bind(*seq, q->id));
         if (found.jobs.empty())
           take(c.Get(kSelect + " WHERE j.seq=(SELECT seq FROM old_ids WHERE id=?)").Bind(q->id));
@@ -499,7 +499,7 @@
           .Bind(j.due, j.ended, j.state, j.reason, j.retry_after, j.callback_done, j.callback_tries,
                 j.callback_at, j.forget_at, options_.owner, epoch_, j.seq)
           .Step();
-      if (!jobs::IsEnd(j.state)) return;
+      if (!job_state::IsEnd(j.state)) return;
       c.Get("DELETE FROM bodies WHERE seq=?").Bind(j.seq).Step();
       if (!j.result.empty())
         c.Get("INSERT OR REPLACE INTO results VALUES(?,?)").Bind(j.seq, j.result).Step();
@@ -509,9 +509,9 @@
           .Bind(put->seq, a.number, a.worker, a.fence, a.knows_fences, a.ran, a.started, a.sent,
                 a.lease_until)
           .Step();
-    } else if (const auto* knows = std::get_if<store::KnowsFences>(&change)) {
+    } else if (const auto* knows = std::get_if<job_store::KnowsFences>(&change)) {
       c.Get("INSERT OR IGNORE INTO fencing_workers VALUES(?)").Bind(knows->worker).Step();
-    } else if (const auto* forget = std::get_if<store::Forget>(&change)) {
+    } else if (const auto* forget = std::get_if<job_store::Forget>(&change)) {
       std::vector<std::uint64_t> old;
       Statement& s = c.Get(
           "SELECT seq FROM jobs WHERE forget_at > 0 AND forget_at <= ? ORDER BY forget_at LIMIT ?");
@@ -704,4 +704,4 @@
   return {before, std::filesystem::file_size(path)};
 }
 
-}  // namespace pearreach::store
+}  // namespace pearreach::job_store
--- a/src/store/store.h
+++ b/src/node/job_store/store.h
@@ -2,8 +2,8 @@
 // it later, and the one engine there is, SQLite. It owns the file and the thread that reads and
 // writes it; it must never say that something is durable which the engine has not synced, never
 // take a failed sync for good, and never make the loop wait.
-#ifndef PEARREACH_SRC_STORE_STORE_H_
-#define PEARREACH_SRC_STORE_STORE_H_
+#ifndef PEARREACH_SRC_NODE_JOB_STORE_STORE_H_
+#define PEARREACH_SRC_NODE_JOB_STORE_STORE_H_
 
 #include <array>
 #include <cstdint>
@@ -15,9 +15,9 @@
 #include <variant>
 #include <vector>
 
-#include "jobs/job.h"
+#include "node/job_state/job.h"
 
-namespace pearreach::store {
+namespace pearreach::job_store {
 
 // What cannot be opened or read, in one line.
 struct StoreError : std::runtime_error {
@@ -29,15 +29,15 @@
 // A new job, whole. Not written where a job that is kept has its idempotency key (within class and
 // account) or its request id; one that was refused holds neither, for it never ran.
 struct TakeJob {
-  jobs::Job job;
+  job_state::Job job;
 };
 // A job's record as it changes: all but what its client handed in. The body goes with its end.
 struct PutJob {
-  jobs::Job job;
+  job_state::Job job;
 };
 struct PutAttempt {
   std::uint64_t seq = 0;
-  jobs::Attempt attempt;
+  job_state::Attempt attempt;
 };
 // The worker has said that it knows fences.
 struct KnowsFences {
@@ -45,7 +45,7 @@
 };
 // Drops up to `limit` jobs that may be forgotten by `now`.
 struct Forget {
-  jobs::UnixMicros now = 0;
+  job_state::UnixMicros now = 0;
   int limit = 1000;
 };
 using Change = std::variant<TakeJob, PutJob, PutAttempt, KnowsFences, Forget>;
@@ -78,13 +78,13 @@
 };
 // Up to `limit` jobs of a state that has not ended, by their order of intake, after `after`.
 struct InState {
-  jobs::State state = jobs::State::kQueued;
+  job_state::State state = job_state::State::kQueued;
   std::uint64_t after = 0;
   int limit = 64;
 };
 // Queued jobs whose time is over by `now`.
 struct Overdue {
-  jobs::UnixMicros now = 0;
+  job_state::UnixMicros now = 0;
   int limit = 256;
 };
 // Ends whose call-back is planned, by its time.
@@ -95,7 +95,7 @@
 
 struct Found {
   std::string error;
-  std::vector<jobs::Job> jobs;  // with their attempts, bodies and results
+  std::vector<job_state::Job> jobs;  // with their attempts, bodies and results
 };
 
 // Answered on the main loop. It sees all writes whose `done` was called before this answer; one
@@ -117,8 +117,9 @@
   virtual void Submit(Write write) = 0;
   virtual void Ask(Read read) = 0;
   // Blocking, so for starts and tools. In the order of intake.
-  virtual void Load(const std::function<void(jobs::Job)>& each) = 0;
-  virtual void LoadState(jobs::State state, const std::function<void(jobs::Job)>& each) = 0;
+  virtual void Load(const std::function<void(job_state::Job)>& each) = 0;
+  virtual void LoadState(job_state::State state,
+                         const std::function<void(job_state::Job)>& each) = 0;
   // How many jobs there are in each state that has not ended.
   virtual std::array<std::uint64_t, 3> CountOpen() = 0;
   virtual std::vector<std::string> FencingWorkers() = 0;
@@ -151,6 +152,6 @@
 // Gives the room of forgotten jobs back. Bytes before and after.
 std::pair<std::uint64_t, std::uint64_t> CompactSqlite(const std::string& path);
 
-}  // namespace pearreach::store
+}  // namespace pearreach::job_store
 
-#endif  // PEARREACH_SRC_STORE_STORE_H_
+#endif  // PEARREACH_SRC_NODE_JOB_STORE_STORE_H_
--- a/src/knowledge/disk.cpp
+++ b/src/node/knowledge/disk.cpp
@@ -1,4 +1,4 @@
-#include "knowledge/disk.h"
+#include "node/knowledge/disk.h"
 
 #include <fcntl.h>
 #include <unistd.h>
--- a/src/knowledge/disk.h
+++ b/src/node/knowledge/disk.h
@@ -1,7 +1,7 @@
 // The system calls that a knowledge file needs, one function each, so that tests can stand between:
 // kill at any of them, or lose what was not synced. It owns nothing; it must never retry or decide.
-#ifndef PEARREACH_SRC_KNOWLEDGE_DISK_H_
-#define PEARREACH_SRC_KNOWLEDGE_DISK_H_
+#ifndef PEARREACH_SRC_NODE_KNOWLEDGE_DISK_H_
+#define PEARREACH_SRC_NODE_KNOWLEDGE_DISK_H_
 
 #include <sys/types.h>
 
@@ -29,4 +29,4 @@
 
 }  // namespace pearreach::knowledge
 
-#endif  // PEARREACH_SRC_KNOWLEDGE_DISK_H_
+#endif  // PEARREACH_SRC_NODE_KNOWLEDGE_DISK_H_
--- a/src/knowledge/file.cpp
+++ b/src/node/knowledge/file.cpp
@@ -1,4 +1,4 @@
-#include "knowledge/file.h"
+#include "node/knowledge/file.h"
 
 #include <google/protobuf/io/coded_stream.h>
 #include <google/protobuf/io/zero_copy_stream_impl_lite.h>
@@ -10,7 +10,7 @@
 #include <cstring>
 #include <utility>
 
-#include "knowledge/knowledge.pb.h"
+#include "node/knowledge/knowledge.pb.h"
 
 namespace pearreach::knowledge {
 namespace {
@@ -68,7 +68,7 @@
   m->nodes = static_cast<int>(std::clamp<std::uint32_t>(in.nodes(), 1, 1'000'000));
   m->written = c.Time(in.written());
   for (const wire::Pool& p : in.pools()) {
-    marlquay::PoolKnowledge k;
+    dispatch::PoolKnowledge k;
     k.limit = c.Figure(p.limit(), 0, 1e9);
     k.found = c.Figure(p.found(), 0, 1e9);
     k.slots_seen = c.Figure(p.slots_seen(), 1, 1e6);
@@ -80,7 +80,7 @@
   c.good = c.good && in.workers_size() <= static_cast<int>(kMostWorkers);
   for (const wire::Worker& w : in.workers()) {
     if (!c.good) return false;
-    marlquay::WorkerKnowledge k;
+    dispatch::WorkerKnowledge k;
     k.slowness = c.Figure(w.slowness(), 0.01, 100);
     k.failures = c.Figure(w.failures(), 0, 1);
     k.silent = w.silent();
@@ -156,10 +156,10 @@
 Key ReadKeyFile(const std::string& path) {
   std::string bytes;
   if (SystemDisk().Read(path, 1 << 16, &bytes) != 0)
-    throw marlquay::Malformed(path + ": " + std::strerror(errno));
+    throw dispatch::Malformed(path + ": " + std::strerror(errno));
   while (!bytes.empty() && (bytes.back() == '\n' || bytes.back() == '\r')) bytes.pop_back();
   if (bytes.size() < kLeastKey)
-    throw marlquay::Malformed(path + ": a key has " + std::to_string(kLeastKey) +
+    throw dispatch::Malformed(path + ": a key has " + std::to_string(kLeastKey) +
                               " bytes at least");
   bytes.resize(std::min<std::size_t>(bytes.size(), crypto_generichash_KEYBYTES_MAX));
   return bytes;
--- a/src/knowledge/file.h
+++ b/src/node/knowledge/file.h
@@ -2,8 +2,8 @@
 // folder. It owns their form (docs/knowledge.md) and the order of the system calls; it must never
 // leave a folder without a sound file where there was one, and never take a byte for good that the
 // hash does not vouch for.
-#ifndef PEARREACH_SRC_KNOWLEDGE_FILE_H_
-#define PEARREACH_SRC_KNOWLEDGE_FILE_H_
+#ifndef PEARREACH_SRC_NODE_KNOWLEDGE_FILE_H_
+#define PEARREACH_SRC_NODE_KNOWLEDGE_FILE_H_
 
 #include <cstdint>
 #include <optional>
@@ -11,8 +11,8 @@
 #include <string_view>
 #include <vector>
 
-#include "knowledge/disk.h"
-#include "knowledge/memory.h"
+#include "node/knowledge/disk.h"
+#include "node/knowledge/memory.h"
 
 namespace pearreach::knowledge {
 
@@ -25,7 +25,7 @@
 // The first 64 bytes of a key file at least are its key (32 to 64 bytes); none: an unkeyed hash,
 // which finds damage but not forgery.
 using Key = std::optional<std::string>;
-// Throws marlquay::Malformed with "FILE: what".
+// Throws dispatch::Malformed with "FILE: what".
 Key ReadKeyFile(const std::string& path);
 
 std::string Encode(const Memory& memory, std::uint64_t generation, const Key& key);
@@ -65,4 +65,4 @@
 
 }  // namespace pearreach::knowledge
 
-#endif  // PEARREACH_SRC_KNOWLEDGE_FILE_H_
+#endif  // PEARREACH_SRC_NODE_KNOWLEDGE_FILE_H_
--- a/src/knowledge/memory.cpp
+++ b/src/node/knowledge/memory.cpp
@@ -1,4 +1,4 @@
-#include "knowledge/memory.h"
+#include "node/knowledge/memory.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 namespace pearreach::knowledge {
 namespace {
 
-using marlquay::IndexOf;
+using dispatch::IndexOf;
 
 double Weight(Micros age, Micros half) {
   return std::exp2(-static_cast<double>(std::max<Micros>(age, 0)) / static_cast<double>(half));
@@ -19,16 +19,16 @@
 
 }  // namespace
 
-std::uint64_t SiteMark(const marlquay::Site& site) {
+std::uint64_t SiteMark(const dispatch::Site& site) {
   std::string text;
-  for (const marlquay::Names* names : {&site.kinds, &site.classes, &site.tenants, &site.zones}) {
+  for (const dispatch::Names* names : {&site.kinds, &site.classes, &site.tenants, &site.zones}) {
     for (const std::string& name : *names) text.append(name).append(1, '\0');
     text.append(1, '\1');
   }
-  return marlquay::HashName(text);
+  return dispatch::HashName(text);
 }
 
-Memory Collect(const marlquay::Knowledge& learned, Micros now, const marlquay::Site& site,
+Memory Collect(const dispatch::Knowledge& learned, Micros now, const dispatch::Site& site,
                const std::vector<std::string>& names, const std::vector<std::int64_t>& started_ms,
                const std::string& node, UnixMicros unix_now) {
   Memory m;
@@ -36,17 +36,17 @@
   m.site = SiteMark(site);
   m.nodes = site.settings.balancers;
   m.written = unix_now;
-  for (const marlquay::PoolKnowledge& p : learned.pools)
+  for (const dispatch::PoolKnowledge& p : learned.pools)
     m.pools.push_back({site.kinds.at(static_cast<std::size_t>(p.pool)), p});
-  for (marlquay::WorkerKnowledge w : learned.workers) {
+  for (dispatch::WorkerKnowledge w : learned.workers) {
     if (w.worker >= names.size() || w.worker >= started_ms.size()) continue;
     if (w.died_at != 0) w.died_at = std::max<Micros>(1, now - w.died_at);
     for (auto& [at, work] : w.cold_sends) at = std::max<Micros>(0, now - at);
     m.workers.push_back({names[w.worker], started_ms[w.worker], std::move(w)});
   }
-  for (const marlquay::ClassKnowledge& c : learned.classes)
+  for (const dispatch::ClassKnowledge& c : learned.classes)
     m.classes.push_back({site.classes.at(static_cast<std::size_t>(c.cls)), c});
-  for (const marlquay::TenantKnowledge& t : learned.tenants)
+  for (const dispatch::TenantKnowledge& t : learned.tenants)
     m.tenants.push_back({site.tenants.at(static_cast<std::size_t>(t.tenant)), t});
   return m;
 }
@@ -56,7 +56,7 @@
   return {std::max<Micros>(0, now - written), false};
 }
 
-Memory Aged(const Memory& memory, const marlquay::Site& site, const Age& age) {
+Memory Aged(const Memory& memory, const dispatch::Site& site, const Age& age) {
   Memory m = memory;
   if (age.age >= kForgetAfter) {
     m.pools.clear(), m.workers.clear(), m.classes.clear(), m.tenants.clear();
@@ -99,7 +99,7 @@
   return m;
 }
 
-std::optional<Recall> ForNode(const Memory& memory, const marlquay::Site& site,
+std::optional<Recall> ForNode(const Memory& memory, const dispatch::Site& site,
                               const std::string& node, UnixMicros unix_now, std::string* why) {
   if (memory.node != node) return *why = "it is of node " + memory.node, std::nullopt;
   if (memory.site != SiteMark(site)) return *why = "it is of another site", std::nullopt;
@@ -124,9 +124,9 @@
   return r;
 }
 
-marlquay::WorkerKnowledge ForModule(const Memory::Worker& worker, marlquay::WorkerId id,
+dispatch::WorkerKnowledge ForModule(const Memory::Worker& worker, dispatch::WorkerId id,
                                     Micros now) {
-  marlquay::WorkerKnowledge w = worker.what;
+  dispatch::WorkerKnowledge w = worker.what;
   w.worker = id;
   if (w.died_at != 0) w.died_at = std::max<Micros>(1, now - w.died_at);
   for (auto& [at, work] : w.cold_sends) at = now - at;
--- a/src/knowledge/memory.h
+++ b/src/node/knowledge/memory.h
@@ -2,8 +2,8 @@
 // makes of it. It owns which kind of knowledge stays true for how long. Pure: no I/O, no clock. It
 // must never give an older value more weight than a younger one, and never key anything by an
 // address.
-#ifndef PEARREACH_SRC_KNOWLEDGE_MEMORY_H_
-#define PEARREACH_SRC_KNOWLEDGE_MEMORY_H_
+#ifndef PEARREACH_SRC_NODE_KNOWLEDGE_MEMORY_H_
+#define PEARREACH_SRC_NODE_KNOWLEDGE_MEMORY_H_
 
 #include <cstdint>
 #include <optional>
@@ -11,32 +11,32 @@
 #include <unordered_map>
 #include <vector>
 
-#include "marlquay/dispatcher.h"
-#include "site/site.h"
+#include "dispatch/settings/site.h"
+#include "pearreach/dispatcher.h"
 
 namespace pearreach::knowledge {
 
-using marlquay::Micros;
+using dispatch::Micros;
 using UnixMicros = std::int64_t;
 
 // Times inside the entries (died_at, cold_sends) are how long ago, in microseconds, at `written`.
 struct Memory {
   struct Pool {
     std::string kind;
-    marlquay::PoolKnowledge what;
+    dispatch::PoolKnowledge what;
   };
   struct Worker {
     std::string id;
     std::int64_t started_ms = 0;  // Unix; with the id it names one process
-    marlquay::WorkerKnowledge what;
+    dispatch::WorkerKnowledge what;
   };
   struct Class {
     std::string name;
-    marlquay::ClassKnowledge what;
+    dispatch::ClassKnowledge what;
   };
   struct Tenant {
     std::string name;
-    marlquay::TenantKnowledge what;
+    dispatch::TenantKnowledge what;
   };
   std::string node;
   std::uint64_t site = 0;  // SiteMark
@@ -61,10 +61,10 @@
 constexpr Micros kClockSlack = 1 * kSecond;
 
 // A number for what a site's knowledge is about: its kinds, classes, tenants and zones by name.
-std::uint64_t SiteMark(const marlquay::Site& site);
+std::uint64_t SiteMark(const dispatch::Site& site);
 
 // Takes what the module has learned; `started_ms` by worker: Unix, 0 for long ago.
-Memory Collect(const marlquay::Knowledge& learned, Micros now, const marlquay::Site& site,
+Memory Collect(const dispatch::Knowledge& learned, Micros now, const dispatch::Site& site,
                const std::vector<std::string>& names, const std::vector<std::int64_t>& started_ms,
                const std::string& node, UnixMicros unix_now);
 
@@ -76,21 +76,21 @@
 
 // The same at that age: each value drawn towards what is assumed of the unknown. What may push over
 // a cold worker is the exception: of an unknown age it counts whole.
-Memory Aged(const Memory& memory, const marlquay::Site& site, const Age& age);
+Memory Aged(const Memory& memory, const dispatch::Site& site, const Age& age);
 
 // For a node of this site: the part that needs no worker, ready for the module at `now`, and the
 // others, which wait for the list to name the same processes.
 struct Recall {
-  marlquay::Knowledge common;
+  dispatch::Knowledge common;
   std::unordered_map<std::string, Memory::Worker> workers;
 };
 // Nothing where it is of another node or site; `why` says so.
-std::optional<Recall> ForNode(const Memory& memory, const marlquay::Site& site,
+std::optional<Recall> ForNode(const Memory& memory, const dispatch::Site& site,
                               const std::string& node, UnixMicros unix_now, std::string* why);
 // As the module takes it: with the id that it has here and times on this clock.
-marlquay::WorkerKnowledge ForModule(const Memory::Worker& worker, marlquay::WorkerId id,
+dispatch::WorkerKnowledge ForModule(const Memory::Worker& worker, dispatch::WorkerId id,
                                     Micros now);
 
 }  // namespace pearreach::knowledge
 
-#endif  // PEARREACH_SRC_KNOWLEDGE_MEMORY_H_
+#endif  // PEARREACH_SRC_NODE_KNOWLEDGE_MEMORY_H_
--- a/src/knowledge/saver.cpp
+++ b/src/node/knowledge/saver.cpp
@@ -1,4 +1,4 @@
-#include "knowledge/saver.h"
+#include "node/knowledge/saver.h"
 
 #include <utility>
 
--- a/src/knowledge/saver.h
+++ b/src/node/knowledge/saver.h
@@ -1,8 +1,8 @@
 // Writes what a node learns, off its loop: the newest memory given waits for the thread, one that
 // comes before the last was begun replaces it. It owns that thread; it must never make the loop
 // wait for the disk, but at the end, nor say that something is kept which is not.
-#ifndef PEARREACH_SRC_KNOWLEDGE_SAVER_H_
-#define PEARREACH_SRC_KNOWLEDGE_SAVER_H_
+#ifndef PEARREACH_SRC_NODE_KNOWLEDGE_SAVER_H_
+#define PEARREACH_SRC_NODE_KNOWLEDGE_SAVER_H_
 
 #include <condition_variable>
 #include <cstdint>
@@ -11,7 +11,7 @@
 #include <string>
 #include <thread>
 
-#include "knowledge/file.h"
+#include "node/knowledge/file.h"
 
 namespace pearreach::knowledge {
 
@@ -44,4 +44,4 @@
 
 }  // namespace pearreach::knowledge
 
-#endif  // PEARREACH_SRC_KNOWLEDGE_SAVER_H_
+#endif  // PEARREACH_SRC_NODE_KNOWLEDGE_SAVER_H_
--- a/src/members/members.cpp
+++ b/src/node/membership/members.cpp
@@ -1,4 +1,4 @@
-#include "members/members.h"
+#include "node/membership/members.h"
 
 #include <xxhash.h>
 
@@ -8,9 +8,9 @@
 #include <tuple>
 #include <utility>
 
-#include "members/members.pb.h"
+#include "node/membership/members.pb.h"
 
-namespace pearreach::members {
+namespace pearreach::membership {
 namespace {
 
 enum Kind { kPing = 1, kAck = 2, kAsk = 3, kNack = 4 };
@@ -561,4 +561,4 @@
   return sum;
 }
 
-}  // namespace pearreach::members
+}  // namespace pearreach::membership
--- a/src/members/members.h
+++ b/src/node/membership/members.h
@@ -5,8 +5,8 @@
 // nodes share it, and who is suspected is told first. It owns what the node believes of the others;
 // it has no socket, no clock and no state outside, must never revive a process that has been
 // replaced, and never take "I hear nobody" for "they are gone".
-#ifndef PEARREACH_SRC_MEMBERS_MEMBERS_H_
-#define PEARREACH_SRC_MEMBERS_MEMBERS_H_
+#ifndef PEARREACH_SRC_NODE_MEMBERSHIP_MEMBERS_H_
+#define PEARREACH_SRC_NODE_MEMBERSHIP_MEMBERS_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -16,7 +16,7 @@
 #include <string_view>
 #include <vector>
 
-namespace pearreach::members {
+namespace pearreach::membership {
 
 using Micros = std::int64_t;  // on the caller's clock, which does not run backwards
 
@@ -182,6 +182,6 @@
   Counts counts_;
 };
 
-}  // namespace pearreach::members
+}  // namespace pearreach::membership
 
-#endif  // PEARREACH_SRC_MEMBERS_MEMBERS_H_
+#endif  // PEARREACH_SRC_NODE_MEMBERSHIP_MEMBERS_H_
--- a/src/peers/datagram.cpp
+++ b/src/node/peer_transport/datagram.cpp
@@ -1,10 +1,10 @@
-#include "peers/datagram.h"
+#include "node/peer_transport/datagram.h"
 
 #include <xxhash.h>
 
 #include <utility>
 
-namespace pearreach::peers {
+namespace pearreach::peer_transport {
 namespace {
 
 constexpr char kMark = static_cast<char>(0xA7);
@@ -91,4 +91,4 @@
   return d;
 }
 
-}  // namespace pearreach::peers
+}  // namespace pearreach::peer_transport
--- a/src/peers/datagram.h
+++ b/src/node/peer_transport/datagram.h
@@ -7,8 +7,8 @@
 //   10 process: Unix ms of when it took its address (6)    16  number of the datagram (4)
 //   20 sections: topic (1), length (1), bytes      end: the tag, passed over today
 // Integers are little endian. Another version is another form: such a datagram is not read.
-#ifndef PEARREACH_SRC_PEERS_DATAGRAM_H_
-#define PEARREACH_SRC_PEERS_DATAGRAM_H_
+#ifndef PEARREACH_SRC_NODE_PEER_TRANSPORT_DATAGRAM_H_
+#define PEARREACH_SRC_NODE_PEER_TRANSPORT_DATAGRAM_H_
 
 #include <cstdint>
 #include <optional>
@@ -16,7 +16,7 @@
 #include <string_view>
 #include <vector>
 
-namespace pearreach::peers {
+namespace pearreach::peer_transport {
 
 constexpr std::size_t kMostBytes = 256;  // of a datagram, by the platform's protocol
 constexpr std::size_t kHeadBytes = 20;
@@ -69,6 +69,6 @@
 // The views point into `bytes`. None: `*why` says the reason.
 std::optional<Datagram> Read(std::string_view bytes, Dropped* why);
 
-}  // namespace pearreach::peers
+}  // namespace pearreach::peer_transport
 
-#endif  // PEARREACH_SRC_PEERS_DATAGRAM_H_
+#endif  // PEARREACH_SRC_NODE_PEER_TRANSPORT_DATAGRAM_H_
--- a/src/peers/gate.cpp
+++ b/src/node/peer_transport/gate.cpp
@@ -1,6 +1,6 @@
-#include "peers/gate.h"
+#include "node/peer_transport/gate.h"
 
-namespace pearreach::peers {
+namespace pearreach::peer_transport {
 
 std::optional<Gate::Word> Gate::Admit(std::string_view bytes, int source, Dropped* why) {
   std::optional<Datagram> d = Read(bytes, why);
@@ -33,4 +33,4 @@
   if (process > p.process) p = {process, 0, 0};
 }
 
-}  // namespace pearreach::peers
+}  // namespace pearreach::peer_transport
--- a/src/peers/gate.h
+++ b/src/node/peer_transport/gate.h
@@ -2,8 +2,8 @@
 // holds, for each node, the latest process and which of its datagrams have been read; it must never
 // believe a replaced process, an unknown sender or one datagram twice. The budget holds a node to
 // its bytes a second.
-#ifndef PEARREACH_SRC_PEERS_GATE_H_
-#define PEARREACH_SRC_PEERS_GATE_H_
+#ifndef PEARREACH_SRC_NODE_PEER_TRANSPORT_GATE_H_
+#define PEARREACH_SRC_NODE_PEER_TRANSPORT_GATE_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -11,9 +11,9 @@
 #include <string_view>
 #include <vector>
 
-#include "peers/datagram.h"
+#include "node/peer_transport/datagram.h"
 
-namespace pearreach::peers {
+namespace pearreach::peer_transport {
 
 class Gate {
  public:
@@ -60,6 +60,6 @@
   Micros at_;
 };
 
-}  // namespace pearreach::peers
+}  // namespace pearreach::peer_transport
 
-#endif  // PEARREACH_SRC_PEERS_GATE_H_
+#endif  // PEARREACH_SRC_NODE_PEER_TRANSPORT_GATE_H_
--- a/src/peers/peers.cpp
+++ b/src/node/peer_transport/peers.cpp
@@ -1,8 +1,8 @@
-#include "peers/peers.h"
+#include "node/peer_transport/peers.h"
 
 #include <utility>
 
-namespace pearreach::peers {
+namespace pearreach::peer_transport {
 namespace {
 
 // Read in one turn at most: about a tenth of a millisecond, then clients have theirs.
@@ -164,4 +164,4 @@
   return sent;
 }
 
-}  // namespace pearreach::peers
+}  // namespace pearreach::peer_transport
--- a/src/peers/peers.h
+++ b/src/node/peer_transport/peers.h
@@ -2,8 +2,8 @@
 // priority and within a budget of bytes a second. It owns the socket, the gate and the budget; it
 // must never send more than 256 bytes, never read so much in one turn that clients wait, and knows
 // nothing of what the words mean.
-#ifndef PEARREACH_SRC_PEERS_PEERS_H_
-#define PEARREACH_SRC_PEERS_PEERS_H_
+#ifndef PEARREACH_SRC_NODE_PEER_TRANSPORT_PEERS_H_
+#define PEARREACH_SRC_NODE_PEER_TRANSPORT_PEERS_H_
 
 #include <functional>
 #include <map>
@@ -11,10 +11,10 @@
 #include <string_view>
 #include <vector>
 
-#include "base/io.h"
-#include "peers/gate.h"
+#include "common/event_loop/io.h"
+#include "node/peer_transport/gate.h"
 
-namespace pearreach::peers {
+namespace pearreach::peer_transport {
 
 struct Options {
   std::string listen;              // ip:port
@@ -69,6 +69,6 @@
   std::uint32_t number_ = 0;
 };
 
-}  // namespace pearreach::peers
+}  // namespace pearreach::peer_transport
 
-#endif  // PEARREACH_SRC_PEERS_PEERS_H_
+#endif  // PEARREACH_SRC_NODE_PEER_TRANSPORT_PEERS_H_
--- a/src/rules/document.cpp
+++ b/src/node/rules/document.cpp
@@ -1,4 +1,4 @@
-#include "rules/document.h"
+#include "node/rules/document.h"
 
 #include <sodium.h>
 
@@ -6,10 +6,10 @@
 #include <cmath>
 #include <cstring>
 
-#include "config/xml.h"
-#include "rules/rules.pb.h"
-#include "rules/rules_schema.h"
-#include "site/site.h"
+#include "dispatch/settings/site.h"
+#include "node/config/xml.h"
+#include "node/rules/rules.pb.h"
+#include "node/rules/rules_schema.h"
 
 namespace pearreach::rules {
 namespace {
@@ -127,7 +127,7 @@
   const auto number = [&](const xmlNode* n, const char* attribute, auto* to) {
     using T = typename std::decay_t<decltype(*to)>::value_type;
     if (const std::string said = xml::Text(n, attribute); !said.empty())
-      *to = marlquay::Number<T>(said, attribute);
+      *to = dispatch::Number<T>(said, attribute);
   };
   Document d;
   std::optional<std::uint32_t> schema;
@@ -148,7 +148,7 @@
     const std::string word(rest.substr(0, space));
     rest = space == std::string_view::npos ? std::string_view() : rest.substr(space + 1);
     if (word.empty()) continue;
-    const int voter = marlquay::Number<int>(word, "voters");
+    const int voter = dispatch::Number<int>(word, "voters");
     if (voter >= nodes)
       xml::Fail(name, xml::Line(root),
                 "voters: there is no node " + word + " of " + std::to_string(nodes));
@@ -160,7 +160,7 @@
     const std::string of = xml::Text(n, what == "ban" ? "worker" : "name");
     bool first = true;
     if (what == "account") {
-      first = d.rules.shares.emplace(of, marlquay::Number<double>(xml::Text(n, "share"), "share"))
+      first = d.rules.shares.emplace(of, dispatch::Number<double>(xml::Text(n, "share"), "share"))
                   .second;
     } else if (what == "ban") {
       first = d.rules.bans.insert(of).second;
--- a/src/rules/document.h
+++ b/src/node/rules/document.h
@@ -6,8 +6,8 @@
 // forbids; the stricter of two obeys both; two processes act on rules that contradict each other if
 // there is no version that both obey. The floor obeys every version that could be, as far as a
 // value can say so: bans and zones that are left are those that are known.
-#ifndef PEARREACH_SRC_RULES_DOCUMENT_H_
-#define PEARREACH_SRC_RULES_DOCUMENT_H_
+#ifndef PEARREACH_SRC_NODE_RULES_DOCUMENT_H_
+#define PEARREACH_SRC_NODE_RULES_DOCUMENT_H_
 
 #include <cstdint>
 #include <map>
@@ -51,7 +51,7 @@
   bool operator==(const Document&) const = default;
 };
 // The rules and voters of a file, without number or origin; `voters` if it names none. Throws
-// marlquay::Malformed with "NAME:LINE: what".
+// dispatch::Malformed with "NAME:LINE: what".
 Document ReadXml(std::string_view text, const std::string& name, const std::vector<int>& voters,
                  int nodes);
 std::string WriteXml(const Document& document);
@@ -66,4 +66,4 @@
 
 }  // namespace pearreach::rules
 
-#endif  // PEARREACH_SRC_RULES_DOCUMENT_H_
+#endif  // PEARREACH_SRC_NODE_RULES_DOCUMENT_H_
--- a/src/rules/documents.cpp
+++ b/src/node/rules/documents.cpp
@@ -1,7 +1,7 @@
 // The documents of versions: those held here, and the fetch of others part by part.
 #include <algorithm>
 
-#include "rules/rules.h"
+#include "node/rules/rules.h"
 
 namespace pearreach::rules {
 namespace {
--- a/src/rules/exchange.cpp
+++ b/src/node/rules/exchange.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "rules/rules.h"
+#include "node/rules/rules.h"
 
 namespace pearreach::rules {
 void Agreement::Tick(Micros now, const std::vector<int>& alive, std::vector<Out>* out) {
--- a/src/rules/leases.cpp
+++ b/src/node/rules/leases.cpp
@@ -1,7 +1,7 @@
 // The leases on versions: which version this node may act on, until when, and who has it.
 #include <algorithm>
 
-#include "rules/rules.h"
+#include "node/rules/rules.h"
 
 namespace pearreach::rules {
 namespace {
--- a/src/rules/messages.cpp
+++ b/src/node/rules/messages.cpp
@@ -1,9 +1,9 @@
-#include "rules/messages.h"
+#include "node/rules/messages.h"
 
 #include <algorithm>
 
-#include "rules/document.h"
-#include "rules/rules.pb.h"
+#include "node/rules/document.h"
+#include "node/rules/rules.pb.h"
 
 namespace pearreach::rules {
 namespace {
--- a/src/rules/messages.h
+++ b/src/node/rules/messages.h
@@ -1,8 +1,8 @@
 // What one node says to another of the version of its rules, as values and as bytes. Pure and
 // bounded: it reads nothing that it has not checked, must never give more than the caller has room
 // for, and passes over what it does not know.
-#ifndef PEARREACH_SRC_RULES_MESSAGES_H_
-#define PEARREACH_SRC_RULES_MESSAGES_H_
+#ifndef PEARREACH_SRC_NODE_RULES_MESSAGES_H_
+#define PEARREACH_SRC_NODE_RULES_MESSAGES_H_
 
 #include <compare>
 #include <cstdint>
@@ -44,4 +44,4 @@
 
 }  // namespace pearreach::rules
 
-#endif  // PEARREACH_SRC_RULES_MESSAGES_H_
+#endif  // PEARREACH_SRC_NODE_RULES_MESSAGES_H_
--- a/src/rules/paxos.cpp
+++ b/src/node/rules/paxos.cpp
@@ -2,7 +2,7 @@
 // and, while it has a proposal, as the proposer.
 #include <algorithm>
 
-#include "rules/rules.h"
+#include "node/rules/rules.h"
 
 namespace pearreach::rules {
 namespace {
--- a/src/rules/proposals.cpp
+++ b/src/node/rules/proposals.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "rules/rules.h"
+#include "node/rules/rules.h"
 
 namespace pearreach::rules {
 std::uint64_t Agreement::Propose(Micros now, Document document, std::optional<std::uint64_t> after,
--- a/src/rules/recovery.cpp
+++ b/src/node/rules/recovery.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "rules/rules.h"
+#include "node/rules/rules.h"
 
 namespace pearreach::rules {
 namespace {
--- a/src/rules/rules.cpp
+++ b/src/node/rules/rules.cpp
@@ -1,4 +1,4 @@
-#include "rules/rules.h"
+#include "node/rules/rules.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/rules/rules.h
+++ b/src/node/rules/rules.h
@@ -14,8 +14,8 @@
 // all leases on the one before have ended. A voter that has lost what it knew (no disk) takes no
 // part until every ballot and lease that it may have been part of has ended and it has learned
 // from so many others that one of them has seen whatever was chosen (Liskov, Cowling 2012).
-#ifndef PEARREACH_SRC_RULES_RULES_H_
-#define PEARREACH_SRC_RULES_RULES_H_
+#ifndef PEARREACH_SRC_NODE_RULES_RULES_H_
+#define PEARREACH_SRC_NODE_RULES_RULES_H_
 
 #include <cstdint>
 #include <deque>
@@ -27,8 +27,8 @@
 #include <string_view>
 #include <vector>
 
-#include "rules/document.h"
-#include "rules/messages.h"
+#include "node/rules/document.h"
+#include "node/rules/messages.h"
 
 namespace pearreach::rules {
 
@@ -258,4 +258,4 @@
 
 }  // namespace pearreach::rules
 
-#endif  // PEARREACH_SRC_RULES_RULES_H_
+#endif  // PEARREACH_SRC_NODE_RULES_RULES_H_
--- a/src/rules/stored_state.cpp
+++ b/src/node/rules/stored_state.cpp
@@ -1,6 +1,6 @@
 // What a node keeps over its end, as bytes.
-#include "rules/rules.h"
-#include "rules/rules.pb.h"
+#include "node/rules/rules.h"
+#include "node/rules/rules.pb.h"
 
 namespace pearreach::rules {
 namespace {
--- a/src/shared/budgets.cpp
+++ b/src/node/shared_state/budgets.cpp
@@ -1,10 +1,10 @@
-#include "shared/budgets.h"
+#include "node/shared_state/budgets.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-namespace pearreach::shared {
+namespace pearreach::shared_state {
 namespace {
 
 constexpr double kDemandLeast = 1e6, kDemandMost = 30e6;  // microseconds over which wants fade
@@ -253,4 +253,4 @@
   return sum;
 }
 
-}  // namespace pearreach::shared
+}  // namespace pearreach::shared_state
--- a/src/shared/budgets.h
+++ b/src/node/shared_state/budgets.h
@@ -10,8 +10,8 @@
 // before the grant is sent until its lease has ended on every clock, heard or not. A process that
 // begins does not know what the one before it had lent: it has its floor until all of that has
 // ended. It never takes what was granted to the one before it.
-#ifndef PEARREACH_SRC_SHARED_BUDGETS_H_
-#define PEARREACH_SRC_SHARED_BUDGETS_H_
+#ifndef PEARREACH_SRC_NODE_SHARED_STATE_BUDGETS_H_
+#define PEARREACH_SRC_NODE_SHARED_STATE_BUDGETS_H_
 
 #include <cstdint>
 #include <map>
@@ -19,7 +19,7 @@
 #include <random>
 #include <vector>
 
-namespace pearreach::shared {
+namespace pearreach::shared_state {
 
 using Micros = std::int64_t;  // Unix time, the same on all machines to within `skew`
 
@@ -139,6 +139,6 @@
   Without without_;
 };
 
-}  // namespace pearreach::shared
+}  // namespace pearreach::shared_state
 
-#endif  // PEARREACH_SRC_SHARED_BUDGETS_H_
+#endif  // PEARREACH_SRC_NODE_SHARED_STATE_BUDGETS_H_
--- a/src/shared/counts.cpp
+++ b/src/node/shared_state/counts.cpp
@@ -1,10 +1,10 @@
-#include "shared/counts.h"
+#include "node/shared_state/counts.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-namespace pearreach::shared {
+namespace pearreach::shared_state {
 namespace {
 
 constexpr double kDemandMemory = 1e6;  // microseconds over which tries fade
@@ -215,4 +215,4 @@
   return sum;
 }
 
-}  // namespace pearreach::shared
+}  // namespace pearreach::shared_state
--- a/src/shared/counts.h
+++ b/src/node/shared_state/counts.h
@@ -8,15 +8,15 @@
 // counts no faster, and it holds itself to that. So who hears nothing knows what the other may have
 // counted meanwhile. Source of the merge: grow-only counters (Shapiro, Preguica, Baquero, Zawirski
 // 2011), one per process; the ceiling is a lease on a rate.
-#ifndef PEARREACH_SRC_SHARED_COUNTS_H_
-#define PEARREACH_SRC_SHARED_COUNTS_H_
+#ifndef PEARREACH_SRC_NODE_SHARED_STATE_COUNTS_H_
+#define PEARREACH_SRC_NODE_SHARED_STATE_COUNTS_H_
 
 #include <cstdint>
 #include <deque>
 #include <optional>
 #include <vector>
 
-namespace pearreach::shared {
+namespace pearreach::shared_state {
 
 // Unix time, which all machines of the platform read from one clock, to within `skew`.
 using Micros = std::int64_t;
@@ -121,6 +121,6 @@
   std::vector<Other> others_;
 };
 
-}  // namespace pearreach::shared
+}  // namespace pearreach::shared_state
 
-#endif  // PEARREACH_SRC_SHARED_COUNTS_H_
+#endif  // PEARREACH_SRC_NODE_SHARED_STATE_COUNTS_H_
--- a/src/shared/judgements.cpp
+++ b/src/node/shared_state/judgements.cpp
@@ -1,4 +1,4 @@
-#include "shared/judgements.h"
+#include "node/shared_state/judgements.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 #include <tuple>
 #include <utility>
 
-namespace pearreach::shared {
+namespace pearreach::shared_state {
 namespace {
 
 constexpr double kLearn = 0.15;             // weight of one job's end
@@ -299,4 +299,4 @@
   return sum;
 }
 
-}  // namespace pearreach::shared
+}  // namespace pearreach::shared_state
--- a/src/shared/judgements.h
+++ b/src/node/shared_state/judgements.h
@@ -8,15 +8,15 @@
 // does not depend on their order, number or loss. A word counts for the start of the worker that it
 // names, and fades by age. Who may try a worker that is out is drawn alike at all nodes: one at a
 // time, from those alive.
-#ifndef PEARREACH_SRC_SHARED_JUDGEMENTS_H_
-#define PEARREACH_SRC_SHARED_JUDGEMENTS_H_
+#ifndef PEARREACH_SRC_NODE_SHARED_STATE_JUDGEMENTS_H_
+#define PEARREACH_SRC_NODE_SHARED_STATE_JUDGEMENTS_H_
 
 #include <cstdint>
 #include <map>
 #include <string>
 #include <vector>
 
-namespace pearreach::shared {
+namespace pearreach::shared_state {
 
 using Micros = std::int64_t;  // Unix time
 
@@ -123,6 +123,6 @@
   std::map<WorkerKey, Standing> standing_;  // those that are not as if nothing were said
 };
 
-}  // namespace pearreach::shared
+}  // namespace pearreach::shared_state
 
-#endif  // PEARREACH_SRC_SHARED_JUDGEMENTS_H_
+#endif  // PEARREACH_SRC_NODE_SHARED_STATE_JUDGEMENTS_H_
--- a/src/shared/shared.cpp
+++ b/src/node/shared_state/shared.cpp
@@ -1,10 +1,10 @@
-#include "shared/shared.h"
+#include "node/shared_state/shared.h"
 
 #include <algorithm>
 #include <map>
 #include <utility>
 
-namespace pearreach::shared {
+namespace pearreach::shared_state {
 namespace {
 
 constexpr std::size_t kMostOpinions = 6;  // in a word: the rest is the counts'
@@ -156,4 +156,4 @@
   if (!grants.empty()) Say(now, from, {}, std::move(grants), out);
 }
 
-}  // namespace pearreach::shared
+}  // namespace pearreach::shared_state
--- a/src/shared/shared.h
+++ b/src/node/shared_state/shared.h
@@ -2,16 +2,16 @@
 // budgets, judgements on match workers, and the words about them. Pure: no socket, no clock; what
 // it is told and when decides what it says. It owns the three machines and the order in which their
 // words go out; it must never act on a word beyond what each of them allows.
-#ifndef PEARREACH_SRC_SHARED_SHARED_H_
-#define PEARREACH_SRC_SHARED_SHARED_H_
+#ifndef PEARREACH_SRC_NODE_SHARED_STATE_SHARED_H_
+#define PEARREACH_SRC_NODE_SHARED_STATE_SHARED_H_
 
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "shared/words.h"
+#include "node/shared_state/words.h"
 
-namespace pearreach::shared {
+namespace pearreach::shared_state {
 
 struct SharedOptions {
   int self = 0, nodes = 1, zone = 0, zones = 1;
@@ -83,6 +83,6 @@
   bool differs_ = false;
 };
 
-}  // namespace pearreach::shared
+}  // namespace pearreach::shared_state
 
-#endif  // PEARREACH_SRC_SHARED_SHARED_H_
+#endif  // PEARREACH_SRC_NODE_SHARED_STATE_SHARED_H_
--- a/src/shared/words.cpp
+++ b/src/node/shared_state/words.cpp
@@ -1,11 +1,11 @@
-#include "shared/words.h"
+#include "node/shared_state/words.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "shared/shared.pb.h"
+#include "node/shared_state/shared.pb.h"
 
-namespace pearreach::shared {
+namespace pearreach::shared_state {
 namespace {
 
 constexpr Micros kEpoch = kEpochMs * 1000;
@@ -149,4 +149,4 @@
   return w;
 }
 
-}  // namespace pearreach::shared
+}  // namespace pearreach::shared_state
--- a/src/shared/words.h
+++ b/src/node/shared_state/words.h
@@ -1,19 +1,19 @@
 // What one node says to another of shared state, as values and as bytes. Pure and bounded: it reads
 // nothing that it has not checked, must never give more than the caller has room for, and passes
 // over what it does not know.
-#ifndef PEARREACH_SRC_SHARED_WORDS_H_
-#define PEARREACH_SRC_SHARED_WORDS_H_
+#ifndef PEARREACH_SRC_NODE_SHARED_STATE_WORDS_H_
+#define PEARREACH_SRC_NODE_SHARED_STATE_WORDS_H_
 
 #include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "shared/budgets.h"
-#include "shared/counts.h"
-#include "shared/judgements.h"
+#include "node/shared_state/budgets.h"
+#include "node/shared_state/counts.h"
+#include "node/shared_state/judgements.h"
 
-namespace pearreach::shared {
+namespace pearreach::shared_state {
 
 constexpr std::int64_t kEpochMs = 1'767'225'600'000;  // 2026-01-01, Unix ms
 
@@ -34,6 +34,6 @@
 // None: it cannot be read. `from` and `process` are the sender's.
 std::optional<Word> Decode(std::string_view bytes, int from, std::uint64_t process);
 
-}  // namespace pearreach::shared
+}  // namespace pearreach::shared_state
 
-#endif  // PEARREACH_SRC_SHARED_WORDS_H_
+#endif  // PEARREACH_SRC_NODE_SHARED_STATE_WORDS_H_
--- a/src/zones/evidence.cpp
+++ b/src/node/zones/evidence.cpp
@@ -3,7 +3,7 @@
 #include <iterator>
 #include <utility>
 
-#include "zones/zones.h"
+#include "node/zones/zones.h"
 
 namespace pearreach::zones {
 namespace {
--- a/src/zones/messages.cpp
+++ b/src/node/zones/messages.cpp
@@ -1,10 +1,10 @@
-#include "zones/messages.h"
+#include "node/zones/messages.h"
 
 #include <algorithm>
 #include <iterator>
 #include <tuple>
 
-#include "zones/zones.pb.h"
+#include "node/zones/zones.pb.h"
 
 namespace pearreach::zones {
 namespace {
--- a/src/zones/messages.h
+++ b/src/node/zones/messages.h
@@ -1,8 +1,8 @@
 // What one node says to another of zones, as values and as bytes. Pure and bounded: it reads
 // nothing that it has not checked, must never give more than the caller has room for, and passes
 // over what it does not know.
-#ifndef PEARREACH_SRC_ZONES_MESSAGES_H_
-#define PEARREACH_SRC_ZONES_MESSAGES_H_
+#ifndef PEARREACH_SRC_NODE_ZONES_MESSAGES_H_
+#define PEARREACH_SRC_NODE_ZONES_MESSAGES_H_
 
 #include <cstdint>
 #include <optional>
@@ -84,4 +84,4 @@
 
 }  // namespace pearreach::zones
 
-#endif  // PEARREACH_SRC_ZONES_MESSAGES_H_
+#endif  // PEARREACH_SRC_NODE_ZONES_MESSAGES_H_
--- a/src/zones/mix.h
+++ b/src/node/zones/mix.h
@@ -1,6 +1,6 @@
 // The hash by which all nodes draw alike.
-#ifndef PEARREACH_SRC_ZONES_MIX_H_
-#define PEARREACH_SRC_ZONES_MIX_H_
+#ifndef PEARREACH_SRC_NODE_ZONES_MIX_H_
+#define PEARREACH_SRC_NODE_ZONES_MIX_H_
 
 #include <cstdint>
 
@@ -15,4 +15,4 @@
 
 }  // namespace pearreach::zones
 
-#endif  // PEARREACH_SRC_ZONES_MIX_H_
+#endif  // PEARREACH_SRC_NODE_ZONES_MIX_H_
--- a/src/zones/standing.cpp
+++ b/src/node/zones/standing.cpp
@@ -4,8 +4,8 @@
 #include <cmath>
 #include <utility>
 
-#include "zones/mix.h"
-#include "zones/zones.h"
+#include "node/zones/mix.h"
+#include "node/zones/zones.h"
 
 namespace pearreach::zones {
 namespace {
--- a/src/zones/verdicts.cpp
+++ b/src/node/zones/verdicts.cpp
@@ -1,7 +1,7 @@
 // Verdicts and operators' orders: which are raised here, and which of those heard are held.
 #include <algorithm>
 
-#include "zones/zones.h"
+#include "node/zones/zones.h"
 
 namespace pearreach::zones {
 namespace {
--- a/src/zones/zones.cpp
+++ b/src/node/zones/zones.cpp
@@ -1,4 +1,4 @@
-#include "zones/zones.h"
+#include "node/zones/zones.h"
 
 #include <xxhash.h>
 
--- a/src/zones/zones.h
+++ b/src/node/zones/zones.h
@@ -9,8 +9,8 @@
 // number; the later one of two holds everywhere (Later is a total order, so the merge does not
 // depend on the order, number or loss of words). Which node may use which worker of a zone that
 // comes back is drawn alike at all nodes by a hash, so that the steps need no words of their own.
-#ifndef PEARREACH_SRC_ZONES_ZONES_H_
-#define PEARREACH_SRC_ZONES_ZONES_H_
+#ifndef PEARREACH_SRC_NODE_ZONES_ZONES_H_
+#define PEARREACH_SRC_NODE_ZONES_ZONES_H_
 
 #include <cstdint>
 #include <map>
@@ -19,7 +19,7 @@
 #include <string_view>
 #include <vector>
 
-#include "zones/messages.h"
+#include "node/zones/messages.h"
 
 namespace pearreach::zones {
 
@@ -246,4 +246,4 @@
 
 }  // namespace pearreach::zones
 
-#endif  // PEARREACH_SRC_ZONES_ZONES_H_
+#endif  // PEARREACH_SRC_NODE_ZONES_ZONES_H_
--- a/src/batch/commit_queue.cpp
+++ b/src/tier/batch/commit_queue.cpp
@@ -1,4 +1,4 @@
-#include "batch/commit_queue.h"
+#include "tier/batch/commit_queue.h"
 
 #include <iterator>
 #include <utility>
@@ -9,21 +9,21 @@
 // About, of one write to disk; a single batch may be larger.
 constexpr std::size_t kWriteBytes = 1 << 20;
 
-std::size_t BytesOf(const std::vector<disk::Write>& batch) {
+std::size_t BytesOf(const std::vector<storage::Write>& batch) {
   std::size_t bytes = 0;
-  for (const disk::Write& write : batch) bytes += write.key.size() + write.value.size();
+  for (const storage::Write& write : batch) bytes += write.key.size() + write.value.size();
   return bytes;
 }
 
 }  // namespace
 
-void CommitQueue::Commit(std::vector<disk::Write> batch, Done done) {
+void CommitQueue::Commit(std::vector<storage::Write> batch, Done done) {
   waiting_.push_back({std::move(batch), std::move(done)});
   if (writing_.empty()) Next();
 }
 
 void CommitQueue::Next() {
-  std::vector<disk::Write> together;
+  std::vector<storage::Write> together;
   std::size_t bytes = 0;
   while (!waiting_.empty() && bytes < kWriteBytes) {
     Job job = std::move(waiting_.front());
--- a/src/batch/commit_queue.h
+++ b/src/tier/batch/commit_queue.h
@@ -1,7 +1,7 @@
 // Writes of one partition to disk, in order: what was queued behind a write that failed fails with
 // it, so that no change stands on disk without those before it.
-#ifndef PEARREACH_SRC_BATCH_COMMIT_QUEUE_H_
-#define PEARREACH_SRC_BATCH_COMMIT_QUEUE_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_COMMIT_QUEUE_H_
+#define PEARREACH_SRC_TIER_BATCH_COMMIT_QUEUE_H_
 
 #include <absl/status/status.h>
 
@@ -11,7 +11,7 @@
 #include <memory>
 #include <vector>
 
-#include "disk/table_store.h"
+#include "tier/storage/table_store.h"
 
 namespace pearreach::batch {
 
@@ -19,19 +19,19 @@
  public:
   using Done = std::function<void(absl::Status)>;
   // Makes a batch durable as a whole or not at all; never calls back from inside the call.
-  using Write = std::function<void(std::vector<disk::Write> batch, Done done)>;
+  using Write = std::function<void(std::vector<storage::Write> batch, Done done)>;
 
   explicit CommitQueue(Write write) : write_(std::move(write)) {}
 
   // One write is under way at a time; what comes meanwhile goes together in the next. `done` is
   // called in the order of the calls. An empty batch waits for those before it.
-  void Commit(std::vector<disk::Write> batch, Done done);
+  void Commit(std::vector<storage::Write> batch, Done done);
   // Everything that was handed in is durable or has failed.
   bool idle() const { return writing_.empty() && waiting_.empty(); }
 
  private:
   struct Job {
-    std::vector<disk::Write> batch;
+    std::vector<storage::Write> batch;
     Done done;
   };
 
@@ -46,4 +46,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_COMMIT_QUEUE_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_COMMIT_QUEUE_H_
--- a/src/batch/disk_room.cpp
+++ b/src/tier/batch/disk_room.cpp
@@ -1,4 +1,4 @@
-#include "batch/disk_room.h"
+#include "tier/batch/disk_room.h"
 
 #include <algorithm>
 #include <vector>
@@ -68,21 +68,21 @@
   admitted_ = 0;
 }
 
-std::uint64_t DiskRoom::Limit(const disk::Space& space) const {
+std::uint64_t DiskRoom::Limit(const storage::Space& space) const {
   const std::uint64_t limit = space.limit_bytes - space.limit_bytes / kSpareShare;
   const bool others_take_over = stores_ > replicas_;
   return others_take_over ? limit / stores_ * (stores_ - 1) : limit;
 }
 
-std::uint64_t DiskRoom::Own(const disk::Space& space) const {
+std::uint64_t DiskRoom::Own(const storage::Space& space) const {
   const std::uint64_t taken = space.used_bytes + owed_ + admitted_ + admitted_before_;
   return Limit(space) - std::min(Limit(space), taken);
 }
 
-bool DiskRoom::IsShort(const disk::Space& space) const { return Own(space) < Limit(space) / 4; }
+bool DiskRoom::IsShort(const storage::Space& space) const { return Own(space) < Limit(space) / 4; }
 
 std::optional<StoreId> DiskRoom::Lacking(const Partition& table, const StoreId& self,
-                                         const disk::Space& space, std::uint64_t bytes) const {
+                                         const storage::Space& space, std::uint64_t bytes) const {
   for (const StoreId& store : Holders(table)) {
     const auto peer = peers_.find(store);
     const bool known = store == self || peer != peers_.end();
--- a/src/batch/disk_room.h
+++ b/src/tier/batch/disk_room.h
@@ -1,16 +1,16 @@
 // Whether a lot finds room on the disks of all replicas of its partition, from the sizes: what is
 // in use, what open lots may still add, and what must stay free to repair the loss of a store.
-#ifndef PEARREACH_SRC_BATCH_DISK_ROOM_H_
-#define PEARREACH_SRC_BATCH_DISK_ROOM_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_DISK_ROOM_H_
+#define PEARREACH_SRC_TIER_BATCH_DISK_ROOM_H_
 
 #include <cstddef>
 #include <cstdint>
 #include <map>
 #include <optional>
 
-#include "batch/lot_state.h"
-#include "batch/messages.h"
-#include "disk/table_store.h"
+#include "tier/batch/lot_state.h"
+#include "tier/batch/messages.h"
+#include "tier/storage/table_store.h"
 
 namespace pearreach::batch {
 
@@ -27,18 +27,18 @@
   // Of all open lots on this disk, told anew from time to time.
   void SetOwed(std::uint64_t bytes);
   // For further lots on this disk; `space` as it is now.
-  std::uint64_t Own(const disk::Space& space) const;
+  std::uint64_t Own(const storage::Space& space) const;
   // As another store told it last.
   void NotePeer(const StoreId& store, std::uint64_t room) { peers_[store] = room; }
   // A holder of the partition that lacks the room, if one does; one never heard of does not.
   std::optional<StoreId> Lacking(const Partition& table, const StoreId& self,
-                                 const disk::Space& space, std::uint64_t bytes) const;
+                                 const storage::Space& space, std::uint64_t bytes) const;
   // Sets the bytes aside on this disk and at the other holders until they tell anew.
   void Take(const Partition& table, const StoreId& self, std::uint64_t bytes);
-  bool IsShort(const disk::Space& space) const;  // less than a quarter of the room is left
+  bool IsShort(const storage::Space& space) const;  // less than a quarter of the room is left
 
  private:
-  std::uint64_t Limit(const disk::Space& space) const;
+  std::uint64_t Limit(const storage::Space& space) const;
 
   std::size_t stores_ = 0, replicas_ = 1;
   std::uint64_t owed_ = 0;
@@ -48,4 +48,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_DISK_ROOM_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_DISK_ROOM_H_
--- a/src/batch/event_text.cpp
+++ b/src/tier/batch/event_text.cpp
@@ -1,4 +1,4 @@
-#include "batch/event_text.h"
+#include "tier/batch/event_text.h"
 
 namespace pearreach::batch {
 namespace {
--- a/src/batch/event_text.h
+++ b/src/tier/batch/event_text.h
@@ -1,6 +1,6 @@
 // The text of an event stream: the data of its events in order, parted by line feeds.
-#ifndef PEARREACH_SRC_BATCH_EVENT_TEXT_H_
-#define PEARREACH_SRC_BATCH_EVENT_TEXT_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_EVENT_TEXT_H_
+#define PEARREACH_SRC_TIER_BATCH_EVENT_TEXT_H_
 
 #include <string>
 #include <string_view>
@@ -27,4 +27,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_EVENT_TEXT_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_EVENT_TEXT_H_
--- a/src/batch/item_job.cpp
+++ b/src/tier/batch/item_job.cpp
@@ -1,4 +1,4 @@
-#include "batch/item_job.h"
+#include "tier/batch/item_job.h"
 
 #include <algorithm>
 #include <array>
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "proxy/prompt_headers.h"
+#include "tier/proxy/prompt_headers.h"
 
 namespace pearreach::batch {
 namespace {
--- a/src/batch/item_job.h
+++ b/src/tier/batch/item_job.h
@@ -1,13 +1,13 @@
 // The job that runs an item of a lot.
-#ifndef PEARREACH_SRC_BATCH_ITEM_JOB_H_
-#define PEARREACH_SRC_BATCH_ITEM_JOB_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_ITEM_JOB_H_
+#define PEARREACH_SRC_TIER_BATCH_ITEM_JOB_H_
 
 #include <string>
 
-#include "base/io.h"
-#include "batch/messages.h"
-#include "proxy/job.h"
-#include "routing/route_table.h"
+#include "common/event_loop/io.h"
+#include "tier/batch/messages.h"
+#include "tier/proxy/job.h"
+#include "tier/routing/route_table.h"
 
 namespace pearreach::batch {
 
@@ -18,4 +18,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_ITEM_JOB_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_ITEM_JOB_H_
--- a/src/batch/item_taker.cpp
+++ b/src/tier/batch/item_taker.cpp
@@ -1,4 +1,4 @@
-#include "batch/item_taker.h"
+#include "tier/batch/item_taker.h"
 
 #include <algorithm>
 #include <set>
--- a/src/batch/item_taker.h
+++ b/src/tier/batch/item_taker.h
@@ -1,7 +1,7 @@
 // Takes items of lots from the stores: keeps a call open at each primary store for as long as this
 // node has room to run items.
-#ifndef PEARREACH_SRC_BATCH_ITEM_TAKER_H_
-#define PEARREACH_SRC_BATCH_ITEM_TAKER_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_ITEM_TAKER_H_
+#define PEARREACH_SRC_TIER_BATCH_ITEM_TAKER_H_
 
 #include <cstdint>
 #include <functional>
@@ -9,12 +9,12 @@
 #include <memory>
 #include <string>
 
-#include "base/timers.h"
-#include "batch/messages.h"
-#include "batch/store_client.h"
-#include "control/control_client.h"
-#include "proxy/job.h"
-#include "routing/route_table.h"
+#include "common/event_loop/timers.h"
+#include "tier/batch/messages.h"
+#include "tier/batch/store_client.h"
+#include "tier/control/control_client.h"
+#include "tier/proxy/job.h"
+#include "tier/routing/route_table.h"
 
 namespace pearreach::batch {
 
@@ -65,4 +65,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_ITEM_TAKER_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_ITEM_TAKER_H_
--- a/src/batch/item_worker.cpp
+++ b/src/tier/batch/item_worker.cpp
@@ -1,10 +1,10 @@
-#include "batch/item_worker.h"
+#include "tier/batch/item_worker.h"
 
 #include <algorithm>
 #include <string_view>
 
-#include "batch/event_text.h"
-#include "batch/item_job.h"
+#include "tier/batch/event_text.h"
+#include "tier/batch/item_job.h"
 
 namespace pearreach::batch {
 namespace {
--- a/src/batch/item_worker.h
+++ b/src/tier/batch/item_worker.h
@@ -1,7 +1,7 @@
 // Runs items of lots at an edge node: items leased from the stores become bulk jobs, their results
 // go back to the stores until these acknowledge them.
-#ifndef PEARREACH_SRC_BATCH_ITEM_WORKER_H_
-#define PEARREACH_SRC_BATCH_ITEM_WORKER_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_ITEM_WORKER_H_
+#define PEARREACH_SRC_TIER_BATCH_ITEM_WORKER_H_
 
 #include <cstdint>
 #include <functional>
@@ -12,12 +12,12 @@
 #include <utility>
 #include <vector>
 
-#include "base/timers.h"
-#include "batch/item_taker.h"
-#include "batch/messages.h"
-#include "batch/store_client.h"
-#include "control/control_client.h"
-#include "proxy/job.h"
+#include "common/event_loop/timers.h"
+#include "tier/batch/item_taker.h"
+#include "tier/batch/messages.h"
+#include "tier/batch/store_client.h"
+#include "tier/control/control_client.h"
+#include "tier/proxy/job.h"
 
 namespace pearreach::batch {
 
@@ -78,4 +78,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_ITEM_WORKER_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_ITEM_WORKER_H_
--- a/src/batch/leases.cpp
+++ b/src/tier/batch/leases.cpp
@@ -1,4 +1,4 @@
-#include "batch/leases.h"
+#include "tier/batch/leases.h"
 
 #include <algorithm>
 
--- a/src/batch/leases.h
+++ b/src/tier/batch/leases.h
@@ -1,7 +1,7 @@
 // Which items of open lots wait and which are leased to edge nodes. Of one process and in memory
 // only: a pure machine that is handed the time.
-#ifndef PEARREACH_SRC_BATCH_LEASES_H_
-#define PEARREACH_SRC_BATCH_LEASES_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_LEASES_H_
+#define PEARREACH_SRC_TIER_BATCH_LEASES_H_
 
 #include <cstdint>
 #include <map>
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "base/timers.h"
+#include "common/event_loop/timers.h"
 
 namespace pearreach::batch {
 
@@ -95,4 +95,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_LEASES_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_LEASES_H_
--- a/src/batch/leave_check.cpp
+++ b/src/tier/batch/leave_check.cpp
@@ -1,4 +1,4 @@
-#include "batch/leave_check.h"
+#include "tier/batch/leave_check.h"
 
 #include <algorithm>
 
--- a/src/batch/lot_age.cpp
+++ b/src/tier/batch/lot_age.cpp
@@ -1,4 +1,4 @@
-#include "batch/lot_age.h"
+#include "tier/batch/lot_age.h"
 
 #include <algorithm>
 
--- a/src/batch/lot_age.h
+++ b/src/tier/batch/lot_age.h
@@ -2,11 +2,11 @@
 // knew the lot. The time of day may step and differs between machines, so an age by it may be too
 // high, and items would be given up or lots forgotten before their time. This age never is; a
 // restart begins it anew.
-#ifndef PEARREACH_SRC_BATCH_LOT_AGE_H_
-#define PEARREACH_SRC_BATCH_LOT_AGE_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_LOT_AGE_H_
+#define PEARREACH_SRC_TIER_BATCH_LOT_AGE_H_
 
-#include "base/io.h"
-#include "batch/lot_state.h"
+#include "common/event_loop/io.h"
+#include "tier/batch/lot_state.h"
 
 namespace pearreach::batch {
 
@@ -22,4 +22,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_LOT_AGE_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_LOT_AGE_H_
