--- a/src/batch/lot_api.cpp
+++ b/src/tier/batch/lot_api.cpp
@@ -1,4 +1,4 @@
-#include "batch/lot_api.h"
+#include "tier/batch/lot_api.h"
 
 #include <fmt/format.h>
 
@@ -9,9 +9,9 @@
 #include <utility>
 #include <vector>
 
-#include "batch/lot_hand_in.h"
-#include "batch/lot_json.h"
-#include "logging/log.h"
+#include "tier/batch/lot_hand_in.h"
+#include "tier/batch/lot_json.h"
+#include "tier/logging/log.h"
 
 namespace pearreach::batch {
 namespace {
@@ -96,11 +96,12 @@
   return ParseNumber<double>(*text);
 }
 
-void Answer(const std::shared_ptr<front::Exchange>& exchange, int status, std::string_view body) {
+void Answer(const std::shared_ptr<http_server::Exchange>& exchange, int status,
+            std::string_view body) {
   exchange->Respond(status, {{"Content-Type", "application/json"}}, body);
 }
 
-void Refuse(const std::shared_ptr<front::Exchange>& exchange, int status,
+void Refuse(const std::shared_ptr<http_server::Exchange>& exchange, int status,
             const std::string& retry_after) {
   exchange->Respond(status, {{"Retry-After", retry_after}}, {});
 }
@@ -143,7 +144,7 @@
   return lot;
 }
 
-void AnswerSubmit(const std::shared_ptr<front::Exchange>& exchange,
+void AnswerSubmit(const std::shared_ptr<http_server::Exchange>& exchange,
                   const absl::StatusOr<CreateLotAnswer>& answer) {
   if (!answer.ok())
     logging::Warning(kModule, "lot not taken", {{"why", std::string(answer.status().message())}});
@@ -175,12 +176,12 @@
   return request.method == "GET" && !IdAfter(path, kItemsPath).empty();
 }
 
-void LotApi::CancelWith(const std::shared_ptr<front::Exchange>& exchange,
+void LotApi::CancelWith(const std::shared_ptr<http_server::Exchange>& exchange,
                         StoreClient::CallId call) {
   exchange->OnClosed([stores = stores_, call] { stores->Cancel(call); });
 }
 
-void LotApi::Handle(const std::shared_ptr<front::Exchange>& exchange) {
+void LotApi::Handle(const std::shared_ptr<http_server::Exchange>& exchange) {
   const http::Message& request = exchange->request();
   if (control_->Current()->routes == nullptr || stores_->Table() == nullptr) {
     Refuse(exchange, 503, kReadRetryAfter);
@@ -197,7 +198,8 @@
   }
 }
 
-void LotApi::Submit(const std::shared_ptr<front::Exchange>& exchange, const routing::Route& route) {
+void LotApi::Submit(const std::shared_ptr<http_server::Exchange>& exchange,
+                    const routing::Route& route) {
   http::Message& request = exchange->mutable_request();
   const std::string* id = request.Find("X-Attempt-Id");
   if (id == nullptr || id->empty()) {
@@ -231,7 +233,7 @@
   hand_in->Start();
 }
 
-void LotApi::Read(const std::shared_ptr<front::Exchange>& exchange, std::string lot_id,
+void LotApi::Read(const std::shared_ptr<http_server::Exchange>& exchange, std::string lot_id,
                   std::string_view query) {
   ReadLot read;
   read.lot_id = std::move(lot_id);
@@ -264,7 +266,7 @@
   CancelWith(exchange, stores_->Read(std::move(read), time, answered));
 }
 
-void LotApi::ReadBody(const std::shared_ptr<front::Exchange>& exchange, std::string lot_id,
+void LotApi::ReadBody(const std::shared_ptr<http_server::Exchange>& exchange, std::string lot_id,
                       std::string_view query) {
   const auto item = QueryValue(query, "worker_id");
   if (!item.has_value() || item->empty()) {
@@ -289,7 +291,7 @@
   CancelWith(exchange, stores_->ReadBody(std::move(read), time, answered));
 }
 
-void LotApi::End(const std::shared_ptr<front::Exchange>& exchange, std::string lot_id) {
+void LotApi::End(const std::shared_ptr<http_server::Exchange>& exchange, std::string lot_id) {
   CancelLot cancel;
   cancel.lot_id = std::move(lot_id);
   CallTime time;
--- a/src/batch/lot_api.h
+++ b/src/tier/batch/lot_api.h
@@ -1,17 +1,17 @@
 // The clients' calls about lots at an edge node: hand in, read, body of an item, end. Nothing about
 // a lot is kept here; the stores answer.
-#ifndef PEARREACH_SRC_BATCH_LOT_API_H_
-#define PEARREACH_SRC_BATCH_LOT_API_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_LOT_API_H_
+#define PEARREACH_SRC_TIER_BATCH_LOT_API_H_
 
 #include <memory>
 #include <string>
 #include <string_view>
 
-#include "base/timers.h"
-#include "batch/store_client.h"
-#include "control/control_client.h"
-#include "front/exchange.h"
-#include "routing/route_table.h"
+#include "common/event_loop/timers.h"
+#include "tier/batch/store_client.h"
+#include "tier/control/control_client.h"
+#include "tier/http_server/exchange.h"
+#include "tier/routing/route_table.h"
 
 namespace pearreach::batch {
 
@@ -31,18 +31,18 @@
   // GET or DELETE of /lots/ID, GET of /items/ID.
   static bool IsLotCall(const http::Message& request);
   // Answers a call for which IsLotCall is true.
-  void Handle(const std::shared_ptr<front::Exchange>& exchange);
+  void Handle(const std::shared_ptr<http_server::Exchange>& exchange);
   // A POST under the prefix of a bulk route. `route` is needed for the time of the call only.
-  void Submit(const std::shared_ptr<front::Exchange>& exchange, const routing::Route& route);
+  void Submit(const std::shared_ptr<http_server::Exchange>& exchange, const routing::Route& route);
 
  private:
-  void Read(const std::shared_ptr<front::Exchange>& exchange, std::string lot_id,
+  void Read(const std::shared_ptr<http_server::Exchange>& exchange, std::string lot_id,
             std::string_view query);
-  void ReadBody(const std::shared_ptr<front::Exchange>& exchange, std::string lot_id,
+  void ReadBody(const std::shared_ptr<http_server::Exchange>& exchange, std::string lot_id,
                 std::string_view query);
-  void End(const std::shared_ptr<front::Exchange>& exchange, std::string lot_id);
+  void End(const std::shared_ptr<http_server::Exchange>& exchange, std::string lot_id);
   // The call is dropped when the client leaves.
-  void CancelWith(const std::shared_ptr<front::Exchange>& exchange, StoreClient::CallId call);
+  void CancelWith(const std::shared_ptr<http_server::Exchange>& exchange, StoreClient::CallId call);
 
   Timers* timers_;
   StoreClient* stores_;
@@ -53,4 +53,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_LOT_API_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_LOT_API_H_
--- a/src/batch/lot_hand_in.cpp
+++ b/src/tier/batch/lot_hand_in.cpp
@@ -1,11 +1,11 @@
-#include "batch/lot_hand_in.h"
+#include "tier/batch/lot_hand_in.h"
 
 #include <algorithm>
 #include <string>
 #include <utility>
 
-#include "batch/disk_room.h"
-#include "logging/log.h"
+#include "tier/batch/disk_room.h"
+#include "tier/logging/log.h"
 
 namespace pearreach::batch {
 namespace {
--- a/src/batch/lot_hand_in.h
+++ b/src/tier/batch/lot_hand_in.h
@@ -2,8 +2,8 @@
 // whether the stores that would keep it answer, and sends its items only then. A hand-in that
 // cannot go on is therefore refused for sure, in time for its client to come again, except where a
 // store is lost in the few milliseconds between the offer and the answer.
-#ifndef PEARREACH_SRC_BATCH_LOT_HAND_IN_H_
-#define PEARREACH_SRC_BATCH_LOT_HAND_IN_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_LOT_HAND_IN_H_
+#define PEARREACH_SRC_TIER_BATCH_LOT_HAND_IN_H_
 
 #include <absl/status/statusor.h>
 
@@ -11,10 +11,10 @@
 #include <memory>
 #include <optional>
 
-#include "base/timers.h"
-#include "batch/messages.h"
-#include "batch/quota.h"
-#include "batch/store_client.h"
+#include "common/event_loop/timers.h"
+#include "tier/batch/messages.h"
+#include "tier/batch/quota.h"
+#include "tier/batch/store_client.h"
 
 namespace pearreach::batch {
 
@@ -65,4 +65,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_LOT_HAND_IN_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_LOT_HAND_IN_H_
--- a/src/batch/lot_json.cpp
+++ b/src/tier/batch/lot_json.cpp
@@ -1,4 +1,4 @@
-#include "batch/lot_json.h"
+#include "tier/batch/lot_json.h"
 
 #include <absl/status/status.h>
 #include <absl/strings/escaping.h>
--- a/src/batch/lot_json.h
+++ b/src/tier/batch/lot_json.h
@@ -1,6 +1,6 @@
 // The JSON of lots on the wire: the items of a hand-in, and the outputs of a read.
-#ifndef PEARREACH_SRC_BATCH_LOT_JSON_H_
-#define PEARREACH_SRC_BATCH_LOT_JSON_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_LOT_JSON_H_
+#define PEARREACH_SRC_TIER_BATCH_LOT_JSON_H_
 
 #include <absl/status/statusor.h>
 
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "batch/messages.h"
+#include "tier/batch/messages.h"
 
 namespace pearreach::batch {
 
@@ -29,4 +29,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_LOT_JSON_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_LOT_JSON_H_
--- a/src/batch/lot_state.cpp
+++ b/src/tier/batch/lot_state.cpp
@@ -1,9 +1,9 @@
-#include "batch/lot_state.h"
+#include "tier/batch/lot_state.h"
 
 #include <algorithm>
 #include <cstring>
 
-#include "codec/archive.h"
+#include "tier/codec/archive.h"
 
 namespace pearreach::batch {
 namespace {
@@ -208,7 +208,7 @@
 
 // ---------------------------------------------------------------- the table
 
-void LotTable::Load(const disk::TableStore& disk) {
+void LotTable::Load(const storage::TableStore& disk) {
   lots_.clear();
   reservations_.clear();
   const std::string prefix = PartitionPrefix(partition_);
@@ -223,8 +223,8 @@
   });
 }
 
-std::vector<disk::Write> LotTable::Apply(const Operation& operation) {
-  std::map<std::string, disk::Write> writes;
+std::vector<storage::Write> LotTable::Apply(const Operation& operation) {
+  std::map<std::string, storage::Write> writes;
   if (operation.erase_first) {
     EraseKeys(operation.lot_id, &writes);
     lots_.erase(operation.lot_id);
@@ -236,21 +236,21 @@
                        lots_.contains(operation.lot_id);
     if (!known) continue;  // forgotten meanwhile
     std::string key = RecordKey(partition_, operation.lot_id, kind, record.index);
-    disk::Write write{key, record.value, record.erase};
+    storage::Write write{key, record.value, record.erase};
     writes[std::move(key)] = std::move(write);
     ApplyRecord(operation.lot_id, record);
   }
-  std::vector<disk::Write> batch;
+  std::vector<storage::Write> batch;
   batch.reserve(writes.size());
   for (auto& [key, write] : writes) batch.push_back(std::move(write));
   return batch;
 }
 
 void LotTable::EraseKeys(const std::string& lot_id,
-                         std::map<std::string, disk::Write>* writes) const {
+                         std::map<std::string, storage::Write>* writes) const {
   const auto erase = [&](RecordKind kind, std::uint32_t index) {
     std::string key = RecordKey(partition_, lot_id, kind, index);
-    disk::Write write{key, {}, true};
+    storage::Write write{key, {}, true};
     (*writes)[std::move(key)] = std::move(write);
   };
   if (reservations_.contains(lot_id)) erase(RecordKind::kReservation, 0);
@@ -323,7 +323,7 @@
   }
 }
 
-Operation LotTable::Whole(const disk::TableStore& disk, const std::string& lot_id) const {
+Operation LotTable::Whole(const storage::TableStore& disk, const std::string& lot_id) const {
   Operation operation{lot_id, true, {}};
   const std::string prefix = LotPrefix(partition_, lot_id);
   disk.ForEach(prefix, [&](std::string_view key, std::string_view value) {
--- a/src/batch/lot_state.h
+++ b/src/tier/batch/lot_state.h
@@ -1,8 +1,8 @@
 // The lots of one partition as every replica holds them: small records on disk and what must be
 // known of them in memory. Item bodies and results stay on disk. Disk, replication and repair all
 // pass through the same records, so that there is one way in which a lot's state comes about.
-#ifndef PEARREACH_SRC_BATCH_LOT_STATE_H_
-#define PEARREACH_SRC_BATCH_LOT_STATE_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_LOT_STATE_H_
+#define PEARREACH_SRC_TIER_BATCH_LOT_STATE_H_
 
 #include <absl/status/statusor.h>
 
@@ -14,9 +14,9 @@
 #include <utility>
 #include <vector>
 
-#include "base/io.h"
-#include "batch/messages.h"
-#include "disk/table_store.h"
+#include "common/event_loop/io.h"
+#include "tier/batch/messages.h"
+#include "tier/storage/table_store.h"
 
 namespace pearreach::batch {
 
@@ -144,11 +144,11 @@
   explicit LotTable(std::uint32_t partition) : partition_(partition) {}
 
   // Reads all of the partition from disk in place of what is in memory.
-  void Load(const disk::TableStore& disk);
+  void Load(const storage::TableStore& disk);
   // Changes memory and returns what is to be written for it.
-  std::vector<disk::Write> Apply(const Operation& operation);
+  std::vector<storage::Write> Apply(const Operation& operation);
   // The whole lot as it is on disk, in place of whatever another replica has of it.
-  Operation Whole(const disk::TableStore& disk, const std::string& lot_id) const;
+  Operation Whole(const storage::TableStore& disk, const std::string& lot_id) const;
 
   Lot* Find(const std::string& lot_id);
   const std::map<std::string, Lot>& lots() const { return lots_; }
@@ -172,7 +172,7 @@
   void ApplyRecord(const std::string& lot_id, const Record& record);
   void ApplyReservation(const std::string& lot_id, const Record& record);
   void ApplyToLot(Lot* lot, const Record& record);
-  void EraseKeys(const std::string& lot_id, std::map<std::string, disk::Write>* writes) const;
+  void EraseKeys(const std::string& lot_id, std::map<std::string, storage::Write>* writes) const;
 
   std::uint32_t partition_;
   std::map<std::string, Lot> lots_;
@@ -181,4 +181,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_LOT_STATE_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_LOT_STATE_H_
--- a/src/batch/lot_store.cpp
+++ b/src/tier/batch/lot_store.cpp
@@ -1,4 +1,4 @@
-#include "batch/lot_store.h"
+#include "tier/batch/lot_store.h"
 
 #include <glib.h>
 
@@ -6,9 +6,9 @@
 #include <set>
 #include <utility>
 
-#include "batch/leave_check.h"
-#include "codec/archive.h"
-#include "logging/log.h"
+#include "tier/batch/leave_check.h"
+#include "tier/codec/archive.h"
+#include "tier/logging/log.h"
 
 namespace pearreach::batch {
 namespace {
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-StoreServer::StoreServer(Timers* timers, mesh::Mesh* mesh, disk::TableStore* disk,
+StoreServer::StoreServer(Timers* timers, rpc::Mesh* mesh, storage::TableStore* disk,
                          control::ControlClient* control, StoreId self,
                          const settings::Bounds& bounds, const settings::Tolerance& tolerance,
                          double link_mbps)
@@ -82,11 +82,11 @@
 // ---------------------------------------------------------------- handlers
 
 template <class Message>
-void StoreServer::Register(mesh::MessageType type,
-                           std::function<void(Message, mesh::Respond)> handle) {
+void StoreServer::Register(rpc::MessageType type,
+                           std::function<void(Message, rpc::Respond)> handle) {
   const std::weak_ptr<bool> alive = alive_;
-  Handler handler = Decoding<Message>(
-      [alive, handle = std::move(handle)](Message message, mesh::Respond respond) {
+  Handler handler =
+      Decoding<Message>([alive, handle = std::move(handle)](Message message, rpc::Respond respond) {
         if (alive.expired()) {
           respond(absl::UnavailableError("ending"));
         } else {
@@ -98,8 +98,8 @@
 }
 
 void StoreServer::RegisterHandlers() {
-  using mesh::MessageType;
-  using mesh::Respond;
+  using rpc::MessageType;
+  using rpc::Respond;
   mesh_->Handle(MessageType::kStorePing, [](const std::string&, std::string_view,
                                             const Respond& respond) { respond(std::string()); });
   Register<CreateLot>(MessageType::kLotCreate, [this](CreateLot message, Respond respond) {
@@ -170,7 +170,8 @@
                         });
 }
 
-void StoreServer::Commit(std::vector<disk::Write> batch, std::function<void(absl::Status)> done) {
+void StoreServer::Commit(std::vector<storage::Write> batch,
+                         std::function<void(absl::Status)> done) {
   disk_->Commit(std::move(batch), [alive = std::weak_ptr<bool>(alive_),
                                    done = std::move(done)](const absl::Status& status) {
     if (!alive.expired()) done(status);
@@ -184,10 +185,10 @@
   return at->second.info.disk_id == store.disk_id ? at->second.info.address : std::string();
 }
 
-void StoreServer::Send(const StoreId& to, mesh::MessageType type, std::string body, Micros timeout,
-                       mesh::Done done) {
-  mesh::Done guarded = [alive = std::weak_ptr<bool>(alive_),
-                        done = std::move(done)](absl::StatusOr<std::string> answer) {
+void StoreServer::Send(const StoreId& to, rpc::MessageType type, std::string body, Micros timeout,
+                       rpc::Done done) {
+  rpc::Done guarded = [alive = std::weak_ptr<bool>(alive_),
+                       done = std::move(done)](absl::StatusOr<std::string> answer) {
     if (!alive.expired()) done(std::move(answer));
   };
   if (to == self_) {
@@ -202,7 +203,7 @@
   mesh_->Call(address, type, std::move(body), timeout, std::move(guarded));
 }
 
-void StoreServer::SendLocal(mesh::MessageType type, std::string body, mesh::Done done) {
+void StoreServer::SendLocal(rpc::MessageType type, std::string body, rpc::Done done) {
   After(0, [this, type, body = std::move(body), done = std::move(done)] {
     handlers_.at(type)({}, body, done);
   });
--- a/src/batch/lot_store.h
+++ b/src/tier/batch/lot_store.h
@@ -1,7 +1,7 @@
 // A store machine: the partitions of lots that it holds by the placement table, and the calls of
 // edge nodes and other stores about them.
-#ifndef PEARREACH_SRC_BATCH_LOT_STORE_H_
-#define PEARREACH_SRC_BATCH_LOT_STORE_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_LOT_STORE_H_
+#define PEARREACH_SRC_TIER_BATCH_LOT_STORE_H_
 
 #include <cstdint>
 #include <functional>
@@ -11,21 +11,21 @@
 #include <string>
 #include <vector>
 
-#include "base/timers.h"
-#include "batch/disk_room.h"
-#include "batch/lot_store_changes.h"
-#include "batch/lot_store_context.h"
-#include "batch/lot_store_items.h"
-#include "batch/lot_store_quota.h"
-#include "batch/lot_store_reads.h"
-#include "batch/messages.h"
-#include "batch/repair_pacer.h"
-#include "batch/replication.h"
-#include "batch/silence_reports.h"
-#include "control/control_client.h"
-#include "disk/table_store.h"
-#include "mesh/mesh.h"
-#include "settings/node_settings.h"
+#include "common/event_loop/timers.h"
+#include "tier/batch/disk_room.h"
+#include "tier/batch/lot_store_changes.h"
+#include "tier/batch/lot_store_context.h"
+#include "tier/batch/lot_store_items.h"
+#include "tier/batch/lot_store_quota.h"
+#include "tier/batch/lot_store_reads.h"
+#include "tier/batch/messages.h"
+#include "tier/batch/repair_pacer.h"
+#include "tier/batch/replication.h"
+#include "tier/batch/silence_reports.h"
+#include "tier/control/control_client.h"
+#include "tier/rpc/mesh.h"
+#include "tier/settings/node_settings.h"
+#include "tier/storage/table_store.h"
 
 namespace pearreach::batch {
 
@@ -33,7 +33,7 @@
  public:
   // Registers its handlers with the mesh and reads its lots from disk. All that is given must live
   // as long; the disk's pending writes must be done with, or dropped, before this goes.
-  StoreServer(Timers* timers, mesh::Mesh* mesh, disk::TableStore* disk,
+  StoreServer(Timers* timers, rpc::Mesh* mesh, storage::TableStore* disk,
               control::ControlClient* control, StoreId self, const settings::Bounds& bounds,
               const settings::Tolerance& tolerance, double link_mbps = 0);
   ~StoreServer() override;
@@ -45,17 +45,17 @@
   bool MayLeave() const;
 
  private:
-  using Handler = mesh::Handler;
+  using Handler = rpc::Handler;
 
   // ReplicationEnvironment and StoreContext
   Micros Now() const override;
   std::uint64_t Random() override { return random_(); }
   Timers::Id After(Micros delay, std::function<void()> callback) override;
   void Cancel(Timers::Id* id) override { timers_->Cancel(id); }
-  void Send(const StoreId& to, mesh::MessageType type, std::string body, Micros timeout,
-            mesh::Done done) override;
-  const disk::TableStore& Disk() const override { return *disk_; }
-  void Commit(std::vector<disk::Write> batch, std::function<void(absl::Status)> done) override;
+  void Send(const StoreId& to, rpc::MessageType type, std::string body, Micros timeout,
+            rpc::Done done) override;
+  const storage::TableStore& Disk() const override { return *disk_; }
+  void Commit(std::vector<storage::Write> batch, std::function<void(absl::Status)> done) override;
   void RefreshTable() override;
   void ConfirmEpoch(std::uint32_t partition, std::uint64_t epoch,
                     std::function<void(bool)> done) override;
@@ -69,9 +69,9 @@
   std::int64_t WallMs() const override;
 
   template <class Message>
-  void Register(mesh::MessageType type, std::function<void(Message, mesh::Respond)> handle);
+  void Register(rpc::MessageType type, std::function<void(Message, rpc::Respond)> handle);
   void RegisterHandlers();
-  void SendLocal(mesh::MessageType type, std::string body, mesh::Done done);
+  void SendLocal(rpc::MessageType type, std::string body, rpc::Done done);
   std::string AddressOf(const StoreId& store) const;
   void AdoptTable(const control::ControlSnapshot& snapshot);
   void StrictRead();
@@ -87,8 +87,8 @@
   void Tick();
 
   Timers* const timers_;
-  mesh::Mesh* const mesh_;
-  disk::TableStore* const disk_;
+  rpc::Mesh* const mesh_;
+  storage::TableStore* const disk_;
   control::ControlClient* const control_;
   const StoreId self_;
   std::mt19937_64 random_;
@@ -102,7 +102,7 @@
   SilenceReports silence_;
   PlacementTable placement_;
   std::uint64_t stores_revision_ = 0;
-  std::map<mesh::MessageType, Handler> handlers_;
+  std::map<rpc::MessageType, Handler> handlers_;
   LotReads reads_;
   QuotaService quota_;
   LotItems items_;
@@ -117,4 +117,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_LOT_STORE_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_LOT_STORE_H_
--- a/src/batch/lot_store_changes.cpp
+++ b/src/tier/batch/lot_store_changes.cpp
@@ -1,9 +1,9 @@
-#include "batch/lot_store_changes.h"
+#include "tier/batch/lot_store_changes.h"
 
 #include <utility>
 
-#include "batch/disk_room.h"
-#include "batch/lot_age.h"
+#include "tier/batch/disk_room.h"
+#include "tier/batch/lot_age.h"
 
 namespace pearreach::batch {
 namespace {
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-void LotChanges::OnOffer(const OfferLot& offer, mesh::Respond respond) {
+void LotChanges::OnOffer(const OfferLot& offer, rpc::Respond respond) {
   PartitionReplica* replica = context_->ActiveReplica(offer.lot_id);
   if (replica == nullptr) {
     respond(NotPrimary());
@@ -46,7 +46,7 @@
   });
 }
 
-void LotChanges::OnCreate(CreateLot create, mesh::Respond respond) {
+void LotChanges::OnCreate(CreateLot create, rpc::Respond respond) {
   const auto lot = std::make_shared<const LotSpec>(std::move(create.lot));
   PartitionReplica* replica = context_->ActiveReplica(lot->lot_id);
   if (replica == nullptr || replica->epoch() != create.partition_epoch) {
@@ -123,7 +123,7 @@
   if (at == creating_.end()) return;
   const Creation creation = std::move(at->second);
   creating_.erase(at);
-  for (const mesh::Respond& respond : creation.waiting) {
+  for (const rpc::Respond& respond : creation.waiting) {
     if (outcome.ok()) {
       respond(codec::Encode(CreateLotAnswer{*outcome, 0}));
     } else {
@@ -132,7 +132,7 @@
   }
 }
 
-void LotChanges::OnCancel(const CancelLot& cancel, mesh::Respond respond) {
+void LotChanges::OnCancel(const CancelLot& cancel, rpc::Respond respond) {
   PartitionReplica* replica = context_->ActiveReplica(cancel.lot_id);
   if (replica == nullptr) {
     respond(NotPrimary());
--- a/src/batch/lot_store_changes.h
+++ b/src/tier/batch/lot_store_changes.h
@@ -1,6 +1,6 @@
 // Lots that are handed in, ended by their client or forgotten for their age.
-#ifndef PEARREACH_SRC_BATCH_LOT_STORE_CHANGES_H_
-#define PEARREACH_SRC_BATCH_LOT_STORE_CHANGES_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_LOT_STORE_CHANGES_H_
+#define PEARREACH_SRC_TIER_BATCH_LOT_STORE_CHANGES_H_
 
 #include <cstdint>
 #include <map>
@@ -8,11 +8,11 @@
 #include <string>
 #include <vector>
 
-#include "batch/lot_store_context.h"
-#include "batch/lot_store_items.h"
-#include "batch/lot_store_quota.h"
-#include "batch/lot_store_reads.h"
-#include "batch/messages.h"
+#include "tier/batch/lot_store_context.h"
+#include "tier/batch/lot_store_items.h"
+#include "tier/batch/lot_store_quota.h"
+#include "tier/batch/lot_store_reads.h"
+#include "tier/batch/messages.h"
 
 namespace pearreach::batch {
 
@@ -21,9 +21,9 @@
   LotChanges(StoreContext* context, LotItems* items, LotReads* reads, QuotaService* quota)
       : context_(context), items_(items), reads_(reads), quota_(quota) {}
 
-  void OnOffer(const OfferLot& offer, mesh::Respond respond);
-  void OnCreate(CreateLot create, mesh::Respond respond);
-  void OnCancel(const CancelLot& cancel, mesh::Respond respond);
+  void OnOffer(const OfferLot& offer, rpc::Respond respond);
+  void OnCreate(CreateLot create, rpc::Respond respond);
+  void OnCancel(const CancelLot& cancel, rpc::Respond respond);
   // Gives up items and forgets lots whose time is over, in the partitions that are active here.
   // Where the disk is short of room, lots are forgotten as soon as they may be.
   void Sweep(bool is_short);
@@ -31,7 +31,7 @@
  private:
   struct Creation {
     std::uint64_t fingerprint = 0;
-    std::vector<mesh::Respond> waiting;  // calls for the same lot
+    std::vector<rpc::Respond> waiting;  // calls for the same lot
   };
 
   void Stage(const std::shared_ptr<const LotSpec>& lot);
@@ -47,4 +47,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_LOT_STORE_CHANGES_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_LOT_STORE_CHANGES_H_
--- a/src/batch/lot_store_context.h
+++ b/src/tier/batch/lot_store_context.h
@@ -1,7 +1,7 @@
 // What the parts of a store use of each other's surroundings: the partitions, the placement table,
 // this store's identity and the time of day.
-#ifndef PEARREACH_SRC_BATCH_LOT_STORE_CONTEXT_H_
-#define PEARREACH_SRC_BATCH_LOT_STORE_CONTEXT_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_LOT_STORE_CONTEXT_H_
+#define PEARREACH_SRC_TIER_BATCH_LOT_STORE_CONTEXT_H_
 
 #include <absl/status/statusor.h>
 
@@ -11,10 +11,10 @@
 #include <string_view>
 #include <utility>
 
-#include "batch/messages.h"
-#include "batch/replication.h"
-#include "codec/archive.h"
-#include "mesh/mesh.h"
+#include "tier/batch/messages.h"
+#include "tier/batch/replication.h"
+#include "tier/codec/archive.h"
+#include "tier/rpc/mesh.h"
 
 namespace pearreach::batch {
 
@@ -43,10 +43,10 @@
 }
 
 template <class Message>
-std::function<void(const std::string&, std::string_view, mesh::Respond)> Decoding(
-    std::function<void(Message, mesh::Respond)> handle) {
+std::function<void(const std::string&, std::string_view, rpc::Respond)> Decoding(
+    std::function<void(Message, rpc::Respond)> handle) {
   return [handle = std::move(handle)](const std::string&, std::string_view body,
-                                      mesh::Respond respond) {
+                                      rpc::Respond respond) {
     auto message = codec::Decode<Message>(body);
     if (message.ok()) {
       handle(*std::move(message), std::move(respond));
@@ -58,4 +58,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_LOT_STORE_CONTEXT_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_LOT_STORE_CONTEXT_H_
--- a/src/batch/lot_store_items.cpp
+++ b/src/tier/batch/lot_store_items.cpp
@@ -1,10 +1,10 @@
-#include "batch/lot_store_items.h"
+#include "tier/batch/lot_store_items.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "batch/lot_age.h"
-#include "logging/log.h"
+#include "tier/batch/lot_age.h"
+#include "tier/logging/log.h"
 
 namespace pearreach::batch {
 namespace {
@@ -89,7 +89,7 @@
   return shares;
 }
 
-void LotItems::OnTake(TakeItems take, mesh::Respond respond) {
+void LotItems::OnTake(TakeItems take, rpc::Respond respond) {
   if (!leases_.Hello(take.node, take.process)) {
     respond(codec::Encode(TakeItemsAnswer{}));
     return;
@@ -141,7 +141,7 @@
   return true;
 }
 
-void LotItems::Park(TakeItems take, mesh::Respond respond) {
+void LotItems::Park(TakeItems take, rpc::Respond respond) {
   const std::uint64_t id = ++last_parked_;
   const Micros wait = std::min(take.wait_ms, kLongestWaitMs) * kMs;
   parked_.push_back({std::move(take), std::move(respond), 0, id});
@@ -180,7 +180,7 @@
       continue;
     }
     context_->Cancel(&at->timer);
-    const mesh::Respond respond = std::move(at->respond);
+    const rpc::Respond respond = std::move(at->respond);
     at = parked_.erase(at);
     respond(codec::Encode(answer));
   }
@@ -204,7 +204,7 @@
 
 // ---------------------------------------------------------------- results
 
-void LotItems::OnResult(ItemResult result, mesh::Respond respond) {
+void LotItems::OnResult(ItemResult result, rpc::Respond respond) {
   PartitionReplica* replica = context_->ActiveReplica(result.lot_id);
   if (replica == nullptr) {
     respond(NotPrimary());
@@ -235,7 +235,7 @@
 }
 
 void LotItems::Append(PartitionReplica* replica, const Lot& lot, const ItemResult& result,
-                      std::uint32_t item, const mesh::Respond& respond) {
+                      std::uint32_t item, const rpc::Respond& respond) {
   const bool complete = result.outcome == RunOutcome::kComplete;
   ResultRecord record;
   record.item = item;
@@ -247,7 +247,7 @@
 
 // A failure is counted once for each lease: the edge node may tell it several times.
 void LotItems::CountFailure(PartitionReplica* replica, const Lot& lot, const ItemResult& result,
-                            std::uint32_t item, const mesh::Respond& respond) {
+                            std::uint32_t item, const rpc::Respond& respond) {
   const auto& counted = lot.items[item].failed_leases;
   if (std::find(counted.begin(), counted.end(), result.lease) != counted.end()) {
     respond(Empty());
@@ -266,8 +266,7 @@
   ServeParked();
 }
 
-void LotItems::Submit(PartitionReplica* replica, Operation operation,
-                      const mesh::Respond& respond) {
+void LotItems::Submit(PartitionReplica* replica, Operation operation, const rpc::Respond& respond) {
   const std::string lot_id = operation.lot_id;
   replica->Submit(std::move(operation), [this, lot_id, respond](const absl::Status& status) {
     if (!status.ok()) {
@@ -296,7 +295,7 @@
 
 // ---------------------------------------------------------------- renewal
 
-void LotItems::OnRenew(const RenewLeases& renew, const mesh::Respond& respond) {
+void LotItems::OnRenew(const RenewLeases& renew, const rpc::Respond& respond) {
   RenewLeasesAnswer answer;
   const bool current = leases_.Hello(renew.node, renew.process);
   const Micros now = context_->Now();
--- a/src/batch/lot_store_items.h
+++ b/src/tier/batch/lot_store_items.h
@@ -1,6 +1,6 @@
 // Hands out items of open lots to edge nodes and takes their results.
-#ifndef PEARREACH_SRC_BATCH_LOT_STORE_ITEMS_H_
-#define PEARREACH_SRC_BATCH_LOT_STORE_ITEMS_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_LOT_STORE_ITEMS_H_
+#define PEARREACH_SRC_TIER_BATCH_LOT_STORE_ITEMS_H_
 
 #include <cstdint>
 #include <functional>
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "batch/leases.h"
-#include "batch/lot_store_context.h"
-#include "batch/messages.h"
+#include "tier/batch/leases.h"
+#include "tier/batch/lot_store_context.h"
+#include "tier/batch/messages.h"
 
 namespace pearreach::batch {
 
@@ -22,9 +22,9 @@
   using LotListener = std::function<void(const std::string& lot_id)>;
   LotItems(StoreContext* context, LotListener changed, LotListener counted);
 
-  void OnTake(TakeItems take, mesh::Respond respond);
-  void OnResult(ItemResult result, mesh::Respond respond);
-  void OnRenew(const RenewLeases& renew, const mesh::Respond& respond);
+  void OnTake(TakeItems take, rpc::Respond respond);
+  void OnResult(ItemResult result, rpc::Respond respond);
+  void OnRenew(const RenewLeases& renew, const rpc::Respond& respond);
 
   void OnAccepted(const std::string& lot_id);  // a new lot: its items wait from now on
   void OnEnded(const std::string& lot_id);
@@ -38,7 +38,7 @@
  private:
   struct Parked {
     TakeItems take;
-    mesh::Respond respond;
+    rpc::Respond respond;
     Timers::Id timer = 0;
     std::uint64_t id = 0;
   };
@@ -47,7 +47,7 @@
   TakeItemsAnswer Give(const TakeItems& take);
   bool Describe(const TakenItem& taken, LeasedItem* item);
   std::map<std::string, int> Shares(const std::map<std::string, int>& room) const;
-  void Park(TakeItems take, mesh::Respond respond);
+  void Park(TakeItems take, rpc::Respond respond);
   void Unpark(const std::string& node);
   void OnWaited(std::uint64_t id);
   void ServeParked();
@@ -55,10 +55,10 @@
   void ArmExpiry();
   void OnExpiry();
   void Append(PartitionReplica* replica, const Lot& lot, const ItemResult& result,
-              std::uint32_t item, const mesh::Respond& respond);
+              std::uint32_t item, const rpc::Respond& respond);
   void CountFailure(PartitionReplica* replica, const Lot& lot, const ItemResult& result,
-                    std::uint32_t item, const mesh::Respond& respond);
-  void Submit(PartitionReplica* replica, Operation operation, const mesh::Respond& respond);
+                    std::uint32_t item, const rpc::Respond& respond);
+  void Submit(PartitionReplica* replica, Operation operation, const rpc::Respond& respond);
 
   StoreContext* const context_;
   const LotListener changed_, counted_;
@@ -72,4 +72,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_LOT_STORE_ITEMS_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_LOT_STORE_ITEMS_H_
--- a/src/batch/lot_store_quota.cpp
+++ b/src/tier/batch/lot_store_quota.cpp
@@ -1,4 +1,4 @@
-#include "batch/lot_store_quota.h"
+#include "tier/batch/lot_store_quota.h"
 
 #include <utility>
 
@@ -51,7 +51,7 @@
   reservation.process = process_;
   reservation.sequence = ++sequence_;
   asked_[lot.lot_id] = {lot.route, reservation.sequence};
-  context_->Send(*owner, mesh::MessageType::kQuotaReserve, codec::Encode(reserve), kReserveTimeout,
+  context_->Send(*owner, rpc::MessageType::kQuotaReserve, codec::Encode(reserve), kReserveTimeout,
                  [this, lot_id = lot.lot_id, reservation,
                   done = std::move(done)](const absl::StatusOr<std::string>& bytes) {
                    OnReserved(lot_id, reservation, bytes, done);
@@ -108,7 +108,7 @@
 void QuotaService::SendReport(const std::string& route) {
   const StoreId* owner = OwnerOf(route);
   if (owner == nullptr) return;
-  context_->Send(*owner, mesh::MessageType::kQuotaReport, codec::Encode(ReportOf(route)),
+  context_->Send(*owner, rpc::MessageType::kQuotaReport, codec::Encode(ReportOf(route)),
                  kReserveTimeout, [this, route](const absl::StatusOr<std::string>& answer) {
                    if (!answer.ok() && tokens_.contains(route)) MarkChanged(route);
                  });
@@ -156,7 +156,7 @@
 
 // ---------------------------------------------------------------- as the owner of a route
 
-void QuotaService::OnReserve(QuotaReserve reserve, mesh::Respond respond) {
+void QuotaService::OnReserve(QuotaReserve reserve, rpc::Respond respond) {
   if (!IsOwner(reserve.reservation.route)) {
     respond(NotPrimary());
     return;
@@ -171,7 +171,7 @@
   });
 }
 
-void QuotaService::OnQuestion(const QuotaQuestion& question, const mesh::Respond& respond) {
+void QuotaService::OnQuestion(const QuotaQuestion& question, const rpc::Respond& respond) {
   if (!IsOwner(question.route)) {
     respond(NotPrimary());
     return;
@@ -197,7 +197,7 @@
 
 // A new owner knows what was granted but not yet how much of it has been done: a lot that does not
 // fit waits a moment for the first reports.
-void QuotaService::Grant(const QuotaReserve& reserve, const mesh::Respond& respond) {
+void QuotaService::Grant(const QuotaReserve& reserve, const rpc::Respond& respond) {
   const std::string route = reserve.reservation.route;
   Owned& owned = OwnedOf(route);
   const Micros now = context_->Now();
@@ -215,7 +215,7 @@
   context_->After(give_up - now, [this, route] { AnswerWaiting(route); });
 }
 
-void QuotaService::KeepGrant(const QuotaReserve& reserve, const mesh::Respond& respond) {
+void QuotaService::KeepGrant(const QuotaReserve& reserve, const rpc::Respond& respond) {
   PartitionReplica& replica = context_->Replica(PartitionOf(reserve.reservation.route));
   replica.Submit(MakeReservation(reserve.lot_id, reserve.reservation),
                  [respond](const absl::Status& status) {
@@ -241,7 +241,7 @@
   const std::string body = codec::Encode(question);
   owned->second.asked = static_cast<int>(primaries.size());
   for (const StoreId& store : primaries) {
-    context_->Send(store, mesh::MessageType::kQuotaReport, body, kAskTimeout,
+    context_->Send(store, rpc::MessageType::kQuotaReport, body, kAskTimeout,
                    [this, route](const absl::StatusOr<std::string>& bytes) {
                      const auto at = owned_.find(route);
                      if (at == owned_.end()) return;
@@ -280,7 +280,7 @@
   AnswerWaiting(report.route);
 }
 
-void QuotaService::OnReport(const QuotaReport& report, const mesh::Respond& respond) {
+void QuotaService::OnReport(const QuotaReport& report, const rpc::Respond& respond) {
   if (report.ask) {
     respond(codec::Encode(ReportOf(report.route)));
     return;
--- a/src/batch/lot_store_quota.h
+++ b/src/tier/batch/lot_store_quota.h
@@ -2,8 +2,8 @@
 // owners what waits here, and keeps the ledgers of the routes that this store owns. A grant is a
 // change of the owner's partition, so it is on disk at every replica before it is told: a later
 // owner knows all that was granted, whoever can be asked.
-#ifndef PEARREACH_SRC_BATCH_LOT_STORE_QUOTA_H_
-#define PEARREACH_SRC_BATCH_LOT_STORE_QUOTA_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_LOT_STORE_QUOTA_H_
+#define PEARREACH_SRC_TIER_BATCH_LOT_STORE_QUOTA_H_
 
 #include <cstdint>
 #include <functional>
@@ -12,9 +12,9 @@
 #include <string>
 #include <vector>
 
-#include "batch/lot_store_context.h"
-#include "batch/messages.h"
-#include "batch/quota.h"
+#include "tier/batch/lot_store_context.h"
+#include "tier/batch/messages.h"
+#include "tier/batch/quota.h"
 
 namespace pearreach::batch {
 
@@ -29,9 +29,9 @@
   // The lot's waiting tokens may have changed.
   void Update(const std::string& lot_id);
 
-  void OnReserve(QuotaReserve reserve, mesh::Respond respond);
-  void OnQuestion(const QuotaQuestion& question, const mesh::Respond& respond);
-  void OnReport(const QuotaReport& report, const mesh::Respond& respond);
+  void OnReserve(QuotaReserve reserve, rpc::Respond respond);
+  void OnQuestion(const QuotaQuestion& question, const rpc::Respond& respond);
+  void OnReport(const QuotaReport& report, const rpc::Respond& respond);
   void OnActive(std::uint32_t partition);
   void OnInactive(std::uint32_t partition);
   void Tick();  // about twice a second
@@ -39,7 +39,7 @@
  private:
   struct Waiting {
     QuotaReserve reserve;
-    mesh::Respond respond;
+    rpc::Respond respond;
     Micros give_up = 0;
   };
   struct Owned {
@@ -63,8 +63,8 @@
                   const absl::StatusOr<std::string>& bytes,
                   const std::function<void(QuotaVerdict)>& done);
   Owned& OwnedOf(const std::string& route);
-  void Grant(const QuotaReserve& reserve, const mesh::Respond& respond);
-  void KeepGrant(const QuotaReserve& reserve, const mesh::Respond& respond);
+  void Grant(const QuotaReserve& reserve, const rpc::Respond& respond);
+  void KeepGrant(const QuotaReserve& reserve, const rpc::Respond& respond);
   void TakeReport(const QuotaReport& report);
   void AskStores(const std::string& route);
   void AnswerWaiting(const std::string& route);
@@ -82,4 +82,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_LOT_STORE_QUOTA_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_LOT_STORE_QUOTA_H_
--- a/src/batch/lot_store_reads.cpp
+++ b/src/tier/batch/lot_store_reads.cpp
@@ -1,4 +1,4 @@
-#include "batch/lot_store_reads.h"
+#include "tier/batch/lot_store_reads.h"
 
 #include <algorithm>
 #include <utility>
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-void LotReads::OnRead(ReadLot read, mesh::Respond respond) {
+void LotReads::OnRead(ReadLot read, rpc::Respond respond) {
   PartitionReplica* replica = context_->ActiveReplica(read.lot_id);
   if (replica == nullptr) {
     respond(NotPrimary());
@@ -44,7 +44,7 @@
   AnswerEmpty(read, respond);
 }
 
-void LotReads::Park(ReadLot read, mesh::Respond respond) {
+void LotReads::Park(ReadLot read, rpc::Respond respond) {
   const std::uint64_t id = ++last_;
   const Micros wait = std::min(read.wait_ms, kLongestWaitMs) * kMs;
   const std::string lot_id = read.lot_id;
@@ -101,7 +101,7 @@
 }
 
 // That there is nothing, or nothing more, must not be said by a store that has been replaced.
-void LotReads::AnswerEmpty(const ReadLot& read, const mesh::Respond& respond) {
+void LotReads::AnswerEmpty(const ReadLot& read, const rpc::Respond& respond) {
   PartitionReplica* replica = context_->ActiveReplica(read.lot_id);
   if (replica == nullptr) {
     respond(NotPrimary());
@@ -130,7 +130,7 @@
   });
 }
 
-void LotReads::AnswerOutputs(const ReadLot& read, const Lot& lot, const mesh::Respond& respond) {
+void LotReads::AnswerOutputs(const ReadLot& read, const Lot& lot, const rpc::Respond& respond) {
   ReadLotAnswer answer = HeadOf(lot);
   std::size_t bytes = 0;
   const std::uint32_t partition = PartitionOf(read.lot_id);
@@ -152,7 +152,7 @@
   respond(codec::Encode(answer));
 }
 
-void LotReads::OnBody(const ReadItemBody& read, mesh::Respond respond) {
+void LotReads::OnBody(const ReadItemBody& read, rpc::Respond respond) {
   PartitionReplica* replica = context_->ActiveReplica(read.lot_id);
   if (replica == nullptr) {
     respond(NotPrimary());
--- a/src/batch/lot_store_reads.h
+++ b/src/tier/batch/lot_store_reads.h
@@ -1,14 +1,14 @@
 // Reads of lots at their primary: results by position, held until there are some, and item bodies.
-#ifndef PEARREACH_SRC_BATCH_LOT_STORE_READS_H_
-#define PEARREACH_SRC_BATCH_LOT_STORE_READS_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_LOT_STORE_READS_H_
+#define PEARREACH_SRC_TIER_BATCH_LOT_STORE_READS_H_
 
 #include <cstdint>
 #include <map>
 #include <string>
 #include <unordered_map>
 
-#include "batch/lot_store_context.h"
-#include "batch/messages.h"
+#include "tier/batch/lot_store_context.h"
+#include "tier/batch/messages.h"
 
 namespace pearreach::batch {
 
@@ -16,8 +16,8 @@
  public:
   explicit LotReads(StoreContext* context) : context_(context) {}
 
-  void OnRead(ReadLot read, mesh::Respond respond);
-  void OnBody(const ReadItemBody& read, mesh::Respond respond);
+  void OnRead(ReadLot read, rpc::Respond respond);
+  void OnBody(const ReadItemBody& read, rpc::Respond respond);
   // More of the lot is visible, or it is there no longer.
   void OnVisible(const std::string& lot_id);
   void OnInactive(std::uint32_t partition);
@@ -25,15 +25,15 @@
  private:
   struct Parked {
     ReadLot read;
-    mesh::Respond respond;
+    rpc::Respond respond;
     Timers::Id timer = 0;
   };
   using ParkedReads = std::map<std::uint64_t, Parked>;
 
-  void Park(ReadLot read, mesh::Respond respond);
+  void Park(ReadLot read, rpc::Respond respond);
   void OnWaited(const std::string& lot_id, std::uint64_t id);
-  void AnswerEmpty(const ReadLot& read, const mesh::Respond& respond);
-  void AnswerOutputs(const ReadLot& read, const Lot& lot, const mesh::Respond& respond);
+  void AnswerEmpty(const ReadLot& read, const rpc::Respond& respond);
+  void AnswerOutputs(const ReadLot& read, const Lot& lot, const rpc::Respond& respond);
 
   StoreContext* const context_;
   std::uint64_t last_ = 0;
@@ -42,4 +42,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_LOT_STORE_READS_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_LOT_STORE_READS_H_
--- a/src/batch/messages.cpp
+++ b/src/tier/batch/messages.cpp
@@ -1,4 +1,4 @@
-#include "batch/messages.h"
+#include "tier/batch/messages.h"
 
 namespace pearreach::batch {
 
--- a/src/batch/messages.h
+++ b/src/tier/batch/messages.h
@@ -1,6 +1,6 @@
 // Messages between edge nodes and store machines, and the table that places lots on stores.
-#ifndef PEARREACH_SRC_BATCH_MESSAGES_H_
-#define PEARREACH_SRC_BATCH_MESSAGES_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_MESSAGES_H_
+#define PEARREACH_SRC_TIER_BATCH_MESSAGES_H_
 
 #include <cstdint>
 #include <map>
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "codec/archive.h"
+#include "tier/codec/archive.h"
 
 namespace pearreach::batch {
 
@@ -275,4 +275,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_MESSAGES_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_MESSAGES_H_
--- a/src/batch/placement.cpp
+++ b/src/tier/batch/placement.cpp
@@ -1,10 +1,10 @@
-#include "batch/placement.h"
+#include "tier/batch/placement.h"
 
 #include <algorithm>
 #include <tuple>
 #include <utility>
 
-#include "batch/replica_places.h"
+#include "tier/batch/replica_places.h"
 
 namespace pearreach::batch {
 namespace {
--- a/src/batch/placement.h
+++ b/src/tier/batch/placement.h
@@ -1,7 +1,7 @@
 // Which stores hold which partitions of lots: from the table in force and what is known of the
 // stores, the next table. Pure: no clock, no transport.
-#ifndef PEARREACH_SRC_BATCH_PLACEMENT_H_
-#define PEARREACH_SRC_BATCH_PLACEMENT_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_PLACEMENT_H_
+#define PEARREACH_SRC_TIER_BATCH_PLACEMENT_H_
 
 #include <cstdint>
 #include <map>
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "batch/messages.h"
+#include "tier/batch/messages.h"
 
 namespace pearreach::batch {
 
@@ -61,4 +61,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_PLACEMENT_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_PLACEMENT_H_
--- a/src/batch/placement_duty.cpp
+++ b/src/tier/batch/placement_duty.cpp
@@ -1,9 +1,9 @@
-#include "batch/placement_duty.h"
+#include "tier/batch/placement_duty.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "logging/log.h"
+#include "tier/logging/log.h"
 
 namespace pearreach::batch {
 namespace {
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-PlacementDuty::PlacementDuty(Timers* timers, mesh::Mesh* mesh, control::ControlClient* control,
+PlacementDuty::PlacementDuty(Timers* timers, rpc::Mesh* mesh, control::ControlClient* control,
                              std::string self, PlacementSpread spread, Micros silent_after,
                              bool asks_silent)
     : timers_(timers),
@@ -36,9 +36,9 @@
       spread_(std::move(spread)),
       asks_silent_(asks_silent),
       presence_(silent_after) {
-  mesh->Handle(mesh::MessageType::kStoreStatus,
+  mesh->Handle(rpc::MessageType::kStoreStatus,
                [this, alive = alive_](const std::string&, std::string_view body,
-                                      const mesh::Respond& respond) {
+                                      const rpc::Respond& respond) {
                  if (*alive) OnStatus(body, respond);
                });
   control->OnChange([this, alive = alive_] {
@@ -60,7 +60,7 @@
   });
 }
 
-void PlacementDuty::OnStatus(std::string_view body, const mesh::Respond& respond) {
+void PlacementDuty::OnStatus(std::string_view body, const rpc::Respond& respond) {
   auto status = codec::Decode<StoreStatus>(body);
   if (!status.ok()) {
     respond(status.status());
@@ -85,7 +85,7 @@
                      member->second.info.disk_id == store.disk_id && !asking_.contains(store);
   if (!known) return;
   asking_.insert(store);
-  mesh_->Call(member->second.info.address, mesh::MessageType::kStorePing, {}, kPingTime,
+  mesh_->Call(member->second.info.address, rpc::MessageType::kStorePing, {}, kPingTime,
               [this, alive = alive_, store](const absl::StatusOr<std::string>& answer) {
                 if (!*alive) return;
                 asking_.erase(store);
--- a/src/batch/placement_duty.h
+++ b/src/tier/batch/placement_duty.h
@@ -1,8 +1,8 @@
 // The duty of placing partitions on stores, held by one node at a time under an epoch
 // (control::DutyHolder): watches the stores' membership and their reports, and proposes the next
 // placement table, which the control state refuses once another node has taken the duty.
-#ifndef PEARREACH_SRC_BATCH_PLACEMENT_DUTY_H_
-#define PEARREACH_SRC_BATCH_PLACEMENT_DUTY_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_PLACEMENT_DUTY_H_
+#define PEARREACH_SRC_TIER_BATCH_PLACEMENT_DUTY_H_
 
 #include <cstdint>
 #include <map>
@@ -11,13 +11,13 @@
 #include <string>
 #include <string_view>
 
-#include "base/timers.h"
-#include "batch/messages.h"
-#include "batch/placement.h"
-#include "batch/store_presence.h"
-#include "control/control_client.h"
-#include "control/duty_holder.h"
-#include "mesh/mesh.h"
+#include "common/event_loop/timers.h"
+#include "tier/batch/messages.h"
+#include "tier/batch/placement.h"
+#include "tier/batch/store_presence.h"
+#include "tier/control/control_client.h"
+#include "tier/control/duty_holder.h"
+#include "tier/rpc/mesh.h"
 
 namespace pearreach::batch {
 
@@ -27,7 +27,7 @@
   // not hold the duty answers it FAILED_PRECONDITION. `silent_after`: see StorePresence.
   // `asks_silent`: stores that others report as silent are asked, and count as gone where they
   // don't answer.
-  PlacementDuty(Timers* timers, mesh::Mesh* mesh, control::ControlClient* control, std::string self,
+  PlacementDuty(Timers* timers, rpc::Mesh* mesh, control::ControlClient* control, std::string self,
                 PlacementSpread spread, Micros silent_after, bool asks_silent = true);
   ~PlacementDuty();
   PlacementDuty(const PlacementDuty&) = delete;
@@ -37,7 +37,7 @@
   void Look();
 
  private:
-  void OnStatus(std::string_view body, const mesh::Respond& respond);
+  void OnStatus(std::string_view body, const rpc::Respond& respond);
   void LookLater(Micros delay);
   void BeginDuty(Micros now);
   void EndDuty();
@@ -48,7 +48,7 @@
   void Propose(PlacementTable table, std::uint64_t revision);
 
   Timers* timers_;
-  mesh::Mesh* mesh_;
+  rpc::Mesh* mesh_;
   control::ControlClient* control_;
   control::DutyHolder duty_;
   const PlacementSpread spread_;
@@ -66,4 +66,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_PLACEMENT_DUTY_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_PLACEMENT_DUTY_H_
--- a/src/batch/quota.cpp
+++ b/src/tier/batch/quota.cpp
@@ -1,4 +1,4 @@
-#include "batch/quota.h"
+#include "tier/batch/quota.h"
 
 #include <algorithm>
 #include <set>
--- a/src/batch/quota.h
+++ b/src/tier/batch/quota.h
@@ -1,8 +1,8 @@
 // The tokens that may wait on one route, as its owner counts them: what was granted to lots, which
 // is on disk at every replica of the route's partition, lowered by what the lots' partitions
 // report. A partition that cannot report keeps all that was granted to it. A pure machine.
-#ifndef PEARREACH_SRC_BATCH_QUOTA_H_
-#define PEARREACH_SRC_BATCH_QUOTA_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_QUOTA_H_
+#define PEARREACH_SRC_TIER_BATCH_QUOTA_H_
 
 #include <cstdint>
 #include <map>
@@ -10,10 +10,10 @@
 #include <utility>
 #include <vector>
 
-#include "base/timers.h"
-#include "batch/lot_state.h"
-#include "batch/messages.h"
-#include "batch/quota_drain.h"
+#include "common/event_loop/timers.h"
+#include "tier/batch/lot_state.h"
+#include "tier/batch/messages.h"
+#include "tier/batch/quota_drain.h"
 
 namespace pearreach::batch {
 
@@ -125,4 +125,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_QUOTA_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_QUOTA_H_
--- a/src/batch/quota_drain.cpp
+++ b/src/tier/batch/quota_drain.cpp
@@ -1,4 +1,4 @@
-#include "batch/quota_drain.h"
+#include "tier/batch/quota_drain.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/batch/quota_drain.h
+++ b/src/tier/batch/quota_drain.h
@@ -1,13 +1,13 @@
 // When a lot that does not fit its route's quota may fit: by how fast tokens have become free there
 // lately, and what else was refused meanwhile and will be asked for again. Pure.
-#ifndef PEARREACH_SRC_BATCH_QUOTA_DRAIN_H_
-#define PEARREACH_SRC_BATCH_QUOTA_DRAIN_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_QUOTA_DRAIN_H_
+#define PEARREACH_SRC_TIER_BATCH_QUOTA_DRAIN_H_
 
 #include <map>
 #include <string>
 #include <utility>
 
-#include "base/timers.h"
+#include "common/event_loop/timers.h"
 
 namespace pearreach::batch {
 
@@ -31,4 +31,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_QUOTA_DRAIN_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_QUOTA_DRAIN_H_
--- a/src/batch/repair_pacer.cpp
+++ b/src/tier/batch/repair_pacer.cpp
@@ -1,9 +1,9 @@
-#include "batch/repair_pacer.h"
+#include "tier/batch/repair_pacer.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "logging/log.h"
+#include "tier/logging/log.h"
 
 namespace pearreach::batch {
 namespace {
--- a/src/batch/repair_pacer.h
+++ b/src/tier/batch/repair_pacer.h
@@ -1,7 +1,7 @@
 // One bound over all partitions of a store on what repair sends: bytes a second and calls in
 // flight, so that live changes find the links free.
-#ifndef PEARREACH_SRC_BATCH_REPAIR_PACER_H_
-#define PEARREACH_SRC_BATCH_REPAIR_PACER_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_REPAIR_PACER_H_
+#define PEARREACH_SRC_TIER_BATCH_REPAIR_PACER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -9,7 +9,7 @@
 #include <functional>
 #include <memory>
 
-#include "base/timers.h"
+#include "common/event_loop/timers.h"
 
 namespace pearreach::batch {
 
@@ -54,4 +54,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_REPAIR_PACER_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_REPAIR_PACER_H_
--- a/src/batch/replica_places.cpp
+++ b/src/tier/batch/replica_places.cpp
@@ -1,4 +1,4 @@
-#include "batch/replica_places.h"
+#include "tier/batch/replica_places.h"
 
 #include <algorithm>
 
--- a/src/batch/replica_places.h
+++ b/src/tier/batch/replica_places.h
@@ -1,12 +1,12 @@
 // Where the replicas of partitions stand: their zones and regions, against those that are wanted.
-#ifndef PEARREACH_SRC_BATCH_REPLICA_PLACES_H_
-#define PEARREACH_SRC_BATCH_REPLICA_PLACES_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_REPLICA_PLACES_H_
+#define PEARREACH_SRC_TIER_BATCH_REPLICA_PLACES_H_
 
 #include <set>
 #include <string>
 
-#include "batch/messages.h"
-#include "batch/placement.h"
+#include "tier/batch/messages.h"
+#include "tier/batch/placement.h"
 
 namespace pearreach::batch {
 
@@ -38,4 +38,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_REPLICA_PLACES_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_REPLICA_PLACES_H_
--- a/src/batch/replication.cpp
+++ b/src/tier/batch/replication.cpp
@@ -1,10 +1,10 @@
-#include "batch/replication.h"
+#include "tier/batch/replication.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "codec/archive.h"
-#include "logging/log.h"
+#include "tier/codec/archive.h"
+#include "tier/logging/log.h"
 
 namespace pearreach::batch {
 namespace {
@@ -24,7 +24,7 @@
       self_(std::move(self)),
       environment_(environment),
       lots_(partition),
-      commits_([environment](std::vector<disk::Write> batch, CommitQueue::Done done) {
+      commits_([environment](std::vector<storage::Write> batch, CommitQueue::Done done) {
         environment->Commit(std::move(batch), std::move(done));
       }) {
   lots_.Load(environment_->Disk());
@@ -181,7 +181,7 @@
   }
   const std::uint64_t sequence = ++last_sequence_;
   auto shared = std::make_shared<const Operation>(std::move(operation));
-  std::vector<disk::Write> batch = lots_.Apply(*shared);
+  std::vector<storage::Write> batch = lots_.Apply(*shared);
   pending_.push_back({sequence, shared, false, std::move(done)});
   const std::uint64_t term = term_;
   commits_.Commit(std::move(batch), [this, term, sequence](const absl::Status& status) {
@@ -371,19 +371,19 @@
   return fits ? ReplicaVerdict::kTaken : ReplicaVerdict::kUnsynchronised;
 }
 
-void PartitionReplica::OnReplicate(Replicate message, mesh::Respond respond) {
+void PartitionReplica::OnReplicate(Replicate message, rpc::Respond respond) {
   ReplicateAnswer answer;
   answer.verdict = JudgeReplicate(message);
   if (answer.verdict != ReplicaVerdict::kTaken) {
     respond(codec::Encode(answer));
     return;
   }
-  std::vector<disk::Write> batch;
+  std::vector<storage::Write> batch;
   std::uint64_t sequence = message.first;
   for (const Operation& operation : message.operations) {
     const bool known = !message.fill && sequence++ < next_;
     if (known) continue;
-    std::vector<disk::Write> writes = lots_.Apply(operation);
+    std::vector<storage::Write> writes = lots_.Apply(operation);
     std::move(writes.begin(), writes.end(), std::back_inserter(batch));
   }
   if (!message.fill) next_ = std::max(next_, sequence);
@@ -408,7 +408,7 @@
   });
 }
 
-void PartitionReplica::OnRepairDigest(const RepairDigest& message, mesh::Respond respond) {
+void PartitionReplica::OnRepairDigest(const RepairDigest& message, rpc::Respond respond) {
   RepairDigestAnswer answer;
   answer.verdict = Judge(message.scope, !message.buckets.empty());
   if (answer.verdict == ReplicaVerdict::kTaken) {
--- a/src/batch/replication.h
+++ b/src/tier/batch/replication.h
@@ -1,8 +1,8 @@
 // One partition at one store: its lots, its part in the partition's table and the order of changes.
 // The primary's state is the truth; a change counts once it is durable at every replica of the
 // table. Time, disk and messages come from the environment alone.
-#ifndef PEARREACH_SRC_BATCH_REPLICATION_H_
-#define PEARREACH_SRC_BATCH_REPLICATION_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_REPLICATION_H_
+#define PEARREACH_SRC_TIER_BATCH_REPLICATION_H_
 
 #include <absl/status/status.h>
 
@@ -18,15 +18,15 @@
 #include <utility>
 #include <vector>
 
-#include "base/timers.h"
-#include "batch/commit_queue.h"
-#include "batch/lot_state.h"
-#include "batch/messages.h"
-#include "batch/repair_pacer.h"
-#include "batch/replication_link.h"
-#include "batch/replication_messages.h"
-#include "disk/table_store.h"
-#include "mesh/mesh.h"
+#include "common/event_loop/timers.h"
+#include "tier/batch/commit_queue.h"
+#include "tier/batch/lot_state.h"
+#include "tier/batch/messages.h"
+#include "tier/batch/repair_pacer.h"
+#include "tier/batch/replication_link.h"
+#include "tier/batch/replication_messages.h"
+#include "tier/rpc/mesh.h"
+#include "tier/storage/table_store.h"
 
 namespace pearreach::batch {
 
@@ -38,10 +38,11 @@
   virtual std::uint64_t Random() = 0;
   virtual Timers::Id After(Micros delay, std::function<void()> callback) = 0;
   virtual void Cancel(Timers::Id* id) = 0;
-  virtual void Send(const StoreId& to, mesh::MessageType type, std::string body, Micros timeout,
-                    mesh::Done done) = 0;
-  virtual const disk::TableStore& Disk() const = 0;
-  virtual void Commit(std::vector<disk::Write> batch, std::function<void(absl::Status)> done) = 0;
+  virtual void Send(const StoreId& to, rpc::MessageType type, std::string body, Micros timeout,
+                    rpc::Done done) = 0;
+  virtual const storage::TableStore& Disk() const = 0;
+  virtual void Commit(std::vector<storage::Write> batch,
+                      std::function<void(absl::Status)> done) = 0;
   // Asks for the newest control state.
   virtual void RefreshTable() = 0;
   // Whether the newest control state has just this epoch of the partition, strictly read.
@@ -94,8 +95,8 @@
   std::vector<StoreId> FilledJoiners() const;
 
   // From the primary; nothing is answered before it is durable.
-  void OnReplicate(Replicate message, mesh::Respond respond);
-  void OnRepairDigest(const RepairDigest& message, mesh::Respond respond);
+  void OnReplicate(Replicate message, rpc::Respond respond);
+  void OnRepairDigest(const RepairDigest& message, rpc::Respond respond);
 
  private:
   struct Pending {
@@ -168,4 +169,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_REPLICATION_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_REPLICATION_H_
--- a/src/batch/replication_link.cpp
+++ b/src/tier/batch/replication_link.cpp
@@ -1,10 +1,10 @@
-#include "batch/replication_link.h"
+#include "tier/batch/replication_link.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "batch/replication.h"
-#include "codec/archive.h"
+#include "tier/batch/replication.h"
+#include "tier/codec/archive.h"
 
 namespace pearreach::batch {
 namespace {
@@ -27,7 +27,7 @@
 ReplicaLink::~ReplicaLink() { environment_->Cancel(&retry_timer_); }
 
 template <class Answer>
-void ReplicaLink::Call(mesh::MessageType type, std::string body, Micros timeout,
+void ReplicaLink::Call(rpc::MessageType type, std::string body, Micros timeout,
                        std::function<void(const Answer&)> taken) {
   const std::weak_ptr<ReplicaLink> weak = weak_from_this();
   const std::uint64_t generation = generation_;
@@ -80,7 +80,7 @@
   RepairDigest message;
   message.scope = Scope();
   message.buckets = owner_->link_lots().BucketDigests();
-  Call<RepairDigestAnswer>(mesh::MessageType::kRepairDigest, codec::Encode(message), kStreamTimeout,
+  Call<RepairDigestAnswer>(rpc::MessageType::kRepairDigest, codec::Encode(message), kStreamTimeout,
                            [this](const RepairDigestAnswer& answer) {
                              if (answer.differing.empty()) {
                                Begin();
@@ -95,7 +95,7 @@
   message.scope = Scope();
   message.lots = owner_->link_lots().LotDigests(buckets);
   message.listed = std::move(buckets);
-  Call<RepairDigestAnswer>(mesh::MessageType::kRepairDigest, codec::Encode(message), kFillTimeout,
+  Call<RepairDigestAnswer>(rpc::MessageType::kRepairDigest, codec::Encode(message), kFillTimeout,
                            [this](const RepairDigestAnswer& answer) {
                              to_send_.assign(answer.wanted.begin(), answer.wanted.end());
                              to_erase_.assign(answer.surplus.begin(), answer.surplus.end());
@@ -141,7 +141,7 @@
     lots.pop_front();
   }
   auto held = std::make_shared<RepairPacer::Slot>(slot);
-  Call<ReplicateAnswer>(mesh::MessageType::kReplicate, codec::Encode(message), kFillTimeout,
+  Call<ReplicateAnswer>(rpc::MessageType::kReplicate, codec::Encode(message), kFillTimeout,
                         [this, held](const ReplicateAnswer& answer) {
                           held->reset();
                           environment_->NoteRoom(peer_, answer.room);
@@ -157,7 +157,7 @@
   message.fill = true;
   message.begin = true;
   const Micros sent = environment_->Now();
-  Call<ReplicateAnswer>(mesh::MessageType::kReplicate, codec::Encode(message), kFillTimeout,
+  Call<ReplicateAnswer>(rpc::MessageType::kReplicate, codec::Encode(message), kFillTimeout,
                         [this, sent](const ReplicateAnswer& answer) {
                           environment_->NoteRoom(peer_, answer.room);
                           state_ = State::kStreaming;
@@ -193,7 +193,7 @@
   in_flight_ = true;
   probe_wanted_ = false;
   const Micros sent = environment_->Now();
-  Call<ReplicateAnswer>(mesh::MessageType::kReplicate, codec::Encode(message),
+  Call<ReplicateAnswer>(rpc::MessageType::kReplicate, codec::Encode(message),
                         bytes < kMessageBytes / 4 ? kStreamTimeout : kFillTimeout,
                         [this, last, sent](const ReplicateAnswer& answer) {
                           environment_->NoteRoom(peer_, answer.room);
--- a/src/batch/replication_link.h
+++ b/src/tier/batch/replication_link.h
@@ -1,7 +1,7 @@
 // A primary's connection to one other replica of a partition: synchronisation by digests, then the
 // stream of changes in order, one call at a time.
-#ifndef PEARREACH_SRC_BATCH_REPLICATION_LINK_H_
-#define PEARREACH_SRC_BATCH_REPLICATION_LINK_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_REPLICATION_LINK_H_
+#define PEARREACH_SRC_TIER_BATCH_REPLICATION_LINK_H_
 
 #include <absl/status/statusor.h>
 
@@ -12,13 +12,13 @@
 #include <string>
 #include <vector>
 
-#include "base/timers.h"
-#include "batch/commit_queue.h"
-#include "batch/lot_state.h"
-#include "batch/messages.h"
-#include "batch/repair_pacer.h"
-#include "batch/replication_messages.h"
-#include "mesh/mesh.h"
+#include "common/event_loop/timers.h"
+#include "tier/batch/commit_queue.h"
+#include "tier/batch/lot_state.h"
+#include "tier/batch/messages.h"
+#include "tier/batch/repair_pacer.h"
+#include "tier/batch/replication_messages.h"
+#include "tier/rpc/mesh.h"
 
 namespace pearreach::batch {
 
@@ -66,7 +66,7 @@
   };
 
   template <class Answer>
-  void Call(mesh::MessageType type, std::string body, Micros timeout,
+  void Call(rpc::MessageType type, std::string body, Micros timeout,
             std::function<void(const Answer&)> taken);
   ReplicaScope Scope() const;
   void SendBuckets();
@@ -100,4 +100,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_REPLICATION_LINK_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_REPLICATION_LINK_H_
--- a/src/batch/replication_messages.h
+++ b/src/tier/batch/replication_messages.h
@@ -1,14 +1,14 @@
 // Messages between the replicas of one partition.
-#ifndef PEARREACH_SRC_BATCH_REPLICATION_MESSAGES_H_
-#define PEARREACH_SRC_BATCH_REPLICATION_MESSAGES_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_REPLICATION_MESSAGES_H_
+#define PEARREACH_SRC_TIER_BATCH_REPLICATION_MESSAGES_H_
 
 #include <cstdint>
 #include <string>
 #include <utility>
 #include <vector>
 
-#include "batch/lot_state.h"
-#include "batch/messages.h"
+#include "tier/batch/lot_state.h"
+#include "tier/batch/messages.h"
 
 namespace pearreach::batch {
 
@@ -80,4 +80,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_REPLICATION_MESSAGES_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_REPLICATION_MESSAGES_H_
--- a/src/batch/retire_api.cpp
+++ b/src/tier/batch/retire_api.cpp
@@ -1,4 +1,4 @@
-#include "batch/retire_api.h"
+#include "tier/batch/retire_api.h"
 
 #include <absl/status/statusor.h>
 
@@ -6,8 +6,8 @@
 #include <utility>
 #include <vector>
 
-#include "batch/placement.h"
-#include "batch/placement_duty.h"
+#include "tier/batch/placement.h"
+#include "tier/batch/placement_duty.h"
 
 namespace pearreach::batch {
 namespace {
@@ -22,7 +22,8 @@
   return std::find(list.begin(), list.end(), name) != list.end();
 }
 
-void Answer(const std::shared_ptr<front::Exchange>& exchange, int status, std::string_view body) {
+void Answer(const std::shared_ptr<http_server::Exchange>& exchange, int status,
+            std::string_view body) {
   std::vector<http::Header> headers = {{"Content-Type", "application/json"}};
   if (status == 503) headers.push_back({"Retry-After", kRetryAfterSeconds});
   exchange->Respond(status, std::move(headers), body);
@@ -31,7 +32,7 @@
 }  // namespace
 
 struct RetireApi::Order {
-  std::shared_ptr<front::Exchange> exchange;
+  std::shared_ptr<http_server::Exchange> exchange;
   std::string node;
   Micros deadline = 0;
 };
@@ -43,13 +44,12 @@
 
 void RetireApi::AddTo(control::ApiRouter* router) {
   router->Add("POST", "/Retire.Begin/*",
-              [this](std::shared_ptr<front::Exchange> exchange, const std::string& node) {
+              [this](std::shared_ptr<http_server::Exchange> exchange, const std::string& node) {
                 Begin(std::move(exchange), node);
               });
   router->Add("GET", "/Retire.Read/*",
-              [this](const std::shared_ptr<front::Exchange>& exchange, const std::string& node) {
-                Read(exchange, node);
-              });
+              [this](const std::shared_ptr<http_server::Exchange>& exchange,
+                     const std::string& node) { Read(exchange, node); });
 }
 
 bool RetireApi::IsKnown(const PlacementTable& table, const std::string& node) const {
@@ -71,7 +71,7 @@
   return left;
 }
 
-void RetireApi::Begin(std::shared_ptr<front::Exchange> exchange, const std::string& node) {
+void RetireApi::Begin(std::shared_ptr<http_server::Exchange> exchange, const std::string& node) {
   auto order = std::make_shared<Order>();
   order->exchange = std::move(exchange);
   order->node = node;
@@ -145,7 +145,7 @@
   });
 }
 
-void RetireApi::Read(const std::shared_ptr<front::Exchange>& exchange,
+void RetireApi::Read(const std::shared_ptr<http_server::Exchange>& exchange,
                      const std::string& node) const {
   const auto snapshot = control_->Current();
   if (snapshot->stores.empty()) {
--- a/src/batch/retire_api.h
+++ b/src/tier/batch/retire_api.h
@@ -1,17 +1,17 @@
 // The operator's calls that empty a storage machine: POST /Retire.Begin/NODE, GET
 // /Retire.Read/NODE.
-#ifndef PEARREACH_SRC_BATCH_RETIRE_API_H_
-#define PEARREACH_SRC_BATCH_RETIRE_API_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_RETIRE_API_H_
+#define PEARREACH_SRC_TIER_BATCH_RETIRE_API_H_
 
 #include <cstdint>
 #include <memory>
 #include <string>
 
-#include "base/timers.h"
-#include "batch/messages.h"
-#include "control/api_router.h"
-#include "control/control_client.h"
-#include "front/exchange.h"
+#include "common/event_loop/timers.h"
+#include "tier/batch/messages.h"
+#include "tier/control/api_router.h"
+#include "tier/control/control_client.h"
+#include "tier/http_server/exchange.h"
 
 namespace pearreach::batch {
 
@@ -24,8 +24,8 @@
   RetireApi& operator=(const RetireApi&) = delete;
 
   void AddTo(control::ApiRouter* router);
-  void Begin(std::shared_ptr<front::Exchange> exchange, const std::string& node);
-  void Read(const std::shared_ptr<front::Exchange>& exchange, const std::string& node) const;
+  void Begin(std::shared_ptr<http_server::Exchange> exchange, const std::string& node);
+  void Read(const std::shared_ptr<http_server::Exchange>& exchange, const std::string& node) const;
 
  private:
   struct Order;
@@ -45,4 +45,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_RETIRE_API_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_RETIRE_API_H_
--- a/src/batch/silence_reports.cpp
+++ b/src/tier/batch/silence_reports.cpp
@@ -1,8 +1,8 @@
-#include "batch/silence_reports.h"
+#include "tier/batch/silence_reports.h"
 
 #include <string>
 
-#include "codec/archive.h"
+#include "tier/codec/archive.h"
 
 namespace pearreach::batch {
 namespace {
@@ -12,14 +12,14 @@
 
 }  // namespace
 
-void SendToPlacementDuty(mesh::Mesh* mesh, const control::ControlClient& control,
+void SendToPlacementDuty(rpc::Mesh* mesh, const control::ControlClient& control,
                          const StoreStatus& status, Micros timeout) {
   const std::string body = codec::Encode(status);
   for (const auto& [name, member] : control.members()) {
     const bool live = member.status == coordination::MemberStatus::kAlive ||
                       member.status == coordination::MemberStatus::kSuspect;
     if (!live || !member.info.Is(coordination::MemberInfo::kQuorumMember)) continue;
-    mesh->Call(member.info.address, mesh::MessageType::kStoreStatus, body, timeout,
+    mesh->Call(member.info.address, rpc::MessageType::kStoreStatus, body, timeout,
                [](const absl::StatusOr<std::string>&) {});
   }
 }
--- a/src/batch/silence_reports.h
+++ b/src/tier/batch/silence_reports.h
@@ -1,35 +1,35 @@
 // Tells the placement duty of stores that did not answer this process: it asks them itself before
 // it acts on that. Membership alone takes several times as long to find a loss.
-#ifndef PEARREACH_SRC_BATCH_SILENCE_REPORTS_H_
-#define PEARREACH_SRC_BATCH_SILENCE_REPORTS_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_SILENCE_REPORTS_H_
+#define PEARREACH_SRC_TIER_BATCH_SILENCE_REPORTS_H_
 
 #include <map>
 
-#include "base/timers.h"
-#include "batch/messages.h"
-#include "control/control_client.h"
-#include "mesh/mesh.h"
+#include "common/event_loop/timers.h"
+#include "tier/batch/messages.h"
+#include "tier/control/control_client.h"
+#include "tier/rpc/mesh.h"
 
 namespace pearreach::batch {
 
 // Sends the status to every quorum member; the one that holds the duty takes it.
-void SendToPlacementDuty(mesh::Mesh* mesh, const control::ControlClient& control,
+void SendToPlacementDuty(rpc::Mesh* mesh, const control::ControlClient& control,
                          const StoreStatus& status, Micros timeout);
 
 class SilenceReports {
  public:
-  SilenceReports(mesh::Mesh* mesh, const control::ControlClient* control)
+  SilenceReports(rpc::Mesh* mesh, const control::ControlClient* control)
       : mesh_(mesh), control_(control) {}
 
   // Each store is reported no more often than it takes to ask it.
   void Report(const StoreId& silent, Micros now);
 
  private:
-  mesh::Mesh* const mesh_;
+  rpc::Mesh* const mesh_;
   const control::ControlClient* const control_;
   std::map<StoreId, Micros> reported_;
 };
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_SILENCE_REPORTS_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_SILENCE_REPORTS_H_
--- a/src/batch/store_client.cpp
+++ b/src/tier/batch/store_client.cpp
@@ -1,10 +1,10 @@
-#include "batch/store_client.h"
+#include "tier/batch/store_client.h"
 
 #include <algorithm>
 #include <set>
 #include <utility>
 
-#include "logging/log.h"
+#include "tier/logging/log.h"
 
 namespace pearreach::batch {
 namespace {
@@ -33,7 +33,7 @@
 }  // namespace
 
 struct StoreClient::Call {
-  mesh::MessageType type;
+  rpc::MessageType type;
   std::string lot_id;
   Micros deadline = 0, unsent_deadline = 0, attempt = 0;
   Encoder encode;
@@ -49,7 +49,7 @@
   Timers::Id timer = 0;
 };
 
-StoreClient::StoreClient(Timers* timers, mesh::Mesh* mesh, control::ControlClient* control,
+StoreClient::StoreClient(Timers* timers, rpc::Mesh* mesh, control::ControlClient* control,
                          std::string self)
     : timers_(timers),
       mesh_(mesh),
@@ -122,7 +122,7 @@
 
 // ---------------------------------------------------------------- calls with repetition
 
-StoreClient::CallId StoreClient::Start(mesh::MessageType type, std::string lot_id, CallTime time,
+StoreClient::CallId StoreClient::Start(rpc::MessageType type, std::string lot_id, CallTime time,
                                        Encoder encode, Finished finished) {
   const CallId id = ++last_;
   auto call = std::make_unique<Call>();
@@ -200,7 +200,7 @@
 
 // A lot that is neither taken nor refused costs its client all of it: what it waited for must show.
 void StoreClient::LogLotGivenUp(const Call& call, std::string_view why) const {
-  if (call.type != mesh::MessageType::kLotCreate) return;
+  if (call.type != rpc::MessageType::kLotCreate) return;
   const StoreId* primary =
       table_ == nullptr || table_->partitions[PartitionOf(call.lot_id)].replicas.empty()
           ? nullptr
@@ -252,7 +252,7 @@
     message->partition_epoch = asking.partition_epoch;
     return codec::Encode(*message);
   };
-  return Start(mesh::MessageType::kLotCreate, lot_id, time, std::move(encode),
+  return Start(rpc::MessageType::kLotCreate, lot_id, time, std::move(encode),
                [done = std::move(done)](absl::StatusOr<std::string> bytes, bool unclear) {
                  auto answer = Decoded<CreateLotAnswer>(std::move(bytes));
                  // An earlier attempt may still reach a store: a refusal would promise too much.
@@ -271,7 +271,7 @@
     message.placement_epoch = asking.placement_epoch;
     return codec::Encode(message);
   };
-  return Start(mesh::MessageType::kLotOffer, lot_id, time, std::move(encode),
+  return Start(rpc::MessageType::kLotOffer, lot_id, time, std::move(encode),
                [done = std::move(done)](absl::StatusOr<std::string> bytes, bool) {
                  done(Decoded<OfferLotAnswer>(std::move(bytes)));
                });
@@ -284,7 +284,7 @@
   Encoder encode = [question = std::move(question)](const Asking&) {
     return codec::Encode(question);
   };
-  return Start(mesh::MessageType::kQuotaQuestion, route, time, std::move(encode),
+  return Start(rpc::MessageType::kQuotaQuestion, route, time, std::move(encode),
                [done = std::move(done)](absl::StatusOr<std::string> bytes, bool) {
                  done(Decoded<QuotaReserveAnswer>(std::move(bytes)));
                });
@@ -299,7 +299,7 @@
     message.wait_ms = std::min<std::int64_t>(message.wait_ms, longest / kMs);
     return codec::Encode(message);
   };
-  return Start(mesh::MessageType::kLotRead, lot_id, time, std::move(encode),
+  return Start(rpc::MessageType::kLotRead, lot_id, time, std::move(encode),
                [done = std::move(done)](absl::StatusOr<std::string> bytes, bool) {
                  done(Decoded<ReadLotAnswer>(std::move(bytes)));
                });
@@ -313,7 +313,7 @@
     message.placement_epoch = asking.placement_epoch;
     return codec::Encode(message);
   };
-  return Start(mesh::MessageType::kLotItemBody, lot_id, time, std::move(encode),
+  return Start(rpc::MessageType::kLotItemBody, lot_id, time, std::move(encode),
                [done = std::move(done)](absl::StatusOr<std::string> bytes, bool) {
                  done(Decoded<ReadItemBodyAnswer>(std::move(bytes)));
                });
@@ -326,7 +326,7 @@
     message.placement_epoch = asking.placement_epoch;
     return codec::Encode(message);
   };
-  return Start(mesh::MessageType::kLotCancel, lot_id, time, std::move(encode),
+  return Start(rpc::MessageType::kLotCancel, lot_id, time, std::move(encode),
                [done = std::move(done)](absl::StatusOr<std::string> bytes, bool) {
                  done(Decoded<CancelLotAnswer>(std::move(bytes)));
                });
@@ -337,12 +337,12 @@
   const std::string lot_id = result.lot_id;
   Encoder encode = [result = std::move(result)](const Asking&) { return codec::Encode(result); };
   return Start(
-      mesh::MessageType::kItemResult, lot_id, time, std::move(encode),
+      rpc::MessageType::kItemResult, lot_id, time, std::move(encode),
       [done = std::move(done)](absl::StatusOr<std::string> bytes, bool) { done(bytes.status()); });
 }
 
 template <class Answer>
-void StoreClient::CallStore(const StoreId& store, mesh::MessageType type, std::string body,
+void StoreClient::CallStore(const StoreId& store, rpc::MessageType type, std::string body,
                             Micros timeout, Done<Answer> done) {
   const std::string address = path_.AddressOf(store);
   if (address.empty()) {
@@ -361,13 +361,13 @@
                        Done<TakeItemsAnswer> done) {
   const auto table = Table();
   take.placement_epoch = table == nullptr ? 0 : table->epoch;
-  CallStore<TakeItemsAnswer>(store, mesh::MessageType::kItemTake, codec::Encode(take), timeout,
+  CallStore<TakeItemsAnswer>(store, rpc::MessageType::kItemTake, codec::Encode(take), timeout,
                              std::move(done));
 }
 
 void StoreClient::Renew(const StoreId& store, RenewLeases renew, Micros timeout,
                         Done<RenewLeasesAnswer> done) {
-  CallStore<RenewLeasesAnswer>(store, mesh::MessageType::kItemRenew, codec::Encode(renew), timeout,
+  CallStore<RenewLeasesAnswer>(store, rpc::MessageType::kItemRenew, codec::Encode(renew), timeout,
                                std::move(done));
 }
 
--- a/src/batch/store_client.h
+++ b/src/tier/batch/store_client.h
@@ -1,7 +1,7 @@
 // Calls of an edge node to the stores: finds the primary store of a lot's partition by the newest
 // placement table and repeats a call there, or at the next primary, until its time is over.
-#ifndef PEARREACH_SRC_BATCH_STORE_CLIENT_H_
-#define PEARREACH_SRC_BATCH_STORE_CLIENT_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_STORE_CLIENT_H_
+#define PEARREACH_SRC_TIER_BATCH_STORE_CLIENT_H_
 
 #include <absl/status/statusor.h>
 
@@ -13,13 +13,13 @@
 #include <unordered_map>
 #include <vector>
 
-#include "base/timers.h"
-#include "batch/messages.h"
-#include "batch/quota.h"
-#include "batch/silence_reports.h"
-#include "batch/store_path.h"
-#include "control/control_client.h"
-#include "mesh/mesh.h"
+#include "common/event_loop/timers.h"
+#include "tier/batch/messages.h"
+#include "tier/batch/quota.h"
+#include "tier/batch/silence_reports.h"
+#include "tier/batch/store_path.h"
+#include "tier/control/control_client.h"
+#include "tier/rpc/mesh.h"
 
 namespace pearreach::batch {
 
@@ -41,7 +41,7 @@
   using CallId = std::uint64_t;  // 0 is never a call
 
   // `self`: see StorePath.
-  StoreClient(Timers* timers, mesh::Mesh* mesh, control::ControlClient* control,
+  StoreClient(Timers* timers, rpc::Mesh* mesh, control::ControlClient* control,
               std::string self = {});
   ~StoreClient();
   StoreClient(const StoreClient&) = delete;
@@ -84,7 +84,7 @@
   using Encoder = std::function<std::string(const Asking& asking)>;
   using Finished = std::function<void(absl::StatusOr<std::string>, bool unclear)>;
 
-  CallId Start(mesh::MessageType type, std::string lot_id, CallTime time, Encoder encode,
+  CallId Start(rpc::MessageType type, std::string lot_id, CallTime time, Encoder encode,
                Finished finished);
   void Attempt(CallId id);
   void OnAnswer(CallId id, absl::StatusOr<std::string> answer);
@@ -94,11 +94,11 @@
   void LogLotGivenUp(const Call& call, std::string_view why) const;
   void Finish(CallId id, absl::StatusOr<std::string> answer);
   template <class Answer>
-  void CallStore(const StoreId& store, mesh::MessageType type, std::string body, Micros timeout,
+  void CallStore(const StoreId& store, rpc::MessageType type, std::string body, Micros timeout,
                  Done<Answer> done);
 
   Timers* timers_;
-  mesh::Mesh* mesh_;
+  rpc::Mesh* mesh_;
   control::ControlClient* control_;
   std::shared_ptr<const PlacementTable> table_;
   std::uint64_t table_revision_ = 0;
@@ -111,4 +111,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_STORE_CLIENT_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_STORE_CLIENT_H_
--- a/src/batch/store_path.cpp
+++ b/src/tier/batch/store_path.cpp
@@ -1,18 +1,18 @@
-#include "batch/store_path.h"
+#include "tier/batch/store_path.h"
 
 #include <algorithm>
 #include <array>
 #include <utility>
 #include <vector>
 
-#include "codec/archive.h"
+#include "tier/codec/archive.h"
 
 namespace pearreach::batch {
 namespace {
 
 using coordination::MemberInfo;
 using coordination::MemberStatus;
-using mesh::MessageType;
+using rpc::MessageType;
 
 // A way is kept for so long before the direct one is tried again: about as long as a cut lasts that
 // is worth going round.
@@ -32,11 +32,11 @@
 
 }  // namespace
 
-StorePath::StorePath(mesh::Mesh* mesh, const control::ControlClient* control, std::string self)
+StorePath::StorePath(rpc::Mesh* mesh, const control::ControlClient* control, std::string self)
     : mesh_(mesh), control_(control), self_(std::move(self)), random_(std::random_device()()) {
   mesh_->Handle(MessageType::kStoreRelay,
                 [this, alive = std::weak_ptr<bool>(alive_)](
-                    const std::string&, std::string_view body, const mesh::Respond& respond) {
+                    const std::string&, std::string_view body, const rpc::Respond& respond) {
                   if (!alive.expired()) Serve(body, respond);
                 });
 }
@@ -67,7 +67,7 @@
 }
 
 void StorePath::Call(const StoreId& store, MessageType type, std::string body, Micros timeout,
-                     mesh::Done done) {
+                     rpc::Done done) {
   const auto way = ways_.find(store);
   const bool wanted = way != ways_.end() && way->second.relayed && Now() < way->second.until;
   const std::string relay = wanted ? ChooseRelay() : std::string();
@@ -96,7 +96,7 @@
   way.until = Now() + kRelayedFor;
 }
 
-void StorePath::Serve(std::string_view body, const mesh::Respond& respond) {
+void StorePath::Serve(std::string_view body, const rpc::Respond& respond) {
   auto call = codec::Decode<RelayedCall>(body);
   if (!call.ok()) return respond(call.status());
   const std::string address = AddressOf(call->store);
--- a/src/batch/store_path.h
+++ b/src/tier/batch/store_path.h
@@ -1,8 +1,8 @@
 // The way of an edge node's calls to the stores: the direct one, or through another edge node while
 // the direct one gives no answer. A node that is cut off from the stores goes on handing lots in,
 // reading them and delivering results.
-#ifndef PEARREACH_SRC_BATCH_STORE_PATH_H_
-#define PEARREACH_SRC_BATCH_STORE_PATH_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_STORE_PATH_H_
+#define PEARREACH_SRC_TIER_BATCH_STORE_PATH_H_
 
 #include <cstdint>
 #include <map>
@@ -11,17 +11,17 @@
 #include <string>
 #include <string_view>
 
-#include "base/timers.h"
-#include "batch/messages.h"
-#include "control/control_client.h"
-#include "mesh/mesh.h"
+#include "common/event_loop/timers.h"
+#include "tier/batch/messages.h"
+#include "tier/control/control_client.h"
+#include "tier/rpc/mesh.h"
 
 namespace pearreach::batch {
 
 // A call to a store that the receiver makes for the sender (kStoreRelay).
 struct RelayedCall {
   StoreId store;
-  std::uint8_t type = 0;  // mesh::MessageType
+  std::uint8_t type = 0;  // rpc::MessageType
   std::string body;
   std::int64_t timeout_ms = 0;
   template <class Archive>
@@ -33,14 +33,14 @@
 class StorePath {
  public:
   // `self`: this node's name; empty: no call goes through another node. Handles kStoreRelay.
-  StorePath(mesh::Mesh* mesh, const control::ControlClient* control, std::string self);
+  StorePath(rpc::Mesh* mesh, const control::ControlClient* control, std::string self);
   ~StorePath();
   StorePath(const StorePath&) = delete;
   StorePath& operator=(const StorePath&) = delete;
 
-  // As mesh::Mesh::Call. Where a call gets no answer, those that follow go another way for a while.
-  void Call(const StoreId& store, mesh::MessageType type, std::string body, Micros timeout,
-            mesh::Done done);
+  // As rpc::Mesh::Call. Where a call gets no answer, those that follow go another way for a while.
+  void Call(const StoreId& store, rpc::MessageType type, std::string body, Micros timeout,
+            rpc::Done done);
   // The mesh address of the store; empty: not known, dead, or its disk is another one.
   std::string AddressOf(const StoreId& store) const;
 
@@ -52,9 +52,9 @@
 
   void OnAnswer(const StoreId& store, bool relayed, const absl::Status& status);
   std::string ChooseRelay();
-  void Serve(std::string_view body, const mesh::Respond& respond);
+  void Serve(std::string_view body, const rpc::Respond& respond);
 
-  mesh::Mesh* const mesh_;
+  rpc::Mesh* const mesh_;
   const control::ControlClient* const control_;
   const std::string self_;
   std::minstd_rand random_;
@@ -64,4 +64,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_STORE_PATH_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_STORE_PATH_H_
--- a/src/batch/store_presence.cpp
+++ b/src/tier/batch/store_presence.cpp
@@ -1,4 +1,4 @@
-#include "batch/store_presence.h"
+#include "tier/batch/store_presence.h"
 
 #include <algorithm>
 
--- a/src/batch/store_presence.h
+++ b/src/tier/batch/store_presence.h
@@ -1,14 +1,14 @@
 // What the placement duty makes of the stores' membership over time: which of them are there, which
 // are silent and which have gone. Pure: no clock, no transport.
-#ifndef PEARREACH_SRC_BATCH_STORE_PRESENCE_H_
-#define PEARREACH_SRC_BATCH_STORE_PRESENCE_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_STORE_PRESENCE_H_
+#define PEARREACH_SRC_TIER_BATCH_STORE_PRESENCE_H_
 
 #include <map>
 #include <string>
 
-#include "base/timers.h"
-#include "batch/placement.h"
-#include "coordination/membership.h"
+#include "common/event_loop/timers.h"
+#include "tier/batch/placement.h"
+#include "tier/coordination/membership.h"
 
 namespace pearreach::batch {
 
@@ -59,4 +59,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_BATCH_STORE_PRESENCE_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_STORE_PRESENCE_H_
--- a/src/codec/archive.h
+++ b/src/tier/codec/archive.h
@@ -1,8 +1,8 @@
 // Typed messages between the system's own processes as bytes, by Boost.Serialization. Every message
 // is a struct with a `serialize(Archive&, unsigned version)` member. Decoding never trusts the
 // bytes: anything that does not read whole is an error.
-#ifndef PEARREACH_SRC_CODEC_ARCHIVE_H_
-#define PEARREACH_SRC_CODEC_ARCHIVE_H_
+#ifndef PEARREACH_SRC_TIER_CODEC_ARCHIVE_H_
+#define PEARREACH_SRC_TIER_CODEC_ARCHIVE_H_
 
 #include <absl/status/statusor.h>
 
@@ -125,4 +125,4 @@
 
 }  // namespace pearreach::codec
 
-#endif  // PEARREACH_SRC_CODEC_ARCHIVE_H_
+#endif  // PEARREACH_SRC_TIER_CODEC_ARCHIVE_H_
--- a/src/codec/optional.h
+++ b/src/tier/codec/optional.h
@@ -1,6 +1,6 @@
 // Boost.Serialization of std::optional: whether it has a value, then the value.
-#ifndef PEARREACH_SRC_CODEC_OPTIONAL_H_
-#define PEARREACH_SRC_CODEC_OPTIONAL_H_
+#ifndef PEARREACH_SRC_TIER_CODEC_OPTIONAL_H_
+#define PEARREACH_SRC_TIER_CODEC_OPTIONAL_H_
 
 #include <boost/serialization/split_free.hpp>
 #include <optional>
@@ -30,4 +30,4 @@
 
 }  // namespace boost::serialization
 
-#endif  // PEARREACH_SRC_CODEC_OPTIONAL_H_
+#endif  // PEARREACH_SRC_TIER_CODEC_OPTIONAL_H_
--- a/src/control/announced_fetch.cpp
+++ b/src/tier/control/announced_fetch.cpp
@@ -1,9 +1,9 @@
-#include "control/announced_fetch.h"
+#include "tier/control/announced_fetch.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "codec/archive.h"
+#include "tier/codec/archive.h"
 
 namespace pearreach::control {
 namespace {
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-AnnouncedFetch::AnnouncedFetch(TimeSource* time, mesh::Mesh* mesh, SnapshotStore* snapshots,
+AnnouncedFetch::AnnouncedFetch(TimeSource* time, rpc::Mesh* mesh, SnapshotStore* snapshots,
                                const MemberDirectory* directory)
     : time_(time), mesh_(mesh), snapshots_(snapshots), directory_(directory) {}
 
@@ -67,7 +67,7 @@
   fetching_ = true;
   const auto current = snapshots_->current();
   const PollRequest request{current->version, RevisionsOf(*current), false};
-  mesh_->Call(member->info.address, mesh::MessageType::kControlPoll, codec::Encode(request),
+  mesh_->Call(member->info.address, rpc::MessageType::kControlPoll, codec::Encode(request),
               kFetchTimeout, callbacks_.Bind([this, name](absl::StatusOr<std::string> answer) {
                 Answered(name, std::move(answer));
               }));
--- a/src/control/announced_fetch.h
+++ b/src/tier/control/announced_fetch.h
@@ -1,17 +1,17 @@
 // Fetches from a member that has announced a newer version than this node has for a while: the way
 // to the newest state where both polls stand at members that are cut off. Not before the first
 // state is known.
-#ifndef PEARREACH_SRC_CONTROL_ANNOUNCED_FETCH_H_
-#define PEARREACH_SRC_CONTROL_ANNOUNCED_FETCH_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_ANNOUNCED_FETCH_H_
+#define PEARREACH_SRC_TIER_CONTROL_ANNOUNCED_FETCH_H_
 
 #include <map>
 #include <string>
 #include <vector>
 
-#include "control/member_directory.h"
-#include "control/snapshot_store.h"
-#include "control/time_source.h"
-#include "mesh/mesh.h"
+#include "tier/control/member_directory.h"
+#include "tier/control/snapshot_store.h"
+#include "tier/control/time_source.h"
+#include "tier/rpc/mesh.h"
 
 namespace pearreach::control {
 
@@ -20,7 +20,7 @@
 
 class AnnouncedFetch {
  public:
-  AnnouncedFetch(TimeSource* time, mesh::Mesh* mesh, SnapshotStore* snapshots,
+  AnnouncedFetch(TimeSource* time, rpc::Mesh* mesh, SnapshotStore* snapshots,
                  const MemberDirectory* directory);
   ~AnnouncedFetch();
   void MembersChanged(const std::vector<std::string>& names);
@@ -37,7 +37,7 @@
   void Answered(const std::string& name, absl::StatusOr<std::string> answer);
 
   TimeSource* time_;
-  mesh::Mesh* mesh_;
+  rpc::Mesh* mesh_;
   SnapshotStore* snapshots_;
   const MemberDirectory* directory_;
   std::map<std::string, Tried> tried_;  // by name
@@ -48,4 +48,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_ANNOUNCED_FETCH_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_ANNOUNCED_FETCH_H_
--- a/src/control/api_answers.cpp
+++ b/src/tier/control/api_answers.cpp
@@ -1,4 +1,4 @@
-#include "control/api_answers.h"
+#include "tier/control/api_answers.h"
 
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
@@ -16,13 +16,13 @@
 
 }  // namespace
 
-void AnswerJson(front::Exchange* exchange, int status, std::string_view json,
+void AnswerJson(http_server::Exchange* exchange, int status, std::string_view json,
                 std::vector<http::Header> headers) {
   headers.push_back({"Content-Type", "application/json"});
   exchange->Respond(status, std::move(headers), json);
 }
 
-void AnswerError(front::Exchange* exchange, int status, std::string_view text,
+void AnswerError(http_server::Exchange* exchange, int status, std::string_view text,
                  std::vector<http::Header> headers) {
   rapidjson::StringBuffer buffer;
   JsonWriter writer(buffer);
@@ -33,11 +33,11 @@
   AnswerJson(exchange, status, {buffer.GetString(), buffer.GetSize()}, std::move(headers));
 }
 
-void AnswerUnavailable(front::Exchange* exchange, std::string_view text) {
+void AnswerUnavailable(http_server::Exchange* exchange, std::string_view text) {
   AnswerError(exchange, 503, text, {{"Retry-After", kRetryAfterSeconds}});
 }
 
-void AnswerFindings(front::Exchange* exchange, std::string_view text) {
+void AnswerFindings(http_server::Exchange* exchange, std::string_view text) {
   rapidjson::StringBuffer buffer;
   JsonWriter writer(buffer);
   writer.StartObject();
--- a/src/control/api_router.cpp
+++ b/src/tier/control/api_router.cpp
@@ -1,10 +1,10 @@
-#include "control/api_router.h"
+#include "tier/control/api_router.h"
 
 #include <map>
 #include <optional>
 #include <utility>
 
-#include "control/api_answers.h"
+#include "tier/control/api_answers.h"
 
 namespace pearreach::control {
 namespace {
@@ -92,7 +92,7 @@
   node->methods[std::string(method)] = std::move(handler);
 }
 
-void ApiRouter::Dispatch(std::shared_ptr<front::Exchange> exchange) const {
+void ApiRouter::Dispatch(std::shared_ptr<http_server::Exchange> exchange) const {
   const http::Message& request = exchange->request();
   const std::string_view path = PathOf(request.target);
   std::string_view captured;
--- a/src/control/change_relay.cpp
+++ b/src/tier/control/change_relay.cpp
@@ -1,8 +1,8 @@
-#include "control/change_relay.h"
+#include "tier/control/change_relay.h"
 
 #include <utility>
 
-#include "codec/archive.h"
+#include "tier/codec/archive.h"
 
 namespace pearreach::control {
 namespace {
@@ -32,12 +32,12 @@
 
 }  // namespace
 
-ChangeRelay::ChangeRelay(TimeSource* time, mesh::Mesh* mesh, const MemberDirectory* directory,
+ChangeRelay::ChangeRelay(TimeSource* time, rpc::Mesh* mesh, const MemberDirectory* directory,
                          ReplicaDriver* replica, const QuorumReach* reach)
     : time_(time), mesh_(mesh), directory_(directory), replica_(replica), reach_(reach) {
-  mesh_->Handle(mesh::MessageType::kControlWrite,
+  mesh_->Handle(rpc::MessageType::kControlWrite,
                 callbacks_.Bind([this](const std::string&, std::string_view body,
-                                       const mesh::Respond& respond) {
+                                       const rpc::Respond& respond) {
                   auto request = codec::Decode<WriteRequest>(body);
                   if (!request.ok()) return respond(request.status());
                   ++request->hops;
@@ -107,7 +107,7 @@
 void ChangeRelay::PassOn(const AttemptPtr& attempt, const Contact& to, Micros left) {
   attempt->request.timeout = left;
   const std::size_t number = attempt->passed_on = attempt->tries;
-  mesh_->Call(to.address, mesh::MessageType::kControlWrite, codec::Encode(attempt->request), left,
+  mesh_->Call(to.address, rpc::MessageType::kControlWrite, codec::Encode(attempt->request), left,
               callbacks_.Bind([this, attempt, number](const absl::StatusOr<std::string>& answer) {
                 if (attempt->passed_on != number) return;
                 attempt->passed_on = 0;
--- a/src/control/change_relay.h
+++ b/src/tier/control/change_relay.h
@@ -1,17 +1,17 @@
 // Brings a change to the head of the chain, over other nodes where needed, within a bounded time.
 // A change is sent again only where the answer says that surely nothing was changed.
-#ifndef PEARREACH_SRC_CONTROL_CHANGE_RELAY_H_
-#define PEARREACH_SRC_CONTROL_CHANGE_RELAY_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_CHANGE_RELAY_H_
+#define PEARREACH_SRC_TIER_CONTROL_CHANGE_RELAY_H_
 
 #include <functional>
 #include <memory>
 #include <string>
 
-#include "control/member_directory.h"
-#include "control/messages.h"
-#include "control/replica_driver.h"
-#include "control/time_source.h"
-#include "mesh/mesh.h"
+#include "tier/control/member_directory.h"
+#include "tier/control/messages.h"
+#include "tier/control/replica_driver.h"
+#include "tier/control/time_source.h"
+#include "tier/rpc/mesh.h"
 
 namespace pearreach::control {
 
@@ -20,7 +20,7 @@
   using Done = std::function<void(const WriteAnswer&)>;
 
   // `replica`: null on nodes outside the quorum.
-  ChangeRelay(TimeSource* time, mesh::Mesh* mesh, const MemberDirectory* directory,
+  ChangeRelay(TimeSource* time, rpc::Mesh* mesh, const MemberDirectory* directory,
               ReplicaDriver* replica, const QuorumReach* reach);
   // `done` is called exactly once, within `request.timeout`.
   void Change(WriteRequest request, Done done);
@@ -48,7 +48,7 @@
   void TryLater(const AttemptPtr& attempt);
 
   TimeSource* time_;
-  mesh::Mesh* mesh_;
+  rpc::Mesh* mesh_;
   const MemberDirectory* directory_;
   ReplicaDriver* replica_;
   const QuorumReach* reach_;
@@ -57,4 +57,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_CHANGE_RELAY_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_CHANGE_RELAY_H_
--- a/src/control/config_api.cpp
+++ b/src/tier/control/config_api.cpp
@@ -1,9 +1,9 @@
-#include "control/config_api.h"
+#include "tier/control/config_api.h"
 
 #include <utility>
 
-#include "control/api_answers.h"
-#include "control/replace_call.h"
+#include "tier/control/api_answers.h"
+#include "tier/control/replace_call.h"
 
 namespace pearreach::control {
 
@@ -13,17 +13,17 @@
 void ConfigApi::Register(ApiRouter* router) {
   router->Add(
       "POST", "/Config.Replace",
-      [this](std::shared_ptr<front::Exchange> exchange, const std::string&) {
+      [this](std::shared_ptr<http_server::Exchange> exchange, const std::string&) {
         const Micros deadline = exchange->arrived() + kConfigAnswerWithin;
         std::make_shared<ReplaceCall>(client_, now_, std::move(exchange), deadline)->Start();
       });
   router->Add("GET", "/Config.Read",
-              [this](const std::shared_ptr<front::Exchange>& exchange, const std::string&) {
+              [this](const std::shared_ptr<http_server::Exchange>& exchange, const std::string&) {
                 Read(exchange);
               });
 }
 
-void ConfigApi::Read(const std::shared_ptr<front::Exchange>& exchange) {
+void ConfigApi::Read(const std::shared_ptr<http_server::Exchange>& exchange) {
   const Micros left = exchange->arrived() + kConfigAnswerWithin - now_();
   client_->StrictRead(
       left, [exchange](absl::StatusOr<std::shared_ptr<const ControlSnapshot>> snapshot) {
--- a/src/control/config_api.h
+++ b/src/tier/control/config_api.h
@@ -1,13 +1,13 @@
 // The operator's calls that replace and read the configuration.
-#ifndef PEARREACH_SRC_CONTROL_CONFIG_API_H_
-#define PEARREACH_SRC_CONTROL_CONFIG_API_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_CONFIG_API_H_
+#define PEARREACH_SRC_TIER_CONTROL_CONFIG_API_H_
 
 #include <functional>
 #include <memory>
 #include <string>
 
-#include "control/api_router.h"
-#include "control/control_client.h"
+#include "tier/control/api_router.h"
+#include "tier/control/control_client.h"
 
 namespace pearreach::control {
 
@@ -23,7 +23,7 @@
   void Register(ApiRouter* router);
 
  private:
-  void Read(const std::shared_ptr<front::Exchange>& exchange);
+  void Read(const std::shared_ptr<http_server::Exchange>& exchange);
 
   ControlClient* client_;
   std::function<Micros()> now_;
@@ -31,4 +31,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_CONFIG_API_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_CONFIG_API_H_
--- a/src/control/config_mark.cpp
+++ b/src/tier/control/config_mark.cpp
@@ -1,4 +1,4 @@
-#include "control/config_mark.h"
+#include "tier/control/config_mark.h"
 
 #include <rapidjson/document.h>
 #include <xxhash.h>
--- a/src/control/config_mark.h
+++ b/src/tier/control/config_mark.h
@@ -1,12 +1,12 @@
 // The mark of a configuration in the record of taken ones (coordination/change_marks.h): its
 // version and a digest of its content.
-#ifndef PEARREACH_SRC_CONTROL_CONFIG_MARK_H_
-#define PEARREACH_SRC_CONTROL_CONFIG_MARK_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_CONFIG_MARK_H_
+#define PEARREACH_SRC_TIER_CONTROL_CONFIG_MARK_H_
 
 #include <cstdint>
 #include <string_view>
 
-#include "coordination/chain.h"
+#include "tier/coordination/chain.h"
 
 namespace pearreach::control {
 
@@ -17,4 +17,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_CONFIG_MARK_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_CONFIG_MARK_H_
--- a/src/control/control_client.h
+++ b/src/tier/control/control_client.h
@@ -1,7 +1,7 @@
 // The control state as every process of the tier sees it: the newest committed snapshot that this
 // node knows, never going back within a process, and the way to change or strictly read it.
-#ifndef PEARREACH_SRC_CONTROL_CONTROL_CLIENT_H_
-#define PEARREACH_SRC_CONTROL_CONTROL_CLIENT_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_CONTROL_CLIENT_H_
+#define PEARREACH_SRC_TIER_CONTROL_CONTROL_CLIENT_H_
 
 #include <absl/status/statusor.h>
 
@@ -12,11 +12,11 @@
 #include <string>
 #include <utility>
 
-#include "base/io.h"
-#include "coordination/chain.h"
-#include "coordination/change_marks.h"
-#include "coordination/membership.h"
-#include "routing/route_table.h"
+#include "common/event_loop/io.h"
+#include "tier/coordination/chain.h"
+#include "tier/coordination/change_marks.h"
+#include "tier/coordination/membership.h"
+#include "tier/routing/route_table.h"
 
 namespace pearreach::control {
 
@@ -83,4 +83,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_CONTROL_CLIENT_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_CONTROL_CLIENT_H_
--- a/src/control/control_node.cpp
+++ b/src/tier/control/control_node.cpp
@@ -1,4 +1,4 @@
-#include "control/control_node.h"
+#include "tier/control/control_node.h"
 
 #include <fmt/format.h>
 
@@ -6,8 +6,8 @@
 #include <functional>
 #include <utility>
 
-#include "control/founders.h"
-#include "logging/log.h"
+#include "tier/control/founders.h"
+#include "tier/logging/log.h"
 
 namespace pearreach::control {
 namespace {
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-MemberInfo DescribeSelf(const settings::NodeSettings& settings, const disk::TableStore* store,
+MemberInfo DescribeSelf(const settings::NodeSettings& settings, const storage::TableStore* store,
                         std::uint64_t incarnation) {
   MemberInfo self;
   self.name = settings.node_name;
@@ -59,12 +59,12 @@
   return seeds;
 }
 
-ControlNode::ControlNode(Timers* timers, mesh::Mesh* mesh, disk::TableStore* store,
+ControlNode::ControlNode(Timers* timers, rpc::Mesh* mesh, storage::TableStore* store,
                          const settings::NodeSettings& settings, std::uint64_t incarnation)
     : ControlNode(TimeSourceOf(timers), mesh, store, settings, incarnation) {}
 
-ControlNode::ControlNode(std::unique_ptr<TimeSource> time, mesh::Mesh* mesh,
-                         disk::TableStore* store, const settings::NodeSettings& settings,
+ControlNode::ControlNode(std::unique_ptr<TimeSource> time, rpc::Mesh* mesh,
+                         storage::TableStore* store, const settings::NodeSettings& settings,
                          std::uint64_t incarnation)
     : time_(std::move(time)),
       self_(DescribeSelf(settings, store, incarnation)),
@@ -87,7 +87,7 @@
 
 ControlNode::~ControlNode() { time_->Cancel(&founder_timer_); }
 
-std::unique_ptr<ReplicaDriver> ControlNode::MakeReplica(mesh::Mesh* mesh, disk::TableStore* store,
+std::unique_ptr<ReplicaDriver> ControlNode::MakeReplica(rpc::Mesh* mesh, storage::TableStore* store,
                                                         const settings::NodeSettings& settings,
                                                         std::uint64_t seed) {
   if (!self_.Is(MemberInfo::kQuorumMember)) return nullptr;
--- a/src/control/control_node.h
+++ b/src/tier/control/control_node.h
@@ -1,34 +1,34 @@
 // This node's part in the control plane: it runs membership, the chain replica where the node has
 // one, and whatever keeps its snapshot of the control state the newest that it can learn of.
-#ifndef PEARREACH_SRC_CONTROL_CONTROL_NODE_H_
-#define PEARREACH_SRC_CONTROL_CONTROL_NODE_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_CONTROL_NODE_H_
+#define PEARREACH_SRC_TIER_CONTROL_CONTROL_NODE_H_
 
 #include <map>
 #include <memory>
 #include <string>
 #include <vector>
 
-#include "control/announced_fetch.h"
-#include "control/change_relay.h"
-#include "control/control_client.h"
-#include "control/control_timing.h"
-#include "control/first_state.h"
-#include "control/member_directory.h"
-#include "control/membership_driver.h"
-#include "control/poll_server.h"
-#include "control/quorum_reach.h"
-#include "control/replica_driver.h"
-#include "control/snapshot_store.h"
-#include "control/state_poller.h"
-#include "control/strict_reader.h"
-#include "control/time_source.h"
-#include "settings/node_settings.h"
+#include "tier/control/announced_fetch.h"
+#include "tier/control/change_relay.h"
+#include "tier/control/control_client.h"
+#include "tier/control/control_timing.h"
+#include "tier/control/first_state.h"
+#include "tier/control/member_directory.h"
+#include "tier/control/membership_driver.h"
+#include "tier/control/poll_server.h"
+#include "tier/control/quorum_reach.h"
+#include "tier/control/replica_driver.h"
+#include "tier/control/snapshot_store.h"
+#include "tier/control/state_poller.h"
+#include "tier/control/strict_reader.h"
+#include "tier/control/time_source.h"
+#include "tier/settings/node_settings.h"
 
 namespace pearreach::control {
 
 // What a node tells others of itself. `store`: null without a disk.
 coordination::MemberInfo DescribeSelf(const settings::NodeSettings& settings,
-                                      const disk::TableStore* store, std::uint64_t incarnation);
+                                      const storage::TableStore* store, std::uint64_t incarnation);
 // The mesh addresses of the settings' seed nodes.
 std::vector<std::string> MeshSeeds(const settings::NodeSettings& settings);
 
@@ -36,9 +36,9 @@
  public:
   // Joins at once. `store`: null without a disk. `incarnation` must rise over restarts of the node.
   // All pointers outlive this.
-  ControlNode(Timers* timers, mesh::Mesh* mesh, disk::TableStore* store,
+  ControlNode(Timers* timers, rpc::Mesh* mesh, storage::TableStore* store,
               const settings::NodeSettings& settings, std::uint64_t incarnation);
-  ControlNode(std::unique_ptr<TimeSource> time, mesh::Mesh* mesh, disk::TableStore* store,
+  ControlNode(std::unique_ptr<TimeSource> time, rpc::Mesh* mesh, storage::TableStore* store,
               const settings::NodeSettings& settings, std::uint64_t incarnation);
   ~ControlNode() override;
 
@@ -76,7 +76,7 @@
     std::uint64_t incarnation = 0;
     bool operator==(const Presence&) const = default;
   };
-  std::unique_ptr<ReplicaDriver> MakeReplica(mesh::Mesh* mesh, disk::TableStore* store,
+  std::unique_ptr<ReplicaDriver> MakeReplica(rpc::Mesh* mesh, storage::TableStore* store,
                                              const settings::NodeSettings& settings,
                                              std::uint64_t seed);
   void Start();
@@ -112,4 +112,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_CONTROL_NODE_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_CONTROL_NODE_H_
--- a/src/control/control_timing.h
+++ b/src/tier/control/control_timing.h
@@ -1,13 +1,13 @@
 // The times of the control plane, derived from the operator's bounds: a machine counts as calm
 // `contact_ms` after the last trouble, and an order wants its acknowledgement within `ack_ms`. So
 // what is lost must be found, and the chain repaired without it, in a part of either.
-#ifndef PEARREACH_SRC_CONTROL_CONTROL_TIMING_H_
-#define PEARREACH_SRC_CONTROL_CONTROL_TIMING_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_CONTROL_TIMING_H_
+#define PEARREACH_SRC_TIER_CONTROL_CONTROL_TIMING_H_
 
 #include <algorithm>
 
-#include "base/timers.h"
-#include "settings/node_settings.h"
+#include "common/event_loop/timers.h"
+#include "tier/settings/node_settings.h"
 
 namespace pearreach::control {
 
@@ -43,4 +43,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_CONTROL_TIMING_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_CONTROL_TIMING_H_
--- a/src/control/disk_check.cpp
+++ b/src/tier/control/disk_check.cpp
@@ -1,9 +1,9 @@
-#include "control/disk_check.h"
+#include "tier/control/disk_check.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "logging/log.h"
+#include "tier/logging/log.h"
 
 namespace pearreach::control {
 
--- a/src/control/disk_check.h
+++ b/src/tier/control/disk_check.h
@@ -1,16 +1,16 @@
 // Whether this node's disk may take part in the control state: it must not have been put back in
 // time (disk_use.h). What is known of the disks rides on the signs that quorum members ask one
 // another for.
-#ifndef PEARREACH_SRC_CONTROL_DISK_CHECK_H_
-#define PEARREACH_SRC_CONTROL_DISK_CHECK_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_DISK_CHECK_H_
+#define PEARREACH_SRC_TIER_CONTROL_DISK_CHECK_H_
 
 #include <map>
 #include <set>
 #include <string>
 
-#include "control/disk_use.h"
-#include "control/record_writer.h"
-#include "coordination/chain.h"
+#include "tier/control/disk_use.h"
+#include "tier/control/record_writer.h"
+#include "tier/coordination/chain.h"
 
 namespace pearreach::control {
 
@@ -50,4 +50,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_DISK_CHECK_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_DISK_CHECK_H_
--- a/src/control/disk_use.h
+++ b/src/tier/control/disk_use.h
@@ -3,8 +3,8 @@
 // starts: a disk that was put back in time (an older directory, a restored image) has been used
 // less than the others have heard, and what it has promised since is forgotten, so it must not take
 // part.
-#ifndef PEARREACH_SRC_CONTROL_DISK_USE_H_
-#define PEARREACH_SRC_CONTROL_DISK_USE_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_DISK_USE_H_
+#define PEARREACH_SRC_TIER_CONTROL_DISK_USE_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -41,4 +41,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_DISK_USE_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_DISK_USE_H_
--- a/src/control/duty_holder.cpp
+++ b/src/tier/control/duty_holder.cpp
@@ -1,8 +1,8 @@
-#include "control/duty_holder.h"
+#include "tier/control/duty_holder.h"
 
 #include <utility>
 
-#include "logging/log.h"
+#include "tier/logging/log.h"
 
 namespace pearreach::control {
 namespace {
--- a/src/control/duty_holder.h
+++ b/src/tier/control/duty_holder.h
@@ -1,15 +1,15 @@
 // Takes a duty of the whole system while this node is the first live one in the order of the
 // control state's view (ControlClient::IsDutyHolder), and makes its holder's changes under its
 // epoch. See coordination/duty.h.
-#ifndef PEARREACH_SRC_CONTROL_DUTY_HOLDER_H_
-#define PEARREACH_SRC_CONTROL_DUTY_HOLDER_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_DUTY_HOLDER_H_
+#define PEARREACH_SRC_TIER_CONTROL_DUTY_HOLDER_H_
 
 #include <functional>
 #include <memory>
 #include <string>
 
-#include "control/control_client.h"
-#include "coordination/duty.h"
+#include "tier/control/control_client.h"
+#include "tier/coordination/duty.h"
 
 namespace pearreach::control {
 
@@ -45,4 +45,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_DUTY_HOLDER_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_DUTY_HOLDER_H_
--- a/src/control/first_state.cpp
+++ b/src/tier/control/first_state.cpp
@@ -1,4 +1,4 @@
-#include "control/first_state.h"
+#include "tier/control/first_state.h"
 
 #include <optional>
 
--- a/src/control/first_state.h
+++ b/src/tier/control/first_state.h
@@ -1,12 +1,12 @@
 // Gets the first state of this process's life: by strict reads, one after another until one is
 // answered, so that nothing older than what was in force before comes into force here.
-#ifndef PEARREACH_SRC_CONTROL_FIRST_STATE_H_
-#define PEARREACH_SRC_CONTROL_FIRST_STATE_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_FIRST_STATE_H_
+#define PEARREACH_SRC_TIER_CONTROL_FIRST_STATE_H_
 
-#include "control/control_timing.h"
-#include "control/snapshot_store.h"
-#include "control/strict_reader.h"
-#include "control/time_source.h"
+#include "tier/control/control_timing.h"
+#include "tier/control/snapshot_store.h"
+#include "tier/control/strict_reader.h"
+#include "tier/control/time_source.h"
 
 namespace pearreach::control {
 
@@ -30,4 +30,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_FIRST_STATE_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_FIRST_STATE_H_
--- a/src/control/founders.h
+++ b/src/tier/control/founders.h
@@ -1,14 +1,14 @@
 // Which quorum members make up the first view when the whole system starts for the first time. All
 // nodes must come to the same choice, or to choices of which no two can both find a majority.
-#ifndef PEARREACH_SRC_CONTROL_FOUNDERS_H_
-#define PEARREACH_SRC_CONTROL_FOUNDERS_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_FOUNDERS_H_
+#define PEARREACH_SRC_TIER_CONTROL_FOUNDERS_H_
 
 #include <optional>
 #include <string>
 #include <vector>
 
-#include "control/member_directory.h"
-#include "coordination/chain.h"
+#include "tier/control/member_directory.h"
+#include "tier/coordination/chain.h"
 
 namespace pearreach::control {
 
@@ -22,4 +22,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_FOUNDERS_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_FOUNDERS_H_
--- a/src/control/member_directory.cpp
+++ b/src/tier/control/member_directory.cpp
@@ -1,4 +1,4 @@
-#include "control/member_directory.h"
+#include "tier/control/member_directory.h"
 
 #include <algorithm>
 #include <functional>
--- a/src/control/member_directory.h
+++ b/src/tier/control/member_directory.h
@@ -1,14 +1,14 @@
 // Whom this node may call for control state: live members in this node's own order of preference,
 // which spreads the callers over the quorum members.
-#ifndef PEARREACH_SRC_CONTROL_MEMBER_DIRECTORY_H_
-#define PEARREACH_SRC_CONTROL_MEMBER_DIRECTORY_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_MEMBER_DIRECTORY_H_
+#define PEARREACH_SRC_TIER_CONTROL_MEMBER_DIRECTORY_H_
 
 #include <map>
 #include <string>
 #include <vector>
 
-#include "coordination/chain.h"
-#include "coordination/membership.h"
+#include "tier/coordination/chain.h"
+#include "tier/coordination/membership.h"
 
 namespace pearreach::control {
 
@@ -57,4 +57,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_MEMBER_DIRECTORY_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_MEMBER_DIRECTORY_H_
--- a/src/control/membership_driver.cpp
+++ b/src/tier/control/membership_driver.cpp
@@ -1,10 +1,10 @@
-#include "control/membership_driver.h"
+#include "tier/control/membership_driver.h"
 
 #include <utility>
 
 namespace pearreach::control {
 
-MembershipDriver::MembershipDriver(TimeSource* time, mesh::Mesh* mesh,
+MembershipDriver::MembershipDriver(TimeSource* time, rpc::Mesh* mesh,
                                    coordination::MembershipOptions options, std::uint64_t seed)
     : time_(time),
       mesh_(mesh),
--- a/src/control/membership_driver.h
+++ b/src/tier/control/membership_driver.h
@@ -1,15 +1,15 @@
 // Runs this node's Membership: its datagrams over the mesh and its ticks on one timer.
-#ifndef PEARREACH_SRC_CONTROL_MEMBERSHIP_DRIVER_H_
-#define PEARREACH_SRC_CONTROL_MEMBERSHIP_DRIVER_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_MEMBERSHIP_DRIVER_H_
+#define PEARREACH_SRC_TIER_CONTROL_MEMBERSHIP_DRIVER_H_
 
 #include <functional>
 #include <string>
 #include <vector>
 
-#include "control/time_source.h"
-#include "control/wake_timer.h"
-#include "coordination/membership.h"
-#include "mesh/mesh.h"
+#include "tier/control/time_source.h"
+#include "tier/control/wake_timer.h"
+#include "tier/coordination/membership.h"
+#include "tier/rpc/mesh.h"
 
 namespace pearreach::control {
 
@@ -18,7 +18,7 @@
   // Names whose status, info or announced versions changed.
   using Listener = std::function<void(const std::vector<std::string>& names)>;
 
-  MembershipDriver(TimeSource* time, mesh::Mesh* mesh, coordination::MembershipOptions options,
+  MembershipDriver(TimeSource* time, rpc::Mesh* mesh, coordination::MembershipOptions options,
                    std::uint64_t seed);
 
   void OnChange(Listener listener) { listener_ = std::move(listener); }
@@ -34,7 +34,7 @@
   void Tick();
   void AfterStep(const std::vector<coordination::Datagram>& datagrams);
   TimeSource* time_;
-  mesh::Mesh* mesh_;
+  rpc::Mesh* mesh_;
   coordination::Membership membership_;
   Listener listener_;
   bool running_ = false;
@@ -44,4 +44,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_MEMBERSHIP_DRIVER_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_MEMBERSHIP_DRIVER_H_
--- a/src/control/messages.h
+++ b/src/tier/control/messages.h
@@ -1,6 +1,6 @@
 // What control nodes say to one another over the mesh.
-#ifndef PEARREACH_SRC_CONTROL_MESSAGES_H_
-#define PEARREACH_SRC_CONTROL_MESSAGES_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_MESSAGES_H_
+#define PEARREACH_SRC_TIER_CONTROL_MESSAGES_H_
 
 #include <cstdint>
 #include <map>
@@ -8,11 +8,11 @@
 #include <string>
 #include <vector>
 
-#include "codec/optional.h"
-#include "control/control_client.h"
-#include "control/disk_use.h"
-#include "coordination/chain_messages.h"
-#include "coordination/change_marks.h"
+#include "tier/codec/optional.h"
+#include "tier/control/control_client.h"
+#include "tier/control/disk_use.h"
+#include "tier/coordination/chain_messages.h"
+#include "tier/coordination/change_marks.h"
 
 namespace pearreach::control {
 
@@ -117,4 +117,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_MESSAGES_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_MESSAGES_H_
--- a/src/control/poll_server.cpp
+++ b/src/tier/control/poll_server.cpp
@@ -1,22 +1,22 @@
-#include "control/poll_server.h"
+#include "tier/control/poll_server.h"
 
 #include <utility>
 
-#include "codec/archive.h"
+#include "tier/codec/archive.h"
 
 namespace pearreach::control {
 
-PollServer::PollServer(TimeSource* time, mesh::Mesh* mesh, SnapshotStore* snapshots)
+PollServer::PollServer(TimeSource* time, rpc::Mesh* mesh, SnapshotStore* snapshots)
     : time_(time), snapshots_(snapshots) {
-  mesh->Handle(mesh::MessageType::kControlPoll,
+  mesh->Handle(rpc::MessageType::kControlPoll,
                callbacks_.Bind([this](const std::string&, std::string_view body,
-                                      mesh::Respond respond) { Take(body, std::move(respond)); }));
+                                      rpc::Respond respond) { Take(body, std::move(respond)); }));
   snapshots_->OnChange(callbacks_.Bind([this] { AnswerHeld(); }));
 }
 
 PollServer::~PollServer() { time_->Cancel(&timer_); }
 
-void PollServer::Take(std::string_view body, mesh::Respond respond) {
+void PollServer::Take(std::string_view body, rpc::Respond respond) {
   auto request = codec::Decode<PollRequest>(body);
   if (!request.ok()) return respond(request.status());
   // Nobody gets a first state from here: this node may be cut off and not know it yet.
@@ -57,7 +57,7 @@
   timer_ = 0;
   const Micros now = time_->Now();
   while (!held_.empty() && held_.front().until <= now) {
-    const mesh::Respond respond = std::move(held_.front().respond);
+    const rpc::Respond respond = std::move(held_.front().respond);
     held_.pop_front();
     respond(codec::Encode(StateUpdate()));
   }
--- a/src/control/poll_server.h
+++ b/src/tier/control/poll_server.h
@@ -1,15 +1,15 @@
 // Answers other nodes' kControlPoll: at once where this node knows something newer, otherwise it
 // holds the call until it does or the hold time is over.
-#ifndef PEARREACH_SRC_CONTROL_POLL_SERVER_H_
-#define PEARREACH_SRC_CONTROL_POLL_SERVER_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_POLL_SERVER_H_
+#define PEARREACH_SRC_TIER_CONTROL_POLL_SERVER_H_
 
 #include <list>
 #include <map>
 
-#include "control/messages.h"
-#include "control/snapshot_store.h"
-#include "control/time_source.h"
-#include "mesh/mesh.h"
+#include "tier/control/messages.h"
+#include "tier/control/snapshot_store.h"
+#include "tier/control/time_source.h"
+#include "tier/rpc/mesh.h"
 
 namespace pearreach::control {
 
@@ -18,17 +18,17 @@
 
 class PollServer {
  public:
-  PollServer(TimeSource* time, mesh::Mesh* mesh, SnapshotStore* snapshots);
+  PollServer(TimeSource* time, rpc::Mesh* mesh, SnapshotStore* snapshots);
   ~PollServer();
   std::size_t held() const { return held_.size(); }
 
  private:
   struct Held {
     PollRequest request;
-    mesh::Respond respond;
+    rpc::Respond respond;
     Micros until = 0;
   };
-  void Take(std::string_view body, mesh::Respond respond);
+  void Take(std::string_view body, rpc::Respond respond);
   void AnswerHeld();
   void Expire();
   void Arm();
@@ -46,4 +46,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_POLL_SERVER_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_POLL_SERVER_H_
--- a/src/control/quorum_reach.cpp
+++ b/src/tier/control/quorum_reach.cpp
@@ -1,13 +1,13 @@
-#include "control/quorum_reach.h"
+#include "tier/control/quorum_reach.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "codec/archive.h"
-#include "control/messages.h"
+#include "tier/codec/archive.h"
+#include "tier/control/messages.h"
 
 namespace pearreach::control {
-QuorumReach::QuorumReach(TimeSource* time, mesh::Mesh* mesh, const MemberDirectory* directory,
+QuorumReach::QuorumReach(TimeSource* time, rpc::Mesh* mesh, const MemberDirectory* directory,
                          const ControlTiming& timing)
     : time_(time), mesh_(mesh), directory_(directory), timing_(timing), disk_(directory->self()) {}
 
@@ -31,7 +31,7 @@
       directory_->self(), "", true, leaving_since_.has_value(), disk_.disk_id(), use});
   const bool tells_use = use.starts > 0;
   for (const Contact& contact : directory_->QuorumContacts()) {
-    mesh_->Call(contact.address, mesh::MessageType::kChain, question, timing_.sign_timeout,
+    mesh_->Call(contact.address, rpc::MessageType::kChain, question, timing_.sign_timeout,
                 callbacks_.Bind([this, name = contact.name, asked,
                                  tells_use](const absl::StatusOr<std::string>& answer) {
                   Answered(name, asked, tells_use, answer);
--- a/src/control/quorum_reach.h
+++ b/src/tier/control/quorum_reach.h
@@ -1,8 +1,8 @@
 // Which quorum members hear one another directly. Membership knows of a node also through others,
 // so a member that is cut off from the rest of the quorum alone looks alive to everybody; the
 // members of a view therefore ask one another for a sign, and learn with it whom the other hears.
-#ifndef PEARREACH_SRC_CONTROL_QUORUM_REACH_H_
-#define PEARREACH_SRC_CONTROL_QUORUM_REACH_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_QUORUM_REACH_H_
+#define PEARREACH_SRC_TIER_CONTROL_QUORUM_REACH_H_
 
 #include <functional>
 #include <map>
@@ -10,19 +10,19 @@
 #include <set>
 #include <string>
 
-#include "control/control_timing.h"
-#include "control/disk_check.h"
-#include "control/member_directory.h"
-#include "control/messages.h"
-#include "control/time_source.h"
-#include "coordination/chain.h"
-#include "mesh/mesh.h"
+#include "tier/control/control_timing.h"
+#include "tier/control/disk_check.h"
+#include "tier/control/member_directory.h"
+#include "tier/control/messages.h"
+#include "tier/control/time_source.h"
+#include "tier/coordination/chain.h"
+#include "tier/rpc/mesh.h"
 
 namespace pearreach::control {
 
 class QuorumReach {
  public:
-  QuorumReach(TimeSource* time, mesh::Mesh* mesh, const MemberDirectory* directory,
+  QuorumReach(TimeSource* time, rpc::Mesh* mesh, const MemberDirectory* directory,
               const ControlTiming& timing);
   ~QuorumReach();
 
@@ -72,7 +72,7 @@
   bool HeardByMembership(const std::string& name, Micros span) const;
 
   TimeSource* time_;
-  mesh::Mesh* mesh_;
+  rpc::Mesh* mesh_;
   const MemberDirectory* directory_;
   const ControlTiming timing_;
   std::function<void()> checked_;
@@ -88,4 +88,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_QUORUM_REACH_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_QUORUM_REACH_H_
--- a/src/control/record_writer.cpp
+++ b/src/tier/control/record_writer.cpp
@@ -1,9 +1,9 @@
-#include "control/record_writer.h"
+#include "tier/control/record_writer.h"
 
 #include <utility>
 
-#include "codec/archive.h"
-#include "logging/log.h"
+#include "tier/codec/archive.h"
+#include "tier/logging/log.h"
 
 namespace pearreach::control {
 namespace {
@@ -12,7 +12,7 @@
 constexpr char kUseKey[] = "chain/use";     // of the DiskUse among the records
 constexpr Micros kRetryPeriod = 100 * kMs;  // between two tries of a write that fails
 
-DiskUse UseOn(const disk::TableStore& store) {
+DiskUse UseOn(const storage::TableStore& store) {
   const auto record = store.Get(kUseKey);
   const auto use = record.ok() ? codec::Decode<DiskUse>(*record) : record.status();
   return use.ok() ? *use : DiskUse();
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-RecordWriter::RecordWriter(TimeSource* time, disk::TableStore* store, std::uint64_t instance,
+RecordWriter::RecordWriter(TimeSource* time, storage::TableStore* store, std::uint64_t instance,
                            Written written)
     : time_(time),
       store_(store),
@@ -43,7 +43,7 @@
   committing_ = std::exchange(waiting_, {});
   ++use_.writes;
   committing_.records[kUseKey] = codec::Encode(use_);
-  std::vector<disk::Write> writes;
+  std::vector<storage::Write> writes;
   for (const auto& [key, value] : committing_.records) writes.push_back({key, value, false});
   store_->Commit(std::move(writes),
                  callbacks_.Bind([this](const absl::Status& status) { Committed(status); }));
--- a/src/control/record_writer.h
+++ b/src/tier/control/record_writer.h
@@ -2,8 +2,8 @@
 // them. A write that fails (a full disk) is tried again until it is on disk: the replica goes no
 // further without it, and nothing later may be on disk before it. What is given meanwhile goes
 // along with the next try. Each write also records how far the disk has been used (disk_use.h).
-#ifndef PEARREACH_SRC_CONTROL_RECORD_WRITER_H_
-#define PEARREACH_SRC_CONTROL_RECORD_WRITER_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_RECORD_WRITER_H_
+#define PEARREACH_SRC_TIER_CONTROL_RECORD_WRITER_H_
 
 #include <cstdint>
 #include <functional>
@@ -11,10 +11,10 @@
 #include <string>
 #include <vector>
 
-#include "control/disk_use.h"
-#include "control/time_source.h"
-#include "coordination/chain.h"
-#include "disk/table_store.h"
+#include "tier/control/disk_use.h"
+#include "tier/control/time_source.h"
+#include "tier/coordination/chain.h"
+#include "tier/storage/table_store.h"
 
 namespace pearreach::control {
 
@@ -24,7 +24,8 @@
   using Written = std::function<void(const std::vector<std::uint64_t>& tokens)>;
 
   // `instance`: a random name of this process. Writes at once that it has started.
-  RecordWriter(TimeSource* time, disk::TableStore* store, std::uint64_t instance, Written written);
+  RecordWriter(TimeSource* time, storage::TableStore* store, std::uint64_t instance,
+               Written written);
   ~RecordWriter();
   RecordWriter(const RecordWriter&) = delete;
   RecordWriter& operator=(const RecordWriter&) = delete;
@@ -47,7 +48,7 @@
   void Committed(const absl::Status& status);
 
   TimeSource* time_;
-  disk::TableStore* store_;
+  storage::TableStore* store_;
   const Written written_;
   Batch waiting_;
   Batch committing_;
@@ -61,4 +62,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_RECORD_WRITER_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_RECORD_WRITER_H_
--- a/src/control/replace_call.cpp
+++ b/src/tier/control/replace_call.cpp
@@ -1,4 +1,4 @@
-#include "control/replace_call.h"
+#include "tier/control/replace_call.h"
 
 #include <fmt/format.h>
 
@@ -7,10 +7,10 @@
 #include <optional>
 #include <utility>
 
-#include "control/api_answers.h"
-#include "control/config_api.h"
-#include "control/config_mark.h"
-#include "logging/log.h"
+#include "tier/control/api_answers.h"
+#include "tier/control/config_api.h"
+#include "tier/control/config_mark.h"
+#include "tier/logging/log.h"
 
 namespace pearreach::control {
 namespace {
@@ -36,7 +36,7 @@
 }  // namespace
 
 ReplaceCall::ReplaceCall(ControlClient* client, std::function<Micros()> now,
-                         std::shared_ptr<front::Exchange> exchange, Micros deadline)
+                         std::shared_ptr<http_server::Exchange> exchange, Micros deadline)
     : client_(client), now_(std::move(now)), exchange_(std::move(exchange)), deadline_(deadline) {}
 
 // A state that is out of date does no harm where the call fits it: the change then finds another
--- a/src/control/replace_call.h
+++ b/src/tier/control/replace_call.h
@@ -2,23 +2,23 @@
 // what is or was in force, 400 and 412 only for what never will be, 503 for all that is not sure in
 // time. Whether a configuration has been taken before stands in the record of marks that the
 // control state keeps (coordination/change_marks.h), which is the same at every node.
-#ifndef PEARREACH_SRC_CONTROL_REPLACE_CALL_H_
-#define PEARREACH_SRC_CONTROL_REPLACE_CALL_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_REPLACE_CALL_H_
+#define PEARREACH_SRC_TIER_CONTROL_REPLACE_CALL_H_
 
 #include <cstdint>
 #include <functional>
 #include <memory>
 #include <string>
 
-#include "control/control_client.h"
-#include "front/exchange.h"
+#include "tier/control/control_client.h"
+#include "tier/http_server/exchange.h"
 
 namespace pearreach::control {
 
 class ReplaceCall : public std::enable_shared_from_this<ReplaceCall> {
  public:
   ReplaceCall(ControlClient* client, std::function<Micros()> now,
-              std::shared_ptr<front::Exchange> exchange, Micros deadline);
+              std::shared_ptr<http_server::Exchange> exchange, Micros deadline);
   void Start();
 
  private:
@@ -42,7 +42,7 @@
 
   ControlClient* client_;
   std::function<Micros()> now_;
-  std::shared_ptr<front::Exchange> exchange_;
+  std::shared_ptr<http_server::Exchange> exchange_;
   Micros deadline_;
   std::string body_;
   std::int64_t parent_ = 0, version_ = 0;
@@ -53,4 +53,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_REPLACE_CALL_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_REPLACE_CALL_H_
--- a/src/control/replica_driver.cpp
+++ b/src/tier/control/replica_driver.cpp
@@ -1,12 +1,12 @@
-#include "control/replica_driver.h"
+#include "tier/control/replica_driver.h"
 
 #include <algorithm>
 #include <random>
 #include <utility>
 
-#include "codec/archive.h"
-#include "control/messages.h"
-#include "logging/log.h"
+#include "tier/codec/archive.h"
+#include "tier/control/messages.h"
+#include "tier/logging/log.h"
 
 namespace pearreach::control {
 namespace {
@@ -19,7 +19,7 @@
 constexpr std::size_t kMostHeld = 64;
 constexpr std::size_t kLeastBytesPerSecond = 1 << 20;
 
-std::map<std::string, std::string> RecordsOf(const disk::TableStore& store) {
+std::map<std::string, std::string> RecordsOf(const storage::TableStore& store) {
   const std::string_view prefix = kRecordPrefix;
   std::map<std::string, std::string> records;
   store.ForEach(prefix, [&](std::string_view key, std::string_view value) {
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-ReplicaDriver::ReplicaDriver(TimeSource* time, mesh::Mesh* mesh, disk::TableStore* store,
+ReplicaDriver::ReplicaDriver(TimeSource* time, rpc::Mesh* mesh, storage::TableStore* store,
                              SnapshotStore* snapshots, const MemberDirectory* directory,
                              QuorumReach* reach, coordination::ChainOptions options,
                              std::uint64_t seed)
@@ -55,15 +55,15 @@
       self_(options.self),
       replica_(std::move(options), RecordsOf(*store), seed, time->Now()),
       timer_(time, [this] { Tick(); }) {
-  mesh_->Handle(mesh::MessageType::kChain,
-                callbacks_.Bind([this](const std::string&, std::string_view body,
-                                       const mesh::Respond& respond) {
-                  const auto envelope = codec::Decode<ChainEnvelope>(body);
-                  if (!envelope.ok()) return respond(envelope.status());
-                  if (envelope->sign) return respond(reach_->Sign(*envelope));
-                  respond(std::string());
-                  Receive(*envelope);
-                }));
+  mesh_->Handle(rpc::MessageType::kChain,
+                callbacks_.Bind(
+                    [this](const std::string&, std::string_view body, const rpc::Respond& respond) {
+                      const auto envelope = codec::Decode<ChainEnvelope>(body);
+                      if (!envelope.ok()) return respond(envelope.status());
+                      if (envelope->sign) return respond(reach_->Sign(*envelope));
+                      respond(std::string());
+                      Receive(*envelope);
+                    }));
   reach_->disk().SetDisk(self_.disk_id, &writer_);
   snapshots_->Apply(replica_.committed_version(), replica_.committed());
   timer_.Set(replica_.NextTick());
@@ -186,7 +186,7 @@
   const std::pair key(message.to, std::hash<std::string>()(message.bytes));
   if (!large_under_way_.insert(key).second) return;
   const Micros way = static_cast<Micros>(message.bytes.size()) * kSecond / kLeastBytesPerSecond;
-  mesh_->Call(member->info.address, mesh::MessageType::kChain, Enveloped(self_.name, message.bytes),
+  mesh_->Call(member->info.address, rpc::MessageType::kChain, Enveloped(self_.name, message.bytes),
               kMessageTimeout + way,
               callbacks_.Bind([this, key](const absl::StatusOr<std::string>&) {
                 large_under_way_.erase(key);
@@ -194,7 +194,7 @@
 }
 
 void ReplicaDriver::SendTo(const std::string& address, const coordination::SendMessage& message) {
-  mesh_->Call(address, mesh::MessageType::kChain, Enveloped(self_.name, message.bytes),
+  mesh_->Call(address, rpc::MessageType::kChain, Enveloped(self_.name, message.bytes),
               kMessageTimeout, [](const absl::StatusOr<std::string>&) {});
 }
 
--- a/src/control/replica_driver.h
+++ b/src/tier/control/replica_driver.h
@@ -1,7 +1,7 @@
 // Runs this node's ChainReplica: its messages over the mesh, its records on the disk, its ticks on
 // one timer, and the calls that wait for its results.
-#ifndef PEARREACH_SRC_CONTROL_REPLICA_DRIVER_H_
-#define PEARREACH_SRC_CONTROL_REPLICA_DRIVER_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_REPLICA_DRIVER_H_
+#define PEARREACH_SRC_TIER_CONTROL_REPLICA_DRIVER_H_
 
 #include <deque>
 #include <functional>
@@ -11,15 +11,15 @@
 #include <utility>
 #include <vector>
 
-#include "control/member_directory.h"
-#include "control/quorum_reach.h"
-#include "control/record_writer.h"
-#include "control/snapshot_store.h"
-#include "control/time_source.h"
-#include "control/wake_timer.h"
-#include "coordination/chain.h"
-#include "disk/table_store.h"
-#include "mesh/mesh.h"
+#include "tier/control/member_directory.h"
+#include "tier/control/quorum_reach.h"
+#include "tier/control/record_writer.h"
+#include "tier/control/snapshot_store.h"
+#include "tier/control/time_source.h"
+#include "tier/control/wake_timer.h"
+#include "tier/coordination/chain.h"
+#include "tier/rpc/mesh.h"
+#include "tier/storage/table_store.h"
 
 namespace pearreach::control {
 
@@ -28,7 +28,7 @@
   using ChangeDone = std::function<void(const coordination::ChangeResult&)>;
   using ReadDone = std::function<void(const coordination::ReadResult&)>;
 
-  ReplicaDriver(TimeSource* time, mesh::Mesh* mesh, disk::TableStore* store,
+  ReplicaDriver(TimeSource* time, rpc::Mesh* mesh, storage::TableStore* store,
                 SnapshotStore* snapshots, const MemberDirectory* directory, QuorumReach* reach,
                 coordination::ChainOptions options, std::uint64_t seed);
   ~ReplicaDriver();
@@ -71,7 +71,7 @@
   void Finish(const coordination::ReadResult& result);
 
   TimeSource* time_;
-  mesh::Mesh* mesh_;
+  rpc::Mesh* mesh_;
   RecordWriter writer_;
   SnapshotStore* snapshots_;
   const MemberDirectory* directory_;
@@ -92,4 +92,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_REPLICA_DRIVER_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_REPLICA_DRIVER_H_
--- a/src/control/snapshot_store.cpp
+++ b/src/tier/control/snapshot_store.cpp
@@ -1,9 +1,9 @@
-#include "control/snapshot_store.h"
+#include "tier/control/snapshot_store.h"
 
 #include <string>
 #include <utility>
 
-#include "logging/log.h"
+#include "tier/logging/log.h"
 
 namespace pearreach::control {
 namespace {
--- a/src/control/snapshot_store.h
+++ b/src/tier/control/snapshot_store.h
@@ -4,15 +4,15 @@
 // The first state of a process must be one that a majority has just confirmed to be the newest: a
 // copy from a member that is cut off, or from this node's own disk, may be older than what was in
 // force here before the process started. Until then all else is kept aside.
-#ifndef PEARREACH_SRC_CONTROL_SNAPSHOT_STORE_H_
-#define PEARREACH_SRC_CONTROL_SNAPSHOT_STORE_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_SNAPSHOT_STORE_H_
+#define PEARREACH_SRC_TIER_CONTROL_SNAPSHOT_STORE_H_
 
 #include <functional>
 #include <memory>
 #include <vector>
 
-#include "control/control_client.h"
-#include "control/messages.h"
+#include "tier/control/control_client.h"
+#include "tier/control/messages.h"
 
 namespace pearreach::control {
 
@@ -55,4 +55,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_SNAPSHOT_STORE_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_SNAPSHOT_STORE_H_
--- a/src/control/state_poller.cpp
+++ b/src/tier/control/state_poller.cpp
@@ -1,10 +1,10 @@
-#include "control/state_poller.h"
+#include "tier/control/state_poller.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "codec/archive.h"
-#include "control/poll_server.h"
+#include "tier/codec/archive.h"
+#include "tier/control/poll_server.h"
 
 namespace pearreach::control {
 namespace {
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-StatePoller::StatePoller(TimeSource* time, mesh::Mesh* mesh, SnapshotStore* snapshots,
+StatePoller::StatePoller(TimeSource* time, rpc::Mesh* mesh, SnapshotStore* snapshots,
                          const MemberDirectory* directory)
     : time_(time), mesh_(mesh), snapshots_(snapshots), directory_(directory) {}
 
@@ -69,7 +69,7 @@
   slot->asked = time_->Now();
   const PollRequest request{current->version, RevisionsOf(*current), true};
   mesh_->Call(
-      slot->contact.address, mesh::MessageType::kControlPoll, codec::Encode(request), kPollTimeout,
+      slot->contact.address, rpc::MessageType::kControlPoll, codec::Encode(request), kPollTimeout,
       callbacks_.Bind([this, call = slot->call,
                        address = slot->contact.address](absl::StatusOr<std::string> answer) {
         Answered(call, address, std::move(answer));
--- a/src/control/state_poller.h
+++ b/src/tier/control/state_poller.h
@@ -1,23 +1,23 @@
 // Keeps a node without a place in the chain up to date: polls held open at two distinct members,
 // so that one that is cut off cannot keep this node back.
-#ifndef PEARREACH_SRC_CONTROL_STATE_POLLER_H_
-#define PEARREACH_SRC_CONTROL_STATE_POLLER_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_STATE_POLLER_H_
+#define PEARREACH_SRC_TIER_CONTROL_STATE_POLLER_H_
 
 #include <array>
 #include <map>
 #include <string>
 #include <vector>
 
-#include "control/member_directory.h"
-#include "control/snapshot_store.h"
-#include "control/time_source.h"
-#include "mesh/mesh.h"
+#include "tier/control/member_directory.h"
+#include "tier/control/snapshot_store.h"
+#include "tier/control/time_source.h"
+#include "tier/rpc/mesh.h"
 
 namespace pearreach::control {
 
 class StatePoller {
  public:
-  StatePoller(TimeSource* time, mesh::Mesh* mesh, SnapshotStore* snapshots,
+  StatePoller(TimeSource* time, rpc::Mesh* mesh, SnapshotStore* snapshots,
               const MemberDirectory* directory);
   ~StatePoller();
 
@@ -40,7 +40,7 @@
   void ArmRetry();
 
   TimeSource* time_;
-  mesh::Mesh* mesh_;
+  rpc::Mesh* mesh_;
   SnapshotStore* snapshots_;
   const MemberDirectory* directory_;
   bool active_ = false;
@@ -53,4 +53,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_STATE_POLLER_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_STATE_POLLER_H_
--- a/src/control/strict_reader.cpp
+++ b/src/tier/control/strict_reader.cpp
@@ -1,9 +1,9 @@
-#include "control/strict_reader.h"
+#include "tier/control/strict_reader.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "codec/archive.h"
+#include "tier/codec/archive.h"
 
 namespace pearreach::control {
 namespace {
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-StrictReader::StrictReader(TimeSource* time, mesh::Mesh* mesh, SnapshotStore* snapshots,
+StrictReader::StrictReader(TimeSource* time, rpc::Mesh* mesh, SnapshotStore* snapshots,
                            const MemberDirectory* directory, ReplicaDriver* replica,
                            const QuorumReach* reach)
     : time_(time),
@@ -33,12 +33,12 @@
       directory_(directory),
       replica_(replica),
       reach_(reach) {
-  mesh_->Handle(mesh::MessageType::kControlRead,
+  mesh_->Handle(rpc::MessageType::kControlRead,
                 callbacks_.Bind([this](const std::string&, std::string_view body,
-                                       const mesh::Respond& respond) { Serve(body, respond); }));
+                                       const rpc::Respond& respond) { Serve(body, respond); }));
 }
 
-void StrictReader::Serve(std::string_view body, const mesh::Respond& respond) {
+void StrictReader::Serve(std::string_view body, const rpc::Respond& respond) {
   const auto request = codec::Decode<ReadRequest>(body);
   if (!request.ok()) return respond(request.status());
   if (replica_ == nullptr) return ServeForCutOff(*request, respond);
@@ -53,7 +53,7 @@
 }
 
 // A node outside the quorum reads for a member that does not reach the others.
-void StrictReader::ServeForCutOff(const ReadRequest& request, const mesh::Respond& respond) {
+void StrictReader::ServeForCutOff(const ReadRequest& request, const rpc::Respond& respond) {
   if (!request.passed_on) return respond(absl::FailedPreconditionError("not a quorum member"));
   Read(request.mark, request.timeout,
        [respond, known = request.revisions](const absl::StatusOr<MarkReading>& reading) {
@@ -105,7 +105,7 @@
 void StrictReader::Ask(const AttemptPtr& attempt, const Contact& contact, Micros timeout) {
   const ReadRequest request{RevisionsOf(*snapshots_->current()), timeout, attempt->mark,
                             IsCutOff()};
-  mesh_->Call(contact.address, mesh::MessageType::kControlRead, codec::Encode(request), timeout,
+  mesh_->Call(contact.address, rpc::MessageType::kControlRead, codec::Encode(request), timeout,
               callbacks_.Bind([this, attempt](const absl::StatusOr<std::string>& answer) {
                 auto update = answer.ok() ? codec::Decode<StateUpdate>(*answer) : answer.status();
                 if (!update.ok() || !update->present) return Failed(attempt);
--- a/src/control/strict_reader.h
+++ b/src/tier/control/strict_reader.h
@@ -1,8 +1,8 @@
 // Reads of the control state that no older state can answer: by this node's replica or, where it
 // has none or cannot be sure, by another quorum member's. A quorum member that is cut off from the
 // others asks through a node outside the quorum.
-#ifndef PEARREACH_SRC_CONTROL_STRICT_READER_H_
-#define PEARREACH_SRC_CONTROL_STRICT_READER_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_STRICT_READER_H_
+#define PEARREACH_SRC_TIER_CONTROL_STRICT_READER_H_
 
 #include <absl/status/statusor.h>
 
@@ -10,11 +10,11 @@
 #include <memory>
 #include <optional>
 
-#include "control/member_directory.h"
-#include "control/replica_driver.h"
-#include "control/snapshot_store.h"
-#include "control/time_source.h"
-#include "mesh/mesh.h"
+#include "tier/control/member_directory.h"
+#include "tier/control/replica_driver.h"
+#include "tier/control/snapshot_store.h"
+#include "tier/control/time_source.h"
+#include "tier/rpc/mesh.h"
 
 namespace pearreach::control {
 
@@ -24,7 +24,7 @@
   using Mark = std::optional<coordination::ChangeMark>;
 
   // `replica`: null on nodes outside the quorum.
-  StrictReader(TimeSource* time, mesh::Mesh* mesh, SnapshotStore* snapshots,
+  StrictReader(TimeSource* time, rpc::Mesh* mesh, SnapshotStore* snapshots,
                const MemberDirectory* directory, ReplicaDriver* replica, const QuorumReach* reach);
   // `done` is called exactly once, within `timeout`. `mark`: of a configuration, whose standing the
   // reading tells.
@@ -38,8 +38,8 @@
     std::size_t tries = 0;
   };
   using AttemptPtr = std::shared_ptr<Attempt>;
-  void Serve(std::string_view body, const mesh::Respond& respond);
-  void ServeForCutOff(const ReadRequest& request, const mesh::Respond& respond);
+  void Serve(std::string_view body, const rpc::Respond& respond);
+  void ServeForCutOff(const ReadRequest& request, const rpc::Respond& respond);
   bool IsCutOff() const;
   void Try(const AttemptPtr& attempt);
   void TryHere(const AttemptPtr& attempt, Micros timeout);
@@ -47,7 +47,7 @@
   void Failed(const AttemptPtr& attempt);
 
   TimeSource* time_;
-  mesh::Mesh* mesh_;
+  rpc::Mesh* mesh_;
   SnapshotStore* snapshots_;
   const MemberDirectory* directory_;
   ReplicaDriver* replica_;
@@ -57,4 +57,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_STRICT_READER_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_STRICT_READER_H_
--- a/src/control/time_source.cpp
+++ b/src/tier/control/time_source.cpp
@@ -1,4 +1,4 @@
-#include "control/time_source.h"
+#include "tier/control/time_source.h"
 
 #include <utility>
 
--- a/src/control/time_source.h
+++ b/src/tier/control/time_source.h
@@ -1,13 +1,13 @@
 // Time as the control node sees it: the steady clock and one-shot timers, behind an interface so
 // that tests run it in virtual time.
-#ifndef PEARREACH_SRC_CONTROL_TIME_SOURCE_H_
-#define PEARREACH_SRC_CONTROL_TIME_SOURCE_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_TIME_SOURCE_H_
+#define PEARREACH_SRC_TIER_CONTROL_TIME_SOURCE_H_
 
 #include <functional>
 #include <limits>
 #include <memory>
 
-#include "base/timers.h"
+#include "common/event_loop/timers.h"
 
 namespace pearreach::control {
 
@@ -42,4 +42,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_TIME_SOURCE_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_TIME_SOURCE_H_
--- a/src/control/wake_timer.h
+++ b/src/tier/control/wake_timer.h
@@ -1,13 +1,13 @@
 // The one timer of a machine that says when it wants to be called next: set again whenever that is
 // earlier than what it is set for.
-#ifndef PEARREACH_SRC_CONTROL_WAKE_TIMER_H_
-#define PEARREACH_SRC_CONTROL_WAKE_TIMER_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_WAKE_TIMER_H_
+#define PEARREACH_SRC_TIER_CONTROL_WAKE_TIMER_H_
 
 #include <algorithm>
 #include <functional>
 #include <utility>
 
-#include "control/time_source.h"
+#include "tier/control/time_source.h"
 
 namespace pearreach::control {
 
@@ -41,4 +41,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_CONTROL_WAKE_TIMER_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_WAKE_TIMER_H_
--- a/src/coordination/chain.h
+++ b/src/tier/coordination/chain.h
@@ -12,8 +12,8 @@
 //   - of two changes with the same expected version at most one commits;
 //   - the committed version of a replica, and of a client that takes the greatest, never goes back;
 //   - a replica whose disk was lost takes no part in agreement under its old identity.
-#ifndef PEARREACH_SRC_COORDINATION_CHAIN_H_
-#define PEARREACH_SRC_COORDINATION_CHAIN_H_
+#ifndef PEARREACH_SRC_TIER_COORDINATION_CHAIN_H_
+#define PEARREACH_SRC_TIER_COORDINATION_CHAIN_H_
 
 #include <cstdint>
 #include <map>
@@ -181,4 +181,4 @@
 
 }  // namespace pearreach::coordination
 
-#endif  // PEARREACH_SRC_COORDINATION_CHAIN_H_
+#endif  // PEARREACH_SRC_TIER_COORDINATION_CHAIN_H_
--- a/src/coordination/chain_messages.cpp
+++ b/src/tier/coordination/chain_messages.cpp
@@ -1,4 +1,4 @@
-#include "coordination/chain_messages.h"
+#include "tier/coordination/chain_messages.h"
 
 #include <array>
 #include <cstring>
--- a/src/coordination/chain_messages.h
+++ b/src/tier/coordination/chain_messages.h
@@ -1,6 +1,6 @@
 // The messages between chain replicas, as types and as bytes.
-#ifndef PEARREACH_SRC_COORDINATION_CHAIN_MESSAGES_H_
-#define PEARREACH_SRC_COORDINATION_CHAIN_MESSAGES_H_
+#ifndef PEARREACH_SRC_TIER_COORDINATION_CHAIN_MESSAGES_H_
+#define PEARREACH_SRC_TIER_COORDINATION_CHAIN_MESSAGES_H_
 
 #include <absl/status/statusor.h>
 
@@ -12,8 +12,8 @@
 #include <variant>
 #include <vector>
 
-#include "codec/archive.h"
-#include "coordination/chain.h"
+#include "tier/codec/archive.h"
+#include "tier/coordination/chain.h"
 
 namespace pearreach::coordination {
 
@@ -264,4 +264,4 @@
 }  // namespace chain
 }  // namespace pearreach::coordination
 
-#endif  // PEARREACH_SRC_COORDINATION_CHAIN_MESSAGES_H_
+#endif  // PEARREACH_SRC_TIER_COORDINATION_CHAIN_MESSAGES_H_
--- a/src/coordination/chain_reads.cpp
+++ b/src/tier/coordination/chain_reads.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "coordination/chain_replica.h"
+#include "tier/coordination/chain_replica.h"
 
 namespace pearreach::coordination {
 
--- a/src/coordination/chain_replica.cpp
+++ b/src/tier/coordination/chain_replica.cpp
@@ -1,4 +1,4 @@
-#include "coordination/chain_replica.h"
+#include "tier/coordination/chain_replica.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/coordination/chain_replica.h
+++ b/src/tier/coordination/chain_replica.h
@@ -7,8 +7,8 @@
 //
 // Every message waits until all that was handed to the disk before it is synced, so that nothing is
 // told which a loss of power could take back. Persist effects must reach the disk in their order.
-#ifndef PEARREACH_SRC_COORDINATION_CHAIN_REPLICA_H_
-#define PEARREACH_SRC_COORDINATION_CHAIN_REPLICA_H_
+#ifndef PEARREACH_SRC_TIER_COORDINATION_CHAIN_REPLICA_H_
+#define PEARREACH_SRC_TIER_COORDINATION_CHAIN_REPLICA_H_
 
 #include <algorithm>
 #include <deque>
@@ -22,11 +22,11 @@
 #include <tuple>
 #include <vector>
 
-#include "coordination/chain.h"
-#include "coordination/chain_messages.h"
-#include "coordination/chain_state.h"
-#include "coordination/view_agreement.h"
-#include "coordination/view_target.h"
+#include "tier/coordination/chain.h"
+#include "tier/coordination/chain_messages.h"
+#include "tier/coordination/chain_state.h"
+#include "tier/coordination/view_agreement.h"
+#include "tier/coordination/view_target.h"
 
 namespace pearreach::coordination {
 
@@ -217,4 +217,4 @@
 
 }  // namespace pearreach::coordination
 
-#endif  // PEARREACH_SRC_COORDINATION_CHAIN_REPLICA_H_
+#endif  // PEARREACH_SRC_TIER_COORDINATION_CHAIN_REPLICA_H_
--- a/src/coordination/chain_replication.cpp
+++ b/src/tier/coordination/chain_replication.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "coordination/chain_replica.h"
-#include "coordination/change_marks.h"
+#include "tier/coordination/chain_replica.h"
+#include "tier/coordination/change_marks.h"
 
 namespace pearreach::coordination {
 
--- a/src/coordination/chain_state.cpp
+++ b/src/tier/coordination/chain_state.cpp
@@ -1,4 +1,4 @@
-#include "coordination/chain_state.h"
+#include "tier/coordination/chain_state.h"
 
 #include <utility>
 
--- a/src/coordination/chain_state.h
+++ b/src/tier/coordination/chain_state.h
@@ -3,8 +3,8 @@
 // Each key has two slots. The index says which one holds the committed entry and which one the
 // entry of the pending state, so that a value is written once and a discarded state costs nothing.
 // All records of one change form one atomic batch.
-#ifndef PEARREACH_SRC_COORDINATION_CHAIN_STATE_H_
-#define PEARREACH_SRC_COORDINATION_CHAIN_STATE_H_
+#ifndef PEARREACH_SRC_TIER_COORDINATION_CHAIN_STATE_H_
+#define PEARREACH_SRC_TIER_COORDINATION_CHAIN_STATE_H_
 
 #include <cstdint>
 #include <map>
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/chain_messages.h"
+#include "tier/coordination/chain_messages.h"
 
 namespace pearreach::coordination::chain {
 
@@ -65,4 +65,4 @@
 
 }  // namespace pearreach::coordination::chain
 
-#endif  // PEARREACH_SRC_COORDINATION_CHAIN_STATE_H_
+#endif  // PEARREACH_SRC_TIER_COORDINATION_CHAIN_STATE_H_
--- a/src/coordination/change_marks.cpp
+++ b/src/tier/coordination/change_marks.cpp
@@ -1,4 +1,4 @@
-#include "coordination/change_marks.h"
+#include "tier/coordination/change_marks.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -6,7 +6,7 @@
 #include <optional>
 #include <vector>
 
-#include "coordination/chain_messages.h"
+#include "tier/coordination/chain_messages.h"
 
 namespace pearreach::coordination {
 namespace {
--- a/src/coordination/change_marks.h
+++ b/src/tier/coordination/change_marks.h
@@ -4,15 +4,15 @@
 //
 // The marks lie in pages, each the value of a key of its own, which are used in turn: a change
 // rewrites one page, and the oldest page gives way to the newest.
-#ifndef PEARREACH_SRC_COORDINATION_CHANGE_MARKS_H_
-#define PEARREACH_SRC_COORDINATION_CHANGE_MARKS_H_
+#ifndef PEARREACH_SRC_TIER_COORDINATION_CHANGE_MARKS_H_
+#define PEARREACH_SRC_TIER_COORDINATION_CHANGE_MARKS_H_
 
 #include <cstdint>
 #include <string>
 #include <string_view>
 #include <utility>
 
-#include "coordination/chain.h"
+#include "tier/coordination/chain.h"
 
 namespace pearreach::coordination {
 
@@ -42,4 +42,4 @@
 
 }  // namespace pearreach::coordination
 
-#endif  // PEARREACH_SRC_COORDINATION_CHANGE_MARKS_H_
+#endif  // PEARREACH_SRC_TIER_COORDINATION_CHANGE_MARKS_H_
--- a/src/coordination/duty.cpp
+++ b/src/tier/coordination/duty.cpp
@@ -1,4 +1,4 @@
-#include "coordination/duty.h"
+#include "tier/coordination/duty.h"
 
 #include <utility>
 
--- a/src/coordination/duty.h
+++ b/src/tier/coordination/duty.h
@@ -6,14 +6,14 @@
 // node that was frozen or cut off still takes itself for the holder.
 //
 // A pure machine: no clock, no transport.
-#ifndef PEARREACH_SRC_COORDINATION_DUTY_H_
-#define PEARREACH_SRC_COORDINATION_DUTY_H_
+#ifndef PEARREACH_SRC_TIER_COORDINATION_DUTY_H_
+#define PEARREACH_SRC_TIER_COORDINATION_DUTY_H_
 
 #include <cstdint>
 #include <optional>
 #include <string>
 
-#include "coordination/chain.h"
+#include "tier/coordination/chain.h"
 
 namespace pearreach::coordination {
 
@@ -53,4 +53,4 @@
 
 }  // namespace pearreach::coordination
 
-#endif  // PEARREACH_SRC_COORDINATION_DUTY_H_
+#endif  // PEARREACH_SRC_TIER_COORDINATION_DUTY_H_
--- a/src/coordination/membership.cpp
+++ b/src/tier/coordination/membership.cpp
@@ -1,13 +1,13 @@
-#include "coordination/membership.h"
+#include "tier/coordination/membership.h"
 
 #include <algorithm>
 #include <limits>
 #include <numeric>
 #include <utility>
 
-#include "coordination/membership_merge.h"
-#include "coordination/membership_timing.h"
-#include "coordination/membership_wire.h"
+#include "tier/coordination/membership_merge.h"
+#include "tier/coordination/membership_timing.h"
+#include "tier/coordination/membership_wire.h"
 
 namespace pearreach::coordination {
 namespace {
--- a/src/coordination/membership.h
+++ b/src/tier/coordination/membership.h
@@ -2,8 +2,8 @@
 // and suspicion before removal, over a set of nodes that is not known beforehand. A pure machine:
 // no socket, no clock, no thread; hand it the time, datagrams and ticks, send what it returns. It
 // says nothing of what the nodes do.
-#ifndef PEARREACH_SRC_COORDINATION_MEMBERSHIP_H_
-#define PEARREACH_SRC_COORDINATION_MEMBERSHIP_H_
+#ifndef PEARREACH_SRC_TIER_COORDINATION_MEMBERSHIP_H_
+#define PEARREACH_SRC_TIER_COORDINATION_MEMBERSHIP_H_
 
 #include <cstdint>
 #include <map>
@@ -14,7 +14,7 @@
 #include <utility>
 #include <vector>
 
-#include "coordination/membership_changes.h"
+#include "tier/coordination/membership_changes.h"
 
 namespace pearreach::coordination {
 
@@ -196,4 +196,4 @@
 
 }  // namespace pearreach::coordination
 
-#endif  // PEARREACH_SRC_COORDINATION_MEMBERSHIP_H_
+#endif  // PEARREACH_SRC_TIER_COORDINATION_MEMBERSHIP_H_
--- a/src/coordination/membership_changes.cpp
+++ b/src/tier/coordination/membership_changes.cpp
@@ -1,4 +1,4 @@
-#include "coordination/membership_changes.h"
+#include "tier/coordination/membership_changes.h"
 
 #include <utility>
 #include <vector>
--- a/src/coordination/membership_merge.cpp
+++ b/src/tier/coordination/membership_merge.cpp
@@ -1,4 +1,4 @@
-#include "coordination/membership_merge.h"
+#include "tier/coordination/membership_merge.h"
 
 namespace pearreach::coordination {
 
--- a/src/coordination/membership_merge.h
+++ b/src/tier/coordination/membership_merge.h
@@ -1,9 +1,9 @@
 // Which of two accounts of a member holds: the rules that make all nodes come to the same view,
 // in whatever order they hear.
-#ifndef PEARREACH_SRC_COORDINATION_MEMBERSHIP_MERGE_H_
-#define PEARREACH_SRC_COORDINATION_MEMBERSHIP_MERGE_H_
+#ifndef PEARREACH_SRC_TIER_COORDINATION_MEMBERSHIP_MERGE_H_
+#define PEARREACH_SRC_TIER_COORDINATION_MEMBERSHIP_MERGE_H_
 
-#include "coordination/membership_wire.h"
+#include "tier/coordination/membership_wire.h"
 
 namespace pearreach::coordination {
 
@@ -17,4 +17,4 @@
 
 }  // namespace pearreach::coordination
 
-#endif  // PEARREACH_SRC_COORDINATION_MEMBERSHIP_MERGE_H_
+#endif  // PEARREACH_SRC_TIER_COORDINATION_MEMBERSHIP_MERGE_H_
--- a/src/coordination/membership_receive.cpp
+++ b/src/tier/coordination/membership_receive.cpp
@@ -2,10 +2,10 @@
 #include <algorithm>
 #include <utility>
 
-#include "coordination/membership.h"
-#include "coordination/membership_merge.h"
-#include "coordination/membership_timing.h"
-#include "coordination/membership_wire.h"
+#include "tier/coordination/membership.h"
+#include "tier/coordination/membership_merge.h"
+#include "tier/coordination/membership_timing.h"
+#include "tier/coordination/membership_wire.h"
 
 namespace pearreach::coordination {
 
--- a/src/coordination/membership_timing.h
+++ b/src/tier/coordination/membership_timing.h
@@ -1,11 +1,11 @@
 // The times and counts of membership that its options do not give. They are defaults of the
 // protocol, in proportion to the options' defaults.
-#ifndef PEARREACH_SRC_COORDINATION_MEMBERSHIP_TIMING_H_
-#define PEARREACH_SRC_COORDINATION_MEMBERSHIP_TIMING_H_
+#ifndef PEARREACH_SRC_TIER_COORDINATION_MEMBERSHIP_TIMING_H_
+#define PEARREACH_SRC_TIER_COORDINATION_MEMBERSHIP_TIMING_H_
 
 #include <limits>
 
-#include "coordination/membership.h"
+#include "tier/coordination/membership.h"
 
 namespace pearreach::coordination {
 
@@ -35,4 +35,4 @@
 
 }  // namespace pearreach::coordination
 
-#endif  // PEARREACH_SRC_COORDINATION_MEMBERSHIP_TIMING_H_
+#endif  // PEARREACH_SRC_TIER_COORDINATION_MEMBERSHIP_TIMING_H_
--- a/src/coordination/membership_wire.cpp
+++ b/src/tier/coordination/membership_wire.cpp
@@ -1,10 +1,10 @@
-#include "coordination/membership_wire.h"
+#include "tier/coordination/membership_wire.h"
 
 #include <boost/serialization/level.hpp>
 #include <boost/serialization/tracking.hpp>
 #include <stdexcept>
 
-#include "codec/archive.h"
+#include "tier/codec/archive.h"
 
 BOOST_CLASS_IMPLEMENTATION(pearreach::coordination::MemberPacket,
                            boost::serialization::object_serializable)
--- a/src/coordination/membership_wire.h
+++ b/src/tier/coordination/membership_wire.h
@@ -1,7 +1,7 @@
 // The datagrams that members exchange: typed packets as bytes, checked when read. Compact: short
 // lengths, no class information; the exact size of each part is known before it is written.
-#ifndef PEARREACH_SRC_COORDINATION_MEMBERSHIP_WIRE_H_
-#define PEARREACH_SRC_COORDINATION_MEMBERSHIP_WIRE_H_
+#ifndef PEARREACH_SRC_TIER_COORDINATION_MEMBERSHIP_WIRE_H_
+#define PEARREACH_SRC_TIER_COORDINATION_MEMBERSHIP_WIRE_H_
 
 #include <absl/status/statusor.h>
 
@@ -12,7 +12,7 @@
 #include <string_view>
 #include <vector>
 
-#include "coordination/membership.h"
+#include "tier/coordination/membership.h"
 
 namespace pearreach::coordination {
 
@@ -73,4 +73,4 @@
 
 }  // namespace pearreach::coordination
 
-#endif  // PEARREACH_SRC_COORDINATION_MEMBERSHIP_WIRE_H_
+#endif  // PEARREACH_SRC_TIER_COORDINATION_MEMBERSHIP_WIRE_H_
--- a/src/coordination/view_agreement.cpp
+++ b/src/tier/coordination/view_agreement.cpp
@@ -1,4 +1,4 @@
-#include "coordination/view_agreement.h"
+#include "tier/coordination/view_agreement.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/coordination/view_agreement.h
+++ b/src/tier/coordination/view_agreement.h
@@ -13,8 +13,8 @@
 //     other gone, one had to decide after its own end.
 // A proposer with survivors needs all of them in both phases. One survivor is enough for the map:
 // a change is committed only once all members of the view have it on disk.
-#ifndef PEARREACH_SRC_COORDINATION_VIEW_AGREEMENT_H_
-#define PEARREACH_SRC_COORDINATION_VIEW_AGREEMENT_H_
+#ifndef PEARREACH_SRC_TIER_COORDINATION_VIEW_AGREEMENT_H_
+#define PEARREACH_SRC_TIER_COORDINATION_VIEW_AGREEMENT_H_
 
 #include <map>
 #include <memory>
@@ -22,8 +22,8 @@
 #include <set>
 #include <vector>
 
-#include "coordination/chain_messages.h"
-#include "coordination/chain_state.h"
+#include "tier/coordination/chain_messages.h"
+#include "tier/coordination/chain_state.h"
 
 namespace pearreach::coordination::chain {
 
@@ -101,4 +101,4 @@
 
 }  // namespace pearreach::coordination::chain
 
-#endif  // PEARREACH_SRC_COORDINATION_VIEW_AGREEMENT_H_
+#endif  // PEARREACH_SRC_TIER_COORDINATION_VIEW_AGREEMENT_H_
--- a/src/coordination/view_target.cpp
+++ b/src/tier/coordination/view_target.cpp
@@ -1,9 +1,9 @@
-#include "coordination/view_target.h"
+#include "tier/coordination/view_target.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "coordination/view_agreement.h"
+#include "tier/coordination/view_agreement.h"
 
 namespace pearreach::coordination::chain {
 
--- a/src/coordination/view_target.h
+++ b/src/tier/coordination/view_target.h
@@ -1,12 +1,12 @@
 // Which members the next view should have, from the present one and what membership says.
-#ifndef PEARREACH_SRC_COORDINATION_VIEW_TARGET_H_
-#define PEARREACH_SRC_COORDINATION_VIEW_TARGET_H_
+#ifndef PEARREACH_SRC_TIER_COORDINATION_VIEW_TARGET_H_
+#define PEARREACH_SRC_TIER_COORDINATION_VIEW_TARGET_H_
 
 #include <map>
 #include <set>
 #include <vector>
 
-#include "coordination/chain.h"
+#include "tier/coordination/chain.h"
 
 namespace pearreach::coordination::chain {
 
@@ -63,4 +63,4 @@
 
 }  // namespace pearreach::coordination::chain
 
-#endif  // PEARREACH_SRC_COORDINATION_VIEW_TARGET_H_
+#endif  // PEARREACH_SRC_TIER_COORDINATION_VIEW_TARGET_H_
--- a/src/gateway/gateway.cpp
+++ b/src/tier/gateway/gateway.cpp
@@ -1,10 +1,10 @@
-#include "gateway/gateway.h"
+#include "tier/gateway/gateway.h"
 
 #include <string>
 #include <utility>
 
-#include "gateway/job_builder.h"
-#include "gateway/own_answers.h"
+#include "tier/gateway/job_builder.h"
+#include "tier/gateway/own_answers.h"
 
 namespace pearreach::gateway {
 namespace {
@@ -40,7 +40,7 @@
     : control_(control),
       context_{runner, timers, std::make_shared<Outcomes>()},
       waits_(waits),
-      start_queue_(timers, [this](const std::shared_ptr<front::Exchange>& exchange) {
+      start_queue_(timers, [this](const std::shared_ptr<http_server::Exchange>& exchange) {
         ++context_.outcomes->no_configuration;
         Refuse(exchange.get(), kUnavailable);
       }) {
@@ -54,31 +54,31 @@
 void Gateway::OnControlChange() {
   if (start_queue_.size() == 0 || control_->Current()->routes == nullptr) return;
   start_queue_.Release(
-      [this](std::shared_ptr<front::Exchange> exchange) { Dispatch(std::move(exchange)); });
+      [this](std::shared_ptr<http_server::Exchange> exchange) { Dispatch(std::move(exchange)); });
 }
 
 void Gateway::SetDraining(bool draining) {
   draining_ = draining;
   if (!draining) return;
-  start_queue_.Release([this](const std::shared_ptr<front::Exchange>& exchange) {
+  start_queue_.Release([this](const std::shared_ptr<http_server::Exchange>& exchange) {
     ++context_.outcomes->draining;
     Refuse(exchange.get(), kUnavailable);
   });
 }
 
-void Gateway::HoldUntilConfigured(std::shared_ptr<front::Exchange> exchange) {
+void Gateway::HoldUntilConfigured(std::shared_ptr<http_server::Exchange> exchange) {
   if (waits_ && !draining_ && start_queue_.Hold(exchange)) return;
   ++context_.outcomes->no_configuration;
   Refuse(exchange.get(), kUnavailable);
 }
 
-void Gateway::Handle(std::shared_ptr<front::Exchange> exchange) {
+void Gateway::Handle(std::shared_ptr<http_server::Exchange> exchange) {
   ++context_.outcomes->requests;
   if (control_->Current()->routes == nullptr) return HoldUntilConfigured(std::move(exchange));
   Dispatch(std::move(exchange));
 }
 
-void Gateway::Dispatch(std::shared_ptr<front::Exchange> exchange) {
+void Gateway::Dispatch(std::shared_ptr<http_server::Exchange> exchange) {
   Outcomes& outcomes = *context_.outcomes;
   const auto routes = control_->Current()->routes;
   const http::Message& request = exchange->request();
@@ -98,7 +98,8 @@
   HandleRouted(std::move(exchange), *route);
 }
 
-void Gateway::HandleRouted(std::shared_ptr<front::Exchange> exchange, const routing::Route& route) {
+void Gateway::HandleRouted(std::shared_ptr<http_server::Exchange> exchange,
+                           const routing::Route& route) {
   Outcomes& outcomes = *context_.outcomes;
   if (draining_) {
     ++outcomes.draining;
@@ -109,12 +110,12 @@
     if (!bulk_handler_) return Refuse(exchange.get(), kUnavailable);
     return bulk_handler_(std::move(exchange), route);
   }
-  front::Exchange& client = *exchange;
+  http_server::Exchange& client = *exchange;
   proxy::JobSpec spec = BuildJob(route, &client.mutable_request(), client.arrived());
   std::make_shared<LiveRequest>(context_, std::move(exchange))->Start(std::move(spec));
 }
 
-void Gateway::Refuse(front::Exchange* exchange, int status) {
+void Gateway::Refuse(http_server::Exchange* exchange, int status) {
   const std::string id(AttemptIdOf(exchange->request()));
   exchange->Respond(status, status == kUnavailable ? RetryHeaders(id, 0) : OwnHeaders(id), "");
 }
--- a/src/gateway/gateway.h
+++ b/src/tier/gateway/gateway.h
@@ -1,20 +1,20 @@
 // What a client's request is and who answers it: the lot calls, a bulk route, a live job, or the
 // gateway itself where there is no route or no configuration.
-#ifndef PEARREACH_SRC_GATEWAY_GATEWAY_H_
-#define PEARREACH_SRC_GATEWAY_GATEWAY_H_
+#ifndef PEARREACH_SRC_TIER_GATEWAY_GATEWAY_H_
+#define PEARREACH_SRC_TIER_GATEWAY_GATEWAY_H_
 
 #include <functional>
 #include <memory>
 #include <string_view>
 
-#include "base/timers.h"
-#include "control/control_client.h"
-#include "front/exchange.h"
-#include "gateway/live_request.h"
-#include "gateway/outcomes.h"
-#include "gateway/start_queue.h"
-#include "proxy/job.h"
-#include "routing/route_table.h"
+#include "common/event_loop/timers.h"
+#include "tier/control/control_client.h"
+#include "tier/gateway/live_request.h"
+#include "tier/gateway/outcomes.h"
+#include "tier/gateway/start_queue.h"
+#include "tier/http_server/exchange.h"
+#include "tier/proxy/job.h"
+#include "tier/routing/route_table.h"
 
 namespace pearreach::gateway {
 
@@ -24,8 +24,9 @@
 class Gateway {
  public:
   // The route stands for the time of the call only.
-  using BulkHandler = std::function<void(std::shared_ptr<front::Exchange>, const routing::Route&)>;
-  using LotHandler = std::function<void(std::shared_ptr<front::Exchange>)>;
+  using BulkHandler =
+      std::function<void(std::shared_ptr<http_server::Exchange>, const routing::Route&)>;
+  using LotHandler = std::function<void(std::shared_ptr<http_server::Exchange>)>;
 
   // All three must outlive the gateway and its requests. `waits`: requests that come before the
   // first configuration are held for it; else they get 503.
@@ -35,7 +36,7 @@
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
-  void Handle(std::shared_ptr<front::Exchange> exchange);
+  void Handle(std::shared_ptr<http_server::Exchange> exchange);
   void SetBulkHandler(BulkHandler handler) { bulk_handler_ = std::move(handler); }
   void SetLotHandler(LotHandler handler) { lot_handler_ = std::move(handler); }
   // While draining, new requests that would need a worker get 503: for the end of a drain, when
@@ -47,10 +48,10 @@
  private:
   void OnControlChange();
   // A configuration is known.
-  void Dispatch(std::shared_ptr<front::Exchange> exchange);
-  void HoldUntilConfigured(std::shared_ptr<front::Exchange> exchange);
-  void HandleRouted(std::shared_ptr<front::Exchange> exchange, const routing::Route& route);
-  void Refuse(front::Exchange* exchange, int status);
+  void Dispatch(std::shared_ptr<http_server::Exchange> exchange);
+  void HoldUntilConfigured(std::shared_ptr<http_server::Exchange> exchange);
+  void HandleRouted(std::shared_ptr<http_server::Exchange> exchange, const routing::Route& route);
+  void Refuse(http_server::Exchange* exchange, int status);
 
   control::ControlClient* control_;
   LiveContext context_;
@@ -64,4 +65,4 @@
 
 }  // namespace pearreach::gateway
 
-#endif  // PEARREACH_SRC_GATEWAY_GATEWAY_H_
+#endif  // PEARREACH_SRC_TIER_GATEWAY_GATEWAY_H_
--- a/src/gateway/header_filter.cpp
+++ b/src/tier/gateway/header_filter.cpp
@@ -1,4 +1,4 @@
-#include "gateway/header_filter.h"
+#include "tier/gateway/header_filter.h"
 
 #include <algorithm>
 #include <string_view>
--- a/src/gateway/header_filter.h
+++ b/src/tier/gateway/header_filter.h
@@ -1,10 +1,10 @@
 // Which headers travel on: those that concern one connection only end here.
-#ifndef PEARREACH_SRC_GATEWAY_HEADER_FILTER_H_
-#define PEARREACH_SRC_GATEWAY_HEADER_FILTER_H_
+#ifndef PEARREACH_SRC_TIER_GATEWAY_HEADER_FILTER_H_
+#define PEARREACH_SRC_TIER_GATEWAY_HEADER_FILTER_H_
 
 #include <vector>
 
-#include "http/http.h"
+#include "common/http/http.h"
 
 namespace pearreach::gateway {
 
@@ -17,4 +17,4 @@
 
 }  // namespace pearreach::gateway
 
-#endif  // PEARREACH_SRC_GATEWAY_HEADER_FILTER_H_
+#endif  // PEARREACH_SRC_TIER_GATEWAY_HEADER_FILTER_H_
--- a/src/gateway/job_builder.cpp
+++ b/src/tier/gateway/job_builder.cpp
@@ -1,4 +1,4 @@
-#include "gateway/job_builder.h"
+#include "tier/gateway/job_builder.h"
 
 #include <algorithm>
 #include <charconv>
@@ -7,8 +7,8 @@
 #include <string_view>
 #include <utility>
 
-#include "gateway/header_filter.h"
-#include "proxy/prompt_headers.h"
+#include "tier/gateway/header_filter.h"
+#include "tier/proxy/prompt_headers.h"
 
 namespace pearreach::gateway {
 namespace {
--- a/src/gateway/job_builder.h
+++ b/src/tier/gateway/job_builder.h
@@ -1,11 +1,11 @@
 // From a client's request and its route to the job that runs it.
-#ifndef PEARREACH_SRC_GATEWAY_JOB_BUILDER_H_
-#define PEARREACH_SRC_GATEWAY_JOB_BUILDER_H_
+#ifndef PEARREACH_SRC_TIER_GATEWAY_JOB_BUILDER_H_
+#define PEARREACH_SRC_TIER_GATEWAY_JOB_BUILDER_H_
 
-#include "base/io.h"
-#include "http/http.h"
-#include "proxy/job.h"
-#include "routing/route_table.h"
+#include "common/event_loop/io.h"
+#include "common/http/http.h"
+#include "tier/proxy/job.h"
+#include "tier/routing/route_table.h"
 
 namespace pearreach::gateway {
 
@@ -14,4 +14,4 @@
 
 }  // namespace pearreach::gateway
 
-#endif  // PEARREACH_SRC_GATEWAY_JOB_BUILDER_H_
+#endif  // PEARREACH_SRC_TIER_GATEWAY_JOB_BUILDER_H_
--- a/src/gateway/live_request.cpp
+++ b/src/tier/gateway/live_request.cpp
@@ -1,10 +1,10 @@
-#include "gateway/live_request.h"
+#include "tier/gateway/live_request.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "gateway/header_filter.h"
-#include "gateway/own_answers.h"
+#include "tier/gateway/header_filter.h"
+#include "tier/gateway/own_answers.h"
 
 namespace pearreach::gateway {
 namespace {
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-LiveRequest::LiveRequest(LiveContext context, std::shared_ptr<front::Exchange> exchange)
+LiveRequest::LiveRequest(LiveContext context, std::shared_ptr<http_server::Exchange> exchange)
     : context_(std::move(context)), exchange_(std::move(exchange)) {}
 
 void LiveRequest::Start(proxy::JobSpec spec) {
--- a/src/gateway/live_request.h
+++ b/src/tier/gateway/live_request.h
@@ -1,7 +1,7 @@
 // A client's request while its job is under way: passes the worker's answer on, ends the request
 // when its time is over and cancels the job when the client leaves.
-#ifndef PEARREACH_SRC_GATEWAY_LIVE_REQUEST_H_
-#define PEARREACH_SRC_GATEWAY_LIVE_REQUEST_H_
+#ifndef PEARREACH_SRC_TIER_GATEWAY_LIVE_REQUEST_H_
+#define PEARREACH_SRC_TIER_GATEWAY_LIVE_REQUEST_H_
 
 #include <cstddef>
 #include <memory>
@@ -9,10 +9,10 @@
 #include <string_view>
 #include <vector>
 
-#include "base/timers.h"
-#include "front/exchange.h"
-#include "gateway/outcomes.h"
-#include "proxy/job.h"
+#include "common/event_loop/timers.h"
+#include "tier/gateway/outcomes.h"
+#include "tier/http_server/exchange.h"
+#include "tier/proxy/job.h"
 
 namespace pearreach::gateway {
 
@@ -25,7 +25,7 @@
 
 class LiveRequest final : public proxy::JobSink, public std::enable_shared_from_this<LiveRequest> {
  public:
-  LiveRequest(LiveContext context, std::shared_ptr<front::Exchange> exchange);
+  LiveRequest(LiveContext context, std::shared_ptr<http_server::Exchange> exchange);
 
   void Start(proxy::JobSpec spec);
 
@@ -43,7 +43,7 @@
   bool End();  // false: it has ended before
 
   LiveContext context_;
-  std::shared_ptr<front::Exchange> exchange_;
+  std::shared_ptr<http_server::Exchange> exchange_;
   std::string attempt_id_;
   bool streamed_ = false;   // the route's answers are streams
   bool streaming_ = false;  // the head has gone out
@@ -57,4 +57,4 @@
 
 }  // namespace pearreach::gateway
 
-#endif  // PEARREACH_SRC_GATEWAY_LIVE_REQUEST_H_
+#endif  // PEARREACH_SRC_TIER_GATEWAY_LIVE_REQUEST_H_
--- a/src/gateway/outcomes.h
+++ b/src/tier/gateway/outcomes.h
@@ -1,6 +1,6 @@
 // What became of the requests of clients, counted for the log.
-#ifndef PEARREACH_SRC_GATEWAY_OUTCOMES_H_
-#define PEARREACH_SRC_GATEWAY_OUTCOMES_H_
+#ifndef PEARREACH_SRC_TIER_GATEWAY_OUTCOMES_H_
+#define PEARREACH_SRC_TIER_GATEWAY_OUTCOMES_H_
 
 #include <cstdint>
 
@@ -23,4 +23,4 @@
 
 }  // namespace pearreach::gateway
 
-#endif  // PEARREACH_SRC_GATEWAY_OUTCOMES_H_
+#endif  // PEARREACH_SRC_TIER_GATEWAY_OUTCOMES_H_
--- a/src/gateway/own_answers.cpp
+++ b/src/tier/gateway/own_answers.cpp
@@ -1,4 +1,4 @@
-#include "gateway/own_answers.h"
+#include "tier/gateway/own_answers.h"
 
 #include <fmt/format.h>
 
--- a/src/gateway/own_answers.h
+++ b/src/tier/gateway/own_answers.h
@@ -1,13 +1,13 @@
 // The gateway's own answers to requests: never a success, and the id of the request on each.
-#ifndef PEARREACH_SRC_GATEWAY_OWN_ANSWERS_H_
-#define PEARREACH_SRC_GATEWAY_OWN_ANSWERS_H_
+#ifndef PEARREACH_SRC_TIER_GATEWAY_OWN_ANSWERS_H_
+#define PEARREACH_SRC_TIER_GATEWAY_OWN_ANSWERS_H_
 
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "base/io.h"
-#include "http/http.h"
+#include "common/event_loop/io.h"
+#include "common/http/http.h"
 
 namespace pearreach::gateway {
 
@@ -30,4 +30,4 @@
 
 }  // namespace pearreach::gateway
 
-#endif  // PEARREACH_SRC_GATEWAY_OWN_ANSWERS_H_
+#endif  // PEARREACH_SRC_TIER_GATEWAY_OWN_ANSWERS_H_
--- a/src/gateway/start_queue.cpp
+++ b/src/tier/gateway/start_queue.cpp
@@ -1,4 +1,4 @@
-#include "gateway/start_queue.h"
+#include "tier/gateway/start_queue.h"
 
 #include <algorithm>
 #include <charconv>
@@ -38,7 +38,7 @@
   for (auto& [number, held] : held_) timers_->Cancel(&held.timer);
 }
 
-bool StartQueue::Hold(std::shared_ptr<front::Exchange> exchange) {
+bool StartQueue::Hold(std::shared_ptr<http_server::Exchange> exchange) {
   const std::size_t bytes = exchange->request().body.size();
   if (bytes_ + bytes > kMostBytes) return false;
   const Micros until = exchange->arrived() + PatienceOf(exchange->request());
--- a/src/gateway/start_queue.h
+++ b/src/tier/gateway/start_queue.h
@@ -1,8 +1,8 @@
 // Requests that come before this node knows a configuration: they wait for it, as long as their
 // clients do, instead of being refused. After a start of all nodes a refusal would be the last
 // answer of a client that has used its retry on the outage.
-#ifndef PEARREACH_SRC_GATEWAY_START_QUEUE_H_
-#define PEARREACH_SRC_GATEWAY_START_QUEUE_H_
+#ifndef PEARREACH_SRC_TIER_GATEWAY_START_QUEUE_H_
+#define PEARREACH_SRC_TIER_GATEWAY_START_QUEUE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -10,14 +10,14 @@
 #include <map>
 #include <memory>
 
-#include "base/timers.h"
-#include "front/exchange.h"
+#include "common/event_loop/timers.h"
+#include "tier/http_server/exchange.h"
 
 namespace pearreach::gateway {
 
 class StartQueue {
  public:
-  using Handler = std::function<void(std::shared_ptr<front::Exchange>)>;
+  using Handler = std::function<void(std::shared_ptr<http_server::Exchange>)>;
 
   // `refuse` gets a request whose time is over. Neither is called from inside Hold.
   StartQueue(Timers* timers, Handler refuse) : timers_(timers), refuse_(std::move(refuse)) {}
@@ -26,14 +26,14 @@
   StartQueue& operator=(const StartQueue&) = delete;
 
   // False: there is no room for it.
-  bool Hold(std::shared_ptr<front::Exchange> exchange);
+  bool Hold(std::shared_ptr<http_server::Exchange> exchange);
   // Hands all that still wait to `handle`, in the order in which they came.
   void Release(const Handler& handle);
   std::size_t size() const { return held_.size(); }
 
  private:
   struct Held {
-    std::shared_ptr<front::Exchange> exchange;
+    std::shared_ptr<http_server::Exchange> exchange;
     std::size_t bytes = 0;
     Timers::Id timer = 0;
   };
@@ -49,4 +49,4 @@
 
 }  // namespace pearreach::gateway
 
-#endif  // PEARREACH_SRC_GATEWAY_START_QUEUE_H_
+#endif  // PEARREACH_SRC_TIER_GATEWAY_START_QUEUE_H_
--- a/src/front/answer_writer.cpp
+++ b/src/tier/http_server/answer_writer.cpp
@@ -1,10 +1,10 @@
-#include "front/answer_writer.h"
+#include "tier/http_server/answer_writer.h"
 
 #include <fmt/format.h>
 
 #include <iterator>
 
-namespace pearreach::front {
+namespace pearreach::http_server {
 namespace {
 
 constexpr std::size_t kHeadRoom = 256;  // status line and own headers
@@ -60,4 +60,4 @@
   out->append(piece).append("\r\n");
 }
 
-}  // namespace pearreach::front
+}  // namespace pearreach::http_server
--- a/src/front/answer_writer.h
+++ b/src/tier/http_server/answer_writer.h
@@ -1,15 +1,15 @@
 // The bytes of answers: heads with the framing that the front chooses, and chunks.
-#ifndef PEARREACH_SRC_FRONT_ANSWER_WRITER_H_
-#define PEARREACH_SRC_FRONT_ANSWER_WRITER_H_
+#ifndef PEARREACH_SRC_TIER_HTTP_SERVER_ANSWER_WRITER_H_
+#define PEARREACH_SRC_TIER_HTTP_SERVER_ANSWER_WRITER_H_
 
 #include <cstddef>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "http/http.h"
+#include "common/http/http.h"
 
-namespace pearreach::front {
+namespace pearreach::http_server {
 
 inline constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
@@ -30,6 +30,6 @@
 void AppendChunk(std::string_view piece, std::string* out);  // `piece` is not empty
 bool HasBody(int status);  // whether an answer of this status carries a body
 
-}  // namespace pearreach::front
+}  // namespace pearreach::http_server
 
-#endif  // PEARREACH_SRC_FRONT_ANSWER_WRITER_H_
+#endif  // PEARREACH_SRC_TIER_HTTP_SERVER_ANSWER_WRITER_H_
--- a/src/front/client_exchange.cpp
+++ b/src/tier/http_server/client_exchange.cpp
@@ -1,10 +1,10 @@
-#include "front/client_exchange.h"
+#include "tier/http_server/client_exchange.h"
 
 #include <utility>
 
-#include "front/connection.h"
+#include "tier/http_server/connection.h"
 
-namespace pearreach::front {
+namespace pearreach::http_server {
 
 ClientExchange::ClientExchange(std::shared_ptr<Connection> connection, http::Message request,
                                Micros arrived)
@@ -59,4 +59,4 @@
   if (closed) closed();
 }
 
-}  // namespace pearreach::front
+}  // namespace pearreach::http_server
--- a/src/front/client_exchange.h
+++ b/src/tier/http_server/client_exchange.h
@@ -1,7 +1,7 @@
 // The exchange that a connection hands out: forwards the answer to its connection while that still
 // waits for it, and aborts it if dropped without an answer.
-#ifndef PEARREACH_SRC_FRONT_CLIENT_EXCHANGE_H_
-#define PEARREACH_SRC_FRONT_CLIENT_EXCHANGE_H_
+#ifndef PEARREACH_SRC_TIER_HTTP_SERVER_CLIENT_EXCHANGE_H_
+#define PEARREACH_SRC_TIER_HTTP_SERVER_CLIENT_EXCHANGE_H_
 
 #include <functional>
 #include <memory>
@@ -9,9 +9,9 @@
 #include <utility>
 #include <vector>
 
-#include "front/exchange.h"
+#include "tier/http_server/exchange.h"
 
-namespace pearreach::front {
+namespace pearreach::http_server {
 
 class Connection;
 
@@ -47,6 +47,6 @@
   std::function<void()> closed_, drained_;
 };
 
-}  // namespace pearreach::front
+}  // namespace pearreach::http_server
 
-#endif  // PEARREACH_SRC_FRONT_CLIENT_EXCHANGE_H_
+#endif  // PEARREACH_SRC_TIER_HTTP_SERVER_CLIENT_EXCHANGE_H_
--- a/src/front/connection.cpp
+++ b/src/tier/http_server/connection.cpp
@@ -1,11 +1,11 @@
-#include "front/connection.h"
+#include "tier/http_server/connection.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "front/client_exchange.h"
+#include "tier/http_server/client_exchange.h"
 
-namespace pearreach::front {
+namespace pearreach::http_server {
 namespace {
 
 constexpr std::size_t kLargeBody = 32 << 10;  // a parser that held more gives its memory back
@@ -224,4 +224,4 @@
   if (Send(WriteHead(status, {}, Framing::kLength, 0, notice))) CloseGently();
 }
 
-}  // namespace pearreach::front
+}  // namespace pearreach::http_server
--- a/src/front/connection.h
+++ b/src/tier/http_server/connection.h
@@ -1,7 +1,7 @@
 // One connection of a client: reads its requests one after the other, hands each out as an exchange
 // and writes the answer before it looks at the next one.
-#ifndef PEARREACH_SRC_FRONT_CONNECTION_H_
-#define PEARREACH_SRC_FRONT_CONNECTION_H_
+#ifndef PEARREACH_SRC_TIER_HTTP_SERVER_CONNECTION_H_
+#define PEARREACH_SRC_TIER_HTTP_SERVER_CONNECTION_H_
 
 #include <list>
 #include <memory>
@@ -9,13 +9,13 @@
 #include <string_view>
 #include <vector>
 
-#include "base/io.h"
-#include "base/timers.h"
-#include "front/answer_writer.h"
-#include "front/server_state.h"
-#include "http/http.h"
+#include "common/event_loop/io.h"
+#include "common/event_loop/timers.h"
+#include "common/http/http.h"
+#include "tier/http_server/answer_writer.h"
+#include "tier/http_server/server_state.h"
 
-namespace pearreach::front {
+namespace pearreach::http_server {
 
 class ClientExchange;
 
@@ -104,6 +104,6 @@
   std::size_t unsent_before_ = 0;
 };
 
-}  // namespace pearreach::front
+}  // namespace pearreach::http_server
 
-#endif  // PEARREACH_SRC_FRONT_CONNECTION_H_
+#endif  // PEARREACH_SRC_TIER_HTTP_SERVER_CONNECTION_H_
--- a/src/front/connection_phases.cpp
+++ b/src/tier/http_server/connection_phases.cpp
@@ -2,10 +2,10 @@
 #include <algorithm>
 #include <utility>
 
-#include "front/client_exchange.h"
-#include "front/connection.h"
+#include "tier/http_server/client_exchange.h"
+#include "tier/http_server/connection.h"
 
-namespace pearreach::front {
+namespace pearreach::http_server {
 namespace {
 
 constexpr Micros kCloseWait = 2 * kSecond;  // for a peer to close after its last answer
@@ -159,4 +159,4 @@
   return true;
 }
 
-}  // namespace pearreach::front
+}  // namespace pearreach::http_server
--- a/src/front/exchange.h
+++ b/src/tier/http_server/exchange.h
@@ -1,6 +1,6 @@
 // One request of a client and its answer, as handlers behind the HTTP front see them.
-#ifndef PEARREACH_SRC_FRONT_EXCHANGE_H_
-#define PEARREACH_SRC_FRONT_EXCHANGE_H_
+#ifndef PEARREACH_SRC_TIER_HTTP_SERVER_EXCHANGE_H_
+#define PEARREACH_SRC_TIER_HTTP_SERVER_EXCHANGE_H_
 
 #include <functional>
 #include <memory>
@@ -8,10 +8,10 @@
 #include <string_view>
 #include <vector>
 
-#include "base/io.h"
-#include "http/http.h"
+#include "common/event_loop/io.h"
+#include "common/http/http.h"
 
-namespace pearreach::front {
+namespace pearreach::http_server {
 
 // Exactly one answer is given: Respond, or BeginStream ... Finish, or Abort. After the client has
 // gone every call is a no-op. Never call back into the front from `on_closed`.
@@ -41,6 +41,6 @@
 
 using ExchangeHandler = std::function<void(std::shared_ptr<Exchange>)>;
 
-}  // namespace pearreach::front
+}  // namespace pearreach::http_server
 
-#endif  // PEARREACH_SRC_FRONT_EXCHANGE_H_
+#endif  // PEARREACH_SRC_TIER_HTTP_SERVER_EXCHANGE_H_
--- a/src/front/http_server.cpp
+++ b/src/tier/http_server/http_server.cpp
@@ -1,14 +1,14 @@
-#include "front/http_server.h"
+#include "tier/http_server/http_server.h"
 
 #include <utility>
 #include <vector>
 
-#include "base/io.h"
-#include "front/connection.h"
-#include "front/server_state.h"
-#include "logging/log.h"
+#include "common/event_loop/io.h"
+#include "tier/http_server/connection.h"
+#include "tier/http_server/server_state.h"
+#include "tier/logging/log.h"
 
-namespace pearreach::front {
+namespace pearreach::http_server {
 namespace {
 
 constexpr Micros kAcceptPause = 100 * kMs;   // where no more connections can be taken
@@ -126,4 +126,4 @@
 std::size_t HttpServer::connections() const { return impl_->state().connections.size(); }
 std::size_t HttpServer::unanswered() const { return impl_->state().unanswered; }
 
-}  // namespace pearreach::front
+}  // namespace pearreach::http_server
--- a/src/front/http_server.h
+++ b/src/tier/http_server/http_server.h
@@ -1,16 +1,16 @@
 // An HTTP/1.1 server on one address: reads whole requests, hands them to a handler as exchanges and
 // writes the answers in order. Used for clients, control calls and readiness alike.
-#ifndef PEARREACH_SRC_FRONT_HTTP_SERVER_H_
-#define PEARREACH_SRC_FRONT_HTTP_SERVER_H_
+#ifndef PEARREACH_SRC_TIER_HTTP_SERVER_HTTP_SERVER_H_
+#define PEARREACH_SRC_TIER_HTTP_SERVER_HTTP_SERVER_H_
 
 #include <cstddef>
 #include <memory>
 #include <string>
 
-#include "base/timers.h"
-#include "front/exchange.h"
+#include "common/event_loop/timers.h"
+#include "tier/http_server/exchange.h"
 
-namespace pearreach::front {
+namespace pearreach::http_server {
 
 struct ServerOptions {
   std::size_t max_header_bytes = 16 << 10;
@@ -43,6 +43,6 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace pearreach::front
+}  // namespace pearreach::http_server
 
-#endif  // PEARREACH_SRC_FRONT_HTTP_SERVER_H_
+#endif  // PEARREACH_SRC_TIER_HTTP_SERVER_HTTP_SERVER_H_
--- a/src/front/server_state.h
+++ b/src/tier/http_server/server_state.h
@@ -1,7 +1,7 @@
 // What a server and its connections share. Connections hold it on: an exchange may outlive its
 // server.
-#ifndef PEARREACH_SRC_FRONT_SERVER_STATE_H_
-#define PEARREACH_SRC_FRONT_SERVER_STATE_H_
+#ifndef PEARREACH_SRC_TIER_HTTP_SERVER_SERVER_STATE_H_
+#define PEARREACH_SRC_TIER_HTTP_SERVER_SERVER_STATE_H_
 
 #include <cstddef>
 #include <functional>
@@ -9,10 +9,10 @@
 #include <memory>
 #include <unordered_map>
 
-#include "base/timers.h"
-#include "front/http_server.h"
+#include "common/event_loop/timers.h"
+#include "tier/http_server/http_server.h"
 
-namespace pearreach::front {
+namespace pearreach::http_server {
 
 class Connection;
 
@@ -29,6 +29,6 @@
   std::function<void()> on_removed;  // a connection has left `connections`
 };
 
-}  // namespace pearreach::front
+}  // namespace pearreach::http_server
 
-#endif  // PEARREACH_SRC_FRONT_SERVER_STATE_H_
+#endif  // PEARREACH_SRC_TIER_HTTP_SERVER_SERVER_STATE_H_
--- a/src/logging/log.cpp
+++ b/src/tier/logging/log.cpp
@@ -1,4 +1,4 @@
-#include "logging/log.h"
+#include "tier/logging/log.h"
 
 #include <chrono>
 #include <cstdio>
--- a/src/logging/log.h
+++ b/src/tier/logging/log.h
@@ -1,7 +1,7 @@
 // JSON lines on standard error: one object a line with the time of day, the severity, the module,
 // the message and fields. Cheap enough for the ordinary path only where nothing goes wrong there.
-#ifndef PEARREACH_SRC_LOGGING_LOG_H_
-#define PEARREACH_SRC_LOGGING_LOG_H_
+#ifndef PEARREACH_SRC_TIER_LOGGING_LOG_H_
+#define PEARREACH_SRC_TIER_LOGGING_LOG_H_
 
 #include <fmt/format.h>
 
@@ -45,4 +45,4 @@
 
 }  // namespace pearreach::logging
 
-#endif  // PEARREACH_SRC_LOGGING_LOG_H_
+#endif  // PEARREACH_SRC_TIER_LOGGING_LOG_H_
--- a/src/proxy/attempt.cpp
+++ b/src/tier/proxy/attempt.cpp
@@ -1,4 +1,4 @@
-#include "proxy/attempt.h"
+#include "tier/proxy/attempt.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/proxy/attempt.h
+++ b/src/tier/proxy/attempt.h
@@ -1,16 +1,16 @@
 // One send of a request to one worker, up to its outcome: the connection, the answer's framing, and
 // whose answer it is. It decides nothing about what follows.
-#ifndef PEARREACH_SRC_PROXY_ATTEMPT_H_
-#define PEARREACH_SRC_PROXY_ATTEMPT_H_
+#ifndef PEARREACH_SRC_TIER_PROXY_ATTEMPT_H_
+#define PEARREACH_SRC_TIER_PROXY_ATTEMPT_H_
 
 #include <cstddef>
 #include <memory>
 #include <string>
 #include <string_view>
 
-#include "base/timers.h"
-#include "proxy/response_reader.h"
-#include "proxy/worker_connections.h"
+#include "common/event_loop/timers.h"
+#include "tier/proxy/response_reader.h"
+#include "tier/proxy/worker_connections.h"
 
 namespace pearreach::proxy {
 
@@ -103,4 +103,4 @@
 
 }  // namespace pearreach::proxy
 
-#endif  // PEARREACH_SRC_PROXY_ATTEMPT_H_
+#endif  // PEARREACH_SRC_TIER_PROXY_ATTEMPT_H_
--- a/src/proxy/bulk_gate.cpp
+++ b/src/tier/proxy/bulk_gate.cpp
@@ -1,4 +1,4 @@
-#include "proxy/bulk_gate.h"
+#include "tier/proxy/bulk_gate.h"
 
 #include <algorithm>
 
--- a/src/proxy/bulk_gate.h
+++ b/src/tier/proxy/bulk_gate.h
@@ -1,8 +1,8 @@
 // Paces bulk jobs of one service at this node: only so many may be at workers with their prompts
 // unread, since reading a prompt delays every other request of its worker. What waits is taken in
 // the order in which it came.
-#ifndef PEARREACH_SRC_PROXY_BULK_GATE_H_
-#define PEARREACH_SRC_PROXY_BULK_GATE_H_
+#ifndef PEARREACH_SRC_TIER_PROXY_BULK_GATE_H_
+#define PEARREACH_SRC_TIER_PROXY_BULK_GATE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -33,4 +33,4 @@
 
 }  // namespace pearreach::proxy
 
-#endif  // PEARREACH_SRC_PROXY_BULK_GATE_H_
+#endif  // PEARREACH_SRC_TIER_PROXY_BULK_GATE_H_
--- a/src/proxy/event_splitter.cpp
+++ b/src/tier/proxy/event_splitter.cpp
@@ -1,4 +1,4 @@
-#include "proxy/event_splitter.h"
+#include "tier/proxy/event_splitter.h"
 
 #include <charconv>
 
--- a/src/proxy/event_splitter.h
+++ b/src/tier/proxy/event_splitter.h
@@ -1,6 +1,6 @@
 // Cuts a text/event-stream into whole events and reads their ids. It changes no byte.
-#ifndef PEARREACH_SRC_PROXY_EVENT_SPLITTER_H_
-#define PEARREACH_SRC_PROXY_EVENT_SPLITTER_H_
+#ifndef PEARREACH_SRC_TIER_PROXY_EVENT_SPLITTER_H_
+#define PEARREACH_SRC_TIER_PROXY_EVENT_SPLITTER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -38,4 +38,4 @@
 
 }  // namespace pearreach::proxy
 
-#endif  // PEARREACH_SRC_PROXY_EVENT_SPLITTER_H_
+#endif  // PEARREACH_SRC_TIER_PROXY_EVENT_SPLITTER_H_
--- a/src/proxy/fleet_start.cpp
+++ b/src/tier/proxy/fleet_start.cpp
@@ -1,4 +1,4 @@
-#include "proxy/fleet_start.h"
+#include "tier/proxy/fleet_start.h"
 
 namespace pearreach::proxy {
 namespace {
--- a/src/proxy/fleet_start.h
+++ b/src/tier/proxy/fleet_start.h
@@ -1,13 +1,13 @@
 // Tells whether all edge nodes have just started, so that none of them knows all workers yet: these
 // call again within a heartbeat period. Where an older node is alive, it knows them.
-#ifndef PEARREACH_SRC_PROXY_FLEET_START_H_
-#define PEARREACH_SRC_PROXY_FLEET_START_H_
+#ifndef PEARREACH_SRC_TIER_PROXY_FLEET_START_H_
+#define PEARREACH_SRC_TIER_PROXY_FLEET_START_H_
 
 #include <string>
 #include <utility>
 
-#include "base/timers.h"
-#include "control/control_client.h"
+#include "common/event_loop/timers.h"
+#include "tier/control/control_client.h"
 
 namespace pearreach::proxy {
 
@@ -31,4 +31,4 @@
 
 }  // namespace pearreach::proxy
 
-#endif  // PEARREACH_SRC_PROXY_FLEET_START_H_
+#endif  // PEARREACH_SRC_TIER_PROXY_FLEET_START_H_
--- a/src/proxy/job.h
+++ b/src/tier/proxy/job.h
@@ -1,7 +1,7 @@
 // A job: one request that must run on a worker of a service. Live requests of clients and items of
-// lots are jobs alike; both pass the same admission (marlquay::Dispatcher, one a service).
-#ifndef PEARREACH_SRC_PROXY_JOB_H_
-#define PEARREACH_SRC_PROXY_JOB_H_
+// lots are jobs alike; both pass the same admission (dispatch::Dispatcher, one a service).
+#ifndef PEARREACH_SRC_TIER_PROXY_JOB_H_
+#define PEARREACH_SRC_TIER_PROXY_JOB_H_
 
 #include <cstdint>
 #include <functional>
@@ -10,8 +10,8 @@
 #include <string_view>
 #include <vector>
 
-#include "base/io.h"
-#include "http/http.h"
+#include "common/event_loop/io.h"
+#include "common/http/http.h"
 
 namespace pearreach::proxy {
 
@@ -81,4 +81,4 @@
 
 }  // namespace pearreach::proxy
 
-#endif  // PEARREACH_SRC_PROXY_JOB_H_
+#endif  // PEARREACH_SRC_TIER_PROXY_JOB_H_
--- a/src/proxy/job_runner.cpp
+++ b/src/tier/proxy/job_runner.cpp
@@ -1,13 +1,13 @@
-#include "proxy/job_runner.h"
+#include "tier/proxy/job_runner.h"
 
 #include <algorithm>
 #include <cmath>
 #include <unordered_map>
 #include <utility>
 
-#include "proxy/fleet_start.h"
-#include "proxy/running_job.h"
-#include "proxy/service_line.h"
+#include "tier/proxy/fleet_start.h"
+#include "tier/proxy/running_job.h"
+#include "tier/proxy/service_line.h"
 
 namespace pearreach::proxy {
 namespace {
--- a/src/proxy/job_runner.h
+++ b/src/tier/proxy/job_runner.h
@@ -1,16 +1,16 @@
 // The runner of all jobs of this node: one admission a service, workers from the registry.
-#ifndef PEARREACH_SRC_PROXY_JOB_RUNNER_H_
-#define PEARREACH_SRC_PROXY_JOB_RUNNER_H_
+#ifndef PEARREACH_SRC_TIER_PROXY_JOB_RUNNER_H_
+#define PEARREACH_SRC_TIER_PROXY_JOB_RUNNER_H_
 
 #include <cstdint>
 #include <memory>
 #include <string>
 
-#include "base/timers.h"
-#include "control/control_client.h"
-#include "proxy/job.h"
-#include "registry/worker_table.h"
-#include "settings/policy_options.h"
+#include "common/event_loop/timers.h"
+#include "tier/control/control_client.h"
+#include "tier/proxy/job.h"
+#include "tier/registry/worker_table.h"
+#include "tier/settings/policy_options.h"
 
 namespace pearreach::proxy {
 
@@ -30,4 +30,4 @@
 
 }  // namespace pearreach::proxy
 
-#endif  // PEARREACH_SRC_PROXY_JOB_RUNNER_H_
+#endif  // PEARREACH_SRC_TIER_PROXY_JOB_RUNNER_H_
--- a/src/proxy/kept_prefixes.cpp
+++ b/src/tier/proxy/kept_prefixes.cpp
@@ -1,4 +1,4 @@
-#include "proxy/kept_prefixes.h"
+#include "tier/proxy/kept_prefixes.h"
 
 namespace pearreach::proxy {
 
--- a/src/proxy/kept_prefixes.h
+++ b/src/tier/proxy/kept_prefixes.h
@@ -1,7 +1,7 @@
 // An estimate of which prompt prefixes a worker keeps, by what this node sent there: the most
 // recently used ones, as many as fit the worker's memory.
-#ifndef PEARREACH_SRC_PROXY_KEPT_PREFIXES_H_
-#define PEARREACH_SRC_PROXY_KEPT_PREFIXES_H_
+#ifndef PEARREACH_SRC_TIER_PROXY_KEPT_PREFIXES_H_
+#define PEARREACH_SRC_TIER_PROXY_KEPT_PREFIXES_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -34,4 +34,4 @@
 
 }  // namespace pearreach::proxy
 
-#endif  // PEARREACH_SRC_PROXY_KEPT_PREFIXES_H_
+#endif  // PEARREACH_SRC_TIER_PROXY_KEPT_PREFIXES_H_
