--- a/src/proxy/pool_dispatcher.cpp
+++ b/src/tier/proxy/pool_dispatcher.cpp
@@ -1,11 +1,11 @@
-#include "proxy/pool_dispatcher.h"
+#include "tier/proxy/pool_dispatcher.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 #include <variant>
 
-#include "logging/log.h"
+#include "tier/logging/log.h"
 
 namespace pearreach::proxy {
 namespace {
@@ -23,8 +23,8 @@
 constexpr std::size_t kMostClasses = 64;    // then those that no job uses now are dropped
 constexpr Micros kOutFor = 3600 * kSecond;  // an attempt under way is not ended by the module
 
-marlquay::LoadReport ReportOf(const WorkerLoad& load) {
-  marlquay::LoadReport report;
+dispatch::LoadReport ReportOf(const WorkerLoad& load) {
+  dispatch::LoadReport report;
   report.free_slots = std::max(0.0, load.slots - load.running - load.waiting);
   report.in_flight = load.running + load.waiting;
   return report;
@@ -48,9 +48,9 @@
   ArmTurn();
 }
 
-void PoolDispatcher::OnWorkers(std::vector<marlquay::WorkerEntry> changes) {
+void PoolDispatcher::OnWorkers(std::vector<dispatch::WorkerEntry> changes) {
   if (changes.empty() || rebuild_) return;  // a new module is told of all
-  marlquay::WorkerList list;
+  dispatch::WorkerList list;
   list.entries = std::move(changes);
   Post(std::move(list));
   TeachSlots();
@@ -73,7 +73,7 @@
 }
 
 void PoolDispatcher::PostArrival(PlacementId id, const Open& open) {
-  marlquay::RequestArrived arrived;
+  dispatch::RequestArrived arrived;
   arrived.request = id;
   arrived.cls = open.number;
   arrived.due = open.placement.due;
@@ -84,7 +84,7 @@
 void PoolDispatcher::Lapse(PlacementId id) {
   const auto found = open_.find(id);
   if (found == open_.end()) return;
-  if (!rebuild_) Post(marlquay::RequestLapsed{id});
+  if (!rebuild_) Post(dispatch::RequestLapsed{id});
   Unhold(found->second);
   open_.erase(found);
 }
@@ -92,26 +92,26 @@
 void PoolDispatcher::Began(PlacementId id) {
   const auto found = open_.find(id);
   if (found == open_.end() || std::exchange(found->second.began, true)) return;
-  Post(marlquay::StreamBegan{id, 0, found->second.worker});
+  Post(dispatch::StreamBegan{id, 0, found->second.worker});
 }
 
 void PoolDispatcher::Progress(PlacementId id) {
   const auto found = open_.find(id);
   if (found == open_.end()) return;
-  Post(marlquay::AttemptProgress{id, 0, found->second.worker, 0});
+  Post(dispatch::AttemptProgress{id, 0, found->second.worker, 0});
 }
 
 // The module weighs what a worker told of others' jobs only as a probe's word.
-void PoolDispatcher::Told(marlquay::WorkerId worker, const WorkerLoad& load) {
-  Post(marlquay::ProbeEnded{worker, true, ReportOf(load)});
+void PoolDispatcher::Told(dispatch::WorkerId worker, const WorkerLoad& load) {
+  Post(dispatch::ProbeEnded{worker, true, ReportOf(load)});
 }
 
 // A placement is over with its one attempt; the job places itself anew if it goes on.
-void PoolDispatcher::Ended(PlacementId id, marlquay::Outcome outcome, Micros latency,
+void PoolDispatcher::Ended(PlacementId id, dispatch::Outcome outcome, Micros latency,
                            const std::optional<WorkerLoad>& load) {
   const auto found = open_.find(id);
   if (found == open_.end()) return;
-  marlquay::AttemptEnded ended;
+  dispatch::AttemptEnded ended;
   ended.request = id;
   ended.worker = found->second.worker;
   ended.outcome = outcome;
@@ -131,7 +131,7 @@
 
 // ---------------------------------------------------------------- turns
 
-void PoolDispatcher::Post(marlquay::Event event) {
+void PoolDispatcher::Post(dispatch::Event event) {
   if (rebuild_) return;  // all is told anew
   events_.push_back(std::move(event));
   ArmTurn();
@@ -157,11 +157,11 @@
   const Micros now = Now();
   timers_->Cancel(&turn_);
   if (rebuild_) Rebuild(now);
-  const std::vector<marlquay::Event> events = std::exchange(events_, {});
+  const std::vector<dispatch::Event> events = std::exchange(events_, {});
   actions_.clear();
   dispatcher_->Handle(now, events, &actions_);
-  const std::vector<marlquay::Action> actions = std::exchange(actions_, {});
-  for (const marlquay::Action& action : actions) Carry(action);
+  const std::vector<dispatch::Action> actions = std::exchange(actions_, {});
+  for (const dispatch::Action& action : actions) Carry(action);
 }
 
 // A new module takes over: it is told of all workers, what the old one has learned, what waits and
@@ -169,15 +169,15 @@
 void PoolDispatcher::Rebuild(Micros now) {
   events_.clear();
   rebuild_ = false;
-  marlquay::Knowledge learned = Learned(now);
+  dispatch::Knowledge learned = Learned(now);
   if (classes_.size() > kMostClasses) {
     DropUnusedClasses();
     learned.classes.clear();  // their numbers are others now
   }
   timers_->Cancel(&timer_);
   dispatcher_.emplace(MakeSettings(), seed_, now);
-  marlquay::WorkerList list;
-  list.form = marlquay::WorkerList::Form::kComplete;
+  dispatch::WorkerList list;
+  list.form = dispatch::WorkerList::Form::kComplete;
   list.entries = workers_->Everything();
   events_.push_back(std::move(list));
   if (!learned.pools.empty()) events_.push_back(std::move(learned));
@@ -186,21 +186,21 @@
   for (auto& [id, open] : open_) {
     PostArrival(id, open);
     if (!open.out) continue;
-    std::get<marlquay::RequestArrived>(events_.back()).due =
+    std::get<dispatch::RequestArrived>(events_.back()).due =
         std::max(now, open.placement.due) + kOutFor;
-    events_.push_back(marlquay::AttemptAdopted{id, open.worker, open.sent, true,
-                                               marlquay::AttemptAdopted::Was::kOut});
-    if (open.began) events_.push_back(marlquay::StreamBegan{id, 0, open.worker});
+    events_.push_back(dispatch::AttemptAdopted{id, open.worker, open.sent, true,
+                                               dispatch::AttemptAdopted::Was::kOut});
+    if (open.began) events_.push_back(dispatch::StreamBegan{id, 0, open.worker});
   }
 }
 
 // What outlives a module's replacement here. The first module starts from a limit of zero; a later
 // one takes on the limit as it stands, which jobs served and backlog have raised and refusals cut.
-marlquay::Knowledge PoolDispatcher::Learned(Micros now) const {
-  marlquay::Knowledge learned;
+dispatch::Knowledge PoolDispatcher::Learned(Micros now) const {
+  dispatch::Knowledge learned;
   if (!dispatcher_) return learned;
   learned = dispatcher_->Learned(now);
-  for (marlquay::PoolKnowledge& pool : learned.pools) pool.found = pool.limit;
+  for (dispatch::PoolKnowledge& pool : learned.pools) pool.found = pool.limit;
   return learned;
 }
 
@@ -208,27 +208,27 @@
 void PoolDispatcher::TeachSlots() {
   if (!workers_->largest() || workers_->largest_capacity() <= slots_told_) return;
   slots_told_ = workers_->largest_capacity();
-  marlquay::ProbeEnded told{*workers_->largest(), true, {}};
+  dispatch::ProbeEnded told{*workers_->largest(), true, {}};
   told.load.free_slots = slots_told_;
   events_.push_back(told);
 }
 
-void PoolDispatcher::Carry(const marlquay::Action& action) {
-  if (const auto* send = std::get_if<marlquay::Send>(&action)) {
+void PoolDispatcher::Carry(const dispatch::Action& action) {
+  if (const auto* send = std::get_if<dispatch::Send>(&action)) {
     Place(*send);
-  } else if (const auto* refuse = std::get_if<marlquay::Refuse>(&action)) {
+  } else if (const auto* refuse = std::get_if<dispatch::Refuse>(&action)) {
     Refuse(*refuse);
-  } else if (const auto* fail = std::get_if<marlquay::Fail>(&action)) {
+  } else if (const auto* fail = std::get_if<dispatch::Fail>(&action)) {
     Refuse({fail->request, 0});
-  } else if (const auto* timer = std::get_if<marlquay::SetTimer>(&action)) {
+  } else if (const auto* timer = std::get_if<dispatch::SetTimer>(&action)) {
     SetTimer(timer->at);
-  } else if (const auto* line = std::get_if<marlquay::LogLine>(&action)) {
+  } else if (const auto* line = std::get_if<dispatch::LogLine>(&action)) {
     LogDecision(*line);
   }
   // The settings allow no probe, subscription or cancel.
 }
 
-void PoolDispatcher::Place(const marlquay::Send& send) {
+void PoolDispatcher::Place(const dispatch::Send& send) {
   const auto found = open_.find(send.request);
   if (found == open_.end() || found->second.out) return;
   Open& open = found->second;
@@ -239,7 +239,7 @@
   open.client->OnPlaced(send.request, send.worker);
 }
 
-void PoolDispatcher::Refuse(const marlquay::Refuse& refuse) {
+void PoolDispatcher::Refuse(const dispatch::Refuse& refuse) {
   const auto found = open_.find(refuse.request);
   if (found == open_.end() || found->second.out) return;
   PlacementClient* client = found->second.client;
@@ -253,8 +253,8 @@
   return dispatcher_->PoolLimit(0) < workers_->ready_slots() / share_.nodes;
 }
 
-void PoolDispatcher::LogDecision(const marlquay::LogLine& line) {
-  using What = marlquay::LogLine::What;
+void PoolDispatcher::LogDecision(const dispatch::LogLine& line) {
+  using What = dispatch::LogLine::What;
   if (line.what == What::kLimitCut) {
     limit_cut_ = true;
     logging::Info(kModule, "limit cut",
@@ -290,14 +290,14 @@
   rebuild_ = false;  // this is the new module's making
 }
 
-marlquay::Settings PoolDispatcher::MakeSettings() const {
-  marlquay::Settings settings;
+dispatch::Settings PoolDispatcher::MakeSettings() const {
+  dispatch::Settings settings;
   settings.balancers = std::max(share_.nodes, 1);
   settings.self = std::clamp(share_.self, 0, settings.balancers - 1);
   for (const JobClass& job_class : classes_) {
-    marlquay::ClassSettings cls;
+    dispatch::ClassSettings cls;
     // Each placement is sent once; the job repeats.
-    cls.effect = marlquay::Effect::kRepeatable;
+    cls.effect = dispatch::Effect::kRepeatable;
     cls.aim = job_class.bulk ? kBulkAim : std::max<Micros>(job_class.target, kMs);
     // A stream's objective is its first event, while its work is all of it.
     cls.aim_stretch = job_class.streamed || job_class.bulk ? 1 : 0;
--- a/src/proxy/pool_dispatcher.h
+++ b/src/tier/proxy/pool_dispatcher.h
@@ -1,8 +1,8 @@
-// Admission for one service: feeds a marlquay::Dispatcher with placements (a job that wants one
+// Admission for one service: feeds a dispatch::Dispatcher with placements (a job that wants one
 // worker, once), carries its decisions to their clients, and replaces it by one with other settings
 // without losing what it holds. Events of one turn of the loop go in together.
-#ifndef PEARREACH_SRC_PROXY_POOL_DISPATCHER_H_
-#define PEARREACH_SRC_PROXY_POOL_DISPATCHER_H_
+#ifndef PEARREACH_SRC_TIER_PROXY_POOL_DISPATCHER_H_
+#define PEARREACH_SRC_TIER_PROXY_POOL_DISPATCHER_H_
 
 #include <cstdint>
 #include <optional>
@@ -10,13 +10,13 @@
 #include <unordered_map>
 #include <vector>
 
-#include "base/timers.h"
-#include "marlquay/dispatcher.h"
-#include "proxy/service_workers.h"
+#include "common/event_loop/timers.h"
+#include "pearreach/dispatcher.h"
+#include "tier/proxy/service_workers.h"
 
 namespace pearreach::proxy {
 
-using PlacementId = marlquay::RequestId;
+using PlacementId = dispatch::RequestId;
 
 // What jobs have in common that compete alike.
 struct JobClass {
@@ -30,14 +30,14 @@
   JobClass job_class;
   Micros due = 0;  // a worker must be found by then
   // Workers that it profits from, the best one first: the first one with a free slot takes it.
-  std::vector<marlquay::WorkerId> homes;
+  std::vector<dispatch::WorkerId> homes;
 };
 
 class PlacementClient {
  public:
   virtual ~PlacementClient() = default;
   // It is to be sent to this worker now; its outcome is owed (Ended).
-  virtual void OnPlaced(PlacementId placement, marlquay::WorkerId worker) = 0;
+  virtual void OnPlaced(PlacementId placement, dispatch::WorkerId worker) = 0;
   // No worker was found for it; the placement is over.
   virtual void OnRefused(PlacementId placement, Micros retry_after) = 0;
 };
@@ -56,7 +56,7 @@
   PoolDispatcher& operator=(const PoolDispatcher&) = delete;
 
   void SetShare(NodeShare share);
-  void OnWorkers(std::vector<marlquay::WorkerEntry> changes);
+  void OnWorkers(std::vector<dispatch::WorkerEntry> changes);
 
   // The client hears from a later turn, never from inside the call.
   PlacementId Arrive(const Placement& placement, PlacementClient* client);
@@ -66,8 +66,8 @@
   void Began(PlacementId id);
   void Progress(PlacementId id);
   // A worker has told its load just now.
-  void Told(marlquay::WorkerId worker, const WorkerLoad& load);
-  void Ended(PlacementId id, marlquay::Outcome outcome, Micros latency,
+  void Told(dispatch::WorkerId worker, const WorkerLoad& load);
+  void Ended(PlacementId id, dispatch::Outcome outcome, Micros latency,
              const std::optional<WorkerLoad>& load);
 
   int held_live() const { return held_live_; }
@@ -84,37 +84,37 @@
     PlacementClient* client = nullptr;
     int number = 0;  // of its class in the settings
     bool out = false, began = false;
-    marlquay::WorkerId worker = 0;
+    dispatch::WorkerId worker = 0;
     Micros sent = 0;
   };
 
-  void Post(marlquay::Event event);
+  void Post(dispatch::Event event);
   void ArmTurn();
   void SetTimer(Micros at);
   void Turn();
   void Rebuild(Micros now);
   void PostArrival(PlacementId id, const Open& open);
-  void Carry(const marlquay::Action& action);
-  void Place(const marlquay::Send& send);
-  void Refuse(const marlquay::Refuse& refuse);
-  void LogDecision(const marlquay::LogLine& line);
+  void Carry(const dispatch::Action& action);
+  void Place(const dispatch::Send& send);
+  void Refuse(const dispatch::Refuse& refuse);
+  void LogDecision(const dispatch::LogLine& line);
   void Unhold(const Open& open);
-  marlquay::Knowledge Learned(Micros now) const;
+  dispatch::Knowledge Learned(Micros now) const;
   void TeachSlots();
   int ClassNumber(const JobClass& job_class);
   void DropUnusedClasses();
-  marlquay::Settings MakeSettings() const;
+  dispatch::Settings MakeSettings() const;
 
   Timers* timers_;
   ServiceWorkers* workers_;
   std::string service_;
   std::uint64_t seed_;
   NodeShare share_;
-  std::optional<marlquay::Dispatcher> dispatcher_;
+  std::optional<dispatch::Dispatcher> dispatcher_;
   std::vector<JobClass> classes_;
   std::unordered_map<PlacementId, Open> open_;
-  std::vector<marlquay::Event> events_;
-  std::vector<marlquay::Action> actions_;
+  std::vector<dispatch::Event> events_;
+  std::vector<dispatch::Action> actions_;
   PlacementId last_ = 0;
   int held_live_ = 0, held_bulk_ = 0;
   bool rebuild_ = true;     // the settings have changed
@@ -125,4 +125,4 @@
 
 }  // namespace pearreach::proxy
 
-#endif  // PEARREACH_SRC_PROXY_POOL_DISPATCHER_H_
+#endif  // PEARREACH_SRC_TIER_PROXY_POOL_DISPATCHER_H_
--- a/src/proxy/prompt_headers.cpp
+++ b/src/tier/proxy/prompt_headers.cpp
@@ -1,4 +1,4 @@
-#include "proxy/prompt_headers.h"
+#include "tier/proxy/prompt_headers.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/proxy/prompt_headers.h
+++ b/src/tier/proxy/prompt_headers.h
@@ -1,6 +1,6 @@
 // What the headers of a generation say of its prompt: the key of its shared parts and its size.
-#ifndef PEARREACH_SRC_PROXY_PROMPT_HEADERS_H_
-#define PEARREACH_SRC_PROXY_PROMPT_HEADERS_H_
+#ifndef PEARREACH_SRC_TIER_PROXY_PROMPT_HEADERS_H_
+#define PEARREACH_SRC_TIER_PROXY_PROMPT_HEADERS_H_
 
 #include <cstdint>
 #include <string_view>
@@ -30,4 +30,4 @@
 
 }  // namespace pearreach::proxy
 
-#endif  // PEARREACH_SRC_PROXY_PROMPT_HEADERS_H_
+#endif  // PEARREACH_SRC_TIER_PROXY_PROMPT_HEADERS_H_
--- a/src/proxy/response_reader.cpp
+++ b/src/tier/proxy/response_reader.cpp
@@ -1,4 +1,4 @@
-#include "proxy/response_reader.h"
+#include "tier/proxy/response_reader.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/proxy/response_reader.h
+++ b/src/tier/proxy/response_reader.h
@@ -1,15 +1,15 @@
 // Reads the answers on one connection piece by piece: heads whole, bodies as they come. It owns the
 // bytes of a line that is not whole yet and nothing else. Strict: whatever could be read in two
 // ways, or is no HTTP/1.1 answer, is bad.
-#ifndef PEARREACH_SRC_PROXY_RESPONSE_READER_H_
-#define PEARREACH_SRC_PROXY_RESPONSE_READER_H_
+#ifndef PEARREACH_SRC_TIER_PROXY_RESPONSE_READER_H_
+#define PEARREACH_SRC_TIER_PROXY_RESPONSE_READER_H_
 
 #include <cstddef>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "http/http.h"
+#include "common/http/http.h"
 
 namespace pearreach::proxy {
 
@@ -80,4 +80,4 @@
 
 }  // namespace pearreach::proxy
 
-#endif  // PEARREACH_SRC_PROXY_RESPONSE_READER_H_
+#endif  // PEARREACH_SRC_TIER_PROXY_RESPONSE_READER_H_
--- a/src/proxy/running_job.cpp
+++ b/src/tier/proxy/running_job.cpp
@@ -1,14 +1,14 @@
-#include "proxy/running_job.h"
+#include "tier/proxy/running_job.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "proxy/worker_request.h"
+#include "tier/proxy/worker_request.h"
 
 namespace pearreach::proxy {
 namespace {
 
-using marlquay::Outcome;
+using dispatch::Outcome;
 
 constexpr int kMorePromises = 4;  // sends beyond the tries, for workers that did not run it
 constexpr int kMostNotSent = 16;  // placements at workers that had just gone
@@ -146,15 +146,15 @@
 
 // The workers that are likely to keep the shared parts of its prompt, as far as these are worth it
 // and the workers are not loaded.
-std::vector<marlquay::WorkerId> RunningJob::Homes() const {
-  std::vector<marlquay::WorkerId> homes;
+std::vector<dispatch::WorkerId> RunningJob::Homes() const {
+  std::vector<dispatch::WorkerId> homes;
   const bool worth = spec_.prefix_key != 0 && spec_.shared_tokens >= kLeastShared;
   if (!worth || !host_->policy().prefix_homes) return homes;
   const Micros now = Now();
   homes = line_->workers.HomesOf(spec_.prefix_key, kHomes);
   std::erase_if(homes,
-                [&](marlquay::WorkerId id) { return line_->workers.Fill(id, now) > kHomeFill; });
-  const auto unread = [&](marlquay::WorkerId id) {
+                [&](dispatch::WorkerId id) { return line_->workers.Fill(id, now) > kHomeFill; });
+  const auto unread = [&](dispatch::WorkerId id) {
     const ServiceWorker& worker = *line_->workers.Find(id);
     const bool first = id == homes.front();
     const bool kept = first || worker.kept.Has(spec_.prefix_key);
@@ -207,7 +207,7 @@
   EndWithoutAnswer();
 }
 
-void RunningJob::OnPlaced(PlacementId, marlquay::WorkerId worker) {
+void RunningJob::OnPlaced(PlacementId, dispatch::WorkerId worker) {
   const auto self = shared_from_this();
   placed_ = true;
   timers_->Cancel(&hold_timer_);
@@ -224,7 +224,7 @@
 
 // ---------------------------------------------------------------- the attempt
 
-void RunningJob::Send(marlquay::WorkerId worker) {
+void RunningJob::Send(dispatch::WorkerId worker) {
   ServiceWorker& chosen = *line_->workers.Find(worker);
   sent_ = Now();
   heard_ = 0;
--- a/src/proxy/running_job.h
+++ b/src/tier/proxy/running_job.h
@@ -1,8 +1,8 @@
 // A job under way: asks for a worker, sends, relays the answer, and decides after each outcome
 // whether it may go on at another worker. It keeps the promises of its end: kNotRun only if no
 // attempt may have run.
-#ifndef PEARREACH_SRC_PROXY_RUNNING_JOB_H_
-#define PEARREACH_SRC_PROXY_RUNNING_JOB_H_
+#ifndef PEARREACH_SRC_TIER_PROXY_RUNNING_JOB_H_
+#define PEARREACH_SRC_TIER_PROXY_RUNNING_JOB_H_
 
 #include <cstdint>
 #include <memory>
@@ -10,11 +10,11 @@
 #include <string>
 #include <vector>
 
-#include "proxy/attempt.h"
-#include "proxy/event_splitter.h"
-#include "proxy/job.h"
-#include "proxy/service_line.h"
-#include "settings/policy_options.h"
+#include "tier/proxy/attempt.h"
+#include "tier/proxy/event_splitter.h"
+#include "tier/proxy/job.h"
+#include "tier/proxy/service_line.h"
+#include "tier/settings/policy_options.h"
 
 namespace pearreach::proxy {
 
@@ -54,7 +54,7 @@
   void Resume();
 
  private:
-  void OnPlaced(PlacementId placement, marlquay::WorkerId worker) override;
+  void OnPlaced(PlacementId placement, dispatch::WorkerId worker) override;
   void OnRefused(PlacementId placement, Micros retry_after) override;
   void OnStreamHead(const ResponseHead& head) override;
   void OnStreamBytes(std::string_view bytes) override;
@@ -67,15 +67,15 @@
   void LeaveGate();
   void OnHeldTooLong();
   Micros PlaceBy(Micros now) const;
-  std::vector<marlquay::WorkerId> Homes() const;
+  std::vector<dispatch::WorkerId> Homes() const;
   void NoteSent(ServiceWorker* worker);
   void NoteRead();
-  void Send(marlquay::WorkerId worker);
-  void Leave(marlquay::Outcome outcome);
-  void Settle(marlquay::Outcome outcome);
+  void Send(dispatch::WorkerId worker);
+  void Leave(dispatch::Outcome outcome);
+  void Settle(dispatch::Outcome outcome);
   void OnAnswer(AttemptResult result);
   void OnStreamComplete();
-  marlquay::Outcome NotRunOutcome(const ResponseHead& head);
+  dispatch::Outcome NotRunOutcome(const ResponseHead& head);
   bool IsPromise(const ResponseHead& head) const;
   bool MayRunAgain() const;
   void AfterPromise();
@@ -109,7 +109,7 @@
   bool placed_ = false;          // the placement has its worker
   bool waits_for_room_ = false;  // a bulk job that came when there was no room for it
   bool in_gate_ = false;         // a bulk job that holds a place of its line's gate
-  marlquay::WorkerId worker_ = 0;
+  dispatch::WorkerId worker_ = 0;
   std::shared_ptr<Attempt> attempt_;
   std::optional<WorkerLoad> load_;  // told in the attempt's answer
   bool reading_ = false;            // no event has come of the attempt
@@ -133,4 +133,4 @@
 
 }  // namespace pearreach::proxy
 
-#endif  // PEARREACH_SRC_PROXY_RUNNING_JOB_H_
+#endif  // PEARREACH_SRC_TIER_PROXY_RUNNING_JOB_H_
--- a/src/proxy/running_job_answer.cpp
+++ b/src/tier/proxy/running_job_answer.cpp
@@ -1,13 +1,13 @@
 // The part of a running job that passes answers on to its sink.
 #include <utility>
 
-#include "proxy/running_job.h"
-#include "proxy/worker_request.h"
+#include "tier/proxy/running_job.h"
+#include "tier/proxy/worker_request.h"
 
 namespace pearreach::proxy {
 namespace {
 
-using marlquay::Outcome;
+using dispatch::Outcome;
 
 constexpr Micros kProgressEvery = 2 * kSecond;  // the decision module hears of a stream this often
 // Bytes that a client may leave untaken before its worker is held up, beside those of one read.
--- a/src/proxy/service_line.h
+++ b/src/tier/proxy/service_line.h
@@ -1,13 +1,13 @@
 // One service at this node: its workers and the admission to them.
-#ifndef PEARREACH_SRC_PROXY_SERVICE_LINE_H_
-#define PEARREACH_SRC_PROXY_SERVICE_LINE_H_
+#ifndef PEARREACH_SRC_TIER_PROXY_SERVICE_LINE_H_
+#define PEARREACH_SRC_TIER_PROXY_SERVICE_LINE_H_
 
 #include <string>
 
-#include "proxy/bulk_gate.h"
-#include "proxy/pool_dispatcher.h"
-#include "proxy/service_workers.h"
-#include "proxy/silence_watch.h"
+#include "tier/proxy/bulk_gate.h"
+#include "tier/proxy/pool_dispatcher.h"
+#include "tier/proxy/service_workers.h"
+#include "tier/proxy/silence_watch.h"
 
 namespace pearreach::proxy {
 
@@ -25,4 +25,4 @@
 
 }  // namespace pearreach::proxy
 
-#endif  // PEARREACH_SRC_PROXY_SERVICE_LINE_H_
+#endif  // PEARREACH_SRC_TIER_PROXY_SERVICE_LINE_H_
--- a/src/proxy/service_workers.cpp
+++ b/src/tier/proxy/service_workers.cpp
@@ -1,4 +1,4 @@
-#include "proxy/service_workers.h"
+#include "tier/proxy/service_workers.h"
 
 #include <algorithm>
 #include <charconv>
@@ -28,7 +28,7 @@
   return hash ^ (hash >> 33);
 }
 
-bool Same(const marlquay::WorkerEntry& a, const marlquay::WorkerEntry& b) {
+bool Same(const dispatch::WorkerEntry& a, const dispatch::WorkerEntry& b) {
   return a.identity == b.identity && a.zone == b.zone && a.health == b.health &&
          a.weight == b.weight;
 }
@@ -67,7 +67,7 @@
 void ServiceWorkers::BeginUpdate() { ++update_; }
 
 void ServiceWorkers::Update(const registry::WorkerRecord& record) {
-  const marlquay::WorkerId number = Number(record);
+  const dispatch::WorkerId number = Number(record);
   ServiceWorker& worker = workers_[number];
   const bool moved = worker.connections == nullptr || worker.record.address != record.address;
   if (moved) worker.connections = std::make_shared<WorkerConnections>(timers_, record.address);
@@ -83,15 +83,15 @@
   worker.present = worker.dropped_at == 0;
 }
 
-marlquay::WorkerId ServiceWorkers::Number(const registry::WorkerRecord& record) {
+dispatch::WorkerId ServiceWorkers::Number(const registry::WorkerRecord& record) {
   const auto [known, fresh] = by_id_.try_emplace(record.worker_id);
   known->second.update = update_;
   if (!fresh) return known->second.number;
   if (free_.empty()) {
-    free_.push_back(static_cast<marlquay::WorkerId>(workers_.size()));
+    free_.push_back(static_cast<dispatch::WorkerId>(workers_.size()));
     workers_.emplace_back();
     told_.emplace_back();
-    told_.back().health = marlquay::Health::kGone;
+    told_.back().health = dispatch::Health::kGone;
   }
   known->second.number = free_.back();
   free_.pop_back();
@@ -99,19 +99,19 @@
   return known->second.number;
 }
 
-std::vector<marlquay::WorkerEntry> ServiceWorkers::EndUpdate() {
+std::vector<dispatch::WorkerEntry> ServiceWorkers::EndUpdate() {
   const Micros now = Now();
-  std::vector<marlquay::WorkerEntry> changes;
+  std::vector<dispatch::WorkerEntry> changes;
   for (auto known = by_id_.begin(); known != by_id_.end();) {
-    const marlquay::WorkerId number = known->second.number;
+    const dispatch::WorkerId number = known->second.number;
     ServiceWorker& worker = workers_[number];
     const bool gone = known->second.update != update_;
     if (gone) worker.present = false;
-    const marlquay::WorkerEntry entry = Entry(number, now);
+    const dispatch::WorkerEntry entry = Entry(number, now);
     if (!Same(entry, told_[number])) {
       told_[number] = entry;
       changes.push_back(entry);
-      if (entry.health != marlquay::Health::kInService) worker.connections->CloseIdle();
+      if (entry.health != dispatch::Health::kInService) worker.connections->CloseIdle();
     }
     // A number is used again only when nothing is out under it.
     const bool forget = gone && worker.in_flight == 0;
@@ -122,18 +122,18 @@
   return changes;
 }
 
-std::vector<marlquay::WorkerEntry> ServiceWorkers::Everything() const {
-  std::vector<marlquay::WorkerEntry> all;
+std::vector<dispatch::WorkerEntry> ServiceWorkers::Everything() const {
+  std::vector<dispatch::WorkerEntry> all;
   for (const auto& [id, known] : by_id_)
-    if (told_[known.number].health != marlquay::Health::kGone) all.push_back(told_[known.number]);
+    if (told_[known.number].health != dispatch::Health::kGone) all.push_back(told_[known.number]);
   return all;
 }
 
-ServiceWorker* ServiceWorkers::Find(marlquay::WorkerId id) {
+ServiceWorker* ServiceWorkers::Find(dispatch::WorkerId id) {
   return id < workers_.size() ? &workers_[id] : nullptr;
 }
 
-std::vector<marlquay::WorkerEntry> ServiceWorkers::DropWorker(marlquay::WorkerId id) {
+std::vector<dispatch::WorkerEntry> ServiceWorkers::DropWorker(dispatch::WorkerId id) {
   ServiceWorker& worker = workers_[id];
   worker.dropped_at = std::max<std::uint64_t>(worker.record.call_seq, 1);
   worker.present = false;
@@ -145,22 +145,22 @@
   return {told_[id]};
 }
 
-void ServiceWorkers::Tell(marlquay::WorkerId id, const WorkerLoad& load) {
+void ServiceWorkers::Tell(dispatch::WorkerId id, const WorkerLoad& load) {
   workers_[id].load = load;
   workers_[id].load_at = Now();
 }
 
-marlquay::WorkerEntry ServiceWorkers::Entry(marlquay::WorkerId id, Micros now) const {
+dispatch::WorkerEntry ServiceWorkers::Entry(dispatch::WorkerId id, Micros now) const {
   const ServiceWorker& worker = workers_[id];
   const registry::WorkerRecord& record = worker.record;
-  marlquay::WorkerEntry entry;
+  dispatch::WorkerEntry entry;
   entry.worker = id;
   entry.identity = HashOf(record.worker_id);
   entry.zone = zones_.at(record.zone);
   entry.health = !worker.present || record.phase == registry::WorkerPhase::kGone
-                     ? marlquay::Health::kGone
-                 : record.phase == registry::WorkerPhase::kDraining ? marlquay::Health::kDraining
-                                                                    : marlquay::Health::kInService;
+                     ? dispatch::Health::kGone
+                 : record.phase == registry::WorkerPhase::kDraining ? dispatch::Health::kDraining
+                                                                    : dispatch::Health::kInService;
   entry.weight = std::max(record.capacity, 1) * (record.warm_at > now ? kColdWeight : 1.0);
   return entry;
 }
@@ -176,7 +176,7 @@
   for (const auto& [id, known] : by_id_) {
     const ServiceWorker& worker = workers_[known.number];
     if (worker.dropped_at != 0 && worker.dropped_until > now) look_at(worker.dropped_until);
-    if (told_[known.number].health != marlquay::Health::kInService) continue;
+    if (told_[known.number].health != dispatch::Health::kInService) continue;
     const registry::WorkerRecord& record = worker.record;
     ready_slots_ += record.capacity;
     ++ready_count_;
@@ -191,7 +191,7 @@
   double taken = 0;
   *told = false;
   for (const auto& [id, known] : by_id_) {
-    if (told_[known.number].health != marlquay::Health::kInService) continue;
+    if (told_[known.number].health != dispatch::Health::kInService) continue;
     taken += Taken(workers_[known.number], now, told);
   }
   return taken;
@@ -211,25 +211,25 @@
   return std::max<double>(worker.in_flight, fade * (worker.load.running + worker.load.waiting));
 }
 
-double ServiceWorkers::Fill(marlquay::WorkerId id, Micros now) const {
+double ServiceWorkers::Fill(dispatch::WorkerId id, Micros now) const {
   bool told = false;
   const ServiceWorker& worker = workers_[id];
   return Taken(worker, now, &told) / std::max(worker.record.capacity, 1);
 }
 
-std::vector<marlquay::WorkerId> ServiceWorkers::HomesOf(std::uint64_t prefix_key,
+std::vector<dispatch::WorkerId> ServiceWorkers::HomesOf(std::uint64_t prefix_key,
                                                         std::size_t most) const {
-  std::vector<std::pair<std::uint64_t, marlquay::WorkerId>> order;
+  std::vector<std::pair<std::uint64_t, dispatch::WorkerId>> order;
   order.reserve(by_id_.size());
   for (const auto& [id, known] : by_id_) {
-    const marlquay::WorkerEntry& entry = told_[known.number];
-    if (entry.health == marlquay::Health::kInService)
+    const dispatch::WorkerEntry& entry = told_[known.number];
+    if (entry.health == dispatch::Health::kInService)
       order.emplace_back(Scatter(entry.identity ^ Scatter(prefix_key)), known.number);
   }
   most = std::min(most, order.size());
   std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(most), order.end(),
                     std::greater<>());
-  std::vector<marlquay::WorkerId> homes;
+  std::vector<dispatch::WorkerId> homes;
   for (std::size_t i = 0; i < most; ++i) homes.push_back(order[i].second);
   return homes;
 }
--- a/src/proxy/service_workers.h
+++ b/src/tier/proxy/service_workers.h
@@ -1,7 +1,7 @@
 // The workers of one service as this node uses them: small numbers for the decision module, their
 // connections, what is out at them and what they told of their load.
-#ifndef PEARREACH_SRC_PROXY_SERVICE_WORKERS_H_
-#define PEARREACH_SRC_PROXY_SERVICE_WORKERS_H_
+#ifndef PEARREACH_SRC_TIER_PROXY_SERVICE_WORKERS_H_
+#define PEARREACH_SRC_TIER_PROXY_SERVICE_WORKERS_H_
 
 #include <cstdint>
 #include <map>
@@ -11,12 +11,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "base/timers.h"
-#include "marlquay/dispatcher.h"
-#include "proxy/kept_prefixes.h"
-#include "proxy/response_reader.h"
-#include "proxy/worker_connections.h"
-#include "registry/worker_table.h"
+#include "common/event_loop/timers.h"
+#include "pearreach/dispatcher.h"
+#include "tier/proxy/kept_prefixes.h"
+#include "tier/proxy/response_reader.h"
+#include "tier/proxy/worker_connections.h"
+#include "tier/registry/worker_table.h"
 
 namespace pearreach::proxy {
 
@@ -46,27 +46,27 @@
   // Between these, one call a worker of the service in the table; EndUpdate gives what has changed.
   void BeginUpdate();
   void Update(const registry::WorkerRecord& record);
-  std::vector<marlquay::WorkerEntry> EndUpdate();
-  std::vector<marlquay::WorkerEntry> Everything() const;
+  std::vector<dispatch::WorkerEntry> EndUpdate();
+  std::vector<dispatch::WorkerEntry> Everything() const;
 
-  ServiceWorker* Find(marlquay::WorkerId id);
+  ServiceWorker* Find(dispatch::WorkerId id);
   // Another worker answered at its address: nothing more goes there for a while, or until it is
   // heard of anew.
-  std::vector<marlquay::WorkerEntry> DropWorker(marlquay::WorkerId id);
-  void Tell(marlquay::WorkerId id, const WorkerLoad& load);
+  std::vector<dispatch::WorkerEntry> DropWorker(dispatch::WorkerId id);
+  void Tell(dispatch::WorkerId id, const WorkerLoad& load);
 
   bool empty() const { return by_id_.empty(); }
   double ready_slots() const { return ready_slots_; }
   int ready_count() const { return ready_count_; }
   double largest_capacity() const { return largest_capacity_; }
-  std::optional<marlquay::WorkerId> largest() const { return largest_; }
+  std::optional<dispatch::WorkerId> largest() const { return largest_; }
   // When the next worker that warms up is warm, or one that was dropped is tried again; 0: none.
   Micros next_warm() const { return next_warm_; }
   // The workers in service that are the first ones of a prompt prefix, the same at every node: the
   // order is by a hash of prefix and worker, so that it changes little with the workers.
-  std::vector<marlquay::WorkerId> HomesOf(std::uint64_t prefix_key, std::size_t most) const;
+  std::vector<dispatch::WorkerId> HomesOf(std::uint64_t prefix_key, std::size_t most) const;
   // Share of its slots in use, by what this node has out there and what the worker told last.
-  double Fill(marlquay::WorkerId id, Micros now) const;
+  double Fill(dispatch::WorkerId id, Micros now) const;
   // Attempts of this node under way.
   int InFlight() const;
   // Slots taken at ready workers as far as is known; `told`: some load report is fresh.
@@ -74,12 +74,12 @@
 
  private:
   struct Known {
-    marlquay::WorkerId number = 0;
+    dispatch::WorkerId number = 0;
     std::uint64_t update = 0;
   };
 
-  marlquay::WorkerId Number(const registry::WorkerRecord& record);
-  marlquay::WorkerEntry Entry(marlquay::WorkerId id, Micros now) const;
+  dispatch::WorkerId Number(const registry::WorkerRecord& record);
+  dispatch::WorkerEntry Entry(dispatch::WorkerId id, Micros now) const;
   void Count(Micros now);
   double Taken(const ServiceWorker& worker, Micros now, bool* told) const;
   int Zone(const std::string& zone);
@@ -87,16 +87,16 @@
   Timers* timers_;
   std::map<std::string, int> zones_;  // the own one is 0
   std::vector<ServiceWorker> workers_;
-  std::vector<marlquay::WorkerEntry> told_;  // what the decision module was told last
-  std::vector<marlquay::WorkerId> free_;
+  std::vector<dispatch::WorkerEntry> told_;  // what the decision module was told last
+  std::vector<dispatch::WorkerId> free_;
   std::unordered_map<std::string, Known> by_id_;
   std::uint64_t update_ = 0;
   double ready_slots_ = 0, largest_capacity_ = 0;
   int ready_count_ = 0;
-  std::optional<marlquay::WorkerId> largest_;
+  std::optional<dispatch::WorkerId> largest_;
   Micros next_warm_ = 0;
 };
 
 }  // namespace pearreach::proxy
 
-#endif  // PEARREACH_SRC_PROXY_SERVICE_WORKERS_H_
+#endif  // PEARREACH_SRC_TIER_PROXY_SERVICE_WORKERS_H_
--- a/src/proxy/silence_watch.cpp
+++ b/src/tier/proxy/silence_watch.cpp
@@ -1,4 +1,4 @@
-#include "proxy/silence_watch.h"
+#include "tier/proxy/silence_watch.h"
 
 #include <algorithm>
 #include <functional>
--- a/src/proxy/silence_watch.h
+++ b/src/tier/proxy/silence_watch.h
@@ -1,13 +1,13 @@
 // When a plain request whose worker is silent goes to another one: after a time that follows from
 // the answers of its service that this node has seen, and only while repeats stay a small part of
 // all sends, so that a service that slows down as a whole is not given more to do. Pure.
-#ifndef PEARREACH_SRC_PROXY_SILENCE_WATCH_H_
-#define PEARREACH_SRC_PROXY_SILENCE_WATCH_H_
+#ifndef PEARREACH_SRC_TIER_PROXY_SILENCE_WATCH_H_
+#define PEARREACH_SRC_TIER_PROXY_SILENCE_WATCH_H_
 
 #include <array>
 #include <cstddef>
 
-#include "base/io.h"
+#include "common/event_loop/io.h"
 
 namespace pearreach::proxy {
 
@@ -35,4 +35,4 @@
 
 }  // namespace pearreach::proxy
 
-#endif  // PEARREACH_SRC_PROXY_SILENCE_WATCH_H_
+#endif  // PEARREACH_SRC_TIER_PROXY_SILENCE_WATCH_H_
--- a/src/proxy/worker_connections.cpp
+++ b/src/tier/proxy/worker_connections.cpp
@@ -1,4 +1,4 @@
-#include "proxy/worker_connections.h"
+#include "tier/proxy/worker_connections.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/proxy/worker_connections.h
+++ b/src/tier/proxy/worker_connections.h
@@ -1,7 +1,7 @@
 // The connections of this node to one worker: opened when needed, kept and used again, the latest
 // first. A connection serves one user at a time; bytes that come while it has none end it.
-#ifndef PEARREACH_SRC_PROXY_WORKER_CONNECTIONS_H_
-#define PEARREACH_SRC_PROXY_WORKER_CONNECTIONS_H_
+#ifndef PEARREACH_SRC_TIER_PROXY_WORKER_CONNECTIONS_H_
+#define PEARREACH_SRC_TIER_PROXY_WORKER_CONNECTIONS_H_
 
 #include <cstddef>
 #include <deque>
@@ -11,8 +11,8 @@
 #include <string_view>
 #include <vector>
 
-#include "base/io.h"
-#include "base/timers.h"
+#include "common/event_loop/io.h"
+#include "common/event_loop/timers.h"
 
 namespace pearreach::proxy {
 
@@ -106,4 +106,4 @@
 
 }  // namespace pearreach::proxy
 
-#endif  // PEARREACH_SRC_PROXY_WORKER_CONNECTIONS_H_
+#endif  // PEARREACH_SRC_TIER_PROXY_WORKER_CONNECTIONS_H_
--- a/src/proxy/worker_request.cpp
+++ b/src/tier/proxy/worker_request.cpp
@@ -1,4 +1,4 @@
-#include "proxy/worker_request.h"
+#include "tier/proxy/worker_request.h"
 
 #include <algorithm>
 #include <array>
--- a/src/proxy/worker_request.h
+++ b/src/tier/proxy/worker_request.h
@@ -1,6 +1,6 @@
 // What goes to a worker for a job, and which of its headers go back.
-#ifndef PEARREACH_SRC_PROXY_WORKER_REQUEST_H_
-#define PEARREACH_SRC_PROXY_WORKER_REQUEST_H_
+#ifndef PEARREACH_SRC_TIER_PROXY_WORKER_REQUEST_H_
+#define PEARREACH_SRC_TIER_PROXY_WORKER_REQUEST_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "proxy/job.h"
+#include "tier/proxy/job.h"
 
 namespace pearreach::proxy {
 
@@ -26,4 +26,4 @@
 
 }  // namespace pearreach::proxy
 
-#endif  // PEARREACH_SRC_PROXY_WORKER_REQUEST_H_
+#endif  // PEARREACH_SRC_TIER_PROXY_WORKER_REQUEST_H_
--- a/src/registry/anti_entropy.cpp
+++ b/src/tier/registry/anti_entropy.cpp
@@ -1,9 +1,9 @@
-#include "registry/anti_entropy.h"
+#include "tier/registry/anti_entropy.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "codec/archive.h"
+#include "tier/codec/archive.h"
 
 namespace pearreach::registry {
 namespace {
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-AntiEntropy::AntiEntropy(control::TimeSource* time, mesh::Mesh* mesh, EdgeNodes* nodes,
+AntiEntropy::AntiEntropy(control::TimeSource* time, rpc::Mesh* mesh, EdgeNodes* nodes,
                          WorkerState* state, Micros period, Take take)
     : time_(time),
       mesh_(mesh),
@@ -23,15 +23,15 @@
       period_(period),
       take_(std::move(take)) {
   mesh_->Handle(
-      mesh::MessageType::kWorkerDigest,
-      callbacks_.Bind([this](const std::string&, std::string_view body, mesh::Respond respond) {
+      rpc::MessageType::kWorkerDigest,
+      callbacks_.Bind([this](const std::string&, std::string_view body, rpc::Respond respond) {
         const auto request = codec::Decode<DigestRequest>(body);
         if (!request.ok()) return respond(request.status());
         respond(codec::Encode(OnDigest(*request)));
       }));
   mesh_->Handle(
-      mesh::MessageType::kWorkerRepair,
-      callbacks_.Bind([this](const std::string&, std::string_view body, mesh::Respond respond) {
+      rpc::MessageType::kWorkerRepair,
+      callbacks_.Bind([this](const std::string&, std::string_view body, rpc::Respond respond) {
         const auto request = codec::Decode<RepairRequest>(body);
         if (!request.ok()) return respond(request.status());
         respond(codec::Encode(OnRepair(*request)));
@@ -59,7 +59,7 @@
 }
 
 void AntiEntropy::Ask(const std::string& address) {
-  mesh_->Call(address, mesh::MessageType::kWorkerDigest,
+  mesh_->Call(address, rpc::MessageType::kWorkerDigest,
               codec::Encode(DigestRequest{state_->Digest()}), kAnswerTimeout,
               callbacks_.Bind([this, address](absl::StatusOr<std::string> bytes) {
                 if (!bytes.ok()) return;
@@ -80,7 +80,7 @@
     if (ours[i] != theirs[i])
       request.shards.push_back({static_cast<std::uint32_t>(i), state_->Entries(i)});
   if (request.shards.empty()) return;  // the same by now
-  mesh_->Call(address, mesh::MessageType::kWorkerRepair, codec::Encode(request), kAnswerTimeout,
+  mesh_->Call(address, rpc::MessageType::kWorkerRepair, codec::Encode(request), kAnswerTimeout,
               callbacks_.Bind([this, address](absl::StatusOr<std::string> bytes) {
                 if (!bytes.ok()) return;
                 const auto answer = codec::Decode<RepairAnswer>(*bytes);
@@ -97,7 +97,7 @@
   if (!wanted.items.empty()) {
     SpreadRequest request;
     request.update = codec::Encode(wanted);
-    mesh_->Call(address, mesh::MessageType::kWorkerSpread, codec::Encode(request), kAnswerTimeout,
+    mesh_->Call(address, rpc::MessageType::kWorkerSpread, codec::Encode(request), kAnswerTimeout,
                 [](absl::StatusOr<std::string>) {});
   }
   if (answer.more) return Ask(address);
--- a/src/registry/anti_entropy.h
+++ b/src/tier/registry/anti_entropy.h
@@ -1,18 +1,18 @@
 // Heals what a spread has missed: again and again this node compares the digest of its workers with
 // one other node's, in turn those at distances 1, 2, 4, ... in the common order, and where they
 // differ both exchange what differs. A node that has just started gets all workers in this way.
-#ifndef PEARREACH_SRC_REGISTRY_ANTI_ENTROPY_H_
-#define PEARREACH_SRC_REGISTRY_ANTI_ENTROPY_H_
+#ifndef PEARREACH_SRC_TIER_REGISTRY_ANTI_ENTROPY_H_
+#define PEARREACH_SRC_TIER_REGISTRY_ANTI_ENTROPY_H_
 
 #include <functional>
 #include <string>
 #include <vector>
 
-#include "control/time_source.h"
-#include "mesh/mesh.h"
-#include "registry/edge_nodes.h"
-#include "registry/worker_messages.h"
-#include "registry/worker_state.h"
+#include "tier/control/time_source.h"
+#include "tier/registry/edge_nodes.h"
+#include "tier/registry/worker_messages.h"
+#include "tier/registry/worker_state.h"
+#include "tier/rpc/mesh.h"
 
 namespace pearreach::registry {
 
@@ -21,7 +21,7 @@
   using Take = std::function<void(const WorkerUpdate&)>;
 
   // Begins at once and compares every `period`, more often until it has succeeded once.
-  AntiEntropy(control::TimeSource* time, mesh::Mesh* mesh, EdgeNodes* nodes, WorkerState* state,
+  AntiEntropy(control::TimeSource* time, rpc::Mesh* mesh, EdgeNodes* nodes, WorkerState* state,
               Micros period, Take take);
 
  private:
@@ -34,7 +34,7 @@
   RepairAnswer OnRepair(const RepairRequest& request) const;
 
   control::TimeSource* time_;
-  mesh::Mesh* mesh_;
+  rpc::Mesh* mesh_;
   EdgeNodes* nodes_;
   WorkerState* state_;
   const Micros period_;
@@ -46,4 +46,4 @@
 
 }  // namespace pearreach::registry
 
-#endif  // PEARREACH_SRC_REGISTRY_ANTI_ENTROPY_H_
+#endif  // PEARREACH_SRC_TIER_REGISTRY_ANTI_ENTROPY_H_
--- a/src/registry/edge_nodes.cpp
+++ b/src/tier/registry/edge_nodes.cpp
@@ -1,9 +1,9 @@
-#include "registry/edge_nodes.h"
+#include "tier/registry/edge_nodes.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "registry/worker_table.h"
+#include "tier/registry/worker_table.h"
 
 namespace pearreach::registry {
 namespace {
--- a/src/registry/edge_nodes.h
+++ b/src/tier/registry/edge_nodes.h
@@ -1,7 +1,7 @@
 // The live edge nodes in an order common to all (by zone, then name), how a message to them splits
 // over a tree, and which of them take whose heartbeats.
-#ifndef PEARREACH_SRC_REGISTRY_EDGE_NODES_H_
-#define PEARREACH_SRC_REGISTRY_EDGE_NODES_H_
+#ifndef PEARREACH_SRC_TIER_REGISTRY_EDGE_NODES_H_
+#define PEARREACH_SRC_TIER_REGISTRY_EDGE_NODES_H_
 
 #include <cstdint>
 #include <map>
@@ -10,8 +10,8 @@
 #include <string_view>
 #include <vector>
 
-#include "base/io.h"
-#include "control/control_client.h"
+#include "common/event_loop/io.h"
+#include "tier/control/control_client.h"
 
 namespace pearreach::registry {
 
@@ -71,4 +71,4 @@
 
 }  // namespace pearreach::registry
 
-#endif  // PEARREACH_SRC_REGISTRY_EDGE_NODES_H_
+#endif  // PEARREACH_SRC_TIER_REGISTRY_EDGE_NODES_H_
--- a/src/registry/heartbeat.cpp
+++ b/src/tier/registry/heartbeat.cpp
@@ -1,6 +1,6 @@
 #include <rapidjson/document.h>
 
-#include "registry/worker_registry.h"
+#include "tier/registry/worker_registry.h"
 
 namespace pearreach::registry {
 namespace {
--- a/src/registry/spreader.cpp
+++ b/src/tier/registry/spreader.cpp
@@ -1,10 +1,10 @@
-#include "registry/spreader.h"
+#include "tier/registry/spreader.h"
 
 #include <algorithm>
 #include <unordered_set>
 #include <utility>
 
-#include "codec/archive.h"
+#include "tier/codec/archive.h"
 
 namespace pearreach::registry {
 namespace {
@@ -37,11 +37,11 @@
   }
 };
 
-Spreader::Spreader(control::TimeSource* time, mesh::Mesh* mesh, EdgeNodes* nodes, Take take)
+Spreader::Spreader(control::TimeSource* time, rpc::Mesh* mesh, EdgeNodes* nodes, Take take)
     : time_(time), mesh_(mesh), nodes_(nodes), take_(std::move(take)) {
-  mesh_->Handle(mesh::MessageType::kWorkerSpread,
+  mesh_->Handle(rpc::MessageType::kWorkerSpread,
                 callbacks_.Bind([this](const std::string&, std::string_view body,
-                                       mesh::Respond respond) { OnSpread(body, respond); }));
+                                       rpc::Respond respond) { OnSpread(body, respond); }));
 }
 
 std::shared_ptr<Spreader::Run> Spreader::Begin(std::string update, Micros budget,
@@ -67,7 +67,7 @@
   Cover(run, others);
 }
 
-void Spreader::OnSpread(std::string_view body, const mesh::Respond& respond) {
+void Spreader::OnSpread(std::string_view body, const rpc::Respond& respond) {
   auto request = codec::Decode<SpreadRequest>(body);
   if (!request.ok()) return respond(request.status());
   const auto update = codec::Decode<WorkerUpdate>(request->update);
@@ -163,14 +163,14 @@
 }
 
 void Spreader::Send(const std::shared_ptr<Run>& run, const EdgeRef& to, SpreadRequest request,
-                    Micros timeout, mesh::Done done) {
+                    Micros timeout, rpc::Done done) {
   request.budget_ms = timeout * kRelayShare / kRelayWhole / kMs;
   request.confirm = run->confirm;
   request.update = run->update;
   // A node that came back may listen elsewhere.
   std::string address = nodes_->AddressOf(to->name);
   if (address.empty()) address = to->address;
-  mesh_->Call(address, mesh::MessageType::kWorkerSpread, codec::Encode(request), timeout,
+  mesh_->Call(address, rpc::MessageType::kWorkerSpread, codec::Encode(request), timeout,
               callbacks_.Bind(std::move(done)));
 }
 
--- a/src/registry/spreader.h
+++ b/src/tier/registry/spreader.h
@@ -3,8 +3,8 @@
 // same way. A range whose node does not answer goes to another one of it. A spread may be
 // confirmed: then each answer names the nodes that have the records, and whoever is missing is
 // called directly.
-#ifndef PEARREACH_SRC_REGISTRY_SPREADER_H_
-#define PEARREACH_SRC_REGISTRY_SPREADER_H_
+#ifndef PEARREACH_SRC_TIER_REGISTRY_SPREADER_H_
+#define PEARREACH_SRC_TIER_REGISTRY_SPREADER_H_
 
 #include <cstdint>
 #include <functional>
@@ -12,10 +12,10 @@
 #include <string>
 #include <vector>
 
-#include "control/time_source.h"
-#include "mesh/mesh.h"
-#include "registry/edge_nodes.h"
-#include "registry/worker_messages.h"
+#include "tier/control/time_source.h"
+#include "tier/registry/edge_nodes.h"
+#include "tier/registry/worker_messages.h"
+#include "tier/rpc/mesh.h"
 
 namespace pearreach::registry {
 
@@ -30,7 +30,7 @@
   using Take = std::function<void(const WorkerUpdate&)>;
 
   // `take` is handed what comes from other nodes.
-  Spreader(control::TimeSource* time, mesh::Mesh* mesh, EdgeNodes* nodes, Take take);
+  Spreader(control::TimeSource* time, rpc::Mesh* mesh, EdgeNodes* nodes, Take take);
 
   // To all other live edge nodes. Goes on for `budget`; `done` (may be null: unconfirmed) is called
   // once, when all have it or after `answer_within`.
@@ -39,7 +39,7 @@
  private:
   struct Run;
 
-  void OnSpread(std::string_view body, const mesh::Respond& respond);
+  void OnSpread(std::string_view body, const rpc::Respond& respond);
   std::shared_ptr<Run> Begin(std::string update, Micros budget, Micros answer_within, Done done);
   void Cover(const std::shared_ptr<Run>& run, const EdgeList& nodes);
   void CoverRange(const std::shared_ptr<Run>& run, EdgeList range);
@@ -47,10 +47,10 @@
   void RangeAnswered(const std::shared_ptr<Run>& run, const EdgeRef& relay, EdgeList rest,
                      const absl::StatusOr<std::string>& answer);
   void Send(const std::shared_ptr<Run>& run, const EdgeRef& to, SpreadRequest request,
-            Micros timeout, mesh::Done done);
+            Micros timeout, rpc::Done done);
 
   control::TimeSource* time_;
-  mesh::Mesh* mesh_;
+  rpc::Mesh* mesh_;
   EdgeNodes* nodes_;
   Take take_;
   control::CallbackOwner callbacks_;
@@ -58,4 +58,4 @@
 
 }  // namespace pearreach::registry
 
-#endif  // PEARREACH_SRC_REGISTRY_SPREADER_H_
+#endif  // PEARREACH_SRC_TIER_REGISTRY_SPREADER_H_
--- a/src/registry/worker_messages.h
+++ b/src/tier/registry/worker_messages.h
@@ -1,13 +1,13 @@
 // What nodes tell one another of workers.
-#ifndef PEARREACH_SRC_REGISTRY_WORKER_MESSAGES_H_
-#define PEARREACH_SRC_REGISTRY_WORKER_MESSAGES_H_
+#ifndef PEARREACH_SRC_TIER_REGISTRY_WORKER_MESSAGES_H_
+#define PEARREACH_SRC_TIER_REGISTRY_WORKER_MESSAGES_H_
 
 #include <cstdint>
 #include <string>
 #include <vector>
 
-#include "codec/archive.h"
-#include "registry/worker_table.h"
+#include "tier/codec/archive.h"
+#include "tier/registry/worker_table.h"
 
 namespace pearreach::registry {
 
@@ -108,4 +108,4 @@
 
 }  // namespace pearreach::registry
 
-#endif  // PEARREACH_SRC_REGISTRY_WORKER_MESSAGES_H_
+#endif  // PEARREACH_SRC_TIER_REGISTRY_WORKER_MESSAGES_H_
--- a/src/registry/worker_registry.cpp
+++ b/src/tier/registry/worker_registry.cpp
@@ -1,10 +1,10 @@
-#include "registry/worker_registry.h"
+#include "tier/registry/worker_registry.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "codec/archive.h"
-#include "logging/log.h"
+#include "tier/codec/archive.h"
+#include "tier/logging/log.h"
 
 namespace pearreach::registry {
 namespace {
@@ -36,11 +36,11 @@
 
 }  // namespace
 
-WorkerRegistry::WorkerRegistry(Timers* timers, mesh::Mesh* mesh, control::ControlClient* control,
+WorkerRegistry::WorkerRegistry(Timers* timers, rpc::Mesh* mesh, control::ControlClient* control,
                                const settings::NodeSettings& settings)
     : WorkerRegistry(control::TimeSourceOf(timers), mesh, control, settings) {}
 
-WorkerRegistry::WorkerRegistry(std::unique_ptr<control::TimeSource> time, mesh::Mesh* mesh,
+WorkerRegistry::WorkerRegistry(std::unique_ptr<control::TimeSource> time, rpc::Mesh* mesh,
                                control::ControlClient* control,
                                const settings::NodeSettings& settings)
     : time_(std::move(time)),
@@ -56,26 +56,26 @@
       spreader_(time_.get(), mesh, &nodes_, [this](const WorkerUpdate& update) { Import(update); }),
       anti_entropy_(time_.get(), mesh, &nodes_, &state_, period_,
                     [this](const WorkerUpdate& update) { Import(update); }) {
-  mesh_->Handle(mesh::MessageType::kWorkerPass,
+  mesh_->Handle(rpc::MessageType::kWorkerPass,
                 callbacks_.Bind([this](const std::string&, std::string_view body,
-                                       mesh::Respond respond) { OnPassed(body, respond); }));
+                                       rpc::Respond respond) { OnPassed(body, respond); }));
   time_->After(period_, callbacks_.Bind([this] { Tick(); }));
 }
 
 void WorkerRegistry::RegisterCalls(control::ApiRouter* router) {
   router->Add("POST", "/Workers.Heartbeat/*",
-              [this](std::shared_ptr<front::Exchange> exchange, const std::string& id) {
+              [this](std::shared_ptr<http_server::Exchange> exchange, const std::string& id) {
                 OnHeartbeat(std::move(exchange), id);
               });
   router->Add("POST", "/Workers.Departure/*",
-              [this](std::shared_ptr<front::Exchange> exchange, const std::string& id) {
+              [this](std::shared_ptr<http_server::Exchange> exchange, const std::string& id) {
                 OnDeparture(std::move(exchange), id);
               });
 }
 
 // ---------------------------------------------------------------- calls of workers
 
-void WorkerRegistry::OnHeartbeat(std::shared_ptr<front::Exchange> exchange,
+void WorkerRegistry::OnHeartbeat(std::shared_ptr<http_server::Exchange> exchange,
                                  const std::string& worker_id) {
   const Micros now = time_->Now();
   auto record = ParseHeartbeat(worker_id, exchange->request().body, now);
@@ -110,7 +110,7 @@
   });
 }
 
-void WorkerRegistry::OnDeparture(std::shared_ptr<front::Exchange> exchange,
+void WorkerRegistry::OnDeparture(std::shared_ptr<http_server::Exchange> exchange,
                                  const std::string& worker_id) {
   if (state_.Depart(time_->Now(), worker_id)) {
     logging::Info(kModule, "worker departed", {logging::F("worker", worker_id)});
@@ -121,13 +121,13 @@
   });
 }
 
-void WorkerRegistry::AnswerLeaving(front::Exchange* exchange, const std::string& worker_id,
+void WorkerRegistry::AnswerLeaving(http_server::Exchange* exchange, const std::string& worker_id,
                                    bool reached) {
   if (reached) return Acknowledge(exchange, worker_id);
   exchange->Respond(503, {}, "not enough other nodes can be reached");
 }
 
-void WorkerRegistry::Acknowledge(front::Exchange* exchange, const std::string& worker_id) {
+void WorkerRegistry::Acknowledge(http_server::Exchange* exchange, const std::string& worker_id) {
   const WorkerRecord* record = state_.Find(worker_id);
   const std::string address = record == nullptr ? "" : nodes_.AddressOf(record->taker);
   const bool named = !address.empty() && !control_port_.empty();
@@ -158,7 +158,7 @@
   WorkerUpdate update;
   update.items.push_back(
       {record, std::max<Micros>(0, record.warm_at - time_->Now()) / kMs, 0, false});
-  mesh_->Call(nodes_.AddressOf(record.taker), mesh::MessageType::kWorkerPass, codec::Encode(update),
+  mesh_->Call(nodes_.AddressOf(record.taker), rpc::MessageType::kWorkerPass, codec::Encode(update),
               kPassTimeout, callbacks_.Bind([this, id](absl::StatusOr<std::string> answer) {
                 if (answer.ok()) return;
                 state_.TakeOver(time_->Now(), id);
@@ -166,7 +166,7 @@
               }));
 }
 
-void WorkerRegistry::OnPassed(std::string_view body, const mesh::Respond& respond) {
+void WorkerRegistry::OnPassed(std::string_view body, const rpc::Respond& respond) {
   const auto update = codec::Decode<WorkerUpdate>(body);
   if (!update.ok()) return respond(update.status());
   const Micros now = time_->Now();
--- a/src/registry/worker_registry.h
+++ b/src/tier/registry/worker_registry.h
@@ -2,8 +2,8 @@
 // changes to all edge nodes. Heartbeats stay with one node, the worker's taker, which tells the
 // others of what changes, many workers in one message. A worker's leaving is acknowledged only once
 // every edge node that is alive knows of it, or a bound within `drain_ms` has passed.
-#ifndef PEARREACH_SRC_REGISTRY_WORKER_REGISTRY_H_
-#define PEARREACH_SRC_REGISTRY_WORKER_REGISTRY_H_
+#ifndef PEARREACH_SRC_TIER_REGISTRY_WORKER_REGISTRY_H_
+#define PEARREACH_SRC_TIER_REGISTRY_WORKER_REGISTRY_H_
 
 #include <map>
 #include <memory>
@@ -11,17 +11,17 @@
 #include <string>
 #include <vector>
 
-#include "base/timers.h"
-#include "control/api_router.h"
-#include "control/control_client.h"
-#include "control/time_source.h"
-#include "mesh/mesh.h"
-#include "registry/anti_entropy.h"
-#include "registry/edge_nodes.h"
-#include "registry/spreader.h"
-#include "registry/worker_state.h"
-#include "registry/worker_table.h"
-#include "settings/node_settings.h"
+#include "common/event_loop/timers.h"
+#include "tier/control/api_router.h"
+#include "tier/control/control_client.h"
+#include "tier/control/time_source.h"
+#include "tier/registry/anti_entropy.h"
+#include "tier/registry/edge_nodes.h"
+#include "tier/registry/spreader.h"
+#include "tier/registry/worker_state.h"
+#include "tier/registry/worker_table.h"
+#include "tier/rpc/mesh.h"
+#include "tier/settings/node_settings.h"
 
 namespace pearreach::registry {
 
@@ -32,14 +32,14 @@
 class WorkerRegistry : public WorkerSource {
  public:
   // All pointers outlive this.
-  WorkerRegistry(Timers* timers, mesh::Mesh* mesh, control::ControlClient* control,
+  WorkerRegistry(Timers* timers, rpc::Mesh* mesh, control::ControlClient* control,
                  const settings::NodeSettings& settings);
-  WorkerRegistry(std::unique_ptr<control::TimeSource> time, mesh::Mesh* mesh,
+  WorkerRegistry(std::unique_ptr<control::TimeSource> time, rpc::Mesh* mesh,
                  control::ControlClient* control, const settings::NodeSettings& settings);
 
   void RegisterCalls(control::ApiRouter* router);
-  void OnHeartbeat(std::shared_ptr<front::Exchange> exchange, const std::string& worker_id);
-  void OnDeparture(std::shared_ptr<front::Exchange> exchange, const std::string& worker_id);
+  void OnHeartbeat(std::shared_ptr<http_server::Exchange> exchange, const std::string& worker_id);
+  void OnDeparture(std::shared_ptr<http_server::Exchange> exchange, const std::string& worker_id);
 
   std::shared_ptr<const WorkerTable> Workers() const override { return table_; }
   void OnChange(std::function<void()> listener) override {
@@ -52,7 +52,7 @@
   using LeavingTold = std::function<void(bool reached)>;
 
   void OnReady(const WorkerRecord& record, bool changed);
-  void OnPassed(std::string_view body, const mesh::Respond& respond);
+  void OnPassed(std::string_view body, const rpc::Respond& respond);
   void Pass(const WorkerRecord& record);
   std::string TakerOf(const WorkerRecord& record);
   void Import(const WorkerUpdate& update);
@@ -66,12 +66,12 @@
   // Tells them of others, together with what comes soon after.
   void QueueTelling(const std::string& worker_id);
   void TellQueued();
-  void Acknowledge(front::Exchange* exchange, const std::string& worker_id);
-  void AnswerLeaving(front::Exchange* exchange, const std::string& worker_id, bool reached);
+  void Acknowledge(http_server::Exchange* exchange, const std::string& worker_id);
+  void AnswerLeaving(http_server::Exchange* exchange, const std::string& worker_id, bool reached);
   void Tick();
 
   const std::unique_ptr<control::TimeSource> time_;
-  mesh::Mesh* const mesh_;
+  rpc::Mesh* const mesh_;
   control::ControlClient* const control_;
   EdgeNodes nodes_;
   const std::string control_port_;  // the same on all machines
@@ -81,7 +81,7 @@
   WorkerState state_;
   std::shared_ptr<const WorkerTable> table_ = std::make_shared<WorkerTable>();
   std::vector<std::function<void()>> listeners_;
-  std::map<std::string, std::vector<std::shared_ptr<front::Exchange>>> waiting_;  // by worker
+  std::map<std::string, std::vector<std::shared_ptr<http_server::Exchange>>> waiting_;  // by worker
   std::set<std::string> told_leaving_;  // workers whose leaving has been brought to all
   std::set<std::string> queued_;        // workers to tell the others of
   Timers::Id telling_ = 0, swap_ = 0;
@@ -93,4 +93,4 @@
 
 }  // namespace pearreach::registry
 
-#endif  // PEARREACH_SRC_REGISTRY_WORKER_REGISTRY_H_
+#endif  // PEARREACH_SRC_TIER_REGISTRY_WORKER_REGISTRY_H_
--- a/src/registry/worker_state.cpp
+++ b/src/tier/registry/worker_state.cpp
@@ -1,4 +1,4 @@
-#include "registry/worker_state.h"
+#include "tier/registry/worker_state.h"
 
 #include <algorithm>
 #include <tuple>
--- a/src/registry/worker_state.h
+++ b/src/tier/registry/worker_state.h
@@ -6,8 +6,8 @@
 // phase and the higher version stand (a lost one before a live one, then by the taker's name), so
 // that all nodes come to the same whatever the order of messages. Heartbeats that change nothing
 // stay with the node that takes them.
-#ifndef PEARREACH_SRC_REGISTRY_WORKER_STATE_H_
-#define PEARREACH_SRC_REGISTRY_WORKER_STATE_H_
+#ifndef PEARREACH_SRC_TIER_REGISTRY_WORKER_STATE_H_
+#define PEARREACH_SRC_TIER_REGISTRY_WORKER_STATE_H_
 
 #include <array>
 #include <functional>
@@ -16,9 +16,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "base/io.h"
-#include "registry/worker_messages.h"
-#include "registry/worker_table.h"
+#include "common/event_loop/io.h"
+#include "tier/registry/worker_messages.h"
+#include "tier/registry/worker_table.h"
 
 namespace pearreach::registry {
 
@@ -101,4 +101,4 @@
 
 }  // namespace pearreach::registry
 
-#endif  // PEARREACH_SRC_REGISTRY_WORKER_STATE_H_
+#endif  // PEARREACH_SRC_TIER_REGISTRY_WORKER_STATE_H_
--- a/src/registry/worker_table.h
+++ b/src/tier/registry/worker_table.h
@@ -1,7 +1,7 @@
 // The workers that the fleet knows, as an immutable snapshot. It is kept in shards that snapshots
 // share, so that a change copies one shard and not the whole table.
-#ifndef PEARREACH_SRC_REGISTRY_WORKER_TABLE_H_
-#define PEARREACH_SRC_REGISTRY_WORKER_TABLE_H_
+#ifndef PEARREACH_SRC_TIER_REGISTRY_WORKER_TABLE_H_
+#define PEARREACH_SRC_TIER_REGISTRY_WORKER_TABLE_H_
 
 #include <array>
 #include <cstdint>
@@ -101,4 +101,4 @@
 
 }  // namespace pearreach::registry
 
-#endif  // PEARREACH_SRC_REGISTRY_WORKER_TABLE_H_
+#endif  // PEARREACH_SRC_TIER_REGISTRY_WORKER_TABLE_H_
--- a/src/routing/configuration.h
+++ b/src/tier/routing/configuration.h
@@ -1,14 +1,14 @@
 // A configuration as it was sent: the JSON text read into structs, before its checks as a whole.
-#ifndef PEARREACH_SRC_ROUTING_CONFIGURATION_H_
-#define PEARREACH_SRC_ROUTING_CONFIGURATION_H_
+#ifndef PEARREACH_SRC_TIER_ROUTING_CONFIGURATION_H_
+#define PEARREACH_SRC_TIER_ROUTING_CONFIGURATION_H_
 
 #include <cstdint>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "routing/findings.h"
-#include "routing/route_table.h"
+#include "tier/routing/findings.h"
+#include "tier/routing/route_table.h"
 
 namespace pearreach::routing {
 
@@ -33,4 +33,4 @@
 
 }  // namespace pearreach::routing
 
-#endif  // PEARREACH_SRC_ROUTING_CONFIGURATION_H_
+#endif  // PEARREACH_SRC_TIER_ROUTING_CONFIGURATION_H_
--- a/src/routing/configuration_checks.cpp
+++ b/src/tier/routing/configuration_checks.cpp
@@ -4,7 +4,7 @@
 #include <unordered_map>
 #include <unordered_set>
 
-#include "routing/configuration.h"
+#include "tier/routing/configuration.h"
 
 namespace pearreach::routing {
 namespace {
--- a/src/routing/configuration_reader.cpp
+++ b/src/tier/routing/configuration_reader.cpp
@@ -7,8 +7,8 @@
 #include <array>
 #include <unordered_set>
 
-#include "routing/configuration.h"
-#include "routing/object_reader.h"
+#include "tier/routing/configuration.h"
+#include "tier/routing/object_reader.h"
 
 namespace pearreach::routing {
 namespace {
--- a/src/routing/findings.h
+++ b/src/tier/routing/findings.h
@@ -1,7 +1,7 @@
 // What is wrong with a document: each finding with its place, collected so that the sender learns
 // of all of them at once.
-#ifndef PEARREACH_SRC_ROUTING_FINDINGS_H_
-#define PEARREACH_SRC_ROUTING_FINDINGS_H_
+#ifndef PEARREACH_SRC_TIER_ROUTING_FINDINGS_H_
+#define PEARREACH_SRC_TIER_ROUTING_FINDINGS_H_
 
 #include <absl/status/status.h>
 
@@ -42,4 +42,4 @@
 
 }  // namespace pearreach::routing
 
-#endif  // PEARREACH_SRC_ROUTING_FINDINGS_H_
+#endif  // PEARREACH_SRC_TIER_ROUTING_FINDINGS_H_
--- a/src/routing/object_reader.cpp
+++ b/src/tier/routing/object_reader.cpp
@@ -1,4 +1,4 @@
-#include "routing/object_reader.h"
+#include "tier/routing/object_reader.h"
 
 #include <cmath>
 #include <limits>
--- a/src/routing/object_reader.h
+++ b/src/tier/routing/object_reader.h
@@ -1,7 +1,7 @@
 // Reads the fields of one JSON object by name and type; what does not fit becomes a finding with
 // the field's place.
-#ifndef PEARREACH_SRC_ROUTING_OBJECT_READER_H_
-#define PEARREACH_SRC_ROUTING_OBJECT_READER_H_
+#ifndef PEARREACH_SRC_TIER_ROUTING_OBJECT_READER_H_
+#define PEARREACH_SRC_TIER_ROUTING_OBJECT_READER_H_
 
 #include <rapidjson/document.h>
 
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-#include "routing/findings.h"
+#include "tier/routing/findings.h"
 
 namespace pearreach::routing {
 
@@ -48,4 +48,4 @@
 
 }  // namespace pearreach::routing
 
-#endif  // PEARREACH_SRC_ROUTING_OBJECT_READER_H_
+#endif  // PEARREACH_SRC_TIER_ROUTING_OBJECT_READER_H_
--- a/src/routing/route_table.cpp
+++ b/src/tier/routing/route_table.cpp
@@ -1,11 +1,11 @@
-#include "routing/route_table.h"
+#include "tier/routing/route_table.h"
 
 #include <algorithm>
 #include <numeric>
 #include <utility>
 
-#include "routing/configuration.h"
-#include "routing/findings.h"
+#include "tier/routing/configuration.h"
+#include "tier/routing/findings.h"
 
 namespace pearreach::routing {
 namespace {
--- a/src/routing/route_table.h
+++ b/src/tier/routing/route_table.h
@@ -1,8 +1,8 @@
 // A whole configuration as an immutable snapshot: routes, services and limits, checked, with the
 // look-up of a request's route. Nothing here changes after Parse; a new configuration is a new
 // table that is swapped in whole.
-#ifndef PEARREACH_SRC_ROUTING_ROUTE_TABLE_H_
-#define PEARREACH_SRC_ROUTING_ROUTE_TABLE_H_
+#ifndef PEARREACH_SRC_TIER_ROUTING_ROUTE_TABLE_H_
+#define PEARREACH_SRC_TIER_ROUTING_ROUTE_TABLE_H_
 
 #include <absl/status/statusor.h>
 
@@ -100,4 +100,4 @@
 
 }  // namespace pearreach::routing
 
-#endif  // PEARREACH_SRC_ROUTING_ROUTE_TABLE_H_
+#endif  // PEARREACH_SRC_TIER_ROUTING_ROUTE_TABLE_H_
--- a/src/mesh/datagram_socket.cpp
+++ b/src/tier/rpc/datagram_socket.cpp
@@ -1,4 +1,4 @@
-#include "mesh/datagram_socket.h"
+#include "tier/rpc/datagram_socket.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -9,7 +9,7 @@
 #include <cstdlib>
 #include <cstring>
 
-namespace pearreach::mesh {
+namespace pearreach::rpc {
 namespace {
 
 constexpr int kReadsAtOnce = 32;  // then the other sources get their turn
@@ -65,4 +65,4 @@
   }
 }
 
-}  // namespace pearreach::mesh
+}  // namespace pearreach::rpc
--- a/src/mesh/datagram_socket.h
+++ b/src/tier/rpc/datagram_socket.h
@@ -1,14 +1,14 @@
 // A non-blocking UDP socket on the main loop.
-#ifndef PEARREACH_SRC_MESH_DATAGRAM_SOCKET_H_
-#define PEARREACH_SRC_MESH_DATAGRAM_SOCKET_H_
+#ifndef PEARREACH_SRC_TIER_RPC_DATAGRAM_SOCKET_H_
+#define PEARREACH_SRC_TIER_RPC_DATAGRAM_SOCKET_H_
 
 #include <functional>
 #include <string>
 #include <string_view>
 
-#include "base/poller.h"
+#include "common/event_loop/poller.h"
 
-namespace pearreach::mesh {
+namespace pearreach::rpc {
 
 class DatagramSocket : private Poller::Client {
  public:
@@ -27,6 +27,6 @@
   int fd_ = -1;
 };
 
-}  // namespace pearreach::mesh
+}  // namespace pearreach::rpc
 
-#endif  // PEARREACH_SRC_MESH_DATAGRAM_SOCKET_H_
+#endif  // PEARREACH_SRC_TIER_RPC_DATAGRAM_SOCKET_H_
--- a/src/mesh/frame.cpp
+++ b/src/tier/rpc/frame.cpp
@@ -1,8 +1,8 @@
-#include "mesh/frame.h"
+#include "tier/rpc/frame.h"
 
 #include <cstring>
 
-namespace pearreach::mesh {
+namespace pearreach::rpc {
 namespace {
 
 template <class Number>
@@ -54,4 +54,4 @@
   return State::kFrame;
 }
 
-}  // namespace pearreach::mesh
+}  // namespace pearreach::rpc
--- a/src/mesh/frame.h
+++ b/src/tier/rpc/frame.h
@@ -1,12 +1,12 @@
 // Frames on a mesh connection: a fixed head (length, kind, message type, call id), then the body.
-#ifndef PEARREACH_SRC_MESH_FRAME_H_
-#define PEARREACH_SRC_MESH_FRAME_H_
+#ifndef PEARREACH_SRC_TIER_RPC_FRAME_H_
+#define PEARREACH_SRC_TIER_RPC_FRAME_H_
 
 #include <cstdint>
 #include <string>
 #include <string_view>
 
-namespace pearreach::mesh {
+namespace pearreach::rpc {
 
 enum class FrameKind : std::uint8_t { kCall = 1, kAnswer = 2, kError = 3 };
 
@@ -36,6 +36,6 @@
   std::size_t read_ = 0;
 };
 
-}  // namespace pearreach::mesh
+}  // namespace pearreach::rpc
 
-#endif  // PEARREACH_SRC_MESH_FRAME_H_
+#endif  // PEARREACH_SRC_TIER_RPC_FRAME_H_
--- a/src/mesh/mesh.cpp
+++ b/src/tier/rpc/mesh.cpp
@@ -1,4 +1,4 @@
-#include "mesh/mesh.h"
+#include "tier/rpc/mesh.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -9,11 +9,11 @@
 #include <unordered_set>
 #include <utility>
 
-#include "base/io.h"
-#include "mesh/datagram_socket.h"
-#include "mesh/frame.h"
+#include "common/event_loop/io.h"
+#include "tier/rpc/datagram_socket.h"
+#include "tier/rpc/frame.h"
 
-namespace pearreach::mesh {
+namespace pearreach::rpc {
 namespace {
 
 constexpr int kUserTimeoutMs = 2000;  // bytes that nobody acknowledges for so long end a connection
@@ -270,4 +270,4 @@
   return mesh;
 }
 
-}  // namespace pearreach::mesh
+}  // namespace pearreach::rpc
--- a/src/mesh/mesh.h
+++ b/src/tier/rpc/mesh.h
@@ -1,8 +1,8 @@
 // The transport between the system's own processes: calls with an answer over TCP and datagrams
 // over UDP, both on the first port of the machine's free range. It knows nothing of what the
 // messages say. Single-threaded, on the default main loop.
-#ifndef PEARREACH_SRC_MESH_MESH_H_
-#define PEARREACH_SRC_MESH_MESH_H_
+#ifndef PEARREACH_SRC_TIER_RPC_MESH_H_
+#define PEARREACH_SRC_TIER_RPC_MESH_H_
 
 #include <absl/status/statusor.h>
 
@@ -12,9 +12,9 @@
 #include <string>
 #include <string_view>
 
-#include "base/timers.h"
+#include "common/event_loop/timers.h"
 
-namespace pearreach::mesh {
+namespace pearreach::rpc {
 
 // What a call asks for. Values are part of the protocol and never reused.
 enum class MessageType : std::uint8_t {
@@ -73,6 +73,6 @@
 // Listens on ip:port for both; an error names what is wrong.
 absl::StatusOr<std::unique_ptr<Mesh>> OpenMesh(const std::string& ip, int port, Timers* timers);
 
-}  // namespace pearreach::mesh
+}  // namespace pearreach::rpc
 
-#endif  // PEARREACH_SRC_MESH_MESH_H_
+#endif  // PEARREACH_SRC_TIER_RPC_MESH_H_
--- a/src/tier/main/main.cpp
+++ b/src/tier/server/main/main.cpp
@@ -12,9 +12,9 @@
 #include <string>
 #include <vector>
 
-#include "logging/log.h"
-#include "settings/node_settings.h"
-#include "tier/node.h"
+#include "tier/logging/log.h"
+#include "tier/server/node.h"
+#include "tier/settings/node_settings.h"
 
 ABSL_FLAG(std::string, settings, "", "Settings file (YAML); default: $PEARREACH_BOOT");
 ABSL_FLAG(std::string, policy, "",
@@ -64,7 +64,7 @@
 
 struct Running {
   GMainLoop* loop = nullptr;
-  pearreach::tier::Node* node = nullptr;
+  pearreach::server::Node* node = nullptr;
 };
 
 gboolean OnTerminate(gpointer running) {
@@ -86,7 +86,7 @@
   std::signal(SIGPIPE, SIG_IGN);
   Running running;
   running.loop = g_main_loop_new(nullptr, FALSE);
-  pearreach::tier::Node node(settings, [&running] { g_main_loop_quit(running.loop); });
+  pearreach::server::Node node(settings, [&running] { g_main_loop_quit(running.loop); });
   running.node = &node;
   g_unix_signal_add(SIGTERM, OnTerminate, &running);
   g_unix_signal_add(SIGINT, OnTerminate, &running);
--- a/src/tier/node.cpp
+++ b/src/tier/server/node.cpp
@@ -1,4 +1,4 @@
-#include "tier/node.h"
+#include "tier/server/node.h"
 
 #include <fmt/format.h>
 
@@ -6,25 +6,25 @@
 #include <chrono>
 #include <utility>
 
-#include "base/timers.h"
-#include "batch/item_worker.h"
-#include "batch/lot_api.h"
-#include "batch/lot_store.h"
-#include "batch/placement_duty.h"
-#include "batch/retire_api.h"
-#include "batch/store_client.h"
-#include "control/api_router.h"
-#include "control/config_api.h"
-#include "control/control_node.h"
-#include "disk/table_store.h"
-#include "front/http_server.h"
-#include "gateway/gateway.h"
-#include "logging/log.h"
-#include "mesh/mesh.h"
-#include "proxy/job_runner.h"
-#include "registry/worker_registry.h"
+#include "common/event_loop/timers.h"
+#include "tier/batch/item_worker.h"
+#include "tier/batch/lot_api.h"
+#include "tier/batch/lot_store.h"
+#include "tier/batch/placement_duty.h"
+#include "tier/batch/retire_api.h"
+#include "tier/batch/store_client.h"
+#include "tier/control/api_router.h"
+#include "tier/control/config_api.h"
+#include "tier/control/control_node.h"
+#include "tier/gateway/gateway.h"
+#include "tier/http_server/http_server.h"
+#include "tier/logging/log.h"
+#include "tier/proxy/job_runner.h"
+#include "tier/registry/worker_registry.h"
+#include "tier/rpc/mesh.h"
+#include "tier/storage/table_store.h"
 
-namespace pearreach::tier {
+namespace pearreach::server {
 namespace {
 
 constexpr char kModule[] = "node";
@@ -47,8 +47,8 @@
 
 Micros Seconds(double seconds) { return static_cast<Micros>(seconds * kSecond); }
 
-front::ServerOptions ClientOptions(const routing::HttpLimits& limits, int file_limit) {
-  front::ServerOptions options;
+http_server::ServerOptions ClientOptions(const routing::HttpLimits& limits, int file_limit) {
+  http_server::ServerOptions options;
   options.max_header_bytes = limits.max_header_bytes;
   options.max_body_bytes = limits.max_body_bytes;
   options.header_wait = static_cast<Micros>(limits.header_wait_ms * kMs);
@@ -59,8 +59,8 @@
   return options;
 }
 
-front::ServerOptions ControlOptions() {
-  front::ServerOptions options;
+http_server::ServerOptions ControlOptions() {
+  http_server::ServerOptions options;
   options.max_body_bytes = 8 * kMegabyte;
   options.max_connections = kControlConnections;
   return options;
@@ -87,7 +87,7 @@
   void OnControlChange();
   void EndOnOldDisk();
   bool Ready() const;
-  void Route(std::shared_ptr<front::Exchange> exchange);
+  void Route(std::shared_ptr<http_server::Exchange> exchange);
   // Until nothing is under way here and nobody needs what this process holds, or time is over.
   void AwaitEnd();
   void Leave();
@@ -96,8 +96,8 @@
   const std::function<void()> finished_;
   const std::uint64_t incarnation_ = WallMilliseconds();
   Timers timers_;
-  std::unique_ptr<mesh::Mesh> mesh_;
-  std::unique_ptr<disk::TableStore> disk_;
+  std::unique_ptr<rpc::Mesh> mesh_;
+  std::unique_ptr<storage::TableStore> disk_;
   std::unique_ptr<control::ControlNode> control_;
   control::ApiRouter router_;
   std::unique_ptr<control::ConfigApi> config_api_;
@@ -110,7 +110,7 @@
   std::unique_ptr<batch::PlacementDuty> placement_duty_;
   std::unique_ptr<batch::RetireApi> retire_api_;
   std::unique_ptr<batch::StoreServer> store_server_;
-  std::unique_ptr<front::HttpServer> edge_server_, control_server_, readiness_server_;
+  std::unique_ptr<http_server::HttpServer> edge_server_, control_server_, readiness_server_;
   bool stopping_ = false, items_returned_ = true, left_ = false;
   Micros stopped_at_ = 0;
 };
@@ -122,7 +122,7 @@
 absl::Status Node::Impl::OpenDisk() {
   if (!HasDisk()) return absl::OkStatus();
   const auto capacity = static_cast<std::size_t>(kDiskShare * settings_.limits.disk_mb) * kMegabyte;
-  auto opened = disk::OpenTableStore(settings_.data_path, capacity);
+  auto opened = storage::OpenTableStore(settings_.data_path, capacity);
   if (!opened.ok()) return opened.status();
   disk_ = std::move(*opened);
   return absl::OkStatus();
@@ -131,7 +131,7 @@
 absl::Status Node::Impl::Start() {
   logging::SetNode(settings_.node_name);
   if (const absl::Status status = OpenDisk(); !status.ok()) return status;
-  auto mesh = mesh::OpenMesh(settings_.ip, settings_.peer_port(), &timers_);
+  auto mesh = rpc::OpenMesh(settings_.ip, settings_.peer_port(), &timers_);
   if (!mesh.ok()) return mesh.status();
   mesh_ = std::move(*mesh);
   control_ = std::make_unique<control::ControlNode>(&timers_, mesh_.get(), disk_.get(), settings_,
@@ -180,14 +180,16 @@
       std::make_unique<batch::ItemWorker>(&timers_, store_client_.get(), control_.get(),
                                           runner_.get(), settings_.node_name, incarnation_);
   gateway_->SetBulkHandler(
-      [this](std::shared_ptr<front::Exchange> exchange, const routing::Route& route) {
+      [this](std::shared_ptr<http_server::Exchange> exchange, const routing::Route& route) {
         lot_api_->Submit(exchange, route);
       });
   gateway_->SetLotHandler(
-      [this](std::shared_ptr<front::Exchange> exchange) { lot_api_->Handle(exchange); });
-  edge_server_ = std::make_unique<front::HttpServer>(
+      [this](std::shared_ptr<http_server::Exchange> exchange) { lot_api_->Handle(exchange); });
+  edge_server_ = std::make_unique<http_server::HttpServer>(
       &timers_, ClientOptions({}, settings_.limits.file_limit),
-      [this](std::shared_ptr<front::Exchange> exchange) { gateway_->Handle(std::move(exchange)); });
+      [this](std::shared_ptr<http_server::Exchange> exchange) {
+        gateway_->Handle(std::move(exchange));
+      });
   const std::string wrong = edge_server_->Open(settings_.bind.edge);
   if (!wrong.empty()) return absl::UnavailableError(settings_.bind.edge + ": " + wrong);
   return StartReadiness();
@@ -195,8 +197,8 @@
 
 absl::Status Node::Impl::StartReadiness() {
   if (settings_.bind.readiness.empty()) return absl::OkStatus();
-  readiness_server_ = std::make_unique<front::HttpServer>(
-      &timers_, ControlOptions(), [this](std::shared_ptr<front::Exchange> exchange) {
+  readiness_server_ = std::make_unique<http_server::HttpServer>(
+      &timers_, ControlOptions(), [this](std::shared_ptr<http_server::Exchange> exchange) {
         exchange->Respond(Ready() ? 200 : 503, {}, "");
       });
   const std::string wrong = readiness_server_->Open(settings_.bind.readiness);
@@ -220,9 +222,10 @@
   control_->OnMembersChanged([this](const std::vector<std::string>&) { placement_duty_->Look(); });
   retire_api_ = std::make_unique<batch::RetireApi>(&timers_, control_.get(), replicas);
   retire_api_->AddTo(&router_);
-  control_server_ = std::make_unique<front::HttpServer>(
-      &timers_, ControlOptions(),
-      [this](std::shared_ptr<front::Exchange> exchange) { router_.Dispatch(std::move(exchange)); });
+  control_server_ = std::make_unique<http_server::HttpServer>(
+      &timers_, ControlOptions(), [this](std::shared_ptr<http_server::Exchange> exchange) {
+        router_.Dispatch(std::move(exchange));
+      });
   const std::string wrong = control_server_->Open(settings_.bind.control);
   return wrong.empty() ? absl::OkStatus()
                        : absl::UnavailableError(settings_.bind.control + ": " + wrong);
@@ -230,7 +233,7 @@
 
 // The disk has forgotten what this machine has promised and taken since: it is as good as lost.
 void Node::Impl::EndOnOldDisk() {
-  const absl::Status removed = disk::RemoveTableStore(settings_.data_path);
+  const absl::Status removed = storage::RemoveTableStore(settings_.data_path);
   if (!removed.ok()) {
     logging::Error(kModule, "old tables cannot be removed",
                    {logging::F("why", removed.ToString())});
@@ -301,4 +304,4 @@
 void Node::Stop() { impl_->Stop(); }
 void Node::Reload(const settings::NodeSettings& settings) { impl_->Reload(settings); }
 
-}  // namespace pearreach::tier
+}  // namespace pearreach::server
--- a/src/tier/node.h
+++ b/src/tier/server/node.h
@@ -1,7 +1,7 @@
 // One process of the serving tier: builds the parts that its settings ask for, connects them, and
 // ends them in order.
-#ifndef PEARREACH_SRC_TIER_NODE_H_
-#define PEARREACH_SRC_TIER_NODE_H_
+#ifndef PEARREACH_SRC_TIER_SERVER_NODE_H_
+#define PEARREACH_SRC_TIER_SERVER_NODE_H_
 
 #include <absl/status/status.h>
 
@@ -9,9 +9,9 @@
 #include <memory>
 #include <string>
 
-#include "settings/node_settings.h"
+#include "tier/settings/node_settings.h"
 
-namespace pearreach::tier {
+namespace pearreach::server {
 
 class Node {
  public:
@@ -32,6 +32,6 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace pearreach::tier
+}  // namespace pearreach::server
 
-#endif  // PEARREACH_SRC_TIER_NODE_H_
+#endif  // PEARREACH_SRC_TIER_SERVER_NODE_H_
--- a/src/settings/findings.cpp
+++ b/src/tier/settings/findings.cpp
@@ -1,4 +1,4 @@
-#include "settings/findings.h"
+#include "tier/settings/findings.h"
 
 #include <fmt/format.h>
 
--- a/src/settings/findings.h
+++ b/src/tier/settings/findings.h
@@ -1,6 +1,6 @@
 // What is wrong with a settings file: each finding with its line, reported together in their order.
-#ifndef PEARREACH_SRC_SETTINGS_FINDINGS_H_
-#define PEARREACH_SRC_SETTINGS_FINDINGS_H_
+#ifndef PEARREACH_SRC_TIER_SETTINGS_FINDINGS_H_
+#define PEARREACH_SRC_TIER_SETTINGS_FINDINGS_H_
 
 #include <absl/status/status.h>
 #include <yaml-cpp/mark.h>
@@ -22,4 +22,4 @@
 
 }  // namespace pearreach::settings
 
-#endif  // PEARREACH_SRC_SETTINGS_FINDINGS_H_
+#endif  // PEARREACH_SRC_TIER_SETTINGS_FINDINGS_H_
--- a/src/settings/node_settings.cpp
+++ b/src/tier/settings/node_settings.cpp
@@ -1,11 +1,11 @@
-#include "settings/node_settings.h"
+#include "tier/settings/node_settings.h"
 
 #include <algorithm>
 #include <array>
 #include <fstream>
 #include <sstream>
 
-#include "settings/yaml_reader.h"
+#include "tier/settings/yaml_reader.h"
 
 // What is read from the file: a new field is its line in the struct and its name here.
 BOOST_HANA_ADAPT_STRUCT(pearreach::settings::Bind, edge, readiness, control);
--- a/src/settings/node_settings.h
+++ b/src/tier/settings/node_settings.h
@@ -1,7 +1,7 @@
 // The settings file of a process (YAML; its path stands in PEARREACH_BOOT). Unknown fields are
 // ignored; all findings are collected with their place and reported together.
-#ifndef PEARREACH_SRC_SETTINGS_NODE_SETTINGS_H_
-#define PEARREACH_SRC_SETTINGS_NODE_SETTINGS_H_
+#ifndef PEARREACH_SRC_TIER_SETTINGS_NODE_SETTINGS_H_
+#define PEARREACH_SRC_TIER_SETTINGS_NODE_SETTINGS_H_
 
 #include <absl/status/statusor.h>
 
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "settings/policy_options.h"
+#include "tier/settings/policy_options.h"
 
 namespace pearreach::settings {
 
@@ -65,4 +65,4 @@
 
 }  // namespace pearreach::settings
 
-#endif  // PEARREACH_SRC_SETTINGS_NODE_SETTINGS_H_
+#endif  // PEARREACH_SRC_TIER_SETTINGS_NODE_SETTINGS_H_
--- a/src/settings/policy_options.cpp
+++ b/src/tier/settings/policy_options.cpp
@@ -1,9 +1,9 @@
-#include "settings/policy_options.h"
+#include "tier/settings/policy_options.h"
 
 #include <fstream>
 #include <sstream>
 
-#include "settings/yaml_reader.h"
+#include "tier/settings/yaml_reader.h"
 
 BOOST_HANA_ADAPT_STRUCT(pearreach::settings::PolicyOptions, wait_for_configuration,
                         wait_for_workers, offer_lots, ask_silent_stores, relay_lot_calls, told_load,
--- a/src/settings/policy_options.h
+++ b/src/tier/settings/policy_options.h
@@ -1,8 +1,8 @@
 // The mechanisms by which a node decides, each with its switch: for measurements, which play a day
 // with one of them off. Operators leave the section `policy` out; docs/policy-measured.md tells
 // what each is worth.
-#ifndef PEARREACH_SRC_SETTINGS_POLICY_OPTIONS_H_
-#define PEARREACH_SRC_SETTINGS_POLICY_OPTIONS_H_
+#ifndef PEARREACH_SRC_TIER_SETTINGS_POLICY_OPTIONS_H_
+#define PEARREACH_SRC_TIER_SETTINGS_POLICY_OPTIONS_H_
 
 #include <absl/status/statusor.h>
 
@@ -37,4 +37,4 @@
 
 }  // namespace pearreach::settings
 
-#endif  // PEARREACH_SRC_SETTINGS_POLICY_OPTIONS_H_
+#endif  // PEARREACH_SRC_TIER_SETTINGS_POLICY_OPTIONS_H_
--- a/src/settings/yaml_reader.cpp
+++ b/src/tier/settings/yaml_reader.cpp
@@ -1,4 +1,4 @@
-#include "settings/yaml_reader.h"
+#include "tier/settings/yaml_reader.h"
 
 #include <fmt/format.h>
 
--- a/src/settings/yaml_reader.h
+++ b/src/tier/settings/yaml_reader.h
@@ -1,7 +1,7 @@
 // Reads YAML into structs that are described to Boost.Hana: each member from the field of its name.
 // A new kind of member is one more overload of ReadValue.
-#ifndef PEARREACH_SRC_SETTINGS_YAML_READER_H_
-#define PEARREACH_SRC_SETTINGS_YAML_READER_H_
+#ifndef PEARREACH_SRC_TIER_SETTINGS_YAML_READER_H_
+#define PEARREACH_SRC_TIER_SETTINGS_YAML_READER_H_
 
 #include <yaml-cpp/yaml.h>
 
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "settings/findings.h"
+#include "tier/settings/findings.h"
 
 namespace pearreach::settings {
 
@@ -54,4 +54,4 @@
 
 }  // namespace pearreach::settings
 
-#endif  // PEARREACH_SRC_SETTINGS_YAML_READER_H_
+#endif  // PEARREACH_SRC_TIER_SETTINGS_YAML_READER_H_
--- a/src/disk/environment.cpp
+++ b/src/tier/storage/environment.cpp
@@ -1,12 +1,12 @@
-#include "disk/environment.h"
+#include "tier/storage/environment.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "disk/file_end.h"
-#include "disk/lmdb_status.h"
+#include "tier/storage/file_end.h"
+#include "tier/storage/lmdb_status.h"
 
-namespace pearreach::disk {
+namespace pearreach::storage {
 namespace {
 
 constexpr mdb_mode_t kFileMode = 0600;
@@ -223,4 +223,4 @@
   return GetFrom(tables_.about, kDiskIdKey);
 }
 
-}  // namespace pearreach::disk
+}  // namespace pearreach::storage
--- a/src/disk/environment.h
+++ b/src/tier/storage/environment.h
@@ -1,8 +1,8 @@
 // One LMDB file with the tables of a process: opening, reading of the last synced state, and
 // transactions of several batches. Without LMDB's locks, which have no effect where this runs: one
 // thread writes, and reads share one snapshot that is renewed, under a mutex, after each sync.
-#ifndef PEARREACH_SRC_DISK_ENVIRONMENT_H_
-#define PEARREACH_SRC_DISK_ENVIRONMENT_H_
+#ifndef PEARREACH_SRC_TIER_STORAGE_ENVIRONMENT_H_
+#define PEARREACH_SRC_TIER_STORAGE_ENVIRONMENT_H_
 
 #include <absl/status/status.h>
 #include <absl/status/statusor.h>
@@ -17,9 +17,9 @@
 #include <string_view>
 #include <vector>
 
-#include "disk/table_store.h"
+#include "tier/storage/table_store.h"
 
-namespace pearreach::disk {
+namespace pearreach::storage {
 
 class Environment {
  public:
@@ -81,6 +81,6 @@
   std::atomic<std::size_t> used_bytes_ = 0;
 };
 
-}  // namespace pearreach::disk
+}  // namespace pearreach::storage
 
-#endif  // PEARREACH_SRC_DISK_ENVIRONMENT_H_
+#endif  // PEARREACH_SRC_TIER_STORAGE_ENVIRONMENT_H_
--- a/src/disk/file_end.cpp
+++ b/src/tier/storage/file_end.cpp
@@ -1,4 +1,4 @@
-#include "disk/file_end.h"
+#include "tier/storage/file_end.h"
 
 #include <sys/stat.h>
 #include <unistd.h>
@@ -9,9 +9,9 @@
 #include <cstdint>
 #include <cstring>
 
-#include "disk/lmdb_status.h"
+#include "tier/storage/lmdb_status.h"
 
-namespace pearreach::disk {
+namespace pearreach::storage {
 namespace {
 
 constexpr MDB_dbi kFreePages = 0;  // LMDB's own table of pages that are free
@@ -129,4 +129,4 @@
   return LmdbStatus(code, "a file that is cut off");
 }
 
-}  // namespace pearreach::disk
+}  // namespace pearreach::storage
--- a/src/disk/file_end.h
+++ b/src/tier/storage/file_end.h
@@ -1,6 +1,6 @@
 // Whether a file that ends before its last page lacks anything.
-#ifndef PEARREACH_SRC_DISK_FILE_END_H_
-#define PEARREACH_SRC_DISK_FILE_END_H_
+#ifndef PEARREACH_SRC_TIER_STORAGE_FILE_END_H_
+#define PEARREACH_SRC_TIER_STORAGE_FILE_END_H_
 
 #include <absl/status/status.h>
 #include <lmdb.h>
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-namespace pearreach::disk {
+namespace pearreach::storage {
 
 // Before anything else is read. A file may rightly lack pages at its end: those that were allocated
 // and given back within one transaction. Where it is that short, it is made as long as its number
@@ -16,6 +16,6 @@
 // DATA_LOSS where a page that is in use was missing. A file of full length costs nothing.
 absl::Status CheckFileEnd(MDB_env* env, const std::vector<std::string>& tables);
 
-}  // namespace pearreach::disk
+}  // namespace pearreach::storage
 
-#endif  // PEARREACH_SRC_DISK_FILE_END_H_
+#endif  // PEARREACH_SRC_TIER_STORAGE_FILE_END_H_
--- a/src/disk/lmdb_status.cpp
+++ b/src/tier/storage/lmdb_status.cpp
@@ -1,11 +1,11 @@
-#include "disk/lmdb_status.h"
+#include "tier/storage/lmdb_status.h"
 
 #include <lmdb.h>
 
 #include <cerrno>
 #include <string>
 
-namespace pearreach::disk {
+namespace pearreach::storage {
 namespace {
 
 absl::StatusCode CodeOf(int code) {
@@ -38,4 +38,4 @@
   return absl::Status(CodeOf(code), std::string(action) + ": " + mdb_strerror(code));
 }
 
-}  // namespace pearreach::disk
+}  // namespace pearreach::storage
--- a/src/disk/lmdb_status.h
+++ b/src/tier/storage/lmdb_status.h
@@ -1,16 +1,16 @@
 // LMDB's result codes as absl::Status.
-#ifndef PEARREACH_SRC_DISK_LMDB_STATUS_H_
-#define PEARREACH_SRC_DISK_LMDB_STATUS_H_
+#ifndef PEARREACH_SRC_TIER_STORAGE_LMDB_STATUS_H_
+#define PEARREACH_SRC_TIER_STORAGE_LMDB_STATUS_H_
 
 #include <absl/status/status.h>
 
 #include <string_view>
 
-namespace pearreach::disk {
+namespace pearreach::storage {
 
 // `action` names what was tried: "open /data/tables.mdb".
 absl::Status LmdbStatus(int code, std::string_view action);
 
-}  // namespace pearreach::disk
+}  // namespace pearreach::storage
 
-#endif  // PEARREACH_SRC_DISK_LMDB_STATUS_H_
+#endif  // PEARREACH_SRC_TIER_STORAGE_LMDB_STATUS_H_
--- a/src/disk/table_store.cpp
+++ b/src/tier/storage/table_store.cpp
@@ -1,4 +1,4 @@
-#include "disk/table_store.h"
+#include "tier/storage/table_store.h"
 
 #include <fcntl.h>
 #include <sys/random.h>
@@ -10,11 +10,11 @@
 #include <cstdio>
 #include <utility>
 
-#include "disk/environment.h"
-#include "disk/writer.h"
-#include "logging/log.h"
+#include "tier/logging/log.h"
+#include "tier/storage/environment.h"
+#include "tier/storage/writer.h"
 
-namespace pearreach::disk {
+namespace pearreach::storage {
 namespace {
 
 constexpr const char* kFileName = "tables.mdb";
@@ -153,4 +153,4 @@
   return store;
 }
 
-}  // namespace pearreach::disk
+}  // namespace pearreach::storage
--- a/src/disk/table_store.h
+++ b/src/tier/storage/table_store.h
@@ -1,7 +1,7 @@
 // Durable key-value tables of one process: LMDB below `data_path`, writes grouped on a thread of
 // their own. A batch is durable as a whole or not at all. Loop thread only, but for the writer.
-#ifndef PEARREACH_SRC_DISK_TABLE_STORE_H_
-#define PEARREACH_SRC_DISK_TABLE_STORE_H_
+#ifndef PEARREACH_SRC_TIER_STORAGE_TABLE_STORE_H_
+#define PEARREACH_SRC_TIER_STORAGE_TABLE_STORE_H_
 
 #include <absl/status/statusor.h>
 
@@ -13,7 +13,7 @@
 #include <string_view>
 #include <vector>
 
-namespace pearreach::disk {
+namespace pearreach::storage {
 
 struct Write {
   std::string key;
@@ -53,6 +53,6 @@
 // open there goes on without leaving anything.
 absl::Status RemoveTableStore(const std::string& data_path);
 
-}  // namespace pearreach::disk
+}  // namespace pearreach::storage
 
-#endif  // PEARREACH_SRC_DISK_TABLE_STORE_H_
+#endif  // PEARREACH_SRC_TIER_STORAGE_TABLE_STORE_H_
--- a/src/disk/writer.cpp
+++ b/src/tier/storage/writer.cpp
@@ -1,4 +1,4 @@
-#include "disk/writer.h"
+#include "tier/storage/writer.h"
 
 #include <sys/eventfd.h>
 #include <unistd.h>
@@ -8,7 +8,7 @@
 #include <system_error>
 #include <utility>
 
-namespace pearreach::disk {
+namespace pearreach::storage {
 namespace {
 
 // What one transaction takes at most (a single larger batch is taken whole): bounds the memory for
@@ -17,7 +17,7 @@
 
 std::size_t BytesOf(const std::vector<Write>& batch) {
   std::size_t bytes = 0;
-  for (const disk::Write& write : batch) bytes += write.key.size() + write.value.size();
+  for (const storage::Write& write : batch) bytes += write.key.size() + write.value.size();
   return bytes;
 }
 
@@ -50,7 +50,7 @@
   close(event_);
 }
 
-void Writer::Queue(std::vector<disk::Write> batch, Done done) {
+void Writer::Queue(std::vector<storage::Write> batch, Done done) {
   bool first = false;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -81,7 +81,7 @@
 }
 
 void Writer::Write(std::vector<Job> jobs) {
-  std::vector<std::vector<disk::Write>> batches;
+  std::vector<std::vector<storage::Write>> batches;
   batches.reserve(jobs.size());
   for (Job& job : jobs) batches.push_back(std::move(job.batch));
   const std::vector<absl::Status> statuses = environment_->Commit(batches);
@@ -109,4 +109,4 @@
   }
 }
 
-}  // namespace pearreach::disk
+}  // namespace pearreach::storage
--- a/src/disk/writer.h
+++ b/src/tier/storage/writer.h
@@ -1,7 +1,7 @@
 // The thread that writes: takes what is queued in one go, commits it as one transaction and hands
 // the results back to the main loop. It sleeps while nothing is queued.
-#ifndef PEARREACH_SRC_DISK_WRITER_H_
-#define PEARREACH_SRC_DISK_WRITER_H_
+#ifndef PEARREACH_SRC_TIER_STORAGE_WRITER_H_
+#define PEARREACH_SRC_TIER_STORAGE_WRITER_H_
 
 #include <absl/status/status.h>
 
@@ -13,11 +13,11 @@
 #include <thread>
 #include <vector>
 
-#include "base/poller.h"
-#include "disk/environment.h"
-#include "disk/table_store.h"
+#include "common/event_loop/poller.h"
+#include "tier/storage/environment.h"
+#include "tier/storage/table_store.h"
 
-namespace pearreach::disk {
+namespace pearreach::storage {
 
 class Writer final : private Poller::Client {
  public:
@@ -58,6 +58,6 @@
   bool ending_ = false;
 };
 
-}  // namespace pearreach::disk
+}  // namespace pearreach::storage
 
-#endif  // PEARREACH_SRC_DISK_WRITER_H_
+#endif  // PEARREACH_SRC_TIER_STORAGE_WRITER_H_
--- a/tests/base/backoff_test.cpp
+++ b/tests/common/event_loop/backoff_test.cpp
@@ -1,5 +1,5 @@
 // Callers that failed together must not come again together, and not more often than they may.
-#include "base/backoff.h"
+#include "common/event_loop/backoff.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/base/poller_test.cpp
+++ b/tests/common/event_loop/poller_test.cpp
@@ -1,5 +1,5 @@
 // The set of descriptors under what handlers do to each other within one turn of the loop.
-#include "base/poller.h"
+#include "common/event_loop/poller.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
--- a/tests/http/http_test.cpp
+++ b/tests/common/http/http_test.cpp
@@ -1,5 +1,5 @@
 // The parser and writer of HTTP, without sockets.
-#include "http/http.h"
+#include "common/http/http.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,10 +1,10 @@
 // A tiny project that uses an installed copy.
-#include "marlquay/dispatcher.h"
+#include "pearreach/dispatcher.h"
 
 int main() {
-  marlquay::Settings settings;
+  pearreach::dispatch::Settings settings;
   settings.classes.resize(1);
-  if (!marlquay::ValidateSettings(settings).empty()) return 1;
-  marlquay::Dispatcher dispatcher(settings, 1, 0);
+  if (!pearreach::dispatch::ValidateSettings(settings).empty()) return 1;
+  pearreach::dispatch::Dispatcher dispatcher(settings, 1, 0);
   return dispatcher.KnownWorkers() == 0 ? 0 : 1;
 }
--- a/tests/module/checkpoint_test.cpp
+++ b/tests/dispatch/policy/checkpoint_test.cpp
@@ -1,5 +1,5 @@
 // Checkpoints: whatever has happened, a module made from one goes on as the first would have.
-#include "module/checkpoint.h"
+#include "dispatch/policy/checkpoint.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -8,7 +8,7 @@
 
 #include "driver.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 namespace {
 
 using testing::BaseSettings;
@@ -139,22 +139,23 @@
 }
 
 }  // namespace
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
 
 namespace rc {
 template <>
-struct Arbitrary<marlquay::Step> {
-  static Gen<marlquay::Step> arbitrary() {
-    return gen::build<marlquay::Step>(
-        gen::set(&marlquay::Step::kind, gen::inRange(0, 12)),
-        gen::set(&marlquay::Step::a, gen::inRange(0u, 100000u)),
-        gen::set(&marlquay::Step::b, gen::inRange(0u, 100000u)),
-        gen::set(&marlquay::Step::wait, gen::inRange<marlquay::Micros>(0, 60'000)));
+struct Arbitrary<pearreach::dispatch::Step> {
+  static Gen<pearreach::dispatch::Step> arbitrary() {
+    return gen::build<pearreach::dispatch::Step>(
+        gen::set(&pearreach::dispatch::Step::kind, gen::inRange(0, 12)),
+        gen::set(&pearreach::dispatch::Step::a, gen::inRange(0u, 100000u)),
+        gen::set(&pearreach::dispatch::Step::b, gen::inRange(0u, 100000u)),
+        gen::set(&pearreach::dispatch::Step::wait,
+                 gen::inRange<pearreach::dispatch::Micros>(0, 60'000)));
   }
 };
 }  // namespace rc
 
-namespace marlquay {
+namespace pearreach::dispatch {
 namespace {
 
 void Property(const char* name, const std::function<void()>& body) {
@@ -246,4 +247,4 @@
 }
 
 }  // namespace
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
--- a/tests/module/driver.h
+++ b/tests/dispatch/policy/driver.h
@@ -1,15 +1,15 @@
 // Drives one Dispatcher by hand: events in, actions sorted by kind out.
-#ifndef MARLQUAY_TESTS_DRIVER_H_
-#define MARLQUAY_TESTS_DRIVER_H_
+#ifndef PEARREACH_TESTS_DISPATCH_POLICY_DRIVER_H_
+#define PEARREACH_TESTS_DISPATCH_POLICY_DRIVER_H_
 
 #include <algorithm>
 #include <map>
 #include <utility>
 #include <vector>
 
-#include "marlquay/dispatcher.h"
+#include "pearreach/dispatcher.h"
 
-namespace marlquay::testing {
+namespace pearreach::dispatch::testing {
 
 constexpr Micros kMs = 1000;
 constexpr Micros kSecond = 1000 * kMs;
@@ -164,6 +164,6 @@
   std::multimap<Micros, int> timers;
 };
 
-}  // namespace marlquay::testing
+}  // namespace pearreach::dispatch::testing
 
-#endif  // MARLQUAY_TESTS_DRIVER_H_
+#endif  // PEARREACH_TESTS_DISPATCH_POLICY_DRIVER_H_
--- a/tests/module/knowledge_test.cpp
+++ b/tests/dispatch/policy/knowledge_test.cpp
@@ -4,7 +4,7 @@
 
 #include "driver.h"
 
-namespace marlquay::testing {
+namespace pearreach::dispatch::testing {
 namespace {
 
 PoolKnowledge APool(double limit) { return {0, limit, limit, 8, 100'000, 100'000, 0}; }
@@ -155,4 +155,4 @@
 }
 
 }  // namespace
-}  // namespace marlquay::testing
+}  // namespace pearreach::dispatch::testing
--- a/tests/module/policy_test.cpp
+++ b/tests/dispatch/policy/policy_test.cpp
@@ -6,7 +6,7 @@
 
 #include "driver.h"
 
-namespace marlquay::testing {
+namespace pearreach::dispatch::testing {
 namespace {
 
 // ---------------------------------------------------------------- the slot limit
@@ -1227,4 +1227,4 @@
 }
 
 }  // namespace
-}  // namespace marlquay::testing
+}  // namespace pearreach::dispatch::testing
--- a/tests/module/property_test.cpp
+++ b/tests/dispatch/policy/property_test.cpp
@@ -8,9 +8,9 @@
 #include <set>
 #include <string>
 
-#include "marlquay/dispatcher.h"
+#include "pearreach/dispatcher.h"
 
-namespace marlquay {
+namespace pearreach::dispatch {
 namespace {
 
 constexpr Micros kMs = 1000;
@@ -267,4 +267,4 @@
 }
 
 }  // namespace
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
--- a/tests/module/rules_test.cpp
+++ b/tests/dispatch/policy/rules_test.cpp
@@ -3,7 +3,7 @@
 
 #include "driver.h"
 
-namespace marlquay::testing {
+namespace pearreach::dispatch::testing {
 namespace {
 
 TEST(Once, GoesAgainOnlyWhenItProvablyNeverRan) {
@@ -312,4 +312,4 @@
 }
 
 }  // namespace
-}  // namespace marlquay::testing
+}  // namespace pearreach::dispatch::testing
--- a/tests/adapter/wire_test.cpp
+++ b/tests/dispatch/simulator/wire_test.cpp
@@ -1,5 +1,5 @@
 // The adapter alone, on hand-written transcripts.
-#include "adapter/wire.h"
+#include "dispatch/simulator/wire.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 #include <sstream>
 #include <string>
 
-namespace marlquay {
+namespace pearreach::dispatch {
 namespace {
 
 const char kConf[] =
@@ -194,4 +194,4 @@
 }
 
 }  // namespace
-}  // namespace marlquay
+}  // namespace pearreach::dispatch
--- a/tests/fuzz/capture_fuzz.cpp
+++ b/tests/fuzz/capture_fuzz.cpp
@@ -4,11 +4,11 @@
 #include <cstdint>
 #include <string>
 
-#include "capture/audit.h"
-#include "capture/explain.h"
-#include "capture/replay.h"
+#include "dispatch/policy/checkpoint.h"
 #include "lab/world/world.h"
-#include "module/checkpoint.h"
+#include "node/capture/audit.h"
+#include "node/capture/explain.h"
+#include "node/capture/replay.h"
 
 using namespace pearreach;
 
@@ -23,9 +23,9 @@
   // The second byte cuts the input into a checkpoint, where there is one, and turns.
   const std::size_t at = std::min<std::size_t>(input.size(), input.empty() ? 0 : 1 + input[0] % 64);
   if (at > 1) {
-    origin.layout = marlquay::Checkpoint::Layout();
-    marlquay::Dispatcher fresh(origin.Site().settings, 1, 0);
-    std::string state = marlquay::Checkpoint::Save(fresh);
+    origin.layout = dispatch::Checkpoint::Layout();
+    dispatch::Dispatcher fresh(origin.Site().settings, 1, 0);
+    std::string state = dispatch::Checkpoint::Save(fresh);
     for (std::size_t i = 1; i + 1 < at; i += 2)  // a few bytes of a good one changed
       state[(static_cast<unsigned char>(input[i]) * 37u) % state.size()] = input[i + 1];
     blocks.Append(capture::BlockType::kHead, 0, capture::WriteOrigin(origin), &file);
--- a/tests/fuzz/knowledge_fuzz.cpp
+++ b/tests/fuzz/knowledge_fuzz.cpp
@@ -6,16 +6,16 @@
 #include <cstdint>
 #include <string>
 
-#include "knowledge/file.h"
 #include "lab/world/world.h"
-#include "marlquay/dispatcher.h"
+#include "node/knowledge/file.h"
+#include "pearreach/dispatcher.h"
 
 using namespace pearreach;
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   if (size == 0) return 0;
   const std::string_view input(reinterpret_cast<const char*>(data) + 1, size - 1);
-  static const marlquay::Site site = marlquay::ReadSite(marlquay::Conf(lab::BaseSettings()));
+  static const dispatch::Site site = dispatch::ReadSite(dispatch::Conf(lab::BaseSettings()));
   std::string file(input);
   if ((data[0] & 1) == 0) {  // the header of an empty memory, with this body's length and hash
     knowledge::Memory none;
@@ -37,22 +37,22 @@
   const auto recall = knowledge::ForNode(*d.memory, site, d.memory->node,
                                          d.memory->written + data[0] * knowledge::kSecond, &why);
   if (!recall) return 0;
-  marlquay::Dispatcher module(site.settings, 1, 0);
-  marlquay::WorkerList list{marlquay::WorkerList::Form::kComplete, {}};
-  marlquay::Knowledge told = recall->common;
-  marlquay::WorkerId id = 0;
+  dispatch::Dispatcher module(site.settings, 1, 0);
+  dispatch::WorkerList list{dispatch::WorkerList::Form::kComplete, {}};
+  dispatch::Knowledge told = recall->common;
+  dispatch::WorkerId id = 0;
   for (const auto& [name, worker] : recall->workers) {
-    marlquay::WorkerEntry e;
+    dispatch::WorkerEntry e;
     e.worker = id;
     e.identity = id + 1;
     list.entries.push_back(e);
     told.workers.push_back(knowledge::ForModule(worker, id++, 1000));
     if (id >= 32) break;
   }
-  std::vector<marlquay::Action> actions;
-  marlquay::RequestArrived job;
+  std::vector<dispatch::Action> actions;
+  dispatch::RequestArrived job;
   job.due = 5'000'000;
-  module.Handle(1000, std::vector<marlquay::Event>{list, told, job}, &actions);
+  module.Handle(1000, std::vector<dispatch::Event>{list, told, job}, &actions);
   module.Handle(200'000, {}, &actions);
   knowledge::Collect(module.Learned(200'000), 200'000, site, {}, {}, "n", 1);
   return 0;
--- a/tests/fuzz/peers_fuzz.cpp
+++ b/tests/fuzz/peers_fuzz.cpp
@@ -4,25 +4,25 @@
 #include <cstdlib>
 #include <vector>
 
-#include "members/members.h"
-#include "peers/gate.h"
+#include "node/membership/members.h"
+#include "node/peer_transport/gate.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  namespace members = pearreach::members;
-  namespace peers = pearreach::peers;
-  constexpr std::uint64_t kProcess = members::Members::kEpoch + 1000;
+  namespace membership = pearreach::members;
+  namespace peer_transport = pearreach::peers;
+  constexpr std::uint64_t kProcess = membership::Members::kEpoch + 1000;
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
-  peers::Gate gate(0, 5);
-  peers::Dropped why{};
+  peer_transport::Gate gate(0, 5);
+  peer_transport::Dropped why{};
   (void)gate.Admit(bytes, size % 5, &why);
   // The checksum keeps a fuzzer out: what lies behind it is fuzzed by itself.
-  peers::Writer writer(1, kProcess, 1);
-  if (writer.Add(peers::Topic::kMembers, bytes.substr(0, writer.room()))) {
+  peer_transport::Writer writer(1, kProcess, 1);
+  if (writer.Add(peer_transport::Topic::kMembers, bytes.substr(0, writer.room()))) {
     const std::string whole = writer.Take();
     if (!gate.Admit(whole, 1, &why)) std::abort();
   }
-  members::Members m({.self = 0, .nodes = 5}, 1, 0, kProcess);
-  std::vector<members::Out> out;
+  membership::Members m({.self = 0, .nodes = 5}, 1, 0, kProcess);
+  std::vector<membership::Out> out;
   std::vector<std::uint64_t> before(5);
   for (int i = 0; i < 4; ++i) {
     m.Hear(1000 * (i + 1), 1 + i % 2, kProcess + i, i == 2, bytes, &out);
@@ -32,7 +32,7 @@
     }
     m.Tick(m.next(), &out);
   }
-  for (const members::Out& o : out)
+  for (const membership::Out& o : out)
     if (o.section.size() > 200 || o.to < 0 || o.to >= 5) std::abort();
   return 0;
 }
--- a/tests/fuzz/rules_fuzz.cpp
+++ b/tests/fuzz/rules_fuzz.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <vector>
 
-#include "rules/rules.h"
+#include "node/rules/rules.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   namespace rules = pearreach::rules;
--- a/tests/fuzz/tier_calls_fuzz.cpp
+++ b/tests/fuzz/tier_calls_fuzz.cpp
@@ -10,12 +10,12 @@
 #include <string_view>
 #include <vector>
 
-#include "base/timers.h"
-#include "batch/lot_api.h"
-#include "batch/store_client.h"
-#include "control/api_router.h"
-#include "http/http.h"
-#include "tier/batch/edge_fakes.h"
+#include "common/event_loop/timers.h"
+#include "common/http/http.h"
+#include "tier/batch/lot_api.h"
+#include "tier/batch/store_client.h"
+#include "tier/control/api_router.h"
+#include "tier/server/batch/edge_fakes.h"
 
 namespace {
 
@@ -83,7 +83,7 @@
 void RoutedCalls(const http::Message& message) {
   control::ApiRouter router;
   int called = 0;
-  const auto handle = [&called](const std::shared_ptr<front::Exchange>& exchange,
+  const auto handle = [&called](const std::shared_ptr<http_server::Exchange>& exchange,
                                 const std::string&) {
     ++called;
     exchange->Respond(200, {}, {});
--- a/tests/fuzz/tier_fuzz.cpp
+++ b/tests/fuzz/tier_fuzz.cpp
@@ -6,20 +6,20 @@
 #include <string>
 #include <vector>
 
-#include "batch/lot_json.h"
-#include "batch/lot_state.h"
-#include "batch/messages.h"
-#include "control/messages.h"
-#include "coordination/chain_messages.h"
-#include "coordination/membership.h"
-#include "mesh/frame.h"
-#include "proxy/event_splitter.h"
-#include "proxy/prompt_headers.h"
-#include "proxy/response_reader.h"
-#include "registry/worker_messages.h"
-#include "registry/worker_registry.h"
-#include "routing/route_table.h"
-#include "settings/node_settings.h"
+#include "tier/batch/lot_json.h"
+#include "tier/batch/lot_state.h"
+#include "tier/batch/messages.h"
+#include "tier/control/messages.h"
+#include "tier/coordination/chain_messages.h"
+#include "tier/coordination/membership.h"
+#include "tier/proxy/event_splitter.h"
+#include "tier/proxy/prompt_headers.h"
+#include "tier/proxy/response_reader.h"
+#include "tier/registry/worker_messages.h"
+#include "tier/registry/worker_registry.h"
+#include "tier/routing/route_table.h"
+#include "tier/rpc/frame.h"
+#include "tier/settings/node_settings.h"
 
 namespace {
 
@@ -77,13 +77,13 @@
 }
 
 void Frames(std::string_view bytes) {
-  mesh::FrameReader reader;
-  mesh::Frame frame;
+  rpc::FrameReader reader;
+  rpc::Frame frame;
   reader.Feed(bytes);
-  while (reader.Next(&frame) == mesh::FrameReader::State::kFrame) {
+  while (reader.Next(&frame) == rpc::FrameReader::State::kFrame) {
     std::string again;
-    mesh::AppendFrame(frame, &again);
-    if (again.size() != mesh::kFrameHead + frame.body.size()) std::abort();
+    rpc::AppendFrame(frame, &again);
+    if (again.size() != rpc::kFrameHead + frame.body.size()) std::abort();
   }
 }
 
--- a/tests/fuzz/tier_messages_fuzz.cpp
+++ b/tests/fuzz/tier_messages_fuzz.cpp
@@ -6,15 +6,15 @@
 #include <string_view>
 #include <vector>
 
-#include "batch/lot_state.h"
-#include "batch/messages.h"
-#include "batch/quota.h"
-#include "batch/replication_messages.h"
-#include "batch/store_path.h"
-#include "codec/archive.h"
-#include "control/messages.h"
-#include "coordination/chain_messages.h"
-#include "registry/worker_messages.h"
+#include "tier/batch/lot_state.h"
+#include "tier/batch/messages.h"
+#include "tier/batch/quota.h"
+#include "tier/batch/replication_messages.h"
+#include "tier/batch/store_path.h"
+#include "tier/codec/archive.h"
+#include "tier/control/messages.h"
+#include "tier/coordination/chain_messages.h"
+#include "tier/registry/worker_messages.h"
 
 namespace {
 
--- a/tests/fuzz/tier_state_fuzz.cpp
+++ b/tests/fuzz/tier_state_fuzz.cpp
@@ -9,18 +9,18 @@
 #include <utility>
 #include <vector>
 
-#include "batch/leases.h"
-#include "batch/lot_age.h"
-#include "batch/lot_state.h"
-#include "batch/placement.h"
-#include "codec/archive.h"
-#include "control/config_mark.h"
-#include "control/snapshot_store.h"
-#include "coordination/chain.h"
-#include "coordination/chain_messages.h"
-#include "coordination/change_marks.h"
-#include "registry/worker_state.h"
-#include "tier/batch/store_simulation.h"
+#include "tier/batch/leases.h"
+#include "tier/batch/lot_age.h"
+#include "tier/batch/lot_state.h"
+#include "tier/batch/placement.h"
+#include "tier/codec/archive.h"
+#include "tier/control/config_mark.h"
+#include "tier/control/snapshot_store.h"
+#include "tier/coordination/chain.h"
+#include "tier/coordination/chain_messages.h"
+#include "tier/coordination/change_marks.h"
+#include "tier/registry/worker_state.h"
+#include "tier/server/batch/store_simulation.h"
 
 namespace {
 
--- a/tests/fuzz/zones_fuzz.cpp
+++ b/tests/fuzz/zones_fuzz.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <vector>
 
-#include "zones/zones.h"
+#include "node/zones/zones.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   namespace zones = pearreach::zones;
--- a/tests/lab/load_test.cpp
+++ b/tests/lab/load_test.cpp
@@ -6,13 +6,13 @@
 #include <cmath>
 #include <fstream>
 
-#include "capture/segment.h"
-#include "fronts/front.h"
+#include "dispatch/settings/site.h"
 #include "lab/emulate/fleet.h"
 #include "lab/load/sender.h"
 #include "lab/world/world.h"
-#include "node/node.h"
-#include "site/site.h"
+#include "node/capture/segment.h"
+#include "node/engine/node.h"
+#include "node/http_frontend/front.h"
 
 namespace pearreach::lab {
 namespace {
@@ -170,7 +170,7 @@
     try {
       LoadPlan p;
       ReadTrace(text, "t.csv", &p);
-    } catch (const marlquay::Malformed& wrong) {
+    } catch (const dispatch::Malformed& wrong) {
       return std::string(wrong.what());
     }
     return std::string("nothing");
@@ -224,7 +224,7 @@
   Config config;
   config.discovery = fleet.discovery(0);
   config.settings = SettingsOf(s, 0);
-  config.site = marlquay::ReadSite(marlquay::Conf(config.settings));
+  config.site = dispatch::ReadSite(dispatch::Conf(config.settings));
   Node node(config);
   Front front(&node, 1024);
   ASSERT_EQ(front.Open(address), "");
--- a/tests/lab/simulation_test.cpp
+++ b/tests/lab/simulation_test.cpp
@@ -174,7 +174,7 @@
   const auto said = [](const std::string& xml) {
     try {
       ReadExperiment(xml, "x.xml");
-    } catch (const marlquay::Malformed& wrong) {
+    } catch (const dispatch::Malformed& wrong) {
       return std::string(wrong.what());
     }
     return std::string("nothing");
@@ -194,9 +194,9 @@
   for (const char* json : {"", "{", "[]", "{\"format\":2}", "{\"format\":1,\"experiment\":\"\"}",
                            "{\"format\":1,\"experiment\":\"\",\"what\":\"\",\"build\":\"\","
                            "\"runs\":[{}]}"})
-    EXPECT_THROW(ReadResults(json, "x.json"), marlquay::Malformed) << json;
+    EXPECT_THROW(ReadResults(json, "x.json"), dispatch::Malformed) << json;
   for (const char* trouble : {"", "fire:1:2:3", "slow:2:3:4", "slow:1:2", "slow:1:x:3"})
-    EXPECT_THROW(ReadTrouble(trouble), marlquay::Malformed) << trouble;
+    EXPECT_THROW(ReadTrouble(trouble), dispatch::Malformed) << trouble;
 }
 
 std::size_t CountIn(const std::string& text, const std::string& what) {
--- a/tests/lab/trial_test.cpp
+++ b/tests/lab/trial_test.cpp
@@ -4,10 +4,10 @@
 
 #include <algorithm>
 
+#include "dispatch/settings/site.h"
 #include "lab/trial/checkers.h"
 #include "lab/trial/fault.h"
 #include "lab/trial/shrink.h"
-#include "site/site.h"
 
 namespace pearreach::lab {
 namespace {
@@ -365,7 +365,7 @@
   const auto complaint = [](const std::string& text) -> std::string {
     try {
       ReadPlan(text, "plan.xml");
-    } catch (const marlquay::Malformed& wrong) {
+    } catch (const dispatch::Malformed& wrong) {
       return wrong.what();
     }
     return "";
@@ -389,7 +389,7 @@
   EXPECT_EQ(again[1].what, history[1].what);
   EXPECT_EQ(again[1].Of("x"), "1\n2");
   for (const char* bad : {"{", "[]", R"({"at":"x","who":"a","what":"b"})", R"({"at":1,"who":"a"})"})
-    EXPECT_THROW(ReadHistory(bad, "h"), marlquay::Malformed) << bad;
+    EXPECT_THROW(ReadHistory(bad, "h"), dispatch::Malformed) << bad;
   Moment m;
   EXPECT_TRUE(ReadLogLine(R"({"time":12.5,"node":"n1","event":"e","peer":"2"})", 12'000'000, &m));
   EXPECT_EQ(m.at, 500'000);
--- a/tests/admin/bans_test.cpp
+++ b/tests/node/admin/bans_test.cpp
@@ -1,13 +1,13 @@
 // The file of bans: what another process reads of it, and what it makes of a bad line.
-#include "admin/bans.h"
+#include "node/admin/bans.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
 
 #include <fstream>
 
-#include "admin/zone_orders.h"
-#include "base/log.h"
+#include "common/diagnostics/log.h"
+#include "node/admin/zone_orders.h"
 
 namespace pearreach::admin {
 namespace {
--- a/tests/admin/door_test.cpp
+++ b/tests/node/admin/door_test.cpp
@@ -1,6 +1,6 @@
 // The operators' door: what each call is answered, and that callers who send nothing, half a call
 // or too many connections neither go unanswered nor hold the door from the next one.
-#include "admin/door.h"
+#include "node/admin/door.h"
 
 #include <gtest/gtest.h>
 
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "base/log.h"
+#include "common/diagnostics/log.h"
 
 namespace pearreach::admin {
 namespace {
--- a/tests/capture/format_test.cpp
+++ b/tests/node/capture/format_test.cpp
@@ -1,10 +1,10 @@
 // The file: no damage goes unseen, a cut end is told from damage, and what is newer is refused.
-#include "capture/format.h"
+#include "node/capture/format.h"
 
 #include <gtest/gtest.h>
 
-#include "capture/replay.h"
 #include "lab/world/world.h"
+#include "node/capture/replay.h"
 
 namespace pearreach::capture {
 namespace {
@@ -29,7 +29,7 @@
   EXPECT_TRUE(r.ended);
   EXPECT_EQ(r.turns, world->turns().size());
   EXPECT_GT(world->served(), 10u);
-  EXPECT_EQ(segment.workers(), (marlquay::Names{"s-0", "s-1"}));
+  EXPECT_EQ(segment.workers(), (dispatch::Names{"s-0", "s-1"}));
 }
 
 // One bit turned, at every byte: never a crash and never 'identical'.
@@ -138,7 +138,7 @@
   origin.settings = lab::BaseSettings();
   origin.workers = {"a", "b", "c"};
   SegmentWriter writer(origin, nullptr);
-  marlquay::RequestArrived arrived;
+  dispatch::RequestArrived arrived;
   arrived.request = 1;
   arrived.preferred = {2, 0};
   Turn turn;
@@ -149,11 +149,11 @@
   Turn read;
   ASSERT_TRUE(segment.Next(&read)) << segment.damage();
   ASSERT_EQ(read.events.size(), 1u);
-  EXPECT_EQ(std::get<marlquay::RequestArrived>(read.events[0]).preferred, arrived.preferred);
+  EXPECT_EQ(std::get<dispatch::RequestArrived>(read.events[0]).preferred, arrived.preferred);
 }
 
 TEST(Format, RecordsThatMakeNoSenseAreRefused) {
-  const auto with = [](const marlquay::Event& event, const marlquay::Action& action) {
+  const auto with = [](const dispatch::Event& event, const dispatch::Action& action) {
     Origin origin;
     origin.settings = lab::BaseSettings();
     SegmentWriter writer(origin, nullptr);
@@ -164,19 +164,19 @@
     writer.Add(turn);
     return MessageOf(writer.Finish(""));
   };
-  const marlquay::Action fine = marlquay::Subscribe{};
+  const dispatch::Action fine = dispatch::Subscribe{};
   EXPECT_NE(
-      with(marlquay::AttemptStarted{1, 0, 4'000'000'000u}, fine).find("a worker without a name"),
+      with(dispatch::AttemptStarted{1, 0, 4'000'000'000u}, fine).find("a worker without a name"),
       std::string::npos);
-  marlquay::RequestArrived arrived;
+  dispatch::RequestArrived arrived;
   arrived.slots = std::nan("");
   EXPECT_NE(with(arrived, fine).find("a number that is none"), std::string::npos);
   arrived.slots = 1;
   arrived.preferred = {7};
   EXPECT_NE(with(arrived, fine).find("a worker without a name"), std::string::npos);
-  EXPECT_NE(with(marlquay::TimerFired{}, marlquay::Send{1, 7}).find("a worker without a name"),
+  EXPECT_NE(with(dispatch::TimerFired{}, dispatch::Send{1, 7}).find("a worker without a name"),
             std::string::npos);
-  EXPECT_EQ(with(marlquay::TimerFired{}, fine), "");
+  EXPECT_EQ(with(dispatch::TimerFired{}, fine), "");
 }
 
 }  // namespace
--- a/tests/capture/recorder_test.cpp
+++ b/tests/node/capture/recorder_test.cpp
@@ -1,5 +1,5 @@
 // The recorder under the disk's failures: the node serves on, and every segment replays alone.
-#include "capture/recorder.h"
+#include "node/capture/recorder.h"
 
 #include <gtest/gtest.h>
 
@@ -7,8 +7,8 @@
 #include <filesystem>
 #include <fstream>
 
-#include "capture/replay.h"
 #include "lab/world/scenarios.h"
+#include "node/capture/replay.h"
 
 namespace pearreach::capture {
 namespace {
@@ -42,7 +42,7 @@
   Recorder recorder(std::move(options), world->origin(), world->dispatcher(), {}, 0, true,
                     std::move(write));
   std::size_t turn = 0;
-  world->on_turn = [&](const Turn& t, const marlquay::Dispatcher& d, const marlquay::Names& names) {
+  world->on_turn = [&](const Turn& t, const dispatch::Dispatcher& d, const dispatch::Names& names) {
     recorder.OnTurn(t.now, t.events, t.notes, t.actions, d, names);
     recorder.Settle();  // the disk keeps up, so that where segments end is the same each time
     if (each) each(&recorder, turn);
@@ -181,8 +181,8 @@
   {
     Recorder recorder(options, world.origin(), world.dispatcher(), {}, 0, true, write);
     std::size_t most = 0, closed = 0;
-    world.on_turn = [&](const Turn& t, const marlquay::Dispatcher& d,
-                        const marlquay::Names& names) {
+    world.on_turn = [&](const Turn& t, const dispatch::Dispatcher& d,
+                        const dispatch::Names& names) {
       recorder.OnTurn(t.now, t.events, t.notes, t.actions, d, names);
       most = std::max(most, recorder.waiting());
       closed += recorder.open() ? 0 : 1;
--- a/tests/capture/tools_test.cpp
+++ b/tests/node/capture/tools_test.cpp
@@ -4,12 +4,12 @@
 
 #include <sstream>
 
-#include "adapter/wire.h"
-#include "capture/audit.h"
-#include "capture/edit.h"
-#include "capture/explain.h"
-#include "capture/replay.h"
+#include "dispatch/simulator/wire.h"
 #include "lab/world/scenarios.h"
+#include "node/capture/audit.h"
+#include "node/capture/edit.h"
+#include "node/capture/explain.h"
+#include "node/capture/replay.h"
 
 namespace pearreach::capture {
 namespace {
@@ -82,11 +82,11 @@
     while (segment.Next(&turn)) {
       for (const Note& n : turn.notes) EXPECT_TRUE(n.id.empty() || n.id.starts_with("job-"));
       for (const auto& e : turn.events)
-        if (const auto* list = std::get_if<marlquay::WorkerList>(&e))
+        if (const auto* list = std::get_if<dispatch::WorkerList>(&e))
           for (const auto& w : list->entries) identities.insert(w.identity);
     }
     for (const char* name : {"s-0", "s-5"})
-      EXPECT_FALSE(identities.contains(marlquay::HashName(name))) << "can be told from its hash";
+      EXPECT_FALSE(identities.contains(dispatch::HashName(name))) << "can be told from its hash";
     for (const std::string& w : segment.workers()) EXPECT_TRUE(w.starts_with("worker-"));
     for (const auto& [key, value] : segment.origin().settings)
       for (const char* name : {"acme", "umbra", "commit", "sync"})
@@ -108,7 +108,7 @@
   for (const auto& [worker, pair] : c.sends) sends += pair.first;
   EXPECT_EQ(sends, c.kinds[0].first);
   Segment bad(day, "day");
-  EXPECT_THROW(WhatIf(&bad, {{"Limits.TryLimit", "many"}}, {}), marlquay::Malformed);
+  EXPECT_THROW(WhatIf(&bad, {{"Limits.TryLimit", "many"}}, {}), dispatch::Malformed);
 }
 
 // A capture of a module that decided otherwise: replay says where, accept takes this module's word.
@@ -183,9 +183,9 @@
  public:
   Script() {
     origin_.settings = lab::BaseSettings();
-    marlquay::WorkerList list{marlquay::WorkerList::Form::kComplete, {}};
-    for (marlquay::WorkerId w = 0; w < 3; ++w) {
-      marlquay::WorkerEntry e;
+    dispatch::WorkerList list{dispatch::WorkerList::Form::kComplete, {}};
+    for (dispatch::WorkerId w = 0; w < 3; ++w) {
+      dispatch::WorkerEntry e;
       e.worker = w;
       e.cell = static_cast<int>(w / 2);
       list.entries.push_back(e);
@@ -193,22 +193,22 @@
     Add(kMs, {list}, {});
     turns_.back().workers = {"s-0", "s-1", "s-2"};
   }
-  void Add(Micros at, std::vector<marlquay::Event> events, std::vector<marlquay::Action> actions) {
+  void Add(Micros at, std::vector<dispatch::Event> events, std::vector<dispatch::Action> actions) {
     Turn t;
     t.now = at;
     t.events = std::move(events);
     t.actions = std::move(actions);
     turns_.push_back(t);
   }
-  static marlquay::RequestArrived Job(marlquay::RequestId id, int cls = 0) {
-    marlquay::RequestArrived e;
+  static dispatch::RequestArrived Job(dispatch::RequestId id, int cls = 0) {
+    dispatch::RequestArrived e;
     e.request = id;
     e.cls = cls;
     e.due = 5 * kSecond;
     return e;
   }
-  static marlquay::AttemptEnded Ended(marlquay::RequestId id, int attempt,
-                                      marlquay::WorkerId worker, marlquay::Outcome outcome,
+  static dispatch::AttemptEnded Ended(dispatch::RequestId id, int attempt,
+                                      dispatch::WorkerId worker, dispatch::Outcome outcome,
                                       bool settled = false) {
     return {id, attempt, worker, outcome, 0, settled, {}};
   }
@@ -226,8 +226,8 @@
   std::vector<Turn> turns_;
 };
 
-using marlquay::Outcome;
-using marlquay::Send;
+using dispatch::Outcome;
+using dispatch::Send;
 
 TEST(Audit, AGoodDayBreaksNothing) {
   for (const lab::Scenario& s : lab::Scenarios()) {
@@ -243,17 +243,17 @@
   Script s;
   s.Add(2 * kMs, {Script::Job(1)}, {});
   EXPECT_EQ(s.Broken(), "");
-  s.Add(6 * kSecond, {marlquay::TimerFired{}}, {});
+  s.Add(6 * kSecond, {dispatch::TimerFired{}}, {});
   EXPECT_EQ(s.Broken(), "1 job 1 had no answer by its deadline");
 }
 
 TEST(Audit, FindsASecondAnswerAndASendAfterTheEnd) {
   Script twice;
-  twice.Add(2 * kMs, {Script::Job(1)}, {marlquay::Refuse{1, 0}});
-  twice.Add(3 * kMs, {}, {marlquay::Fail{1}});
+  twice.Add(2 * kMs, {Script::Job(1)}, {dispatch::Refuse{1, 0}});
+  twice.Add(3 * kMs, {}, {dispatch::Fail{1}});
   EXPECT_EQ(twice.Broken(), "1 job 1 answered twice");
   Script after;
-  after.Add(2 * kMs, {Script::Job(1)}, {marlquay::Refuse{1, 0}});
+  after.Add(2 * kMs, {Script::Job(1)}, {dispatch::Refuse{1, 0}});
   after.Add(3 * kMs, {}, {Send{1, 0}});
   EXPECT_EQ(after.Broken(), "1 job 1 sent after its final answer");
 }
@@ -269,7 +269,7 @@
   EXPECT_EQ(full.Broken(), "");
   Script refused;
   refused.Add(2 * kMs, {Script::Job(1)}, {Send{1, 0}});
-  refused.Add(9 * kMs, {Script::Ended(1, 0, 0, Outcome::kTimeout)}, {marlquay::Refuse{1, 0}});
+  refused.Add(9 * kMs, {Script::Ended(1, 0, 0, Outcome::kTimeout)}, {dispatch::Refuse{1, 0}});
   EXPECT_EQ(refused.Broken(), "2 job 1 refused though it may have run at s-0");
   Script group;
   group.Add(2 * kMs, {Script::Job(1, 1)}, {Send{1, 0}});
@@ -283,10 +283,10 @@
 TEST(Audit, FindsASendAfterADrain) {
   const auto told = [](Micros sent) {
     Script s;
-    marlquay::WorkerEntry e;
+    dispatch::WorkerEntry e;
     e.worker = 1;
-    e.health = marlquay::Health::kDraining;
-    s.Add(10 * kMs, {marlquay::WorkerList{marlquay::WorkerList::Form::kChanges, {e}}}, {});
+    e.health = dispatch::Health::kDraining;
+    s.Add(10 * kMs, {dispatch::WorkerList{dispatch::WorkerList::Form::kChanges, {e}}}, {});
     s.Add(sent, {Script::Job(1)}, {Send{1, 1}});
     return s.Broken();
   };
@@ -299,14 +299,14 @@
     Script s;
     // One job of 400 ms on a warm worker tells what work there is; one slot is all that was seen.
     s.Add(10 * kMs, {Script::Job(1)}, {Send{1, 0}});
-    s.Add(20 * kMs, {marlquay::AttemptStarted{1, 0, 0}}, {});
+    s.Add(20 * kMs, {dispatch::AttemptStarted{1, 0, 0}}, {});
     s.Add(420 * kMs, {Script::Ended(1, 0, 0, Outcome::kGood, true)}, {});
-    marlquay::WorkerEntry e;
+    dispatch::WorkerEntry e;
     e.worker = 1;
     e.ready_at = 500 * kMs;
-    s.Add(510 * kMs, {marlquay::WorkerList{marlquay::WorkerList::Form::kChanges, {e}}}, {});
+    s.Add(510 * kMs, {dispatch::WorkerList{dispatch::WorkerList::Form::kChanges, {e}}}, {});
     for (int i = 0; i < jobs; ++i) {
-      const auto id = static_cast<marlquay::RequestId>(10 + i);
+      const auto id = static_cast<dispatch::RequestId>(10 + i);
       s.Add((600 + i) * kMs, {Script::Job(id)}, {Send{id, 1}});
       s.Add((600 + i) * kMs, {Script::Ended(id, 0, 1, Outcome::kGood, true)}, {});
     }
@@ -335,7 +335,7 @@
     all += b + "eof_batch\n";
     std::istringstream in(all);
     std::ostringstream out, err;
-    ASSERT_EQ(marlquay::ServeWire(in, out, err), 0) << err.str();
+    ASSERT_EQ(dispatch::ServeWire(in, out, err), 0) << err.str();
     std::string reply = out.str();
     for (std::size_t i = 0, n = static_cast<std::size_t>(&b - batches.data()); i < n; ++i)
       reply = reply.substr(reply.find("end\n") + 4);
--- a/tests/cli/cli_test.cpp
+++ b/tests/node/cli/cli_test.cpp
@@ -10,10 +10,10 @@
 #include <utility>
 #include <vector>
 
-#include "capture/segment.h"
-#include "knowledge/file.h"
 #include "lab/world/scenarios.h"
-#include "store/store.h"
+#include "node/capture/segment.h"
+#include "node/job_store/store.h"
+#include "node/knowledge/file.h"
 
 namespace pearreach {
 namespace {
@@ -113,16 +113,16 @@
 
 TEST(Cli, JobsToolsSpeakJson) {
   const std::string path = testing::TempDir() + "cli-jobs-" + std::to_string(getpid()) + ".db";
-  jobs::Job job;
+  job_state::Job job;
   {
-    const auto store = store::OpenSqlite({.path = path, .owner = "n0", .fault = {}});
+    const auto store = job_store::OpenSqlite({.path = path, .owner = "n0", .fault = {}});
     job.seq = store->NextSeq();
-    job.id = jobs::MakeId(job.seq, 7);
+    job.id = job_state::MakeId(job.seq, 7);
     job.request_id = "r1";
     job.cls = "commit";
-    store->Submit({{store::TakeJob{job}}, nullptr});
-    job.state = jobs::State::kInDoubt;
-    store->Submit({{store::PutJob{job}}, nullptr});
+    store->Submit({{job_store::TakeJob{job}}, nullptr});
+    job.state = job_state::State::kInDoubt;
+    store->Submit({{job_store::PutJob{job}}, nullptr});
   }
   const std::string on = " --json --store " + path;
   Result r = Call("jobs list" + on);
--- a/tests/config/config_test.cpp
+++ b/tests/node/config/config_test.cpp
@@ -1,5 +1,5 @@
 // The configuration, the list and the news, from JSON.
-#include "config/config.h"
+#include "node/config/config.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -11,7 +11,7 @@
 namespace pearreach {
 namespace {
 
-using marlquay::Malformed;
+using dispatch::Malformed;
 
 std::string Minimal(const std::string& settings) {
   return R"({"listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","settings":)" + settings + "}";
@@ -24,7 +24,7 @@
           "FamilyInfo":{"ClassKind":[-1,0],"ReportX0":"free slots","Notes":null},
           "RequestClasses":[{"Name":"commit","Effect":"once","DeadlineMs":5000.0},
                             {"Name":"sync","Effect":"by_key","KeyScope":"cell"}]})"));
-  const marlquay::Site wire = marlquay::ReadSite(marlquay::ReadPairs(
+  const dispatch::Site wire = dispatch::ReadSite(dispatch::ReadPairs(
       "Balancers=3 Models=big_box,old Zones=a,b Locality=b RoundMs=2.0 Limits.Cancel=true "
       "Limits.ConnectTimeoutMs=200.0 Limits.TryLimit=3 FamilyInfo.ClassKind=-1,0 "
       "FamilyInfo.ReportX0=free_slots RequestClasses.count=2 RequestClasses.0.Name=commit "
@@ -34,14 +34,14 @@
   EXPECT_EQ(c.site.classes, wire.classes);
   EXPECT_EQ(c.site.kinds, wire.kinds);
   EXPECT_TRUE(c.site.x0_is_free_slots && wire.x0_is_free_slots);
-  const marlquay::Settings &a = c.site.settings, &b = wire.settings;
+  const dispatch::Settings &a = c.site.settings, &b = wire.settings;
   EXPECT_EQ(a.zone, 1);
   EXPECT_EQ(a.round, b.round);
   EXPECT_EQ(a.connect_timeout, b.connect_timeout);
   EXPECT_EQ(a.try_limit, b.try_limit);
   EXPECT_EQ(a.classes[0].deadline, b.classes[0].deadline);
   EXPECT_EQ(a.classes[1].kind, 0);
-  EXPECT_EQ(a.classes[1].key_scope, marlquay::KeyScope::kCell);
+  EXPECT_EQ(a.classes[1].key_scope, dispatch::KeyScope::kCell);
 }
 
 TEST(Config, WhatIsWrongIsNamed) {
@@ -124,13 +124,13 @@
   ASSERT_EQ(list->servers.size(), 2u);
   EXPECT_EQ(list->servers[0].cell, 3);
   EXPECT_EQ(list->servers[0].started_ms, 99);
-  EXPECT_EQ(list->servers[1].health, marlquay::Health::kGone);
+  EXPECT_EQ(list->servers[1].health, dispatch::Health::kGone);
   for (const char* bad : {"", "[]", "{}", R"({"version":-1,"servers":[]})", R"({"version":1})"})
     EXPECT_FALSE(ReadListing(bad)) << bad;
 }
 
 TEST(NewsJson, IsReadWithItsLoadAndAnythingElseIsNone) {
-  marlquay::Site site;
+  dispatch::Site site;
   site.x0_is_free_slots = true;
   const auto news = ReadNews(
       R"({"id":"j","from":"s","state":"done","result":"a\u00e9","load":{"x0":2,"q":1}})", site);
--- a/tests/config/operator_test.cpp
+++ b/tests/node/config/operator_test.cpp
@@ -1,9 +1,9 @@
 // The operator's file: what is wrong is one line with its place, and nothing is half taken.
-#include "config/operator.h"
+#include "node/config/operator.h"
 
 #include <gtest/gtest.h>
 
-#include "site/site.h"
+#include "dispatch/settings/site.h"
 
 namespace pearreach {
 namespace {
@@ -12,7 +12,7 @@
   try {
     ReadOperatorFile(xml, "op.xml");
     return "";
-  } catch (const marlquay::Malformed& wrong) {
+  } catch (const dispatch::Malformed& wrong) {
     return wrong.what();
   }
 }
@@ -100,7 +100,7 @@
     try {
       ReadOperatorFile(text, "f");
       ADD_FAILURE() << text;
-    } catch (const marlquay::Malformed& wrong) {
+    } catch (const dispatch::Malformed& wrong) {
       EXPECT_EQ(wrong.what(), line);
     }
   }
--- a/tests/durable/keeper_test.cpp
+++ b/tests/node/durable_jobs/keeper_test.cpp
@@ -1,7 +1,7 @@
 // Stories of durable jobs over loopback sockets: a node with its keeper, front and store, against
 // scripted workers. A crash is a node that is dropped where it stands and another on the same
 // store.
-#include "durable/keeper.h"
+#include "node/durable_jobs/keeper.h"
 
 #include <gtest/gtest.h>
 
@@ -9,12 +9,12 @@
 #include <filesystem>
 #include <map>
 
-#include "capture/replay.h"
-#include "durable/orders.h"
-#include "fronts/front.h"
 #include "lab/base/agent.h"
 #include "lab/world/world.h"
-#include "tests/node/rig.h"
+#include "node/capture/replay.h"
+#include "node/durable_jobs/orders.h"
+#include "node/http_frontend/front.h"
+#include "tests/node/engine/rig.h"
 
 namespace pearreach {
 namespace {
@@ -27,7 +27,7 @@
   Config c;
   c.discovery = "127.0.0.1:1";
   c.settings = lab::BaseSettings();
-  c.site = marlquay::ReadSite(marlquay::Conf(c.settings));
+  c.site = dispatch::ReadSite(dispatch::Conf(c.settings));
   return c;
 }
 
@@ -39,10 +39,11 @@
 class Durable : public testing::Test {
  protected:
   struct Life {
-    Life(const std::string& path, jobs::Policy policy, store::Fault fault,
+    Life(const std::string& path, job_state::Policy policy, job_store::Fault fault,
          const std::string& address = "127.0.0.1:0")
         : node(TestConfig()),
-          keeper(&node, store::OpenSqlite({.path = path, .owner = "n0", .fault = std::move(fault)}),
+          keeper(&node,
+                 job_store::OpenSqlite({.path = path, .owner = "n0", .fault = std::move(fault)}),
                  policy, path),
           front(&keeper, 1024) {
       EXPECT_EQ(front.Open(address), "");
@@ -62,7 +63,7 @@
     fs::remove_all(folder_);
   }
 
-  void Start(store::Fault fault = {}, const std::string& address = "127.0.0.1:0") {
+  void Start(job_store::Fault fault = {}, const std::string& address = "127.0.0.1:0") {
     life.reset();
     life = std::make_unique<Life>(path_, policy, std::move(fault), address);
     ListWorkers();
@@ -116,7 +117,7 @@
   }
 
   std::string folder_, path_;
-  jobs::Policy policy;
+  job_state::Policy policy;
   std::vector<std::unique_ptr<Server>> workers;
   std::unique_ptr<Life> life;
 };
@@ -159,8 +160,8 @@
 // The intent cannot be written: nothing of it may reach a worker.
 TEST_F(Durable, NothingGoesOutBeforeItsIntentIsDurable) {
   std::atomic<bool> full = false;
-  Start([&](store::Stage s) {
-    return s == store::Stage::kCommit && full ? std::string("disk full") : std::string();
+  Start([&](job_store::Stage s) {
+    return s == job_store::Stage::kCommit && full ? std::string("disk full") : std::string();
   });
   const std::string path = Take("j1", "commit", "", "700m");
   ASSERT_EQ(path.substr(0, 7), "/_jobs/");
@@ -300,7 +301,7 @@
   EXPECT_TRUE(Becomes(path, "in doubt"));
   Start();
   EXPECT_NE(Get(path).find("in doubt"), std::string::npos);
-  WriteOrder(path_, {path.substr(7), jobs::State::kServed, "found in the memory"});
+  WriteOrder(path_, {path.substr(7), job_state::State::kServed, "found in the memory"});
   EXPECT_TRUE(Becomes(path, "served"));
   EXPECT_FALSE(OrderWaits(path_, path.substr(7)));
   EXPECT_EQ(Sent(), 1u);
@@ -334,8 +335,8 @@
 TEST_F(Durable, AnEndThatCannotBeWrittenIsNotAcknowledged) {
   std::atomic<bool> full = false;
   workers.push_back(std::make_unique<Server>(Fenced));
-  Start([&](store::Stage s) {
-    return s == store::Stage::kCommit && full ? std::string("disk full") : std::string();
+  Start([&](job_store::Stage s) {
+    return s == job_store::Stage::kCommit && full ? std::string("disk full") : std::string();
   });
   const std::string path = Take("j1");
   RunUntil([&] { return Sent() == 1; });
@@ -505,8 +506,8 @@
     EXPECT_EQ(r.damage, "");
     decisions += r.decisions;
     for (capture::Turn t; again.Next(&t);)
-      for (const marlquay::Event& e : t.events)
-        adopted += std::holds_alternative<marlquay::AttemptAdopted>(e) ? 1 : 0;
+      for (const dispatch::Event& e : t.events)
+        adopted += std::holds_alternative<dispatch::AttemptAdopted>(e) ? 1 : 0;
   }
   EXPECT_GT(decisions, 8u);
   EXPECT_GT(adopted, 0u) << "the crash left nothing to adopt";
@@ -560,8 +561,8 @@
     ++reached;
     return Accept(m);
   }));
-  Start([&](store::Stage s) {
-    if (s != store::Stage::kSync) return std::string();
+  Start([&](job_store::Stage s) {
+    if (s != job_store::Stage::kSync) return std::string();
     g_usleep(20'000);  // what goes out too early has time to arrive
     reached_by.push_back(reached);
     const std::string image = folder_ + "/image-" + std::to_string(images++);
@@ -579,13 +580,13 @@
   std::map<std::string, int> seen;
   for (int i = 0; i < images; ++i) {
     path_ = folder_ + "/image-" + std::to_string(i);
-    std::vector<jobs::Job> held;
-    store::OpenSqlite({.path = path_, .owner = "n0", .fault = {}})->Load([&](jobs::Job j) {
+    std::vector<job_state::Job> held;
+    job_store::OpenSqlite({.path = path_, .owner = "n0", .fault = {}})->Load([&](job_state::Job j) {
       held.push_back(std::move(j));
     });
     if (held.empty()) continue;  // before the intake
     const bool intent = !held[0].attempts.empty(), started = intent && held[0].attempts[0].started;
-    const bool ended = jobs::IsEnd(held[0].state);
+    const bool ended = job_state::IsEnd(held[0].state);
     const std::string at = ended ? "result" : started ? "start" : intent ? "intent" : "intake";
     ++seen[at];
     const int before = reached_by[static_cast<std::size_t>(i)];
@@ -612,10 +613,10 @@
   RunUntil([&] { return Sent() == 1; });
   life.reset();
   {
-    const auto store = store::OpenSqlite({.path = path_, .owner = "n0", .fault = {}});
-    jobs::Job job = store->AskNow(store::ByRequest{"j1"}).jobs.at(0);
-    job.attempts[0].ran = jobs::Ran::kDone;
-    store->Submit({{store::PutAttempt{job.seq, job.attempts[0]}}, nullptr});
+    const auto store = job_store::OpenSqlite({.path = path_, .owner = "n0", .fault = {}});
+    job_state::Job job = store->AskNow(job_store::ByRequest{"j1"}).jobs.at(0);
+    job.attempts[0].ran = job_state::Ran::kDone;
+    store->Submit({{job_store::PutAttempt{job.seq, job.attempts[0]}}, nullptr});
   }
   Start();
   EXPECT_TRUE(Becomes(path, "failed"));
--- a/tests/node/rig.h
+++ b/tests/node/engine/rig.h
@@ -1,7 +1,7 @@
 // Scripted peers of a node for stories over loopback sockets: workers or discovery, and callers.
 // They run on the main loop of the test.
-#ifndef PEARREACH_TESTS_NODE_RIG_H_
-#define PEARREACH_TESTS_NODE_RIG_H_
+#ifndef PEARREACH_TESTS_NODE_ENGINE_RIG_H_
+#define PEARREACH_TESTS_NODE_ENGINE_RIG_H_
 
 #include <gtest/gtest.h>
 
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-#include "base/io.h"
-#include "http/http.h"
+#include "common/event_loop/io.h"
+#include "common/http/http.h"
 #include "lab/base/standins.h"
 
 namespace pearreach::rig {
@@ -92,4 +92,4 @@
 
 }  // namespace pearreach::rig
 
-#endif  // PEARREACH_TESTS_NODE_RIG_H_
+#endif  // PEARREACH_TESTS_NODE_ENGINE_RIG_H_
--- a/tests/node/stories_test.cpp
+++ b/tests/node/engine/stories_test.cpp
@@ -11,11 +11,11 @@
 #include <map>
 #include <memory>
 
-#include "capture/replay.h"
-#include "fronts/front.h"
 #include "lab/world/world.h"
-#include "node/node.h"
-#include "tests/node/rig.h"
+#include "node/capture/replay.h"
+#include "node/engine/node.h"
+#include "node/http_frontend/front.h"
+#include "tests/node/engine/rig.h"
 
 namespace pearreach {
 namespace {
@@ -29,15 +29,15 @@
   c.site.tenants = {"acme"};
   c.site.zones = {"a"};
   c.site.kinds = {"m"};
-  marlquay::Settings& s = c.site.settings;
+  dispatch::Settings& s = c.site.settings;
   s.classes.resize(2);
   for (auto& cls : s.classes) {
     cls.aim = kSecond;
     cls.deadline = 5 * kSecond;
     cls.late_value = 0.3;
   }
-  s.classes[1].effect = marlquay::Effect::kByKey;
-  s.classes[1].key_scope = marlquay::KeyScope::kCell;
+  s.classes[1].effect = dispatch::Effect::kByKey;
+  s.classes[1].key_scope = dispatch::KeyScope::kCell;
   s.classes[1].key_window = 7 * kSecond;
   s.tells_start = true;
   s.progress_every = kSecond;
@@ -278,7 +278,7 @@
     void OnGone(const std::string& w) override { all += "-" + w + " "; }
     void OnSent(const std::string& w) override { all += "sent:" + w + " "; }
     void OnHeard(const std::string&) override { ++heard; }
-    void OnEnded(const std::string& w, marlquay::Outcome o, int, Micros) override {
+    void OnEnded(const std::string& w, dispatch::Outcome o, int, Micros) override {
       all += "ended:" + w + ":" + std::to_string(static_cast<int>(o)) + " ";
     }
     std::string all;
@@ -742,7 +742,7 @@
   ASSERT_NE(mkdtemp(folder.data()), nullptr);
   Config config = BaseConfig();
   config.settings = lab::BaseSettings();
-  config.site = marlquay::ReadSite(marlquay::Conf(config.settings));
+  config.site = dispatch::ReadSite(dispatch::Conf(config.settings));
   Rig rig(config);
   const CaptureSettings settings{.folder = folder, .flush_every = 20 * kMs};
   rig.node.Capture(settings, "test", 1);
--- a/tests/handover/handover_test.cpp
+++ b/tests/node/hot_restart/handover_test.cpp
@@ -1,6 +1,6 @@
 // A node's process hands over to the next one, between real processes, and either is killed on the
 // way.
-#include "handover/handover.h"
+#include "node/hot_restart/handover.h"
 
 #include <gio/gunixsocketaddress.h>
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 #include <memory>
 
 #include "lab/base/standins.h"
-#include "tests/node/rig.h"
+#include "tests/node/engine/rig.h"
 
 namespace pearreach {
 namespace {
--- a/tests/jobs/ledger_test.cpp
+++ b/tests/node/job_state/ledger_test.cpp
@@ -1,20 +1,20 @@
 // The decisions about durable jobs, by table and by property.
-#include "jobs/ledger.h"
+#include "node/job_state/ledger.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
-namespace pearreach::jobs {
+namespace pearreach::job_state {
 namespace {
 
-using marlquay::Effect;
+using dispatch::Effect;
 using What = Recovery::What;
 
 constexpr UnixMicros kNow = 1'700'000'000'000'000;
 constexpr std::int64_t kS = 1'000'000;
 
-marlquay::ClassSettings Class(Effect effect) {
-  marlquay::ClassSettings c;
+dispatch::ClassSettings Class(Effect effect) {
+  dispatch::ClassSettings c;
   c.effect = effect;
   c.key_window = 7 * kS;
   return c;
@@ -39,7 +39,7 @@
 }
 
 What After(const Job& job, Effect effect, UnixMicros now = kNow) {
-  const marlquay::ClassSettings c = Class(effect);
+  const dispatch::ClassSettings c = Class(effect);
   return Recover(job, &c, {}, now).what;
 }
 
@@ -70,7 +70,7 @@
 // A wall clock that was set back makes a lease, or a window, look longer than it is.
 TEST(Recover, AClockThatSteppedDoesNotStretchALeaseOrAWindow) {
   Policy policy;
-  const marlquay::ClassSettings once = Class(Effect::kOnce), keyed = Class(Effect::kByKey);
+  const dispatch::ClassSettings once = Class(Effect::kOnce), keyed = Class(Effect::kByKey);
   const Job job = JobWith({Tried(Ran::kOut, kS, 3600 * kS)});
   EXPECT_EQ(Recover(job, &once, policy, kNow).what, What::kAdopt);
   EXPECT_FALSE(MayRepeat(JobWith({Tried(Ran::kMaybe, -30 * kS)}), keyed, kNow))
@@ -231,4 +231,4 @@
 }
 
 }  // namespace
-}  // namespace pearreach::jobs
+}  // namespace pearreach::job_state
--- a/tests/store/sqlite_test.cpp
+++ b/tests/node/job_store/sqlite_test.cpp
@@ -11,13 +11,13 @@
 #include <fstream>
 #include <map>
 
-#include "store/store.h"
+#include "node/job_store/store.h"
 
-namespace pearreach::store {
+namespace pearreach::job_store {
 namespace {
 
 namespace fs = std::filesystem;
-using jobs::Job;
+using job_state::Job;
 
 class Sqlite : public testing::Test {
  protected:
@@ -62,16 +62,16 @@
   {
     auto store = Open();
     Job a = Make(store.get(), "a"), b = Make(store.get(), "b");
-    jobs::Attempt attempt;
+    job_state::Attempt attempt;
     attempt.worker = "w";
     attempt.fence = 3;
     attempt.knows_fences = true;
-    attempt.ran = jobs::Ran::kMaybe;
+    attempt.ran = job_state::Ran::kMaybe;
     attempt.lease_until = 77;
     EXPECT_EQ(Put(store.get(), {TakeJob{a}}), "");
     EXPECT_EQ(Put(store.get(), {TakeJob{b}}), "");
     EXPECT_EQ(Put(store.get(), {PutAttempt{b.seq, attempt}}), "");
-    b.state = jobs::State::kInDoubt;
+    b.state = job_state::State::kInDoubt;
     b.reason = "why";
     EXPECT_EQ(Put(store.get(), {PutJob{b}}), "");
   }
@@ -80,7 +80,7 @@
   EXPECT_EQ(all[0].id, "a");
   EXPECT_EQ(all[0].body, std::string("a\0b", 3));
   EXPECT_EQ(all[0].key, 0xfedcba9876543210u);
-  EXPECT_EQ(all[1].state, jobs::State::kInDoubt);
+  EXPECT_EQ(all[1].state, job_state::State::kInDoubt);
   EXPECT_EQ(all[1].reason, "why");
   ASSERT_EQ(all[1].attempts.size(), 1u);
   EXPECT_EQ(all[1].attempts[0].fence, 3u);
@@ -286,7 +286,7 @@
       EXPECT_EQ(Put(store.get(), {TakeJob{all.back()}}), "");
     }
     for (Job& j : all) {
-      j.state = jobs::State::kServed;
+      j.state = job_state::State::kServed;
       j.forget_at = 1;
       EXPECT_EQ(Put(store.get(), {PutJob{j}}), "");
     }
@@ -388,7 +388,7 @@
   EXPECT_EQ(said[1].id, "a");
   EXPECT_EQ(said[2].kind, Kind::kConflict);
   EXPECT_EQ(said[3].kind, Kind::kWritten);
-  first.state = jobs::State::kRefused;
+  first.state = job_state::State::kRefused;
   first.forget_at = 10;
   EXPECT_EQ(Put(store.get(), {PutJob{first}}), "");
   take("e", "r1", "k");
@@ -421,7 +421,7 @@
   }
   while (answers < 700) g_main_context_iteration(nullptr, TRUE);
   for (std::uint64_t after = 0;;) {
-    const Found found = store->AskNow(InState{jobs::State::kQueued, after, 64});
+    const Found found = store->AskNow(InState{job_state::State::kQueued, after, 64});
     for (const Job& j : found.jobs) page.push_back(after = j.seq);
     if (found.jobs.size() < 64) break;
   }
@@ -444,7 +444,7 @@
   for (std::uint64_t seq = 1; seq <= 3000; ++seq) {
     Job j;
     j.seq = seq;
-    j.state = jobs::State::kServed;
+    j.state = job_state::State::kServed;
     j.forget_at = 5;
     store->Submit({{PutJob{j}}, [&](const Outcome& o) { told += o.error.empty() ? 1 : 0; }});
   }
@@ -459,4 +459,4 @@
 }
 
 }  // namespace
-}  // namespace pearreach::store
+}  // namespace pearreach::job_store
--- a/tests/knowledge/disks.h
+++ b/tests/node/knowledge/disks.h
@@ -1,7 +1,7 @@
 // A stand-in for the disk under a knowledge file: what programs see, what a power cut would leave,
 // and a process that dies, or a call that fails, at any system call.
-#ifndef PEARREACH_TESTS_KNOWLEDGE_DISKS_H_
-#define PEARREACH_TESTS_KNOWLEDGE_DISKS_H_
+#ifndef PEARREACH_TESTS_NODE_KNOWLEDGE_DISKS_H_
+#define PEARREACH_TESTS_NODE_KNOWLEDGE_DISKS_H_
 
 #include <algorithm>
 #include <cerrno>
@@ -9,7 +9,7 @@
 #include <memory>
 #include <string>
 
-#include "knowledge/disk.h"
+#include "node/knowledge/disk.h"
 
 namespace pearreach::knowledge {
 
@@ -110,4 +110,4 @@
 
 }  // namespace pearreach::knowledge
 
-#endif  // PEARREACH_TESTS_KNOWLEDGE_DISKS_H_
+#endif  // PEARREACH_TESTS_NODE_KNOWLEDGE_DISKS_H_
--- a/tests/knowledge/knowledge_test.cpp
+++ b/tests/node/knowledge/knowledge_test.cpp
@@ -10,9 +10,9 @@
 #include <fstream>
 #include <set>
 
-#include "knowledge/file.h"
-#include "knowledge/saver.h"
-#include "tests/knowledge/disks.h"
+#include "node/knowledge/file.h"
+#include "node/knowledge/saver.h"
+#include "tests/node/knowledge/disks.h"
 
 namespace pearreach::knowledge {
 namespace {
@@ -22,8 +22,8 @@
 constexpr UnixMicros kThen = 1'790'000'000'000'000;
 constexpr Micros kHour = 3600 * kSecond;
 
-marlquay::Site TestSite(int nodes = 3) {
-  marlquay::Site site;
+dispatch::Site TestSite(int nodes = 3) {
+  dispatch::Site site;
   site.kinds = {"big", "old"};
   site.classes = {"commit", "sync"};
   site.tenants = {"acme"};
@@ -46,7 +46,7 @@
   m.pools = {{"big", {0, 40, 30, 8, 200'000, 250'000, 900}},
              {"old", {1, 4, 4, 7, 300'000, 250'000, 0}}};
   for (int i = 0; i < workers; ++i) {
-    marlquay::WorkerKnowledge w;
+    dispatch::WorkerKnowledge w;
     w.slowness = i % 2 == 0 ? 2 : 0.5;
     w.failures = 0.4;
     w.silent = i == 1;
@@ -114,11 +114,11 @@
 
 TEST(Ageing, TheClockAndTheSiteAreHeldAgainstIt) {
   std::string why;
-  const marlquay::Site site = TestSite();
+  const dispatch::Site site = TestSite();
   ASSERT_TRUE(ForNode(Sample(), site, "n0", kThen + kSecond, &why));
   EXPECT_FALSE(ForNode(Sample(), site, "n1", kThen, &why));
   EXPECT_EQ(why, "it is of node n0");
-  marlquay::Site other = site;
+  dispatch::Site other = site;
   other.kinds[1] = "huge";
   EXPECT_FALSE(ForNode(Sample(), other, "n0", kThen, &why));
   EXPECT_EQ(why, "it is of another site");
--- a/tests/members/members_test.cpp
+++ b/tests/node/membership/members_test.cpp
@@ -1,6 +1,6 @@
 // The membership machine, alone and many of them in virtual time: what may never happen whatever
 // comes in which order, and the bounds that the design note states.
-#include "members/members.h"
+#include "node/membership/members.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -12,7 +12,7 @@
 #include "lab/trial/figures.h"
 #include "lab/trial/virtual.h"
 
-namespace pearreach::members {
+namespace pearreach::membership {
 namespace {
 
 constexpr std::uint64_t kEpoch = Members::kEpoch;
@@ -146,7 +146,7 @@
 }
 
 }  // namespace
-}  // namespace pearreach::members
+}  // namespace pearreach::membership
 
 namespace pearreach::lab {
 namespace {
--- a/tests/peers/peers_test.cpp
+++ b/tests/node/peer_transport/peers_test.cpp
@@ -1,6 +1,6 @@
 // Words between nodes: the datagram's form against what must not be believed, the gate, the budget,
 // and two nodes of the program's own on loopback sockets.
-#include "peers/peers.h"
+#include "node/peer_transport/peers.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -9,11 +9,11 @@
 #include <fstream>
 #include <iterator>
 
-#include "fleet/fleet.h"
 #include "lab/base/standins.h"
-#include "peers/gate.h"
+#include "node/fleet/fleet.h"
+#include "node/peer_transport/gate.h"
 
-namespace pearreach::peers {
+namespace pearreach::peer_transport {
 namespace {
 
 std::string Word(int from, std::uint64_t process, std::uint32_t number,
@@ -219,4 +219,4 @@
 }
 
 }  // namespace
-}  // namespace pearreach::peers
+}  // namespace pearreach::peer_transport
--- a/tests/rules/rules_test.cpp
+++ b/tests/node/rules/rules_test.cpp
@@ -1,6 +1,6 @@
 // Versions of the rules: how two compare, their forms, and the agreement of many nodes in virtual
 // time, with each of its guards and without.
-#include "rules/rules.h"
+#include "node/rules/rules.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -11,13 +11,13 @@
 #include <cerrno>
 #include <map>
 
-#include "base/log.h"
-#include "fleet/rules_file.h"
-#include "fleet/rules_part.h"
+#include "common/diagnostics/log.h"
+#include "dispatch/settings/site.h"
 #include "lab/stats/stats.h"
 #include "lab/trial/rules_checkers.h"
 #include "lab/trial/rules_virtual.h"
-#include "site/site.h"
+#include "node/fleet/rules_file.h"
+#include "node/fleet/rules_part.h"
 
 namespace pearreach {
 namespace {
@@ -95,7 +95,7 @@
   const auto wrong = [](const std::string& text) {
     try {
       rules::ReadXml(text, "rules.xml", {0}, 3);
-    } catch (const marlquay::Malformed& e) {
+    } catch (const dispatch::Malformed& e) {
       return std::string(e.what());
     }
     return std::string();
--- a/tests/shared/shared_test.cpp
+++ b/tests/node/shared_state/shared_test.cpp
@@ -1,6 +1,6 @@
 // What the fleet shares: each kind's contract as a property, and many nodes in virtual time under
 // faults. Each test is red when the guard that it names is taken out.
-#include "shared/shared.h"
+#include "node/shared_state/shared.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -15,7 +15,7 @@
 
 using lab::Fault;
 using lab::TrialPlan;
-using namespace shared;  // NOLINT: the test is about nothing else
+using namespace shared_state;  // NOLINT: the test is about nothing else
 
 constexpr Micros kUnix = 1'800'000'000'000'000;
 
--- a/tests/zones/zones_test.cpp
+++ b/tests/node/zones/zones_test.cpp
@@ -1,6 +1,6 @@
 // Leaving a zone as a fleet and coming back: the machine in virtual time under the faults of a
 // trial, its guards left out one by one, and its merges.
-#include "zones/zones.h"
+#include "node/zones/zones.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
--- a/tests/tier/batch/edge_fakes.h
+++ b/tests/tier/batch/edge_fakes.h
@@ -13,11 +13,11 @@
 #include <utility>
 #include <vector>
 
-#include "batch/messages.h"
-#include "control/control_client.h"
-#include "front/exchange.h"
-#include "mesh/mesh.h"
-#include "proxy/job.h"
+#include "tier/batch/messages.h"
+#include "tier/control/control_client.h"
+#include "tier/http_server/exchange.h"
+#include "tier/proxy/job.h"
+#include "tier/rpc/mesh.h"
 
 namespace pearreach::batch::edge_test {
 
@@ -33,10 +33,10 @@
 
 struct FakeCall {
   std::string address;
-  mesh::MessageType type;
+  rpc::MessageType type;
   std::string body;
   Micros timeout = 0;
-  mesh::Done done;
+  rpc::Done done;
 
   template <class Message>
   Message As() const {
@@ -48,26 +48,26 @@
   }
 };
 
-class FakeMesh final : public mesh::Mesh {
+class FakeMesh final : public rpc::Mesh {
  public:
-  void Handle(mesh::MessageType type, mesh::Handler handler) override {
+  void Handle(rpc::MessageType type, rpc::Handler handler) override {
     handlers[type] = std::move(handler);
   }
-  void Call(const std::string& address, mesh::MessageType type, std::string body, Micros timeout,
-            mesh::Done done) override {
+  void Call(const std::string& address, rpc::MessageType type, std::string body, Micros timeout,
+            rpc::Done done) override {
     calls.push_back({address, type, std::move(body), timeout, std::move(done)});
   }
-  void HandleDatagrams(mesh::DatagramHandler) override {}
+  void HandleDatagrams(rpc::DatagramHandler) override {}
   void SendDatagram(const std::string&, std::string_view) override {}
 
   // The first call of this type that has not been taken out yet; waits for it.
-  bool Has(mesh::MessageType type) const {
+  bool Has(rpc::MessageType type) const {
     for (const FakeCall& call : calls) {
       if (call.type == type) return true;
     }
     return false;
   }
-  FakeCall Next(mesh::MessageType type) {
+  FakeCall Next(rpc::MessageType type) {
     TurnUntil([&] { return Has(type); });
     for (auto at = calls.begin(); at != calls.end(); ++at) {
       if (at->type != type) continue;
@@ -78,7 +78,7 @@
     return {};
   }
 
-  std::map<mesh::MessageType, mesh::Handler> handlers;
+  std::map<rpc::MessageType, rpc::Handler> handlers;
   std::deque<FakeCall> calls;
 };
 
@@ -189,7 +189,7 @@
   std::map<std::string, int> room;
 };
 
-class FakeExchange final : public front::Exchange {
+class FakeExchange final : public http_server::Exchange {
  public:
   const http::Message& request() const override { return message; }
   http::Message& mutable_request() override { return message; }
--- a/tests/tier/batch/edge_hand_in_test.cpp
+++ b/tests/tier/batch/edge_hand_in_test.cpp
@@ -5,16 +5,16 @@
 #include <memory>
 #include <optional>
 
-#include "base/timers.h"
-#include "batch/lot_hand_in.h"
-#include "batch/store_client.h"
+#include "common/event_loop/timers.h"
 #include "edge_fakes.h"
+#include "tier/batch/lot_hand_in.h"
+#include "tier/batch/store_client.h"
 
 namespace pearreach::batch {
 namespace {
 
 using namespace edge_test;
-using mesh::MessageType;
+using rpc::MessageType;
 
 constexpr char kRoute[] = "route";
 constexpr char kLot[] = "lot";
--- a/tests/tier/batch/edge_item_worker_test.cpp
+++ b/tests/tier/batch/edge_item_worker_test.cpp
@@ -1,17 +1,17 @@
 // Running leased items: jobs, results, leases and the end of the process.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "base/timers.h"
-#include "batch/event_text.h"
-#include "batch/item_worker.h"
+#include "common/event_loop/timers.h"
 #include "edge_fakes.h"
-#include "proxy/prompt_headers.h"
+#include "tier/batch/event_text.h"
+#include "tier/batch/item_worker.h"
+#include "tier/proxy/prompt_headers.h"
 
 namespace pearreach::batch {
 namespace {
 
 using namespace edge_test;
-using mesh::MessageType;
+using rpc::MessageType;
 
 class EdgeItemWorkerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EdgeItemWorkerTest);
--- a/tests/tier/batch/edge_lot_api_test.cpp
+++ b/tests/tier/batch/edge_lot_api_test.cpp
@@ -1,17 +1,17 @@
 // The clients' calls about lots, and the calls to the stores behind them.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "base/timers.h"
-#include "batch/lot_api.h"
-#include "batch/lot_json.h"
-#include "batch/store_client.h"
+#include "common/event_loop/timers.h"
 #include "edge_fakes.h"
+#include "tier/batch/lot_api.h"
+#include "tier/batch/lot_json.h"
+#include "tier/batch/store_client.h"
 
 namespace pearreach::batch {
 namespace {
 
 using namespace edge_test;
-using mesh::MessageType;
+using rpc::MessageType;
 
 constexpr char kLot[] = R"({"entries":[{"worker_id":"i1","path":"/b/1","headers":{"X-Model":"m"},)"
                         R"("payload":"q83vEjRWeJA=","tokens":940}]})";
--- a/tests/tier/batch/edge_store_path_test.cpp
+++ b/tests/tier/batch/edge_store_path_test.cpp
@@ -1,14 +1,14 @@
 // Which way calls to a store go while the direct one is silent, and what a node passes on.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "batch/store_path.h"
 #include "edge_fakes.h"
+#include "tier/batch/store_path.h"
 
 namespace pearreach::batch {
 namespace {
 
 using namespace edge_test;
-using mesh::MessageType;
+using rpc::MessageType;
 
 const StoreId kStore = {"s0", "d"};
 
--- a/tests/tier/batch/lot_age_test.cpp
+++ b/tests/tier/batch/lot_age_test.cpp
@@ -1,5 +1,5 @@
 // How long lots are known, by a clock that does not step.
-#include "batch/lot_age.h"
+#include "tier/batch/lot_age.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/tier/batch/placement_duty_test.cpp
+++ b/tests/tier/batch/placement_duty_test.cpp
@@ -1,12 +1,12 @@
 // The duty that proposes placements, and the operator's calls that empty a storage machine.
-#include "batch/placement_duty.h"
+#include "tier/batch/placement_duty.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "base/timers.h"
-#include "batch/placement.h"
-#include "batch/retire_api.h"
+#include "common/event_loop/timers.h"
 #include "edge_fakes.h"
+#include "tier/batch/placement.h"
+#include "tier/batch/retire_api.h"
 
 namespace pearreach::batch {
 namespace {
@@ -45,7 +45,7 @@
 
   absl::StatusOr<std::string> Send(const StoreStatus& status) {
     absl::StatusOr<std::string> answer;
-    mesh_.handlers.at(mesh::MessageType::kStoreStatus)(
+    mesh_.handlers.at(rpc::MessageType::kStoreStatus)(
         "ip", codec::Encode(status),
         [&](absl::StatusOr<std::string> given) { answer = std::move(given); });
     return answer;
@@ -118,8 +118,8 @@
     StoreStatus status;
     status.silent = {{"s0", "d"}, {"s1", "d"}};
     CPPUNIT_ASSERT(TurnUntil([&] { return Send(status).ok(); }));
-    const FakeCall first = mesh_.Next(mesh::MessageType::kStorePing);
-    const FakeCall second = mesh_.Next(mesh::MessageType::kStorePing);
+    const FakeCall first = mesh_.Next(rpc::MessageType::kStorePing);
+    const FakeCall second = mesh_.Next(rpc::MessageType::kStorePing);
     CPPUNIT_ASSERT_EQUAL(std::string("s0:1"), first.address);
     CPPUNIT_ASSERT_EQUAL(std::string("s1:1"), second.address);
     second.done(std::string());
--- a/tests/tier/batch/placement_rules_test.cpp
+++ b/tests/tier/batch/placement_rules_test.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <set>
 
-#include "batch/placement.h"
+#include "tier/batch/placement.h"
 
 namespace pearreach::batch {
 namespace {
--- a/tests/tier/batch/store_commit_queue_test.cpp
+++ b/tests/tier/batch/store_commit_queue_test.cpp
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "batch/commit_queue.h"
+#include "tier/batch/commit_queue.h"
 
 namespace pearreach::batch {
 namespace {
@@ -12,7 +12,7 @@
 class HeldDisk {
  public:
   CommitQueue::Write Writer() {
-    return [this](std::vector<disk::Write> batch, CommitQueue::Done done) {
+    return [this](std::vector<storage::Write> batch, CommitQueue::Done done) {
       batches.push_back(std::move(batch));
       dones_.push_back(std::move(done));
     };
@@ -22,7 +22,7 @@
     dones_.pop_front();
     done(status);
   }
-  std::vector<std::vector<disk::Write>> batches;
+  std::vector<std::vector<storage::Write>> batches;
 
  private:
   std::deque<CommitQueue::Done> dones_;
--- a/tests/tier/batch/store_fleet.h
+++ b/tests/tier/batch/store_fleet.h
@@ -13,15 +13,15 @@
 #include <utility>
 #include <vector>
 
-#include "batch/disk_room.h"
-#include "batch/lot_store_changes.h"
-#include "batch/lot_store_context.h"
-#include "batch/lot_store_items.h"
-#include "batch/lot_store_quota.h"
-#include "batch/lot_store_reads.h"
-#include "batch/placement.h"
-#include "batch/repair_pacer.h"
 #include "store_simulation.h"
+#include "tier/batch/disk_room.h"
+#include "tier/batch/lot_store_changes.h"
+#include "tier/batch/lot_store_context.h"
+#include "tier/batch/lot_store_items.h"
+#include "tier/batch/lot_store_quota.h"
+#include "tier/batch/lot_store_reads.h"
+#include "tier/batch/placement.h"
+#include "tier/batch/repair_pacer.h"
 
 namespace pearreach::batch::fleet_test {
 
@@ -34,7 +34,7 @@
   ~VirtualStore() override;
 
   void Adopt(const PlacementTable& table);
-  void Receive(mesh::MessageType type, const std::string& body, const mesh::Respond& respond);
+  void Receive(rpc::MessageType type, const std::string& body, const rpc::Respond& respond);
   void Tick();
   LotChanges& changes() { return changes_; }
   LotItems& items() { return items_; }
@@ -43,10 +43,10 @@
   std::uint64_t Random() override;
   Timers::Id After(Micros delay, std::function<void()> callback) override;
   void Cancel(Timers::Id* id) override;
-  void Send(const StoreId& to, mesh::MessageType type, std::string body, Micros timeout,
-            mesh::Done done) override;
-  const disk::TableStore& Disk() const override { return *disk_; }
-  void Commit(std::vector<disk::Write> batch, std::function<void(absl::Status)> done) override;
+  void Send(const StoreId& to, rpc::MessageType type, std::string body, Micros timeout,
+            rpc::Done done) override;
+  const storage::TableStore& Disk() const override { return *disk_; }
+  void Commit(std::vector<storage::Write> batch, std::function<void(absl::Status)> done) override;
   void RefreshTable() override;
   void ConfirmEpoch(std::uint32_t partition, std::uint64_t epoch,
                     std::function<void(bool)> done) override;
@@ -262,8 +262,8 @@
   *id = 0;
 }
 
-inline void VirtualStore::Send(const StoreId& to, mesh::MessageType type, std::string body,
-                               Micros timeout, mesh::Done done) {
+inline void VirtualStore::Send(const StoreId& to, rpc::MessageType type, std::string body,
+                               Micros timeout, rpc::Done done) {
   auto open = std::make_shared<bool>(true);
   const auto finish = [open, done = std::move(done)](absl::StatusOr<std::string> answer) {
     if (!*open) return;
@@ -274,8 +274,8 @@
   if (fleet_->Chance(fleet_->loss)) return;
   const Micros delay = fleet_->Chance(fleet_->loss) ? fleet_->Between(0, 2 * kSecond)
                                                     : fleet_->Between(300, 2 * kMs);
-  const mesh::Respond respond = [this, alive = std::weak_ptr<bool>(alive_), fleet = fleet_,
-                                 finish](absl::StatusOr<std::string> answer) {
+  const rpc::Respond respond = [this, alive = std::weak_ptr<bool>(alive_), fleet = fleet_,
+                                finish](absl::StatusOr<std::string> answer) {
     if (fleet->Chance(fleet->loss)) return;
     fleet->At(1 * kMs, [alive, finish, answer = std::move(answer)] {
       if (!alive.expired()) finish(answer);
@@ -287,26 +287,26 @@
   });
 }
 
-inline void VirtualStore::Receive(mesh::MessageType type, const std::string& body,
-                                  const mesh::Respond& respond) {
+inline void VirtualStore::Receive(rpc::MessageType type, const std::string& body,
+                                  const rpc::Respond& respond) {
   const auto is_muted = [this](const ReplicaScope& scope) {
     return static_cast<int>(scope.partition) == fleet_->muted;
   };
-  if (type == mesh::MessageType::kReplicate) {
+  if (type == rpc::MessageType::kReplicate) {
     auto message = *codec::Decode<Replicate>(body);
     if (is_muted(message.scope)) return;
     Replica(message.scope.partition).OnReplicate(std::move(message), respond);
-  } else if (type == mesh::MessageType::kRepairDigest) {
+  } else if (type == rpc::MessageType::kRepairDigest) {
     const auto message = *codec::Decode<RepairDigest>(body);
     if (!is_muted(message.scope)) Replica(message.scope.partition).OnRepairDigest(message, respond);
-  } else if (type == mesh::MessageType::kQuotaReserve) {
+  } else if (type == rpc::MessageType::kQuotaReserve) {
     quota_.OnReserve(*codec::Decode<QuotaReserve>(body), respond);
   } else {
     quota_.OnReport(*codec::Decode<QuotaReport>(body), respond);
   }
 }
 
-inline void VirtualStore::Commit(std::vector<disk::Write> batch,
+inline void VirtualStore::Commit(std::vector<storage::Write> batch,
                                  std::function<void(absl::Status)> done) {
   disk_free_ = std::max(disk_free_, fleet_->now) + fleet_->Between(1, 6 * kMs);
   fleet_->At(disk_free_ - fleet_->now,
--- a/tests/tier/batch/store_leases_test.cpp
+++ b/tests/tier/batch/store_leases_test.cpp
@@ -6,8 +6,8 @@
 #include <random>
 #include <set>
 
-#include "batch/leases.h"
-#include "batch/quota.h"
+#include "tier/batch/leases.h"
+#include "tier/batch/quota.h"
 
 namespace pearreach::batch {
 namespace {
--- a/tests/tier/batch/store_pacer_test.cpp
+++ b/tests/tier/batch/store_pacer_test.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 #include <vector>
 
-#include "batch/repair_pacer.h"
+#include "tier/batch/repair_pacer.h"
 
 namespace pearreach::batch {
 namespace {
--- a/tests/tier/batch/store_presence_test.cpp
+++ b/tests/tier/batch/store_presence_test.cpp
@@ -1,5 +1,5 @@
 // When a store counts as gone for the placement of partitions.
-#include "batch/store_presence.h"
+#include "tier/batch/store_presence.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/tier/batch/store_quota_drain_test.cpp
+++ b/tests/tier/batch/store_quota_drain_test.cpp
@@ -1,7 +1,7 @@
 // When a lot that does not fit its quota is told to come again.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "batch/quota_drain.h"
+#include "tier/batch/quota_drain.h"
 
 namespace pearreach::batch {
 namespace {
--- a/tests/tier/batch/store_room_test.cpp
+++ b/tests/tier/batch/store_room_test.cpp
@@ -2,8 +2,8 @@
 // more than the disks hold.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "batch/disk_room.h"
 #include "store_fleet.h"
+#include "tier/batch/disk_room.h"
 
 namespace pearreach::batch {
 namespace {
@@ -25,7 +25,7 @@
   void ALotNeedsRoomAtAllHolders() {
     const StoreId self{"a", "1"}, peer{"b", "1"}, joiner{"c", "1"};
     const Partition table{1, {self, peer}, {joiner}};
-    const disk::Space space{0, 16'000};
+    const storage::Space space{0, 16'000};
     DiskRoom room;
     CPPUNIT_ASSERT(!room.Lacking(table, self, space, 5000).has_value());
     room.NotePeer(joiner, 6000);
@@ -41,7 +41,7 @@
   }
 
   void RoomStaysForTheLossOfAStore() {
-    const disk::Space space{0, 16'000};
+    const storage::Space space{0, 16'000};
     DiskRoom room;
     room.SetStores(3, 2);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{10'000}, room.Own(space));
--- a/tests/tier/batch/store_server_test.cpp
+++ b/tests/tier/batch/store_server_test.cpp
@@ -4,10 +4,10 @@
 
 #include <set>
 
-#include "batch/lot_store.h"
-#include "disk/rig.h"
 #include "edge_fakes.h"
 #include "store_simulation.h"
+#include "tier/batch/lot_store.h"
+#include "tier/storage/rig.h"
 
 namespace pearreach::batch {
 namespace {
@@ -16,15 +16,15 @@
 using edge_test::TurnUntil;
 
 // Calls between the stores of a test by address, answered on a later turn of the loop.
-class LocalMesh final : public mesh::Mesh {
+class LocalMesh final : public rpc::Mesh {
  public:
   LocalMesh(Timers* timers, std::map<std::string, LocalMesh*>* peers)
       : timers_(timers), peers_(peers) {}
-  void Handle(mesh::MessageType type, mesh::Handler handler) override {
+  void Handle(rpc::MessageType type, rpc::Handler handler) override {
     handlers_[type] = std::move(handler);
   }
-  void Call(const std::string& address, mesh::MessageType type, std::string body, Micros,
-            mesh::Done done) override {
+  void Call(const std::string& address, rpc::MessageType type, std::string body, Micros,
+            rpc::Done done) override {
     timers_->After(0, [this, address, type, body = std::move(body), done = std::move(done)] {
       const auto peer = peers_->find(address);
       const bool there = peer != peers_->end() && peer->second->handlers_.contains(type);
@@ -38,20 +38,20 @@
       }
     });
   }
-  void HandleDatagrams(mesh::DatagramHandler) override {}
+  void HandleDatagrams(rpc::DatagramHandler) override {}
   void SendDatagram(const std::string&, std::string_view) override {}
 
  private:
   Timers* timers_;
   std::map<std::string, LocalMesh*>* peers_;
-  std::map<mesh::MessageType, mesh::Handler> handlers_;
+  std::map<rpc::MessageType, rpc::Handler> handlers_;
 };
 
 // A disk whose writes are done on a later turn of the loop.
-class LoopDisk final : public disk::TableStore {
+class LoopDisk final : public storage::TableStore {
  public:
   explicit LoopDisk(Timers* timers) : timers_(timers) {}
-  void Commit(std::vector<disk::Write> batch, std::function<void(absl::Status)> done) override {
+  void Commit(std::vector<storage::Write> batch, std::function<void(absl::Status)> done) override {
     timers_->After(0, [this, batch = std::move(batch), done = std::move(done)] {
       memory_.Write(batch);
       done(absl::OkStatus());
@@ -73,8 +73,8 @@
 
 struct TestStore {
   std::unique_ptr<LocalMesh> mesh;
-  std::unique_ptr<disk::Folder> folder;
-  std::unique_ptr<disk::TableStore> disk;
+  std::unique_ptr<storage::Folder> folder;
+  std::unique_ptr<storage::TableStore> disk;
   std::unique_ptr<StoreServer> server;
 };
 
@@ -93,8 +93,8 @@
     if (capacity_ == 0) {
       store.disk = std::make_unique<LoopDisk>(&timers_);
     } else {
-      store.folder = std::make_unique<disk::Folder>();
-      store.disk = disk::Open(*store.folder, capacity_);
+      store.folder = std::make_unique<storage::Folder>();
+      store.disk = storage::Open(*store.folder, capacity_);
     }
     peers_[name + ":1"] = store.mesh.get();
     Start(name);
@@ -121,23 +121,22 @@
     CPPUNIT_ASSERT(active);
   }
   std::uint64_t epoch() const { return epoch_; }  // of the table and of all its partitions
-  disk::TableStore* Disk(const std::string& name) { return stores_[name].disk.get(); }
+  storage::TableStore* Disk(const std::string& name) { return stores_[name].disk.get(); }
   template <class Answer, class Message>
-  absl::StatusOr<Answer> Ask(mesh::MessageType type, const Message& message) {
+  absl::StatusOr<Answer> Ask(rpc::MessageType type, const Message& message) {
     const auto answer = AskBytes(type, message);
     if (!answer.ok()) return answer.status();
     return codec::Decode<Answer>(*answer);
   }
   template <class Message>
-  absl::StatusOr<std::string> AskBytes(mesh::MessageType type, const Message& message) {
+  absl::StatusOr<std::string> AskBytes(rpc::MessageType type, const Message& message) {
     const auto answer = Send(type, message);
     TurnUntil([answer] { return !absl::IsUnknown(answer->status()); });
     return *answer;
   }
   // UNKNOWN until the answer is there.
   template <class Message>
-  std::shared_ptr<absl::StatusOr<std::string>> Send(mesh::MessageType type,
-                                                    const Message& message) {
+  std::shared_ptr<absl::StatusOr<std::string>> Send(rpc::MessageType type, const Message& message) {
     auto answer = std::make_shared<absl::StatusOr<std::string>>(absl::UnknownError("silence"));
     caller_.Call(primary_ + ":1", type, codec::Encode(message), kSecond,
                  [answer](absl::StatusOr<std::string> bytes) { *answer = std::move(bytes); });
@@ -216,16 +215,16 @@
     const auto taken = Take(&fleet, "n", 1, 0);
     for (int i = 0; i < 2; ++i) {
       const auto ended =
-          fleet.Ask<CancelLotAnswer>(mesh::MessageType::kLotCancel, CancelLot{0, "lot"});
+          fleet.Ask<CancelLotAnswer>(rpc::MessageType::kLotCancel, CancelLot{0, "lot"});
       CPPUNIT_ASSERT(ended.ok() && ended->found);
     }
     CPPUNIT_ASSERT(Take(&fleet, "n", 4, 0).empty());
     const auto renewed = fleet.Ask<RenewLeasesAnswer>(
-        mesh::MessageType::kItemRenew, RenewLeases{"n", 1, {{"lot", taken[0].item.item_id}}});
+        rpc::MessageType::kItemRenew, RenewLeases{"n", 1, {{"lot", taken[0].item.item_id}}});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, renewed->stop.size());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, Read(&fleet, "lot", 0).total);
     const auto unknown =
-        fleet.Ask<CancelLotAnswer>(mesh::MessageType::kLotCancel, CancelLot{0, "none"});
+        fleet.Ask<CancelLotAnswer>(rpc::MessageType::kLotCancel, CancelLot{0, "none"});
     CPPUNIT_ASSERT(unknown.ok() && !unknown->found);
   }
 
@@ -288,23 +287,23 @@
     CPPUNIT_ASSERT(Create(&fleet, Large(lots)) == CreateStatus::kNoRoom);
     CPPUNIT_ASSERT(lots > 3);
     // The rest of the backup's file is taken otherwise: now writes do fail.
-    disk::TableStore* backup = fleet.Disk("s1");
+    storage::TableStore* backup = fleet.Disk("s1");
     int fillers = 0;
     const std::string filler(1000, 'f');
-    while (disk::CommitAndWait(backup, {{"x" + std::to_string(fillers), filler, false}}).ok()) {
+    while (storage::CommitAndWait(backup, {{"x" + std::to_string(fillers), filler, false}}).ok()) {
       ++fillers;
     }
     const LeasedItem taken = Take(&fleet, "n", 1, 0).at(0);
     const ItemResult result{taken.lot_id, taken.item.item_id, taken.lease, RunOutcome::kComplete,
                             std::string(30'000, 'r')};
-    const auto told = fleet.Send(mesh::MessageType::kItemResult, result);
-    const auto failed = disk::CommitAndWait(backup, {{"y", std::string(30'000, 'f'), false}});
+    const auto told = fleet.Send(rpc::MessageType::kItemResult, result);
+    const auto failed = storage::CommitAndWait(backup, {{"y", std::string(30'000, 'f'), false}});
     CPPUNIT_ASSERT(absl::IsResourceExhausted(failed));
-    const auto unsure = fleet.Ask<ReadLotAnswer>(mesh::MessageType::kLotRead,
+    const auto unsure = fleet.Ask<ReadLotAnswer>(rpc::MessageType::kLotRead,
                                                  ReadLot{0, taken.lot_id, 0, 0, 1'000'000});
     CPPUNIT_ASSERT(!unsure.ok() || unsure->outputs.empty());
     for (int i = 0; i < fillers; ++i) {
-      CPPUNIT_ASSERT(disk::CommitAndWait(backup, {{"x" + std::to_string(i), "", true}}).ok());
+      CPPUNIT_ASSERT(storage::CommitAndWait(backup, {{"x" + std::to_string(i), "", true}}).ok());
     }
     CPPUNIT_ASSERT(TurnUntil([&] { return told->ok(); }));
     CPPUNIT_ASSERT_EQUAL(result.content, Read(&fleet, taken.lot_id, 0).outputs.at(0).content);
@@ -317,7 +316,7 @@
     return spec;
   }
   static CreateStatus Create(Fleet* fleet, const LotSpec& spec) {
-    const auto answer = fleet->Ask<CreateLotAnswer>(mesh::MessageType::kLotCreate,
+    const auto answer = fleet->Ask<CreateLotAnswer>(rpc::MessageType::kLotCreate,
                                                     CreateLot{0, fleet->epoch(), spec});
     CPPUNIT_ASSERT_MESSAGE(answer.status().ToString(), answer.ok());
     return answer->status;
@@ -325,17 +324,17 @@
   static std::vector<LeasedItem> Take(Fleet* fleet, const std::string& node, int room,
                                       std::int64_t wait_ms) {
     const auto answer = fleet->Ask<TakeItemsAnswer>(
-        mesh::MessageType::kItemTake, TakeItems{node, 1, 0, {{"route", room}}, wait_ms});
+        rpc::MessageType::kItemTake, TakeItems{node, 1, 0, {{"route", room}}, wait_ms});
     CPPUNIT_ASSERT(answer.ok());
     return answer->items;
   }
   static void Tell(Fleet* fleet, const LeasedItem& item, RunOutcome outcome,
                    const std::string& content) {
     const ItemResult result{item.lot_id, item.item.item_id, item.lease, outcome, content};
-    CPPUNIT_ASSERT(fleet->AskBytes(mesh::MessageType::kItemResult, result).ok());
+    CPPUNIT_ASSERT(fleet->AskBytes(rpc::MessageType::kItemResult, result).ok());
   }
   static ReadLotAnswer Read(Fleet* fleet, const std::string& lot_id, std::uint64_t start) {
-    const auto answer = fleet->Ask<ReadLotAnswer>(mesh::MessageType::kLotRead,
+    const auto answer = fleet->Ask<ReadLotAnswer>(rpc::MessageType::kLotRead,
                                                   ReadLot{0, lot_id, start, 0, 1'000'000});
     CPPUNIT_ASSERT_MESSAGE(answer.status().ToString(), answer.ok());
     return *answer;
@@ -348,7 +347,7 @@
     const LotSpec spec = Spec("lot", 3);
     CPPUNIT_ASSERT(CreateStatus::kAccepted == Create(&fleet, spec));
     CPPUNIT_ASSERT(CreateStatus::kAccepted == Create(&fleet, spec));
-    const auto body = fleet.Ask<ReadItemBodyAnswer>(mesh::MessageType::kLotItemBody,
+    const auto body = fleet.Ask<ReadItemBodyAnswer>(rpc::MessageType::kLotItemBody,
                                                     ReadItemBody{0, "lot", "lot-1"});
     CPPUNIT_ASSERT_EQUAL(spec.items[1].body, body->body);
     const auto taken = Take(&fleet, "n", 8, 100);
--- a/tests/tier/batch/store_simulation.h
+++ b/tests/tier/batch/store_simulation.h
@@ -15,20 +15,20 @@
 #include <utility>
 #include <vector>
 
-#include "batch/replication.h"
-#include "codec/archive.h"
+#include "tier/batch/replication.h"
+#include "tier/codec/archive.h"
 
 namespace pearreach::batch {
 
-class MemoryDisk final : public disk::TableStore {
+class MemoryDisk final : public storage::TableStore {
  public:
   explicit MemoryDisk(std::string disk_id = "d") : disk_id_(std::move(disk_id)) {}
-  void Commit(std::vector<disk::Write> batch, std::function<void(absl::Status)> done) override {
+  void Commit(std::vector<storage::Write> batch, std::function<void(absl::Status)> done) override {
     Write(batch);
     done(absl::OkStatus());
   }
-  void Write(const std::vector<disk::Write>& batch) {
-    for (const disk::Write& write : batch) {
+  void Write(const std::vector<storage::Write>& batch) {
+    for (const storage::Write& write : batch) {
       used_ -= BytesOf(write.key);
       if (write.erase) {
         tables_.erase(write.key);
@@ -39,11 +39,11 @@
     }
   }
   void LimitTo(std::size_t bytes) { limit_ = bytes; }
-  disk::Space space() const override { return {used_, limit_}; }
+  storage::Space space() const override { return {used_, limit_}; }
   // Like Write, unless it would pass the limit.
-  absl::Status TryWrite(const std::vector<disk::Write>& batch) {
+  absl::Status TryWrite(const std::vector<storage::Write>& batch) {
     const bool puts = std::any_of(batch.begin(), batch.end(),
-                                  [](const disk::Write& write) { return !write.erase; });
+                                  [](const storage::Write& write) { return !write.erase; });
     auto tables = puts && limit_ != kNoLimit ? tables_ : decltype(tables_)();
     const std::size_t used = used_;
     Write(batch);
@@ -117,10 +117,10 @@
   std::uint64_t Random() override;
   Timers::Id After(Micros delay, std::function<void()> callback) override;
   void Cancel(Timers::Id* id) override;
-  void Send(const StoreId& to, mesh::MessageType type, std::string body, Micros timeout,
-            mesh::Done done) override;
-  const disk::TableStore& Disk() const override { return *disk_; }
-  void Commit(std::vector<disk::Write> batch, std::function<void(absl::Status)> done) override;
+  void Send(const StoreId& to, rpc::MessageType type, std::string body, Micros timeout,
+            rpc::Done done) override;
+  const storage::TableStore& Disk() const override { return *disk_; }
+  void Commit(std::vector<storage::Write> batch, std::function<void(absl::Status)> done) override;
   void RefreshTable() override;
   void ConfirmEpoch(std::uint32_t, std::uint64_t epoch, std::function<void(bool)> done) override;
   void OnActive(std::uint32_t) override {}
@@ -130,8 +130,8 @@
  private:
   friend class Simulation;
   std::function<void()> Guard(std::function<void()> callback);
-  void Deliver(const StoreId& to, mesh::MessageType type, const std::string& body,
-               const mesh::Respond& respond);
+  void Deliver(const StoreId& to, rpc::MessageType type, const std::string& body,
+               const rpc::Respond& respond);
   bool HoldsUp(SimulatedStore* peer, const std::function<void()>& again);
   void FinishCommit(const std::function<void(absl::Status)>& done);
 
@@ -143,7 +143,7 @@
   int wipes_ = 0;
   Micros disk_free_ = 0, frozen_until_ = 0, cut_until_ = 0;
   std::map<Timers::Id, bool> timers_;
-  std::deque<std::vector<disk::Write>> unsynced_;
+  std::deque<std::vector<storage::Write>> unsynced_;
 };
 
 class Simulation {
@@ -274,8 +274,8 @@
 }
 
 // A call may be lost, its answer may be, and it may arrive after its caller has given it up.
-inline void SimulatedStore::Send(const StoreId& to, mesh::MessageType type, std::string body,
-                                 Micros timeout, mesh::Done done) {
+inline void SimulatedStore::Send(const StoreId& to, rpc::MessageType type, std::string body,
+                                 Micros timeout, rpc::Done done) {
   auto open = std::make_shared<bool>(true);
   const auto finish = [open, done = std::move(done)](absl::StatusOr<std::string> answer) {
     if (!*open) return;
@@ -310,20 +310,20 @@
   return true;
 }
 
-inline void SimulatedStore::Deliver(const StoreId& to, mesh::MessageType type,
-                                    const std::string& body, const mesh::Respond& respond) {
+inline void SimulatedStore::Deliver(const StoreId& to, rpc::MessageType type,
+                                    const std::string& body, const rpc::Respond& respond) {
   SimulatedStore* peer = simulation_->Find(to);
   if (peer == nullptr) return;
   const auto again = [this, to, type, body, respond] { Deliver(to, type, body, respond); };
   if (HoldsUp(peer, again)) return;
-  if (type == mesh::MessageType::kReplicate) {
+  if (type == rpc::MessageType::kReplicate) {
     peer->replica_->OnReplicate(*codec::Decode<Replicate>(body), respond);
   } else {
     peer->replica_->OnRepairDigest(*codec::Decode<RepairDigest>(body), respond);
   }
 }
 
-inline void SimulatedStore::Commit(std::vector<disk::Write> batch,
+inline void SimulatedStore::Commit(std::vector<storage::Write> batch,
                                    std::function<void(absl::Status)> done) {
   unsynced_.push_back(std::move(batch));
   disk_free_ = std::max(disk_free_, simulation_->now) + simulation_->Between(1, 8 * kMs);
@@ -332,7 +332,7 @@
 }
 
 inline void SimulatedStore::FinishCommit(const std::function<void(absl::Status)>& done) {
-  const std::vector<disk::Write> batch = std::move(unsynced_.front());
+  const std::vector<storage::Write> batch = std::move(unsynced_.front());
   unsynced_.pop_front();
   if (!batch.empty() && write_failures > 0 && simulation_->Chance(write_failures)) {
     done(absl::ResourceExhaustedError("full"));
--- a/tests/tier/codec/archive_test.cpp
+++ b/tests/tier/codec/archive_test.cpp
@@ -1,6 +1,6 @@
 // Messages read back as they were written, and bytes that lie about their lengths are refused
 // before any room is made for them.
-#include "codec/archive.h"
+#include "tier/codec/archive.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/tier/control/api_router_test.cpp
+++ b/tests/tier/control/api_router_test.cpp
@@ -1,8 +1,8 @@
-#include "control/api_router.h"
+#include "tier/control/api_router.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "control/fake_exchange.h"
+#include "tier/control/fake_exchange.h"
 
 namespace pearreach::control {
 namespace {
@@ -73,12 +73,13 @@
 
  private:
   void Add(const std::string& method, const std::string& pattern, const std::string& name) {
-    router_.Add(method, pattern,
-                [this, name](std::shared_ptr<front::Exchange> exchange, const std::string& text) {
-                  called_ = name;
-                  argument_ = text;
-                  exchange->Respond(200, {}, "");
-                });
+    router_.Add(
+        method, pattern,
+        [this, name](std::shared_ptr<http_server::Exchange> exchange, const std::string& text) {
+          called_ = name;
+          argument_ = text;
+          exchange->Respond(200, {}, "");
+        });
   }
 
   ApiRouter router_;
--- a/tests/tier/control/config_api_test.cpp
+++ b/tests/tier/control/config_api_test.cpp
@@ -1,13 +1,13 @@
-#include "control/config_api.h"
+#include "tier/control/config_api.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <optional>
 
-#include "control/config_mark.h"
-#include "control/fake_exchange.h"
-#include "control/sample_config.h"
-#include "control/snapshot_store.h"
+#include "tier/control/config_mark.h"
+#include "tier/control/fake_exchange.h"
+#include "tier/control/sample_config.h"
+#include "tier/control/snapshot_store.h"
 
 namespace pearreach::control {
 namespace {
--- a/tests/tier/control/config_mark_test.cpp
+++ b/tests/tier/control/config_mark_test.cpp
@@ -1,8 +1,8 @@
-#include "control/config_mark.h"
+#include "tier/control/config_mark.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "control/sample_config.h"
+#include "tier/control/sample_config.h"
 
 namespace pearreach::control {
 namespace {
--- a/tests/tier/control/control_faults_test.cpp
+++ b/tests/tier/control/control_faults_test.cpp
@@ -7,8 +7,8 @@
 #include <algorithm>
 #include <cstdlib>
 
-#include "control/control_fleet.h"
-#include "control/operators.h"
+#include "tier/control/control_fleet.h"
+#include "tier/control/operators.h"
 
 namespace pearreach::control {
 namespace {
--- a/tests/tier/control/control_fleet.cpp
+++ b/tests/tier/control/control_fleet.cpp
@@ -1,4 +1,4 @@
-#include "control/control_fleet.h"
+#include "tier/control/control_fleet.h"
 
 #include <fmt/format.h>
 #include <rapidjson/document.h>
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "control/sample_config.h"
+#include "tier/control/sample_config.h"
 
 namespace pearreach::control {
 namespace {
--- a/tests/tier/control/control_fleet.h
+++ b/tests/tier/control/control_fleet.h
@@ -13,10 +13,10 @@
 #include <string>
 #include <vector>
 
-#include "control/config_api.h"
-#include "control/control_node.h"
-#include "control/fake_exchange.h"
-#include "control/virtual_world.h"
+#include "tier/control/config_api.h"
+#include "tier/control/control_node.h"
+#include "tier/control/fake_exchange.h"
+#include "tier/control/virtual_world.h"
 
 namespace pearreach::control {
 
--- a/tests/tier/control/control_node_test.cpp
+++ b/tests/tier/control/control_node_test.cpp
@@ -1,13 +1,13 @@
-#include "control/control_node.h"
+#include "tier/control/control_node.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <optional>
 
-#include "control/config_api.h"
-#include "control/fake_exchange.h"
-#include "control/sample_config.h"
-#include "control/virtual_world.h"
+#include "tier/control/config_api.h"
+#include "tier/control/fake_exchange.h"
+#include "tier/control/sample_config.h"
+#include "tier/control/virtual_world.h"
 
 namespace pearreach::control {
 namespace {
--- a/tests/tier/control/control_shapes_test.cpp
+++ b/tests/tier/control/control_shapes_test.cpp
@@ -4,10 +4,10 @@
 
 #include <optional>
 
-#include "control/control_node.h"
-#include "control/control_timing.h"
-#include "control/sample_config.h"
-#include "control/virtual_world.h"
+#include "tier/control/control_node.h"
+#include "tier/control/control_timing.h"
+#include "tier/control/sample_config.h"
+#include "tier/control/virtual_world.h"
 
 namespace pearreach::control {
 namespace {
--- a/tests/tier/control/disk_use_test.cpp
+++ b/tests/tier/control/disk_use_test.cpp
@@ -1,4 +1,4 @@
-#include "control/disk_use.h"
+#include "tier/control/disk_use.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/tier/control/fake_exchange.h
+++ b/tests/tier/control/fake_exchange.h
@@ -6,11 +6,11 @@
 #include <utility>
 #include <vector>
 
-#include "front/exchange.h"
+#include "tier/http_server/exchange.h"
 
 namespace pearreach::control {
 
-class FakeExchange : public front::Exchange {
+class FakeExchange : public http_server::Exchange {
  public:
   FakeExchange(std::string method, std::string target, Micros arrived = 0) : arrived_(arrived) {
     message_.method = std::move(method);
--- a/tests/tier/control/founders_test.cpp
+++ b/tests/tier/control/founders_test.cpp
@@ -1,4 +1,4 @@
-#include "control/founders.h"
+#include "tier/control/founders.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/tier/control/operators.cpp
+++ b/tests/tier/control/operators.cpp
@@ -1,4 +1,4 @@
-#include "control/operators.h"
+#include "tier/control/operators.h"
 
 #include <rapidjson/document.h>
 
--- a/tests/tier/control/operators.h
+++ b/tests/tier/control/operators.h
@@ -7,7 +7,7 @@
 #include <memory>
 #include <vector>
 
-#include "control/control_fleet.h"
+#include "tier/control/control_fleet.h"
 
 namespace pearreach::control {
 
--- a/tests/tier/control/state_poller_test.cpp
+++ b/tests/tier/control/state_poller_test.cpp
@@ -1,14 +1,14 @@
-#include "control/state_poller.h"
+#include "tier/control/state_poller.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <optional>
 
-#include "codec/archive.h"
-#include "control/announced_fetch.h"
-#include "control/poll_server.h"
-#include "control/sample_config.h"
-#include "control/virtual_world.h"
+#include "tier/codec/archive.h"
+#include "tier/control/announced_fetch.h"
+#include "tier/control/poll_server.h"
+#include "tier/control/sample_config.h"
+#include "tier/control/virtual_world.h"
 
 namespace pearreach::control {
 namespace {
@@ -165,7 +165,7 @@
     for (const bool hold : {false, true}) {
       const PollRequest request{{}, {}, hold};
       std::optional<StateUpdate> answer;
-      mesh_.Call(AddressOf("n1"), mesh::MessageType::kControlPoll, codec::Encode(request), kSecond,
+      mesh_.Call(AddressOf("n1"), rpc::MessageType::kControlPoll, codec::Encode(request), kSecond,
                  [&](const auto& bytes) { answer = *codec::Decode<StateUpdate>(*bytes); });
       time_.RunFor(10 * kMs);
       CPPUNIT_ASSERT(answer.has_value());
--- a/tests/tier/control/virtual_world.cpp
+++ b/tests/tier/control/virtual_world.cpp
@@ -1,4 +1,4 @@
-#include "control/virtual_world.h"
+#include "tier/control/virtual_world.h"
 
 #include <algorithm>
 
@@ -9,7 +9,7 @@
 
 // Ends a call once, by what comes first.
 struct OpenCall {
-  mesh::Done done;
+  rpc::Done done;
   Timers::Id timer = 0;
   VirtualTime* time = nullptr;
   void End(absl::StatusOr<std::string> answer) {
@@ -28,8 +28,8 @@
 
 VirtualMesh::~VirtualMesh() { network_->Part(address_, this); }
 
-void VirtualMesh::Call(const std::string& address, mesh::MessageType type, std::string body,
-                       Micros timeout, mesh::Done done) {
+void VirtualMesh::Call(const std::string& address, rpc::MessageType type, std::string body,
+                       Micros timeout, rpc::Done done) {
   calls.push_back({address, type});
   VirtualNetwork* network = network_;
   VirtualTime* time = network->time();
@@ -63,7 +63,7 @@
                          });
 }
 
-std::size_t VirtualMesh::CallsTo(const std::string& address, mesh::MessageType type) const {
+std::size_t VirtualMesh::CallsTo(const std::string& address, rpc::MessageType type) const {
   return std::count_if(calls.begin(), calls.end(), [&](const CallRecord& call) {
     return call.to == address && call.type == type;
   });
--- a/tests/tier/control/virtual_world.h
+++ b/tests/tier/control/virtual_world.h
@@ -10,9 +10,9 @@
 #include <utility>
 #include <vector>
 
-#include "control/time_source.h"
-#include "disk/table_store.h"
-#include "mesh/mesh.h"
+#include "tier/control/time_source.h"
+#include "tier/rpc/mesh.h"
+#include "tier/storage/table_store.h"
 
 namespace pearreach::control {
 
@@ -75,26 +75,26 @@
 
 class VirtualNetwork;
 
-class VirtualMesh : public mesh::Mesh {
+class VirtualMesh : public rpc::Mesh {
  public:
   struct CallRecord {
     std::string to;
-    mesh::MessageType type;
+    rpc::MessageType type;
   };
   VirtualMesh(VirtualNetwork* network, std::string address);
   ~VirtualMesh() override;
-  void Handle(mesh::MessageType type, mesh::Handler handler) override {
+  void Handle(rpc::MessageType type, rpc::Handler handler) override {
     handlers[type] = std::move(handler);
   }
-  void Call(const std::string& address, mesh::MessageType type, std::string body, Micros timeout,
-            mesh::Done done) override;
-  void HandleDatagrams(mesh::DatagramHandler handler) override { datagrams = std::move(handler); }
+  void Call(const std::string& address, rpc::MessageType type, std::string body, Micros timeout,
+            rpc::Done done) override;
+  void HandleDatagrams(rpc::DatagramHandler handler) override { datagrams = std::move(handler); }
   void SendDatagram(const std::string& address, std::string_view body) override;
 
-  std::map<mesh::MessageType, mesh::Handler> handlers;
-  mesh::DatagramHandler datagrams;
+  std::map<rpc::MessageType, rpc::Handler> handlers;
+  rpc::DatagramHandler datagrams;
   std::vector<CallRecord> calls;  // made by this node
-  std::size_t CallsTo(const std::string& address, mesh::MessageType type) const;
+  std::size_t CallsTo(const std::string& address, rpc::MessageType type) const;
 
  private:
   VirtualNetwork* network_;
@@ -155,16 +155,16 @@
 };
 
 // What is on it outlives the process that uses it.
-class VirtualDisk : public disk::TableStore {
+class VirtualDisk : public storage::TableStore {
  public:
   VirtualDisk(VirtualTime* time, std::string id, Micros sync_time = 2000)
       : time_(time), id_(std::move(id)), sync_time_(sync_time) {}
-  void Commit(std::vector<disk::Write> batch, std::function<void(absl::Status)> done) override {
+  void Commit(std::vector<storage::Write> batch, std::function<void(absl::Status)> done) override {
     time_->After(sync_time_,
                  [this, life = life_, batch = std::move(batch), done = std::move(done)] {
                    if (life != life_) return;
                    if (full_) return done(absl::ResourceExhaustedError("no space left"));
-                   for (const disk::Write& write : batch) {
+                   for (const storage::Write& write : batch) {
                      if (write.erase) {
                        records_.erase(write.key);
                      } else {
--- a/tests/tier/coordination/chain_cluster.h
+++ b/tests/tier/coordination/chain_cluster.h
@@ -16,7 +16,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/chain.h"
+#include "tier/coordination/chain.h"
 
 namespace pearreach::coordination {
 
--- a/tests/tier/coordination/chain_messages_test.cpp
+++ b/tests/tier/coordination/chain_messages_test.cpp
@@ -1,5 +1,5 @@
 // Chain messages as bytes: what goes in comes out, and damaged bytes do not get in.
-#include "coordination/chain_messages.h"
+#include "tier/coordination/chain_messages.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/tier/coordination/chain_rules_test.cpp
+++ b/tests/tier/coordination/chain_rules_test.cpp
@@ -2,7 +2,7 @@
 // comes from, of which epoch, and whether the member has promised a next view.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "coordination/chain_messages.h"
+#include "tier/coordination/chain_messages.h"
 
 namespace pearreach::coordination::chain {
 namespace {
--- a/tests/tier/coordination/chain_views_test.cpp
+++ b/tests/tier/coordination/chain_views_test.cpp
@@ -1,8 +1,8 @@
 // What makes a quorum, which members the next view has, and what an acceptor says.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "coordination/view_agreement.h"
-#include "coordination/view_target.h"
+#include "tier/coordination/view_agreement.h"
+#include "tier/coordination/view_target.h"
 
 namespace pearreach::coordination::chain {
 namespace {
--- a/tests/tier/coordination/change_marks_test.cpp
+++ b/tests/tier/coordination/change_marks_test.cpp
@@ -1,5 +1,5 @@
 // The record of a key's changes: what it says of a mark, how much it keeps, and what it costs.
-#include "coordination/change_marks.h"
+#include "tier/coordination/change_marks.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/tier/coordination/duty_test.cpp
+++ b/tests/tier/coordination/duty_test.cpp
@@ -1,7 +1,7 @@
 // A duty under an epoch: the rules of a holder alone, and days on which nodes are wrong about who
 // is the first live one, frozen, cut off or killed. Checked: an epoch has one doer, and none acts
 // below the greatest epoch that the control state has seen.
-#include "coordination/duty.h"
+#include "tier/coordination/duty.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/tier/coordination/membership_cluster.cpp
+++ b/tests/tier/coordination/membership_cluster.cpp
@@ -1,9 +1,9 @@
-#include "coordination/membership_cluster.h"
+#include "tier/coordination/membership_cluster.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "coordination/membership_merge.h"
+#include "tier/coordination/membership_merge.h"
 
 namespace pearreach::coordination {
 namespace {
--- a/tests/tier/coordination/membership_cluster.h
+++ b/tests/tier/coordination/membership_cluster.h
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "coordination/membership.h"
+#include "tier/coordination/membership.h"
 
 namespace pearreach::coordination {
 
--- a/tests/tier/coordination/membership_test.cpp
+++ b/tests/tier/coordination/membership_test.cpp
@@ -1,5 +1,5 @@
 // Clusters of membership machines in virtual time.
-#include "coordination/membership.h"
+#include "tier/coordination/membership.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "coordination/membership_cluster.h"
-#include "coordination/membership_merge.h"
+#include "tier/coordination/membership_cluster.h"
+#include "tier/coordination/membership_merge.h"
 
 namespace pearreach::coordination {
 namespace {
--- a/tests/tier/coordination/membership_wire_test.cpp
+++ b/tests/tier/coordination/membership_wire_test.cpp
@@ -1,5 +1,5 @@
 // The rules of merging, the datagrams' format and the queue of changes.
-#include "coordination/membership_wire.h"
+#include "tier/coordination/membership_wire.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "coordination/membership_changes.h"
-#include "coordination/membership_merge.h"
+#include "tier/coordination/membership_changes.h"
+#include "tier/coordination/membership_merge.h"
 
 namespace pearreach::coordination {
 namespace {
--- a/tests/tier/gateway/doubles.h
+++ b/tests/tier/gateway/doubles.h
@@ -12,15 +12,15 @@
 #include <utility>
 #include <vector>
 
-#include "base/io.h"
-#include "control/control_client.h"
-#include "front/exchange.h"
-#include "proxy/job.h"
-#include "routing/route_table.h"
+#include "common/event_loop/io.h"
+#include "tier/control/control_client.h"
+#include "tier/http_server/exchange.h"
+#include "tier/proxy/job.h"
+#include "tier/routing/route_table.h"
 
 namespace pearreach::gateway {
 
-class RecordedExchange final : public front::Exchange {
+class RecordedExchange final : public http_server::Exchange {
  public:
   explicit RecordedExchange(http::Message request) : request_(std::move(request)) {}
 
