--- a/tests/tier/gateway/gateway_test.cpp
+++ b/tests/tier/gateway/gateway_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/gateway.h"
+#include "tier/gateway/gateway.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "gateway/doubles.h"
+#include "tier/gateway/doubles.h"
 
 namespace pearreach::gateway {
 namespace {
@@ -75,10 +75,11 @@
     control_ = std::make_unique<FixedControl>();
     runner_ = std::make_unique<HeldRunner>();
     gateway_ = std::make_unique<Gateway>(control_.get(), runner_.get(), timers_.get());
-    gateway_->SetBulkHandler([this](std::shared_ptr<front::Exchange>, const routing::Route& route) {
-      handed_ = "bulk " + route.name;
-    });
-    gateway_->SetLotHandler([this](std::shared_ptr<front::Exchange>) { handed_ = "lot"; });
+    gateway_->SetBulkHandler(
+        [this](std::shared_ptr<http_server::Exchange>, const routing::Route& route) {
+          handed_ = "bulk " + route.name;
+        });
+    gateway_->SetLotHandler([this](std::shared_ptr<http_server::Exchange>) { handed_ = "lot"; });
     control_->Use(kConfiguration);
   }
   void tearDown() override {
--- a/tests/tier/gateway/job_builder_test.cpp
+++ b/tests/tier/gateway/job_builder_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/job_builder.h"
+#include "tier/gateway/job_builder.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "gateway/header_filter.h"
+#include "tier/gateway/header_filter.h"
 
 namespace pearreach::gateway {
 namespace {
--- a/tests/tier/front/connection_life_test.cpp
+++ b/tests/tier/http_server/connection_life_test.cpp
@@ -1,10 +1,10 @@
 #include <memory>
 #include <string>
 
-#include "front/http_server.h"
-#include "front/server_fixture.h"
+#include "tier/http_server/http_server.h"
+#include "tier/http_server/server_fixture.h"
 
-namespace pearreach::front {
+namespace pearreach::http_server {
 namespace {
 
 class ConnectionLifeTest : public ServerFixture {
@@ -206,4 +206,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(ConnectionLifeTest);
 
 }  // namespace
-}  // namespace pearreach::front
+}  // namespace pearreach::http_server
--- a/tests/tier/front/http_server_test.cpp
+++ b/tests/tier/http_server/http_server_test.cpp
@@ -1,13 +1,13 @@
-#include "front/http_server.h"
+#include "tier/http_server/http_server.h"
 
 #include <cstring>
 #include <functional>
 #include <memory>
 #include <string>
 
-#include "front/server_fixture.h"
+#include "tier/http_server/server_fixture.h"
 
-namespace pearreach::front {
+namespace pearreach::http_server {
 namespace {
 
 class HttpServerTest : public ServerFixture {
@@ -288,4 +288,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(HttpServerTest);
 
 }  // namespace
-}  // namespace pearreach::front
+}  // namespace pearreach::http_server
--- a/tests/tier/front/raw_client.h
+++ b/tests/tier/http_server/raw_client.h
@@ -1,6 +1,6 @@
 // A client of one connection for tests, with the bytes as they are, and the loop that serves it.
-#ifndef PEARREACH_TESTS_TIER_FRONT_RAW_CLIENT_H_
-#define PEARREACH_TESTS_TIER_FRONT_RAW_CLIENT_H_
+#ifndef PEARREACH_TESTS_TIER_HTTP_SERVER_RAW_CLIENT_H_
+#define PEARREACH_TESTS_TIER_HTTP_SERVER_RAW_CLIENT_H_
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -13,9 +13,9 @@
 #include <string>
 #include <string_view>
 
-#include "base/io.h"
+#include "common/event_loop/io.h"
 
-namespace pearreach::front {
+namespace pearreach::http_server {
 
 // Turns the main loop until `done`, at most so long. Returns done().
 inline bool RunUntil(const std::function<bool()>& done, Micros most = 3 * kSecond) {
@@ -80,6 +80,6 @@
   std::string got_;
 };
 
-}  // namespace pearreach::front
+}  // namespace pearreach::http_server
 
-#endif  // PEARREACH_TESTS_TIER_FRONT_RAW_CLIENT_H_
+#endif  // PEARREACH_TESTS_TIER_HTTP_SERVER_RAW_CLIENT_H_
--- a/tests/tier/front/server_fixture.h
+++ b/tests/tier/http_server/server_fixture.h
@@ -1,6 +1,6 @@
 // The server under test with a loop, and requests for it.
-#ifndef PEARREACH_TESTS_TIER_FRONT_SERVER_FIXTURE_H_
-#define PEARREACH_TESTS_TIER_FRONT_SERVER_FIXTURE_H_
+#ifndef PEARREACH_TESTS_TIER_HTTP_SERVER_SERVER_FIXTURE_H_
+#define PEARREACH_TESTS_TIER_HTTP_SERVER_SERVER_FIXTURE_H_
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -9,10 +9,10 @@
 #include <utility>
 #include <vector>
 
-#include "front/http_server.h"
-#include "front/raw_client.h"
+#include "tier/http_server/http_server.h"
+#include "tier/http_server/raw_client.h"
 
-namespace pearreach::front {
+namespace pearreach::http_server {
 
 using Exchanges = std::vector<std::shared_ptr<Exchange>>;
 
@@ -68,6 +68,6 @@
   Exchanges exchanges_;
 };
 
-}  // namespace pearreach::front
+}  // namespace pearreach::http_server
 
-#endif  // PEARREACH_TESTS_TIER_FRONT_SERVER_FIXTURE_H_
+#endif  // PEARREACH_TESTS_TIER_HTTP_SERVER_SERVER_FIXTURE_H_
--- a/tests/tier/proxy/attempt_test.cpp
+++ b/tests/tier/proxy/attempt_test.cpp
@@ -1,6 +1,6 @@
 // One send to a worker that reads slowly or not at all: what is held of the request, and what
 // becomes of its connection.
-#include "proxy/attempt.h"
+#include "tier/proxy/attempt.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/tier/proxy/bulk_gate_test.cpp
+++ b/tests/tier/proxy/bulk_gate_test.cpp
@@ -1,5 +1,5 @@
 // Bulk jobs pass in their order, only so many at a time, and none is forgotten.
-#include "proxy/bulk_gate.h"
+#include "tier/proxy/bulk_gate.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/tier/proxy/fleet_start_test.cpp
+++ b/tests/tier/proxy/fleet_start_test.cpp
@@ -1,5 +1,5 @@
 // When a node waits for workers after a start.
-#include "proxy/fleet_start.h"
+#include "tier/proxy/fleet_start.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/tier/proxy/forwarding_faults_test.cpp
+++ b/tests/tier/proxy/forwarding_faults_test.cpp
@@ -11,7 +11,7 @@
 #include <cstdlib>
 #include <random>
 
-#include "proxy/proxy_rig.h"
+#include "tier/proxy/proxy_rig.h"
 
 namespace pearreach::proxy {
 namespace {
--- a/tests/tier/proxy/pool_dispatcher_test.cpp
+++ b/tests/tier/proxy/pool_dispatcher_test.cpp
@@ -1,5 +1,5 @@
 // How the admission of one service starts, grows and keeps to the homes of a placement.
-#include "proxy/pool_dispatcher.h"
+#include "tier/proxy/pool_dispatcher.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -14,12 +14,12 @@
 
 class NotingClient final : public PlacementClient {
  public:
-  void OnPlaced(PlacementId placement, marlquay::WorkerId worker) override {
+  void OnPlaced(PlacementId placement, dispatch::WorkerId worker) override {
     placed[placement] = worker;
   }
   void OnRefused(PlacementId, Micros) override { ++refused; }
 
-  std::map<PlacementId, marlquay::WorkerId> placed;
+  std::map<PlacementId, dispatch::WorkerId> placed;
   int refused = 0;
 };
 
@@ -39,7 +39,7 @@
     record.call_seq = 1;
     return record;
   }
-  PlacementId Arrive(std::vector<marlquay::WorkerId> homes = {}) {
+  PlacementId Arrive(std::vector<dispatch::WorkerId> homes = {}) {
     Placement placement;
     placement.job_class.target = 200 * kMs;
     placement.job_class.streamed = true;
@@ -51,11 +51,11 @@
     return RunUntil([&] { return client.placed.size() >= count; }, 2 * kSecond);
   }
   // One job after the other, each served: they raise the limit.
-  void Serve(int count, std::vector<marlquay::WorkerId> homes = {}) {
+  void Serve(int count, std::vector<dispatch::WorkerId> homes = {}) {
     for (int i = 0; i < count; ++i) {
       const PlacementId id = Arrive(homes);
       CPPUNIT_ASSERT(RunUntil([&] { return client.placed.contains(id); }));
-      dispatcher.Ended(id, marlquay::Outcome::kGood, kMs, {});
+      dispatcher.Ended(id, dispatch::Outcome::kGood, kMs, {});
     }
     client.placed.clear();
   }
@@ -124,8 +124,8 @@
     for (int i = 0; i < 8; ++i) {
       const PlacementId id = pool.Arrive({3, 5});
       CPPUNIT_ASSERT(pool.AwaitPlaced(1));
-      CPPUNIT_ASSERT_EQUAL(marlquay::WorkerId{3}, pool.client.placed.at(id));
-      pool.dispatcher.Ended(id, marlquay::Outcome::kGood, kMs, {});
+      CPPUNIT_ASSERT_EQUAL(dispatch::WorkerId{3}, pool.client.placed.at(id));
+      pool.dispatcher.Ended(id, dispatch::Outcome::kGood, kMs, {});
       pool.client.placed.clear();
     }
   }
@@ -139,7 +139,7 @@
     pool.dispatcher.OnWorkers(pool.workers.EndUpdate());
     const PlacementId second = pool.Arrive({2, 3});
     CPPUNIT_ASSERT(pool.AwaitPlaced(1));
-    CPPUNIT_ASSERT_EQUAL(marlquay::WorkerId{3}, pool.client.placed.at(second));
+    CPPUNIT_ASSERT_EQUAL(dispatch::WorkerId{3}, pool.client.placed.at(second));
     const PlacementId any = pool.Arrive({2});
     CPPUNIT_ASSERT(pool.AwaitPlaced(2));
     CPPUNIT_ASSERT(pool.client.placed.at(any) != 2);
@@ -152,7 +152,7 @@
     CPPUNIT_ASSERT(pool.PlacedAtOnce() <= 2);
     CPPUNIT_ASSERT(pool.AwaitPlaced(8));
     for (const auto& [id, worker] : pool.client.placed)  // the wait is no reason to go elsewhere
-      CPPUNIT_ASSERT_EQUAL(marlquay::WorkerId{1}, worker);
+      CPPUNIT_ASSERT_EQUAL(dispatch::WorkerId{1}, worker);
     CPPUNIT_ASSERT_EQUAL(0, pool.client.refused);
   }
 
--- a/tests/tier/proxy/prompt_test.cpp
+++ b/tests/tier/proxy/prompt_test.cpp
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "proxy/kept_prefixes.h"
-#include "proxy/prompt_headers.h"
-#include "proxy/service_workers.h"
+#include "tier/proxy/kept_prefixes.h"
+#include "tier/proxy/prompt_headers.h"
+#include "tier/proxy/service_workers.h"
 
 namespace pearreach::proxy {
 namespace {
@@ -42,7 +42,7 @@
   }
   std::vector<std::string> Homes(std::uint64_t key, std::size_t most) {
     std::vector<std::string> names;
-    for (const marlquay::WorkerId id : workers.HomesOf(key, most))
+    for (const dispatch::WorkerId id : workers.HomesOf(key, most))
       names.push_back(workers.Find(id)->record.worker_id);
     return names;
   }
--- a/tests/tier/proxy/proxy_rig.h
+++ b/tests/tier/proxy/proxy_rig.h
@@ -11,8 +11,8 @@
 #include <utility>
 #include <vector>
 
-#include "base/timers.h"
-#include "proxy/job_runner.h"
+#include "common/event_loop/timers.h"
+#include "tier/proxy/job_runner.h"
 
 namespace pearreach::proxy {
 
--- a/tests/tier/proxy/response_reader_test.cpp
+++ b/tests/tier/proxy/response_reader_test.cpp
@@ -1,12 +1,12 @@
 // The reader of answers and the splitter of events, fed whole and in pieces.
-#include "proxy/response_reader.h"
+#include "tier/proxy/response_reader.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
 #include <vector>
 
-#include "proxy/event_splitter.h"
+#include "tier/proxy/event_splitter.h"
 
 namespace pearreach::proxy {
 namespace {
--- a/tests/tier/proxy/silence_watch_test.cpp
+++ b/tests/tier/proxy/silence_watch_test.cpp
@@ -1,5 +1,5 @@
 // How long a silent worker is waited for, and how many requests may go to another one.
-#include "proxy/silence_watch.h"
+#include "tier/proxy/silence_watch.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/tier/registry/registry_cluster.cpp
+++ b/tests/tier/registry/registry_cluster.cpp
@@ -1,4 +1,4 @@
-#include "registry/registry_cluster.h"
+#include "tier/registry/registry_cluster.h"
 
 #include <fmt/format.h>
 
--- a/tests/tier/registry/registry_cluster.h
+++ b/tests/tier/registry/registry_cluster.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "control/fake_exchange.h"
-#include "control/virtual_world.h"
-#include "registry/worker_registry.h"
+#include "tier/control/fake_exchange.h"
+#include "tier/control/virtual_world.h"
+#include "tier/registry/worker_registry.h"
 
 namespace pearreach::registry {
 
--- a/tests/tier/registry/registry_cluster_test.cpp
+++ b/tests/tier/registry/registry_cluster_test.cpp
@@ -1,6 +1,6 @@
 // Registries of many nodes together: what all of them come to know, and when, under loss, cuts and
 // nodes that end. All runs are seeded and in virtual time.
-#include "registry/registry_cluster.h"
+#include "tier/registry/registry_cluster.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
@@ -10,7 +10,7 @@
 namespace pearreach::registry {
 namespace {
 
-using mesh::MessageType;
+using rpc::MessageType;
 
 std::size_t Calls(const RegistryCluster& cluster) {
   std::size_t calls = 0;
--- a/tests/tier/registry/worker_state_test.cpp
+++ b/tests/tier/registry/worker_state_test.cpp
@@ -1,5 +1,5 @@
 // What a node knows of workers after calls that come late, twice, out of order or from elsewhere.
-#include "registry/worker_state.h"
+#include "tier/registry/worker_state.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/tier/routing/route_table_test.cpp
+++ b/tests/tier/routing/route_table_test.cpp
@@ -1,5 +1,5 @@
 // Configurations read and checked whole, and requests matched with their routes.
-#include "routing/route_table.h"
+#include "tier/routing/route_table.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/tier/mesh/mesh_test.cpp
+++ b/tests/tier/rpc/mesh_test.cpp
@@ -1,11 +1,11 @@
 // Calls and datagrams between two meshes on loopback, and frames that are cut anywhere or are bad.
-#include "mesh/mesh.h"
+#include "tier/rpc/mesh.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "mesh/frame.h"
+#include "tier/rpc/frame.h"
 
-namespace pearreach::mesh {
+namespace pearreach::rpc {
 namespace {
 
 constexpr int kMostTurns = 2000;
@@ -158,4 +158,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(MeshTest);
 
 }  // namespace
-}  // namespace pearreach::mesh
+}  // namespace pearreach::rpc
--- a/tests/tier/settings/node_settings_test.cpp
+++ b/tests/tier/settings/node_settings_test.cpp
@@ -1,5 +1,5 @@
 // Settings files read whole, with what is wrong and on which line.
-#include "settings/node_settings.h"
+#include "tier/settings/node_settings.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <unistd.h>
--- a/tests/tier/settings/policy_options_test.cpp
+++ b/tests/tier/settings/policy_options_test.cpp
@@ -1,13 +1,13 @@
 // The section `policy`: which names and values it takes.
-#include "settings/policy_options.h"
+#include "tier/settings/policy_options.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <yaml-cpp/yaml.h>
 
 #include <string>
 
-#include "settings/findings.h"
-#include "settings/node_settings.h"
+#include "tier/settings/findings.h"
+#include "tier/settings/node_settings.h"
 
 namespace pearreach::settings {
 namespace {
--- a/tests/tier/disk/power_loss_test.cpp
+++ b/tests/tier/storage/power_loss_test.cpp
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "disk/rig.h"
-#include "disk/table_store.h"
+#include "tier/storage/rig.h"
+#include "tier/storage/table_store.h"
 
-namespace pearreach::disk {
+namespace pearreach::storage {
 namespace {
 
 constexpr std::size_t kPageBytes = 4096;  // of LMDB's file on this machine
@@ -167,4 +167,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(PowerLossTest);
 
 }  // namespace
-}  // namespace pearreach::disk
+}  // namespace pearreach::storage
--- a/tests/tier/disk/rig.h
+++ b/tests/tier/storage/rig.h
@@ -1,6 +1,6 @@
 // A temporary folder and a store in it, driven by the main loop.
-#ifndef PEARREACH_TESTS_TIER_DISK_RIG_H_
-#define PEARREACH_TESTS_TIER_DISK_RIG_H_
+#ifndef PEARREACH_TESTS_TIER_STORAGE_RIG_H_
+#define PEARREACH_TESTS_TIER_STORAGE_RIG_H_
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <glib.h>
@@ -14,9 +14,9 @@
 #include <utility>
 #include <vector>
 
-#include "disk/table_store.h"
+#include "tier/storage/table_store.h"
 
-namespace pearreach::disk {
+namespace pearreach::storage {
 
 constexpr std::size_t kCapacity = 16 << 20;
 constexpr const char* kTablesFile = "tables.mdb";
@@ -90,6 +90,6 @@
   return value.ok() ? *value : "(" + value.status().ToString() + ")";
 }
 
-}  // namespace pearreach::disk
+}  // namespace pearreach::storage
 
-#endif  // PEARREACH_TESTS_TIER_DISK_RIG_H_
+#endif  // PEARREACH_TESTS_TIER_STORAGE_RIG_H_
--- a/tests/tier/disk/table_store_test.cpp
+++ b/tests/tier/storage/table_store_test.cpp
@@ -1,14 +1,14 @@
 // The ordinary use of a store: commits, reads, reopening, and a full file.
-#include "disk/table_store.h"
+#include "tier/storage/table_store.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <string>
 #include <vector>
 
-#include "disk/rig.h"
+#include "tier/storage/rig.h"
 
-namespace pearreach::disk {
+namespace pearreach::storage {
 namespace {
 
 class TableStoreTest : public CppUnit::TestFixture {
@@ -203,4 +203,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(TableStoreTest);
 
 }  // namespace
-}  // namespace pearreach::disk
+}  // namespace pearreach::storage
