--- a/tests/contracts/node_bytes_test.cpp
+++ b/tests/contracts/node_bytes_test.cpp
@@ -23,21 +23,21 @@
 #include <sstream>
 #include <thread>
 
-#include "admin/bans.h"
-#include "admin/zone_orders.h"
-#include "config/config.h"
-#include "fleet/rules_file.h"
-#include "handover/handover.h"
-#include "knowledge/file.h"
-#include "members/members.h"
-#include "module/checkpoint.h"
-#include "module/driver.h"
-#include "peers/datagram.h"
-#include "rules/document.h"
-#include "rules/messages.h"
-#include "shared/words.h"
-#include "store/store.h"
-#include "zones/messages.h"
+#include "dispatch/policy/checkpoint.h"
+#include "dispatch/policy/driver.h"
+#include "node/admin/bans.h"
+#include "node/admin/zone_orders.h"
+#include "node/config/config.h"
+#include "node/fleet/rules_file.h"
+#include "node/hot_restart/handover.h"
+#include "node/job_store/store.h"
+#include "node/knowledge/file.h"
+#include "node/membership/members.h"
+#include "node/peer_transport/datagram.h"
+#include "node/rules/document.h"
+#include "node/rules/messages.h"
+#include "node/shared_state/words.h"
+#include "node/zones/messages.h"
 
 namespace pearreach {
 namespace {
@@ -93,20 +93,20 @@
 // ---------------------------------------------------------------- words between nodes
 
 TEST(NodeBytes, DatagramWithASectionOfEachTopic) {
-  peers::Writer writer(0x0102, 0x0a0b0c0d0e0f, 0x11121314);
-  const std::pair<peers::Topic, std::string> sections[] = {
-      {peers::Topic::kMembers, "members"},
-      {peers::Topic::kModule, std::string("\0\1", 2)},
-      {peers::Topic::kShared, "shared state"},
-      {peers::Topic::kZones, ""},
-      {peers::Topic::kRules, std::string(180, '\xfe')}};
+  peer_transport::Writer writer(0x0102, 0x0a0b0c0d0e0f, 0x11121314);
+  const std::pair<peer_transport::Topic, std::string> sections[] = {
+      {peer_transport::Topic::kMembers, "members"},
+      {peer_transport::Topic::kModule, std::string("\0\1", 2)},
+      {peer_transport::Topic::kShared, "shared state"},
+      {peer_transport::Topic::kZones, ""},
+      {peer_transport::Topic::kRules, std::string(180, '\xfe')}};
   for (const auto& [topic, bytes] : sections) EXPECT_TRUE(writer.Add(topic, bytes));
   const std::string bytes = writer.Take(), golden = Golden("datagram.bin", bytes);
   ExpectBytes(bytes, golden);
 
-  peers::Dropped why{};
-  const auto read = peers::Read(golden, &why);
-  ASSERT_TRUE(read) << peers::NameOf(why);
+  peer_transport::Dropped why{};
+  const auto read = peer_transport::Read(golden, &why);
+  ASSERT_TRUE(read) << peer_transport::NameOf(why);
   EXPECT_EQ(read->from, 0x0102);
   EXPECT_EQ(read->process, 0x0a0b0c0d0e0fu);
   EXPECT_EQ(read->number, 0x11121314u);
@@ -117,9 +117,9 @@
   }
 }
 
-shared::Word SharedSample() {
-  using shared::kEpochMs;
-  shared::Word word;
+shared_state::Word SharedSample() {
+  using shared_state::kEpochMs;
+  shared_state::Word word;
   word.zone = 3;
   word.at = kEpochMs * 1000 + 7'654'321'000;
   word.own = {{1, 4, 99, word.at, 1001, 12.5}, {1, 6, 99, word.at, 1002, 13.25}};
@@ -130,23 +130,23 @@
   word.grants = {{16, 41, kEpochMs + 777, 4001, word.at + 23},
                  {17, 43, kEpochMs + 888, 4002, word.at + 29}};
   word.opinions = {
-      {0xdeadbeef, kEpochMs + 5001, 18, 20, kEpochMs + 999, 47, shared::Verdict::kSilent,
+      {0xdeadbeef, kEpochMs + 5001, 18, 20, kEpochMs + 999, 47, shared_state::Verdict::kSilent,
        word.at - 31'000},
-      {0xfeedface, 0, 22, 24, kEpochMs + 1111, 53, shared::Verdict::kDead, word.at + 37'000}};
+      {0xfeedface, 0, 22, 24, kEpochMs + 1111, 53, shared_state::Verdict::kDead, word.at + 37'000}};
   return word;
 }
 
 TEST(NodeBytes, SectionOfSharedState) {
   int left_out = -1;
-  const std::string bytes = shared::Encode(SharedSample(), kRoom, &left_out);
+  const std::string bytes = shared_state::Encode(SharedSample(), kRoom, &left_out);
   EXPECT_EQ(left_out, 0);
   const std::string golden = Golden("shared.bin", bytes);
   ExpectBytes(bytes, golden);
 
-  const auto word = shared::Decode(golden, 1, 99);
+  const auto word = shared_state::Decode(golden, 1, 99);
   ASSERT_TRUE(word);
-  ExpectBytes(shared::Encode(*word, kRoom, &left_out), golden);
-  const shared::Word sample = SharedSample();
+  ExpectBytes(shared_state::Encode(*word, kRoom, &left_out), golden);
+  const shared_state::Word sample = SharedSample();
   EXPECT_EQ(word->opinions, sample.opinions);
   EXPECT_EQ(word->wholes, sample.wholes);
   ASSERT_EQ(word->own.size(), 2u);
@@ -254,47 +254,47 @@
  public:
   MembersPlay() {
     for (int n = 0; n < kNodes; ++n)
-      nodes_.emplace_back(members::Options{.self = n, .nodes = kNodes},
+      nodes_.emplace_back(membership::Options{.self = n, .nodes = kNodes},
                           static_cast<std::uint64_t>(n) + 1, 1000, ProcessOf(n));
   }
   std::string Run() {
-    for (members::Micros now = 1000; now < 8'000'000; now += 50'000) {
+    for (membership::Micros now = 1000; now < 8'000'000; now += 50'000) {
       for (int n = 0; n < kNodes; ++n) {
-        std::vector<members::Out> out;
+        std::vector<membership::Out> out;
         if (Silent(n, now) || nodes_[Index(n)].next() > now) continue;
         nodes_[Index(n)].Tick(now, &out);
         Deliver(now, n, out);
       }
     }
-    std::vector<members::Out> out;
+    std::vector<membership::Out> out;
     nodes_[1].Leave(8'000'000, &out);
     Deliver(8'000'000, 1, out);
     return words_;
   }
-  const members::Members& node(int n) const { return nodes_[Index(n)]; }
+  const membership::Members& node(int n) const { return nodes_[Index(n)]; }
   static std::uint64_t ProcessOf(int n) {
-    return members::Members::kEpoch + 1000 + static_cast<std::uint64_t>(n);
+    return membership::Members::kEpoch + 1000 + static_cast<std::uint64_t>(n);
   }
 
   static constexpr int kNodes = 3;
 
  private:
   static std::size_t Index(int n) { return static_cast<std::size_t>(n); }
-  static bool Silent(int n, members::Micros now) { return n == 2 && now > 2'500'000; }
-  void Deliver(members::Micros now, int from, const std::vector<members::Out>& out) {
-    for (const members::Out& word : out) {
+  static bool Silent(int n, membership::Micros now) { return n == 2 && now > 2'500'000; }
+  void Deliver(membership::Micros now, int from, const std::vector<membership::Out>& out) {
+    for (const membership::Out& word : out) {
       words_ += static_cast<char>(from);
       words_ += static_cast<char>(word.to);
       words_ += static_cast<char>(word.section.size());
       words_ += word.section;
       if (Silent(word.to, now)) continue;
-      std::vector<members::Out> answers;
+      std::vector<membership::Out> answers;
       nodes_[Index(word.to)].Hear(now, from, ProcessOf(from), false, word.section, &answers);
       Deliver(now, word.to, answers);
     }
   }
 
-  std::vector<members::Members> nodes_;
+  std::vector<membership::Members> nodes_;
   std::string words_;
 };
 
@@ -305,9 +305,9 @@
   EXPECT_GT(play.node(0).counts().asks, 0u);
 
   // A fourth that hears the golden words alone believes what they say.
-  members::Members hearer({.self = 2, .nodes = MembersPlay::kNodes}, 9, 1000,
-                          MembersPlay::ProcessOf(2) + 50);
-  std::vector<members::Out> out;
+  membership::Members hearer({.self = 2, .nodes = MembersPlay::kNodes}, 9, 1000,
+                             MembersPlay::ProcessOf(2) + 50);
+  std::vector<membership::Out> out;
   for (std::size_t at = 0; at + 3 <= golden.size();) {
     const int from = golden[at];
     const auto size = static_cast<unsigned char>(golden[at + 2]);
@@ -317,8 +317,8 @@
   }
   EXPECT_EQ(hearer.counts().malformed, 0u);
   EXPECT_EQ(hearer.entry(0).process, MembersPlay::ProcessOf(0));
-  EXPECT_EQ(hearer.entry(0).status, members::Status::kAlive);
-  EXPECT_EQ(hearer.entry(1).status, members::Status::kLeft);
+  EXPECT_EQ(hearer.entry(0).status, membership::Status::kAlive);
+  EXPECT_EQ(hearer.entry(1).status, membership::Status::kLeft);
   EXPECT_EQ(hearer.says(0), play.node(1).says(0));
 }
 
@@ -465,8 +465,8 @@
 
 // ---------------------------------------------------------------- checkpoints
 
-marlquay::Settings CheckpointSettings() {
-  marlquay::Settings settings = marlquay::testing::BaseSettings();
+dispatch::Settings CheckpointSettings() {
+  dispatch::Settings settings = dispatch::testing::BaseSettings();
   settings.tenants = {{5}, {20}};
   settings.over_share_worth = 0.05;
   settings.balancers = 2;
@@ -476,17 +476,17 @@
 // A module with jobs served, out, waiting and failed, of three classes, with keys and a subject.
 // Its figures are sums of doubles: another compiler's rounding may be another last bit.
 std::string CheckpointSample() {
-  using marlquay::testing::kMs;
-  marlquay::testing::Driver driver(CheckpointSettings(), 7);
+  using dispatch::testing::kMs;
+  dispatch::testing::Driver driver(CheckpointSettings(), 7);
   driver.Workers(4);
-  for (marlquay::RequestId id = 1; id <= 12; ++id) driver.Serve(id);
-  for (marlquay::RequestId id = 20; id < 40; ++id) {
-    marlquay::RequestArrived job = driver.Request(id, static_cast<int>(id % 3));
+  for (dispatch::RequestId id = 1; id <= 12; ++id) driver.Serve(id);
+  for (dispatch::RequestId id = 20; id < 40; ++id) {
+    dispatch::RequestArrived job = driver.Request(id, static_cast<int>(id % 3));
     job.tenant = static_cast<int>(id % 2);
     job.slots = 1 + static_cast<double>(id % 3);
     job.key = id * 1000;
-    job.hint = static_cast<marlquay::Micros>(id) * kMs;
-    job.preferred = {static_cast<marlquay::WorkerId>(id % 4)};
+    job.hint = static_cast<dispatch::Micros>(id) * kMs;
+    job.preferred = {static_cast<dispatch::WorkerId>(id % 4)};
     driver.Give({job});
     driver.Run(3 * kMs);
   }
@@ -494,32 +494,32 @@
   for (const auto& [id, worker] : out) {
     if (id < 20) continue;
     if (id % 2 == 0) driver.Begin(id);
-    if (id % 5 == 0) driver.End(id, marlquay::Outcome::kError);
+    if (id % 5 == 0) driver.End(id, dispatch::Outcome::kError);
   }
-  return marlquay::Checkpoint::Save(driver.dispatcher);
+  return dispatch::Checkpoint::Save(driver.dispatcher);
 }
 
 TEST(NodeBytes, Checkpoint) {
   const std::string bytes = CheckpointSample(), golden = Golden("checkpoint.bin", bytes);
   ExpectBytes(bytes, golden);
   EXPECT_GT(golden.size(), 1000u);
-  marlquay::Dispatcher dispatcher(CheckpointSettings(), 1, 0);
-  EXPECT_EQ(marlquay::Checkpoint::Load(golden, &dispatcher), "");
-  ExpectBytes(marlquay::Checkpoint::Save(dispatcher), golden);
+  dispatch::Dispatcher dispatcher(CheckpointSettings(), 1, 0);
+  EXPECT_EQ(dispatch::Checkpoint::Load(golden, &dispatcher), "");
+  ExpectBytes(dispatch::Checkpoint::Save(dispatcher), golden);
 }
 
 // A capture carries it: with another number, the checkpoints in captures of today are not read. It
 // is made of the names of records and fields in checkpoint.cpp, so a renaming there must keep the
 // old names in the text that is hashed.
 TEST(NodeBytes, NumberOfTheCheckpointsLayout) {
-  const std::string number = std::to_string(marlquay::Checkpoint::Layout()) + "\n";
+  const std::string number = std::to_string(dispatch::Checkpoint::Layout()) + "\n";
   EXPECT_EQ(number, Golden("checkpoint_layout.txt", number));
 }
 
 // ---------------------------------------------------------------- durable jobs
 
-jobs::Attempt AttemptSample(int number, jobs::Ran ran) {
-  jobs::Attempt attempt;
+job_state::Attempt AttemptSample(int number, job_state::Ran ran) {
+  job_state::Attempt attempt;
   attempt.number = number;
   attempt.worker = "w" + std::to_string(number);
   attempt.fence = 100u + static_cast<std::uint64_t>(number);
@@ -532,12 +532,12 @@
 }
 
 // As it is handed in, and with an attempt of each kind.
-jobs::Job JobSample(std::uint64_t seq) {
+job_state::Job JobSample(std::uint64_t seq) {
   const std::string n = std::to_string(seq);
-  const auto at = static_cast<jobs::UnixMicros>(seq);
-  jobs::Job job;
+  const auto at = static_cast<job_state::UnixMicros>(seq);
+  job_state::Job job;
   job.seq = seq;
-  job.id = jobs::MakeId(seq, 0x0123456789abcdef + seq);
+  job.id = job_state::MakeId(seq, 0x0123456789abcdef + seq);
   job.request_id = "request-" + n;
   job.path = "/jobs/path-" + n;
   job.body = std::string("body\0", 5) + n;
@@ -554,24 +554,24 @@
 }
 
 // The same in its state, the last of seven being the highest.
-jobs::Job JobInState(std::uint64_t seq) {
+job_state::Job JobInState(std::uint64_t seq) {
   const std::string n = std::to_string(seq);
-  const auto at = static_cast<jobs::UnixMicros>(seq);
-  jobs::Job job = JobSample(seq);
-  job.state = static_cast<jobs::State>(seq - 1);
+  const auto at = static_cast<job_state::UnixMicros>(seq);
+  job_state::Job job = JobSample(seq);
+  job.state = static_cast<job_state::State>(seq - 1);
   job.callback_tries = 20 + static_cast<int>(seq);
-  if (job.state != jobs::State::kQueued) job.reason = "reason-" + n;
-  if (!jobs::IsEnd(job.state)) return job;
+  if (job.state != job_state::State::kQueued) job.reason = "reason-" + n;
+  if (!job_state::IsEnd(job.state)) return job;
   job.ended = 3000 + at;
   job.retry_after = 4000 + at;
   job.callback_done = seq % 2 == 0;
   job.callback_at = 7000 + at;
   job.forget_at = 8000 + at;
-  if (job.state == jobs::State::kServed) job.result = std::string("result\0", 7) + n;
+  if (job.state == job_state::State::kServed) job.result = std::string("result\0", 7) + n;
   return job;
 }
 
-std::string Dump(const jobs::Attempt& a) {
+std::string Dump(const job_state::Attempt& a) {
   std::ostringstream out;
   out << "  attempt " << a.number << " worker " << a.worker << " fence " << a.fence
       << " knows_fences " << a.knows_fences << " ran " << static_cast<int>(a.ran) << " started "
@@ -582,7 +582,7 @@
   std::replace(text.begin(), text.end(), '\0', '~');
   return "'" + text + "'";
 }
-std::string Dump(const jobs::Job& j) {
+std::string Dump(const job_state::Job& j) {
   std::ostringstream out;
   out << "job " << j.seq << " id " << j.id << " request " << Visible(j.request_id) << " path "
       << Visible(j.path) << " body " << Visible(j.body) << " key " << Visible(j.idempotency_key)
@@ -594,30 +594,31 @@
       << Visible(j.callback) << " done " << j.callback_done << " tries " << j.callback_tries
       << " at " << j.callback_at << " forget_at " << j.forget_at << " owner " << Visible(j.owner)
       << " epoch " << j.epoch << '\n';
-  for (const jobs::Attempt& a : j.attempts) out << Dump(a);
+  for (const job_state::Attempt& a : j.attempts) out << Dump(a);
   return out.str();
 }
 
-store::Outcome Submit(store::Store* store, std::vector<store::Change> changes) {
-  std::optional<store::Outcome> said;
-  store->Submit({std::move(changes), [&](const store::Outcome& outcome) { said = outcome; }});
+job_store::Outcome Submit(job_store::Store* store, std::vector<job_store::Change> changes) {
+  std::optional<job_store::Outcome> said;
+  store->Submit({std::move(changes), [&](const job_store::Outcome& outcome) { said = outcome; }});
   while (!said) g_main_context_iteration(nullptr, TRUE);
   EXPECT_EQ(said->error, "");
   return *said;
 }
 
 void WriteJobs(const std::string& path) {
-  const auto store = store::OpenSqlite({.path = path, .owner = "golden", .fault = {}});
+  const auto store = job_store::OpenSqlite({.path = path, .owner = "golden", .fault = {}});
   for (std::uint64_t seq = 1; seq <= 7; ++seq) {
     EXPECT_EQ(store->NextSeq(), seq);
-    Submit(store.get(), {store::TakeJob{JobSample(seq)}});
-    std::vector<store::Change> changes;
+    Submit(store.get(), {job_store::TakeJob{JobSample(seq)}});
+    std::vector<job_store::Change> changes;
     for (int n = 0; n < static_cast<int>(seq) - 1 && n < 5; ++n)
-      changes.push_back(store::PutAttempt{seq, AttemptSample(n, static_cast<jobs::Ran>(n))});
-    changes.push_back(store::PutJob{JobInState(seq)});
+      changes.push_back(
+          job_store::PutAttempt{seq, AttemptSample(n, static_cast<job_state::Ran>(n))});
+    changes.push_back(job_store::PutJob{JobInState(seq)});
     Submit(store.get(), std::move(changes));
   }
-  Submit(store.get(), {store::KnowsFences{"w-fencing"}});
+  Submit(store.get(), {job_store::KnowsFences{"w-fencing"}});
 }
 
 std::string SchemaOf(const std::string& path) {
@@ -643,8 +644,8 @@
     fs::copy_file(PathOf("jobs.db"), folder_ / "jobs.db", error);
     EXPECT_FALSE(error) << PathOf("jobs.db") << ": " << error.message();
   }
-  std::unique_ptr<store::Store> Open() {
-    return store::OpenSqlite({.path = folder_ / "jobs.db", .owner = "golden", .fault = {}});
+  std::unique_ptr<job_store::Store> Open() {
+    return job_store::OpenSqlite({.path = folder_ / "jobs.db", .owner = "golden", .fault = {}});
   }
   Folder folder_;
 
@@ -661,7 +662,7 @@
   const auto store = Open();
   std::string jobs;
   std::uint64_t seq = 0;
-  store->Load([&](const jobs::Job& job) {
+  store->Load([&](const job_state::Job& job) {
     EXPECT_EQ(static_cast<std::uint64_t>(job.state), seq++);
     EXPECT_EQ(job.id, JobSample(seq).id);
     jobs += Dump(job);
@@ -677,17 +678,17 @@
 TEST_F(GoldenStore, JobsAreFoundByTheirNames) {
   const auto store = Open();
   for (const std::uint64_t seq : {1u, 2u, 3u, 4u, 6u, 7u}) {  // the fifth is refused: holds none
-    const jobs::Job sample = JobSample(seq);
-    const auto by_request = store->AskNow(store::ByRequest{sample.request_id});
+    const job_state::Job sample = JobSample(seq);
+    const auto by_request = store->AskNow(job_store::ByRequest{sample.request_id});
     ASSERT_EQ(by_request.jobs.size(), 1u) << seq << by_request.error;
     EXPECT_EQ(by_request.jobs[0].seq, seq);
-    EXPECT_EQ(store->AskNow(store::ById{sample.id}).jobs.size(), 1u);
-    jobs::Job twin = JobSample(seq);
+    EXPECT_EQ(store->AskNow(job_store::ById{sample.id}).jobs.size(), 1u);
+    job_state::Job twin = JobSample(seq);
     twin.seq = store->NextSeq();
-    twin.id = jobs::MakeId(twin.seq, 1);
+    twin.id = job_state::MakeId(twin.seq, 1);
     twin.request_id += "-again";
-    const store::Outcome outcome = Submit(store.get(), {store::TakeJob{twin}});
-    EXPECT_EQ(outcome.kind, store::Outcome::Kind::kTwin) << seq;
+    const job_store::Outcome outcome = Submit(store.get(), {job_store::TakeJob{twin}});
+    EXPECT_EQ(outcome.kind, job_store::Outcome::Kind::kTwin) << seq;
     EXPECT_EQ(outcome.id, sample.id);
   }
 }
@@ -696,9 +697,9 @@
   WriteJobs(folder_ / "now.db");
   EXPECT_EQ(SchemaOf(folder_ / "now.db"), SchemaOf(folder_ / "jobs.db"));
   std::string now, golden;
-  store::OpenSqlite({.path = folder_ / "now.db", .owner = "golden", .fault = {}})
-      ->Load([&](const jobs::Job& job) { now += Dump(job); });
-  Open()->Load([&](const jobs::Job& job) { golden += Dump(job); });
+  job_store::OpenSqlite({.path = folder_ / "now.db", .owner = "golden", .fault = {}})
+      ->Load([&](const job_state::Job& job) { now += Dump(job); });
+  Open()->Load([&](const job_state::Job& job) { golden += Dump(job); });
   EXPECT_EQ(now, golden);
 }
 
@@ -833,7 +834,7 @@
   const News news{"job-1", "w-2", News::State::kFailed, 0.75, 42, "a \"result\"", {}};
   const std::string text = WriteNews(news);
   EXPECT_EQ(text, Golden("news.json", text));
-  const auto read = ReadNews(Golden("news.json", text), marlquay::Site());
+  const auto read = ReadNews(Golden("news.json", text), dispatch::Site());
   ASSERT_TRUE(read);
   EXPECT_EQ(read->job, "job-1");
   EXPECT_EQ(read->from, "w-2");
