--- /dev/null
+++ b/tests/tier/golden/samples_batch.cpp
@@ -0,0 +1,123 @@
+// Messages between edge nodes and stores and between stores.
+#include "batch/messages.h"
+#include "batch/quota.h"
+#include "batch/replication_messages.h"
+#include "batch/store_path.h"
+#include "samples.h"
+
+namespace pearreach::golden {
+
+using namespace batch;
+
+namespace {
+
+ItemSpec SomeItem(const std::string& id, double tokens) {
+  return {
+      id, "/path/" + id, {{"x-head", "1"}, {"x-tail", "2"}}, std::string("a\0b", 3) + id, tokens};
+}
+
+LotSpec SomeLot() {
+  return {"lot",
+          "route",
+          "host",
+          101,
+          102.5,
+          103.25,
+          4,
+          105.5,
+          106.75,
+          107.125,
+          {SomeItem("i1", 1.5), SomeItem("i2", 2.5)}};
+}
+
+LeasedItem SomeLeased() {
+  return {"lot", "route", "host", 51, 5200, 53, 54, 55.5, SomeItem("i3", 3.5)};
+}
+
+PlacementTable SomePlacement() {
+  return {61,
+          {{62, {{"s1", "d1"}, {"s2", "d2"}}, {{"s3", "d3"}}}, {63, {{"s2", "d2"}}, {}}},
+          {"retiring"},
+          {"retired", "gone"}};
+}
+
+ReplicaScope SomeScope() { return {{"s1", "d1"}, {"s2", "d2"}, 71, 72, 73, 74}; }
+
+Operation SomeOperation() {
+  return {"lot", true, {{'r', 75, "result", false}, {'i', 76, "", true}}};
+}
+
+QuotaReservation SomeReservation() { return {"route", 81.5, 82, 83, 84}; }
+
+Samples LotSamples() {
+  return {
+      Coded("batch.store_id", StoreId{"name", "disk"}),
+      Coded("batch.placement_table", SomePlacement()),
+      Coded("batch.item_spec", SomeItem("i1", 1.5)),
+      Coded("batch.lot_spec", SomeLot()),
+      Coded("batch.create_lot", CreateLot{1, 2, SomeLot()}),
+      Coded("batch.create_lot_answer", CreateLotAnswer{CreateStatus::kOverQuota, 3}),
+      Coded("batch.offer_lot", OfferLot{4, "lot", 5}),
+      Coded("batch.offer_lot_answer", OfferLotAnswer{OfferVerdict::kNoRoom}),
+      Coded("batch.item_output", ItemOutput{"i1", ItemPhase::kAbandoned, "content"}),
+      Coded("batch.read_lot", ReadLot{6, "lot", 7, 8, 9}),
+      Coded(
+          "batch.read_lot_answer",
+          ReadLotAnswer{
+              true, 10, {{"i1", ItemPhase::kAbandoned, "c1"}, {"i2", ItemPhase::kComplete, "c"}}}),
+      Coded("batch.read_item_body", ReadItemBody{11, "lot", "i1"}),
+      Coded("batch.read_item_body_answer", ReadItemBodyAnswer{true, std::string("b\0dy", 4)}),
+      Coded("batch.cancel_lot", CancelLot{12, "lot"}),
+      Coded("batch.cancel_lot_answer", CancelLotAnswer{true}),
+  };
+}
+
+Samples LeaseSamples() {
+  return {
+      Coded("batch.take_items", TakeItems{"node", 13, 14, {{"r1", 15}, {"r2", 16}}, 17}),
+      Coded("batch.leased_item", SomeLeased()),
+      Coded("batch.take_items_answer", TakeItemsAnswer{{SomeLeased()}}),
+      Coded("batch.item_result", ItemResult{"lot", "i1", 18, RunOutcome::kImpossible, "content"}),
+      Coded("batch.renew_leases", RenewLeases{"node", 19, {{"lot", "i1"}, {"lot2", "i2"}}}),
+      Coded("batch.renew_leases_answer", RenewLeasesAnswer{{{"lot", "i1"}}}),
+      Coded("batch.store_status",
+            StoreStatus{{"s1", "d1"}, {{20, 21}, {22, 23}}, {{"s2", "d2"}, {"s3", "d3"}}}),
+      Coded("batch.relayed_call", RelayedCall{{"s1", "d1"}, 24, "body", 25}),
+  };
+}
+
+}  // namespace
+
+Samples BatchSamples() {
+  Samples samples = LotSamples();
+  Join(LeaseSamples(), &samples);
+  return samples;
+}
+
+Samples QuotaSamples() {
+  QuotaReport report{"route", 85, 86, true, {{87, 88}, {89, 90}}, {{"lot", 91.5}}, {"asked"}};
+  return {
+      Coded("quota.reservation", SomeReservation()),
+      Coded("quota.reserve", QuotaReserve{"lot", SomeReservation(), 92.5}),
+      Coded("quota.question", QuotaQuestion{"route", "lot", 93.5, 94.5}),
+      Coded("quota.reserve_answer", QuotaReserveAnswer{QuotaVerdict::kOver, 95}),
+      Coded("quota.lot_tokens", LotTokens{"lot", 96.5}),
+      Coded("quota.report", report),
+  };
+}
+
+Samples ReplicationSamples() {
+  return {
+      Coded("replication.scope", SomeScope()),
+      Coded("replication.operation", SomeOperation()),
+      Coded("replication.replicate", Replicate{SomeScope(), 77, true, false, {SomeOperation()}}),
+      Coded("replication.replicate.begin", Replicate{SomeScope(), 78, false, true, {}}),
+      Coded("replication.replicate_answer", ReplicateAnswer{ReplicaVerdict::kStale, 79}),
+      Coded("replication.repair_digest",
+            RepairDigest{SomeScope(), {1, 2}, {3, 4}, {{"lot", 5}, {"lot2", 6}}}),
+      Coded("replication.repair_digest_answer",
+            RepairDigestAnswer{ReplicaVerdict::kBehind, {7, 8}, {"wanted"}, {"surplus", "more"}}),
+  };
+}
+
+}  // namespace pearreach::golden
--- /dev/null
+++ b/tests/tier/golden/samples_values.cpp
@@ -0,0 +1,212 @@
+// Frames of the mesh, and the numbers that stand for names on the wire and on disk.
+#include "batch/lot_state.h"
+#include "batch/quota.h"
+#include "batch/replication_messages.h"
+#include "control/control_client.h"
+#include "coordination/change_marks.h"
+#include "coordination/membership.h"
+#include "mesh/frame.h"
+#include "mesh/mesh.h"
+#include "registry/worker_table.h"
+#include "samples.h"
+
+namespace pearreach::golden {
+namespace {
+
+std::string FrameBytes(const mesh::Frame& frame) {
+  std::string bytes;
+  mesh::AppendFrame(frame, &bytes);
+  return bytes;
+}
+
+std::string RewriteFrame(std::string_view bytes) {
+  mesh::FrameReader reader;
+  reader.Feed(bytes);
+  mesh::Frame frame;
+  if (reader.Next(&frame) != mesh::FrameReader::State::kFrame) return kUnreadable;
+  return FrameBytes(frame);
+}
+
+// No default: the compiler names a type that has no row.
+const char* NameOf(mesh::MessageType type) {
+  using mesh::MessageType;
+  switch (type) {
+    case MessageType::kChain:
+      return "chain";
+    case MessageType::kControlPoll:
+      return "control_poll";
+    case MessageType::kControlWrite:
+      return "control_write";
+    case MessageType::kControlRead:
+      return "control_read";
+    case MessageType::kWorkerSpread:
+      return "worker_spread";
+    case MessageType::kWorkerPass:
+      return "worker_pass";
+    case MessageType::kWorkerDigest:
+      return "worker_digest";
+    case MessageType::kWorkerRepair:
+      return "worker_repair";
+    case MessageType::kLotCreate:
+      return "lot_create";
+    case MessageType::kLotRead:
+      return "lot_read";
+    case MessageType::kLotItemBody:
+      return "lot_item_body";
+    case MessageType::kLotCancel:
+      return "lot_cancel";
+    case MessageType::kItemTake:
+      return "item_take";
+    case MessageType::kItemResult:
+      return "item_result";
+    case MessageType::kItemRenew:
+      return "item_renew";
+    case MessageType::kLotOffer:
+      return "lot_offer";
+    case MessageType::kReplicate:
+      return "replicate";
+    case MessageType::kRepairDigest:
+      return "repair_digest";
+    case MessageType::kQuotaReserve:
+      return "quota_reserve";
+    case MessageType::kQuotaReport:
+      return "quota_report";
+    case MessageType::kStoreStatus:
+      return "store_status";
+    case MessageType::kQuotaQuestion:
+      return "quota_question";
+    case MessageType::kStorePing:
+      return "store_ping";
+    case MessageType::kStoreRelay:
+      return "store_relay";
+  }
+  return nullptr;
+}
+
+// One byte a name, in the order in which they are given.
+template <class Enumeration>
+void AddValues(const std::string& prefix,
+               const std::vector<std::pair<const char*, Enumeration>>& values, Samples* samples) {
+  for (const auto& [name, value] : values) {
+    samples->push_back({prefix + "." + name, std::string(1, static_cast<char>(value))});
+  }
+}
+
+void AddCoordinationValues(Samples* samples) {
+  using namespace coordination;
+  AddValues<MemberStatus>("member_status",
+                          {{"alive", MemberStatus::kAlive},
+                           {"suspect", MemberStatus::kSuspect},
+                           {"dead", MemberStatus::kDead},
+                           {"left", MemberStatus::kLeft}},
+                          samples);
+  AddValues<std::uint8_t>("member_role",
+                          {{"edge", MemberInfo::kServesEdge},
+                           {"control", MemberInfo::kServesControl},
+                           {"storage", MemberInfo::kServesStorage},
+                           {"quorum", MemberInfo::kQuorumMember}},
+                          samples);
+  AddValues<ChangeStatus>("change_status",
+                          {{"committed", ChangeStatus::kCommitted},
+                           {"conflict", ChangeStatus::kConflict},
+                           {"unavailable", ChangeStatus::kUnavailable},
+                           {"not_head", ChangeStatus::kNotHead},
+                           {"fenced", ChangeStatus::kFenced}},
+                          samples);
+  AddValues<MarkStanding>("mark_standing",
+                          {{"new", MarkStanding::kNew},
+                           {"recorded", MarkStanding::kRecorded},
+                           {"other", MarkStanding::kOther},
+                           {"forgotten", MarkStanding::kForgotten}},
+                          samples);
+}
+
+void AddLotValues(Samples* samples) {
+  using namespace batch;
+  AddValues<OfferVerdict>("offer_verdict",
+                          {{"welcome", OfferVerdict::kWelcome},
+                           {"known", OfferVerdict::kKnown},
+                           {"no_room", OfferVerdict::kNoRoom}},
+                          samples);
+  AddValues<CreateStatus>("create_status",
+                          {{"accepted", CreateStatus::kAccepted},
+                           {"over_quota", CreateStatus::kOverQuota},
+                           {"no_room", CreateStatus::kNoRoom}},
+                          samples);
+  AddValues<ItemPhase>("item_phase",
+                       {{"complete", ItemPhase::kComplete}, {"abandoned", ItemPhase::kAbandoned}},
+                       samples);
+  AddValues<RunOutcome>("run_outcome",
+                        {{"complete", RunOutcome::kComplete},
+                         {"failed", RunOutcome::kFailed},
+                         {"impossible", RunOutcome::kImpossible},
+                         {"returned", RunOutcome::kReturned}},
+                        samples);
+}
+
+void AddStoreValues(Samples* samples) {
+  using namespace batch;
+  AddValues<RecordKind>("record_kind",
+                        {{"header", RecordKind::kHeader},
+                         {"ended", RecordKind::kEnded},
+                         {"failures", RecordKind::kFailures},
+                         {"item", RecordKind::kItem},
+                         {"reservation", RecordKind::kReservation},
+                         {"result", RecordKind::kResult}},
+                        samples);
+  AddValues<ReplicaVerdict>("replica_verdict",
+                            {{"taken", ReplicaVerdict::kTaken},
+                             {"unsynchronised", ReplicaVerdict::kUnsynchronised},
+                             {"stale", ReplicaVerdict::kStale},
+                             {"superseded", ReplicaVerdict::kSuperseded},
+                             {"behind", ReplicaVerdict::kBehind}},
+                            samples);
+  AddValues<QuotaVerdict>("quota_verdict",
+                          {{"granted", QuotaVerdict::kGranted},
+                           {"over", QuotaVerdict::kOver},
+                           {"unknown", QuotaVerdict::kUnknown}},
+                          samples);
+}
+
+}  // namespace
+
+Samples FrameSamples() {
+  using mesh::FrameKind;
+  Samples samples;
+  const auto add = [&](const char* name, const mesh::Frame& frame) {
+    samples.push_back({std::string("frame.") + name, FrameBytes(frame), RewriteFrame});
+  };
+  add("call", {FrameKind::kCall, 20, 0x0102030405060708, "question"});
+  add("answer", {FrameKind::kAnswer, 21, 0x1112131415161718, "reply"});
+  add("error", {FrameKind::kError, 14, 0x2122232425262728, "what is wrong"});
+  return samples;
+}
+
+Samples MessageTypeValues() {
+  Samples samples;
+  for (int value = 0; value < 256; ++value) {
+    const char* name = NameOf(static_cast<mesh::MessageType>(value));
+    if (name == nullptr) continue;
+    samples.push_back(
+        {std::string("message_type.") + name, std::string(1, static_cast<char>(value))});
+  }
+  return samples;
+}
+
+Samples EnumerationValues() {
+  Samples samples;
+  AddCoordinationValues(&samples);
+  AddLotValues(&samples);
+  AddStoreValues(&samples);
+  using registry::WorkerPhase;
+  AddValues<WorkerPhase>("worker_phase",
+                         {{"ready", WorkerPhase::kReady},
+                          {"draining", WorkerPhase::kDraining},
+                          {"gone", WorkerPhase::kGone}},
+                         &samples);
+  samples.push_back({"control_key.config", control::kConfigKey});
+  samples.push_back({"control_key.stores", control::kStoresKey});
+  return samples;
+}
+
+}  // namespace pearreach::golden
