--- a/tests/tier/golden/samples_control.cpp
+++ b/tests/tier/golden/samples_control.cpp
@@ -45,11 +45,15 @@
                                                 coordination::MarkStanding::kOther}),
       Coded("control.write_request", SomeWrite()),
       Coded("control.write_answer", WriteAnswer{4, 14, "hint"}),
-      Coded("control.chain_envelope",
-            ChainEnvelope{"from", "bytes", true, true, "disk", DiskUse{15, 16, 17}}),
-      Coded("control.sign_answer",
-            SignAnswer{
-                "name", {"a", "b"}, true, 19, true, "disk", DiskUse{20, 21, 22}, {23, 24, 25}}),
+      // Of two flags side by side one is set at a time, so that they cannot change places.
+      Coded("control.chain_envelope.sign",
+            ChainEnvelope{"from", "bytes", true, false, "disk", DiskUse{15, 16, 17}}),
+      Coded("control.chain_envelope.leaving",
+            ChainEnvelope{"from", "bytes", false, true, "disk", DiskUse{15, 16, 17}}),
+      Coded("control.sign_answer.leaving",
+            SignAnswer{"name", {"a", "b"}, true, 19, false, "disk", {20, 21, 22}, {23, 24, 25}}),
+      Coded("control.sign_answer.agreeing",
+            SignAnswer{"name", {"a", "b"}, false, 19, true, "disk", {20, 21, 22}, {23, 24, 25}}),
   };
 }
 
