--- a/lab/cli/experiment.cpp
+++ b/lab/cli/experiment.cpp
@@ -5,7 +5,7 @@
 #include <iostream>
 #include <thread>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "lab/cli/commands.h"
 #include "lab/experiment/run.h"
 #include "node/config/xml.h"
--- a/lab/cli/knowledge.cpp
+++ b/lab/cli/knowledge.cpp
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "lab/base/process.h"
 #include "lab/cli/commands.h"
 #include "node/knowledge/file.h"
--- a/lab/cli/load.cpp
+++ b/lab/cli/load.cpp
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <iostream>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "lab/cli/commands.h"
 #include "lab/emulate/fleet.h"
 #include "lab/experiment/settings.h"
--- a/lab/cli/report.cpp
+++ b/lab/cli/report.cpp
@@ -2,7 +2,7 @@
 #include <fstream>
 #include <iostream>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "lab/cli/commands.h"
 #include "lab/report/page.h"
 #include "lab/report/trial_page.h"
--- a/lab/cli/top.cpp
+++ b/lab/cli/top.cpp
@@ -9,14 +9,14 @@
 #include <iostream>
 #include <memory>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "lab/cli/commands.h"
 #include "lab/top/model.h"
 
 namespace pearreach::lab {
 namespace {
 
-constexpr std::size_t kMostLine = 1 << 20;
+constexpr std::size_t kMaxLine = 1 << 20;
 
 // Lines as they are added to a file.
 struct Source {
@@ -33,7 +33,7 @@
     for (std::size_t end; (end = rest.find('\n', at)) != std::string::npos; at = end + 1)
       model->Feed(std::string_view(rest).substr(at, end - at));
     rest.erase(0, at);
-    if (rest.size() > kMostLine) rest.clear();  // no line of ours
+    if (rest.size() > kMaxLine) rest.clear();  // no line of ours
     return true;
   }
 };
--- a/lab/cli/trial.cpp
+++ b/lab/cli/trial.cpp
@@ -7,7 +7,7 @@
 #include <functional>
 #include <iostream>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "lab/cli/commands.h"
 #include "lab/trial/checkers.h"
 #include "lab/trial/figures.h"
--- a/lab/emulate/fleet.cpp
+++ b/lab/emulate/fleet.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Micros kFallDown = 2 * kSecond;
-constexpr Micros kMostWatch = 60 * kSecond;
+constexpr Micros kMaxWatch = 60 * kSecond;
 
 // The number behind "name=" in a query; -1: it is not there.
 std::int64_t Query(const std::string& target, const std::string& name) {
@@ -69,7 +69,7 @@
     if (static_cast<std::uint64_t>(since) < version_ || wait <= 0)
       return http::WriteResponse(200, {}, Body(static_cast<std::uint64_t>(since), false), true);
     watches_.push_back({stream, static_cast<std::uint64_t>(since),
-                        Now() + std::min<Micros>(wait * kMs, kMostWatch)});
+                        Now() + std::min<Micros>(wait * kMs, kMaxWatch)});
     alarm_.Set(std::min(watches_.back().until,
                         coming_.empty() || held_ ? watches_.back().until : coming_.begin()->first));
     return "";
--- a/lab/experiment/results.cpp
+++ b/lab/experiment/results.cpp
@@ -6,7 +6,7 @@
 
 #include <algorithm>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 
 namespace pearreach::lab {
 namespace {
--- a/lab/experiment/settings.cpp
+++ b/lab/experiment/settings.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <set>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "lab/experiment/experiment_schema.h"
 #include "node/config/xml.h"
 
--- a/lab/hollow/membership.cpp
+++ b/lab/hollow/membership.cpp
@@ -79,21 +79,21 @@
   Fleet fleet(size);
   const double n = size.nodes;
   const auto ms = [](Micros span) { return static_cast<double>(span) / kMs; };
-  ProcessCost mark;
+  ProcessCost change_id;
   const Micros started = fleet.time.now();
   const auto all = [&] { return fleet.AllSee(fleet.drivers.size()); };
   if (fleet.time.RunUntil(all, kBound, 50 * kMs))
     figures.all_know_ms = ms(fleet.time.now() - started);
-  figures.start_processor_ms = mark.ProcessorMs() / n;
+  figures.start_processor_ms = change_id.ProcessorMs() / n;
   figures.start_kb = static_cast<double>(fleet.network.total.bytes) / n / 1e3;
   figures.start_messages = static_cast<double>(fleet.network.total.messages) / n;
 
   fleet.time.RunFor(5 * kSecond);
-  mark = ProcessCost();
+  change_id = ProcessCost();
   const Traffic at_idle = fleet.network.total;
   fleet.time.RunFor(kIdle);
   const double seconds = static_cast<double>(kIdle) / kSecond;
-  figures.idle_processor_percent = mark.ProcessorMs() / n / seconds / 10;
+  figures.idle_processor_percent = change_id.ProcessorMs() / n / seconds / 10;
   figures.idle_bytes_s =
       static_cast<double>(fleet.network.total.bytes - at_idle.bytes) / n / seconds;
   figures.idle_messages_s =
--- a/lab/hollow/registry.cpp
+++ b/lab/hollow/registry.cpp
@@ -27,7 +27,7 @@
   void OnChange(std::function<void()>) override {}
   void Change(control::ControlChange, Micros, ChangeDone) override {}
   void StrictRead(Micros, ReadDone) override {}
-  bool IsDutyHolder() const override { return false; }
+  bool IsSingletonRoleCandidate() const override { return false; }
   const std::map<std::string, coordination::Member>& members() const override { return known; }
   std::map<std::string, coordination::Member> known;
 };
@@ -67,7 +67,7 @@
 struct Fleet {
   struct Node {
     std::string name, ip;
-    std::unique_ptr<VirtualMesh> mesh;
+    std::unique_ptr<VirtualMesh> transport;
     std::unique_ptr<registry::WorkerRegistry> registry;
   };
 
@@ -102,13 +102,13 @@
     if (i < static_cast<std::size_t>(size.quorum)) info.roles |= MemberInfo::kQuorumMember;
   }
   for (Node& node : nodes) {
-    node.mesh = std::make_unique<VirtualMesh>(&network, node.ip + ":7660");
+    node.transport = std::make_unique<VirtualMesh>(&network, node.ip + ":7660");
     settings::NodeSettings settings;
     settings.node_name = node.name;
     settings.beat_ms = static_cast<double>(kBeat) / kMs;
     settings.bind.control = node.ip + kControlPort;
     node.registry = std::make_unique<registry::WorkerRegistry>(
-        std::make_unique<VirtualTimeSource>(&time), node.mesh.get(), &members, settings);
+        std::make_unique<VirtualTimeSource>(&time), node.transport.get(), &members, settings);
   }
   for (int i = 0; i < size.workers; ++i) {
     auto worker = std::make_unique<Worker>();
@@ -169,7 +169,7 @@
   fleet.time.RunFor(2 * kSecond);
   const auto ms = [](Micros span) { return static_cast<double>(span) / kMs; };
 
-  ProcessCost mark;
+  ProcessCost change_id;
   const Traffic at_start = fleet.network.total;
   const Micros started = fleet.time.now();
   for (const auto& worker : fleet.workers)
@@ -178,17 +178,17 @@
   const auto all = [&] { return fleet.AllKnow(fleet.workers.size()); };
   if (fleet.time.RunUntil(all, kBound, 20 * kMs))
     figures.all_know_ms = ms(fleet.time.now() - started);
-  figures.start_processor_ms = mark.ProcessorMs() / n;
+  figures.start_processor_ms = change_id.ProcessorMs() / n;
   figures.start_kb = static_cast<double>(fleet.network.total.bytes - at_start.bytes) / n / 1e3;
   figures.start_messages =
       static_cast<double>(fleet.network.total.messages - at_start.messages) / n;
 
   fleet.time.RunFor(2 * kSecond);
-  mark = ProcessCost();
+  change_id = ProcessCost();
   const Traffic at_idle = fleet.network.total;
   fleet.time.RunFor(kIdle);
   const double seconds = static_cast<double>(kIdle) / kSecond;
-  figures.idle_processor_percent = mark.ProcessorMs() / n / seconds / 10;
+  figures.idle_processor_percent = change_id.ProcessorMs() / n / seconds / 10;
   figures.idle_bytes_s =
       static_cast<double>(fleet.network.total.bytes - at_idle.bytes) / n / seconds;
   figures.idle_messages_s =
@@ -204,7 +204,7 @@
   fleet.time.RunFor(kSecond);
   if (leaving.acknowledged != 0) figures.acknowledge_ms = ms(leaving.acknowledged - drained);
   double peers = 0;
-  for (const auto& node : fleet.nodes) peers += static_cast<double>(node.mesh->peers.size());
+  for (const auto& node : fleet.nodes) peers += static_cast<double>(node.transport->peers.size());
   figures.peers = peers / n;
   return figures;
 }
--- a/lab/hollow/virtual_network.h
+++ b/lab/hollow/virtual_network.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "tier/control/time_source.h"
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 
 namespace pearreach::lab::hollow {
 
@@ -74,7 +74,7 @@
     const auto found = nodes_.find(address);
     return found == nodes_.end() ? nullptr : found->second;
   }
-  void Join(const std::string& address, VirtualMesh* mesh) { nodes_[address] = mesh; }
+  void Join(const std::string& address, VirtualMesh* transport) { nodes_[address] = transport; }
   void Part(const std::string& address) { nodes_.erase(address); }
   Traffic total;
 
@@ -86,7 +86,7 @@
 };
 
 // A lost call ends as one that nobody answers in time.
-class VirtualMesh : public rpc::Mesh {
+class VirtualMesh : public rpc::Transport {
  public:
   VirtualMesh(VirtualNetwork* network, std::string address)
       : network_(network), address_(std::move(address)) {
--- a/lab/load/schedule.cpp
+++ b/lab/load/schedule.cpp
@@ -6,7 +6,7 @@
 #include <cstring>
 #include <map>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "lab/stats/stats.h"
 #include "node/capture/segment.h"
 
@@ -15,7 +15,7 @@
 
 using dispatch::Malformed;
 
-constexpr std::size_t kMostJobs = 20'000'000;
+constexpr std::size_t kMaxJobs = 20'000'000;
 
 // The index of one that is there, or is added.
 template <class Spec>
@@ -70,7 +70,7 @@
     if (!Cell("account").empty()) a.account = IndexOfNamed(&plan->accounts, Cell("account"));
     if (!Cell("slots").empty()) a.slots = dispatch::Number<double>(Cell("slots"), "slots");
     if (a.slots <= 0 || a.slots > 1e6) throw Malformed("slots out of their bounds");
-    if (plan->jobs.size() >= kMostJobs) throw Malformed("more jobs than a plan holds");
+    if (plan->jobs.size() >= kMaxJobs) throw Malformed("more jobs than a plan holds");
     plan->jobs.push_back(a);
   }
 };
@@ -88,7 +88,7 @@
     most = std::max({most, p.factor, p.factor_end, p.tenant.empty() ? 1 : 1 + p.factor});
   for (const ClassSpec& c : plan->classes) shares += c.share;
   for (const TenantSpec& t : plan->accounts) account_shares += t.share;
-  if (a.per_second * most * static_cast<double>(a.length) / 1e6 > static_cast<double>(kMostJobs))
+  if (a.per_second * most * static_cast<double>(a.length) / 1e6 > static_cast<double>(kMaxJobs))
     throw Malformed("more jobs than a plan holds");
   Chance chance(SeedOf(plan->seed, 10, 0));
   const auto pick = [&](const auto& all, double sum) {
--- a/lab/sim/decider.cpp
+++ b/lab/sim/decider.cpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <set>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "lab/stats/stats.h"
 
 namespace pearreach::lab {
--- a/lab/sim/scenario.h
+++ b/lab/sim/scenario.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "lab/model/worker.h"
 
 namespace pearreach::lab {
--- a/lab/stand_in_worker/life.cpp
+++ b/lab/stand_in_worker/life.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr char kModule[] = "stand-in worker";
-constexpr int kMostDrainingBeats = 3;  // then it ends all the same
+constexpr int kMaxDrainingBeats = 3;  // then it ends all the same
 
 }  // namespace
 
@@ -43,7 +43,7 @@
     logging::Info(kModule, "first heartbeat acknowledged",
                   {logging::F("worker", worker_->options().worker_id)});
   timers_->Cancel(&next_);
-  const bool over = stopping_ && (acknowledged || draining_beats_ == kMostDrainingBeats);
+  const bool over = stopping_ && (acknowledged || draining_beats_ == kMaxDrainingBeats);
   if (over) {
     leaves_ = true;
     next_ = timers_->After(options_.drain, [this] { Depart(); });
--- a/lab/top/model.cpp
+++ b/lab/top/model.cpp
@@ -10,7 +10,7 @@
 namespace pearreach::lab {
 namespace {
 
-constexpr std::size_t kMostAlarms = 200, kMostNodes = 1000, kMostNames = 2000;
+constexpr std::size_t kMaxAlarms = 200, kMaxNodes = 1000, kMaxNames = 2000;
 
 std::string Format(const char* form, ...) __attribute__((format(printf, 1, 2)));
 std::string Format(const char* form, ...) {
@@ -61,7 +61,7 @@
   if (event == "run") {
     done_ = static_cast<std::uint64_t>(std::max(0.0, Number(json, "done")));
     of_ = static_cast<std::uint64_t>(std::max(0.0, Number(json, "of")));
-    if (cells_.size() >= kMostNames) return;
+    if (cells_.size() >= kMaxNames) return;
     Cell& cell = cells_[{Plain(Text(json, "scenario")), Plain(Text(json, "variant"))}];
     const double service = Number(json, "service");
     cell.service += (service - cell.service) / ++cell.runs;
@@ -70,7 +70,7 @@
     return;
   }
   const std::string name = Plain(Text(json, "node"));
-  if (name.empty() || event.empty() || (nodes_.size() >= kMostNodes && !nodes_.contains(name))) {
+  if (name.empty() || event.empty() || (nodes_.size() >= kMaxNodes && !nodes_.contains(name))) {
     ++passed_over_;
     return;
   }
@@ -86,7 +86,7 @@
       const std::string what = field.name.GetString();
       if (what == "time" || what == "node" || what == "event" || what == "text") continue;
       const double total = Number(json, what.c_str());
-      if (node.counts.total.size() >= kMostNames && !node.counts.total.contains(what)) continue;
+      if (node.counts.total.size() >= kMaxNames && !node.counts.total.contains(what)) continue;
       double& before = node.counts.total[what];
       const double gained = total >= before ? total - before : total;
       if (node.counts.time > 0 && span > 0) node.counts.rate[what] = gained / span;
@@ -100,7 +100,7 @@
     node.workers = Number(json, "workers");
     for (const auto& field : json.GetObject()) {
       const std::string what = field.name.GetString();
-      if (node.pools.size() >= kMostNames) break;
+      if (node.pools.size() >= kMaxNames) break;
       if (what.starts_with("limit_"))
         node.pools[Plain(what.substr(6))].limit = Number(json, what.c_str());
       if (what.starts_with("busy_"))
@@ -108,11 +108,11 @@
     }
     return;
   }
-  if (event == "worker_silent" && node.silent.size() < kMostNames)
+  if (event == "worker_silent" && node.silent.size() < kMaxNames)
     node.silent[Plain(Text(json, "worker"))] = time;
   if (event == "worker_back") node.silent.erase(Plain(Text(json, "worker")));
   alarms_.push_back(Format("%.1f ", time) + name + ": " + Plain(Text(json, "text")));
-  if (alarms_.size() > kMostAlarms) alarms_.pop_front();
+  if (alarms_.size() > kMaxAlarms) alarms_.pop_front();
 }
 
 std::vector<std::string> TopModel::Render(int width, int height) const {
--- a/lab/trial/checkers.cpp
+++ b/lab/trial/checkers.cpp
@@ -6,7 +6,7 @@
 #include <set>
 #include <unordered_map>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "lab/trial/fault.h"
 #include "lab/trial/links.h"
 #include "lab/trial/rules_checkers.h"
@@ -711,7 +711,7 @@
 }
 
 constexpr Micros kJudgementGone = 12'000'000;  // a word fades within 10 s, and one is on its way
-constexpr double kMostOut = 0.3;
+constexpr double kMaxOut = 0.3;
 
 // The same of processes, by the lines in which they say whom they do without and by whose word.
 std::vector<Violation> HearsaySaid(const History& history) {
@@ -735,7 +735,7 @@
         from.insert(std::atoi(std::string(parts[k]).c_str()) % static_cast<int>(zones));
       if (zones > 1 && from.size() < 2) say(std::string(parts[0]) + " by the word of one zone");
     }
-    if (workers > 0 && static_cast<double>(all.size()) > kMostOut * static_cast<double>(workers))
+    if (workers > 0 && static_cast<double>(all.size()) > kMaxOut * static_cast<double>(workers))
       say(std::to_string(all.size()) + " of " + std::to_string(workers) + " workers");
     if (quiet >= 0 && m.at > quiet + kJudgementGone) say(out + " though all faults are over");
   }
@@ -765,7 +765,7 @@
                          {i}});
     }
     if (m.what == "workers_out" &&
-        static_cast<double>(m.Number("out")) > kMostOut * static_cast<double>(m.Number("of")))
+        static_cast<double>(m.Number("out")) > kMaxOut * static_cast<double>(m.Number("of")))
       wrong.push_back({"hearsay",
                        m.at,
                        m.who + " does without " + m.Of("out") + " of " + m.Of("of") + " workers",
--- a/lab/trial/fault.cpp
+++ b/lab/trial/fault.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <iterator>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "lab/stats/stats.h"
 #include "lab/trial/trial_schema.h"
 #include "node/config/xml.h"
--- a/lab/trial/history.cpp
+++ b/lab/trial/history.cpp
@@ -10,7 +10,7 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 
 namespace pearreach::lab {
 namespace {
--- a/lab/trial/trial.cpp
+++ b/lab/trial/trial.cpp
@@ -28,8 +28,8 @@
 constexpr Micros kViewEvery = 200 * kMs;      // a node's line with what it hears
 constexpr Micros kGrace = 200 * kMs;          // the platform's slack, and a busy machine's
 constexpr Micros kRulesWithin = 2 * kSecond;  // T
-constexpr Micros kMostReady = 30 * kSecond;
-constexpr Micros kMostEnding = 15 * kSecond;  // after SIGTERM
+constexpr Micros kMaxReady = 30 * kSecond;
+constexpr Micros kMaxEnding = 15 * kSecond;  // after SIGTERM
 
 std::string NodeName(std::size_t n) { return "n" + std::to_string(n); }
 
@@ -123,7 +123,7 @@
          {"period_us", std::to_string(o_.words ? plan_.period : 0)}});
     for (std::size_t n = 0; n < nodes_.size(); ++n) StartNode(n);
     for (Member& m : nodes_)
-      if (!m.process->Ready(kMostReady))
+      if (!m.process->Ready(kMaxReady))
         throw std::runtime_error(m.name + " did not get ready; its log is in " + path());
     turn_due_ = Now();
     Look();
@@ -177,7 +177,7 @@
           return std::all_of(nodes_.begin(), nodes_.end(),
                              [](const Member& m) { return m.process == nullptr; });
         },
-        kMostEnding);
+        kMaxEnding);
     for (Member& m : nodes_) m.process.reset();
     Say("trial", "over", {});
     ReadLogs();
--- a/src/common/http/http.cpp
+++ b/src/common/http/http.cpp
@@ -7,7 +7,7 @@
 namespace pearreach::http {
 namespace {
 
-constexpr std::size_t kLongestTarget = 8 << 10;
+constexpr std::size_t kMaxTarget = 8 << 10;
 constexpr std::size_t kChunkLine = 256;
 
 bool IsToken(std::string_view text) {
@@ -108,7 +108,7 @@
       const std::size_t from = scanned_ < 3 ? 0 : scanned_ - 3;
       const std::size_t end = buffer_.find("\r\n\r\n", from);
       if (end == std::string::npos ? buffer_.size() > limits_.head : end > limits_.head)
-        return Fail(buffer_.find("\r\n") > kLongestTarget ? 414 : 431, "the head is too long");
+        return Fail(buffer_.find("\r\n") > kMaxTarget ? 414 : 431, "the head is too long");
       if (end == std::string::npos) {
         scanned_ = buffer_.size();
         return false;
@@ -194,7 +194,7 @@
     if (!IsToken(message_.method) || message_.target.empty() ||
         !IsPrintable(message_.target, false))
       return Fail(400, "bad request line");
-    if (message_.target.size() > kLongestTarget) return Fail(414, "the target is too long");
+    if (message_.target.size() > kMaxTarget) return Fail(414, "the target is too long");
   } else {
     version = line.substr(0, line.find(' '));
     std::size_t status = 0;
--- a/src/dispatch/policy/checkpoint.cpp
+++ b/src/dispatch/policy/checkpoint.cpp
@@ -16,10 +16,10 @@
 
 // Bounds of what a state holds. Bytes beyond them are none, and sums of what is within cannot
 // overflow in the module.
-constexpr std::uint64_t kMostItems = 50'000'000;
-constexpr std::int64_t kMostTime = std::int64_t{1} << 61;  // kLongAgo is the least
-constexpr std::int64_t kMostCount = 1'000'000'000;
-constexpr double kMostFigure = 1e15;
+constexpr std::uint64_t kMaxItems = 50'000'000;
+constexpr std::int64_t kMaxTime = std::int64_t{1} << 61;  // kLongAgo is the least
+constexpr std::int64_t kMaxCount = 1'000'000'000;
+constexpr double kMaxFigure = 1e15;
 constexpr std::int64_t kNever = std::numeric_limits<Micros>::max();
 
 std::uint64_t ZigZag(std::int64_t v) {
@@ -158,7 +158,7 @@
         std::uint64_t bits = 0;
         good_ = good_ && in_->ReadLittleEndian64(&bits);
         v = std::bit_cast<double>(bits);
-        good_ = good_ && std::abs(v) <= kMostFigure;
+        good_ = good_ && std::abs(v) <= kMaxFigure;
       } else if constexpr (std::is_same_v<T, bool>) {
         v = Varint() != 0;
       } else if constexpr (std::is_enum_v<T>) {
@@ -169,7 +169,7 @@
         const std::uint64_t n = Varint();
         if constexpr (std::is_signed_v<T>) {
           const std::int64_t wide = UnZigZag(n);
-          const std::int64_t most = sizeof(T) == 8 ? kMostTime : kMostCount;
+          const std::int64_t most = sizeof(T) == 8 ? kMaxTime : kMaxCount;
           const bool never = sizeof(T) == 8 && wide == kNever;
           nevers_ += never ? 1 : 0;
           good_ = good_ && (never || (wide >= -most && wide <= most));
@@ -216,7 +216,7 @@
       list.clear();
       const std::uint64_t size = Varint();
       // Each item takes a byte at least, so no list is longer than what is left to read.
-      good_ = good_ && size <= left_ && size <= kMostItems;
+      good_ = good_ && size <= left_ && size <= kMaxItems;
       for (std::uint64_t i = 0; good_ && i < size; ++i) {
         list.emplace_back();
         Get(list.back());
--- a/src/dispatch/settings/site.cpp
+++ b/src/dispatch/settings/settings_reader.cpp
@@ -1,4 +1,4 @@
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/dispatch/settings/site.h
+++ b/src/dispatch/settings/settings_reader.h
@@ -2,8 +2,8 @@
 // as path=text with the wire's dotted paths, into the module's Settings and the names that go with
 // them. It owns no connection to where the text came from and must never guess: what it cannot read
 // is Malformed, and paths that it does not know are passed over.
-#ifndef PEARREACH_SRC_DISPATCH_SETTINGS_SITE_H_
-#define PEARREACH_SRC_DISPATCH_SETTINGS_SITE_H_
+#ifndef PEARREACH_SRC_DISPATCH_SETTINGS_SETTINGS_READER_H_
+#define PEARREACH_SRC_DISPATCH_SETTINGS_SETTINGS_READER_H_
 
 #include <charconv>
 #include <cmath>
@@ -91,4 +91,4 @@
 
 }  // namespace pearreach::dispatch
 
-#endif  // PEARREACH_SRC_DISPATCH_SETTINGS_SITE_H_
+#endif  // PEARREACH_SRC_DISPATCH_SETTINGS_SETTINGS_READER_H_
--- a/src/dispatch/simulator/wire.cpp
+++ b/src/dispatch/simulator/wire.cpp
@@ -14,7 +14,7 @@
 #include <unordered_map>
 #include <utility>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "pearreach/dispatcher.h"
 
 namespace pearreach::dispatch {
--- a/src/dispatch/simulator/wire.h
+++ b/src/dispatch/simulator/wire.h
@@ -6,7 +6,7 @@
 #include <iosfwd>
 #include <vector>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "pearreach/dispatcher.h"
 
 namespace pearreach::dispatch {
--- a/src/node/admin/bans.cpp
+++ b/src/node/admin/bans.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::string_view kHead = "# pearreach bans: match workers detached by the operators";
-constexpr std::size_t kLongestId = 256;
+constexpr std::size_t kMaxId = 256;
 
 }  // namespace
 
@@ -32,7 +32,7 @@
     const auto fault = [&](const char* what) {
       wrong->push_back(name + ":" + std::to_string(number) + ": " + what);
     };
-    if (line.size() > kLongestId) {
+    if (line.size() > kMaxId) {
       fault("an id longer than 256 bytes");
       continue;
     }
--- a/src/node/admin/door.cpp
+++ b/src/node/admin/door.cpp
@@ -139,7 +139,7 @@
   Count("door_calls");
   // Guards the descriptors that clients need, and the next caller against silent ones: beyond a
   // few, the connection that is nearest its end goes now.
-  if (connections_.size() >= kMostConnections) {
+  if (connections_.size() >= kMaxConnections) {
     Count("door_full");
     Connection* first = connections_.begin()->first;
     for (const auto& [c, owned] : connections_)
--- a/src/node/admin/door.h
+++ b/src/node/admin/door.h
@@ -72,7 +72,7 @@
   int port() const { return listener_.port(); }
   std::size_t connections() const { return connections_.size(); }
 
-  static constexpr std::size_t kMostConnections = 16;
+  static constexpr std::size_t kMaxConnections = 16;
   static constexpr Micros kPatience = 800 * kMs;  // for a whole call, from its connection
   static constexpr Micros kLinger = 300 * kMs;    // after the answer, for the caller to close
 
--- a/src/node/admin/zone_orders.cpp
+++ b/src/node/admin/zone_orders.cpp
@@ -9,7 +9,7 @@
 namespace pearreach::admin {
 namespace {
 
-constexpr std::size_t kMostFile = 1 << 20;
+constexpr std::size_t kMaxFile = 1 << 20;
 
 template <typename T>
 bool Number(std::string_view text, T* to) {
@@ -67,7 +67,7 @@
   }
   std::vector<std::string> wrong;
   std::vector<ZoneOrder> orders;
-  if (size <= kMostFile)
+  if (size <= kMaxFile)
     orders = ReadZoneOrders(std::string_view(text, size), path, &wrong);
   else
     wrong.push_back(path + ": longer than 1 MiB");
--- a/src/node/capture/audit.cpp
+++ b/src/node/capture/audit.cpp
@@ -10,7 +10,7 @@
 
 using namespace pearreach::dispatch;
 
-constexpr std::size_t kMostBreaches = 1000;
+constexpr std::size_t kMaxBreaches = 1000;
 constexpr Micros kDefaultSlack = 50'000;  // where the settings name none
 constexpr Micros kGrain = 2'000;          // what the turns' own spacing may add to a drain's time
 
@@ -74,7 +74,7 @@
  private:
   void Broken(int rule, const std::string& what, Micros at) {
     ++audit_.breach_count;
-    if (audit_.breaches.size() < kMostBreaches)
+    if (audit_.breaches.size() < kMaxBreaches)
       audit_.breaches.push_back({rule, at - segment_->origin().clock, what});
   }
   void Broken(int rule, const std::string& what) { Broken(rule, what, now_); }
--- a/src/node/capture/format.cpp
+++ b/src/node/capture/format.cpp
@@ -116,7 +116,7 @@
     return Damaged(here + ": the header is damaged");
   const auto stored = Get<std::uint32_t>(rest, kAtStored), raw = Get<std::uint32_t>(rest, kAtRaw);
   const auto type = Get<std::uint8_t>(rest, kAtType), codec = Get<std::uint8_t>(rest, kAtCodec);
-  if (Get<std::uint32_t>(rest, kAtNumber) != number_ || stored > kMostBlock || raw > kMostBlock ||
+  if (Get<std::uint32_t>(rest, kAtNumber) != number_ || stored > kMaxBlock || raw > kMaxBlock ||
       type < 1 || type > 4 || codec > kZstd || (codec == kRaw && stored != raw))
     return Damaged(here + ": the header makes no sense");
   if (rest.size() - kBlockHeader < stored) return stop(State::kCut);
--- a/src/node/capture/format.h
+++ b/src/node/capture/format.h
@@ -13,10 +13,10 @@
 
 namespace pearreach::capture {
 
-constexpr std::uint32_t kFormat = 1;              // what this build writes, and the newest it reads
-constexpr std::size_t kFileHeader = 16;           // bytes
-constexpr std::size_t kBlockHeader = 48;          // bytes
-constexpr std::size_t kMostBlock = 256ull << 20;  // bytes of one block, stored or raw
+constexpr std::uint32_t kFormat = 1;             // what this build writes, and the newest it reads
+constexpr std::size_t kFileHeader = 16;          // bytes
+constexpr std::size_t kBlockHeader = 48;         // bytes
+constexpr std::size_t kMaxBlock = 256ull << 20;  // bytes of one block, stored or raw
 
 enum class BlockType : std::uint8_t { kHead = 1, kCheckpoint = 2, kTurns = 3, kEnd = 4 };
 
--- a/src/node/capture/record.cpp
+++ b/src/node/capture/record.cpp
@@ -19,14 +19,14 @@
 static_assert(wire::ActionKind_MAX == std::variant_size_v<Action>);
 
 // What the module may be handed: sums of such times and figures cannot overflow in it.
-constexpr Micros kMostTime = Micros{1} << 60;
-constexpr Micros kMostHint = 10'000'000'000'000'000;  // what the wire lets through
-constexpr double kMostFigure = 1e15;
+constexpr Micros kMaxTime = Micros{1} << 60;
+constexpr Micros kMaxHint = 10'000'000'000'000'000;  // what the wire lets through
+constexpr double kMaxFigure = 1e15;
 
 bool Within(Micros t, Micros most) { return t >= -most && t <= most; }
 // Times are written from the turn on, which is short.
 bool Plus(Micros a, std::int64_t b, Micros* sum) {
-  return !__builtin_add_overflow(a, b, sum) && Within(*sum, kMostTime);
+  return !__builtin_add_overflow(a, b, sum) && Within(*sum, kMaxTime);
 }
 
 struct EventWriter {
@@ -188,7 +188,7 @@
         e.slots = Real(in.slots());
         e.is_repeat = in.is_repeat();
         if (in.has_hint()) e.hint = in.hint();
-        Must(Within(e.hint.value_or(0), kMostHint), "a hint out of range");
+        Must(Within(e.hint.value_or(0), kMaxHint), "a hint out of range");
         if (in.has_key()) e.key = in.key();
         if (in.has_over_share()) e.over_share = in.over_share();
         for (const std::uint32_t worker : in.preferred()) e.preferred.push_back(Worker(worker));
@@ -230,7 +230,7 @@
         dispatch::AttemptAdopted e;
         e.request = in.request();
         e.worker = Worker(in.worker());
-        Must(Within(in.sent_ago(), kMostTime) && Plus(now_, -in.sent_ago(), &e.sent), "a time");
+        Must(Within(in.sent_ago(), kMaxTime) && Plus(now_, -in.sent_ago(), &e.sent), "a time");
         e.started = in.started();
         e.was = Enum<dispatch::AttemptAdopted::Was>(in.was(), 2);
         return e;
@@ -292,7 +292,7 @@
     if (!holds && wrong_ == nullptr) wrong_ = what;
   }
   double Real(double v) {
-    Must(std::abs(v) <= kMostFigure, "a number that is none");
+    Must(std::abs(v) <= kMaxFigure, "a number that is none");
     return v;
   }
   // Ids are dense: without this check one record could ask the module for gigabytes.
@@ -321,7 +321,7 @@
   }
   Micros Ago(std::int64_t ago) {
     Micros at = 0;
-    Must(Within(ago, kMostTime) && Plus(now_, -ago, &at), "a time");
+    Must(Within(ago, kMaxTime) && Plus(now_, -ago, &at), "a time");
     return at;
   }
   Event Knowledge(const wire::Knowledge& in) {
@@ -359,7 +359,7 @@
       e.health = Enum<dispatch::Health>(entry.health(), 2);
       e.weight = Real(entry.weight());
       e.ready_at = entry.ready_at();
-      Must(Within(e.ready_at, kMostTime), "a start out of range");
+      Must(Within(e.ready_at, kMaxTime), "a start out of range");
       list.entries.push_back(e);
     }
     return list;
@@ -491,7 +491,7 @@
     return "its records cannot be read";
   for (const wire::Turn& in : block->turns()) {
     Turn& turn = turns->emplace_back();
-    if (in.elapsed() < 0 || !Within(*before, kMostTime) || !Plus(*before, in.elapsed(), &turn.now))
+    if (in.elapsed() < 0 || !Within(*before, kMaxTime) || !Plus(*before, in.elapsed(), &turn.now))
       return "its clock runs backwards";
     *before = turn.now;
     turn.workers.assign(in.workers().begin(), in.workers().end());
--- a/src/node/cli/call.cpp
+++ b/src/node/cli/call.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr guint kPatience = 5;  // seconds for a call
-constexpr std::size_t kMostAnswer = 1 << 20;
+constexpr std::size_t kMaxAnswer = 1 << 20;
 
 }  // namespace
 
@@ -52,7 +52,7 @@
     if (!g_output_stream_write_all(out, call.data(), call.size(), nullptr, nullptr, &error)) {
       fail();
     } else {
-      http::Parser parser(http::Parser::Kind::kResponse, http::Limits{.body = kMostAnswer});
+      http::Parser parser(http::Parser::Kind::kResponse, http::Limits{.body = kMaxAnswer});
       char bytes[4096];
       *body = "no answer";
       for (gssize n; (n = g_input_stream_read(in, bytes, sizeof bytes, nullptr, &error)) > 0;) {
--- a/src/node/cli/jobs.cpp
+++ b/src/node/cli/jobs.cpp
@@ -11,7 +11,7 @@
 #include <functional>
 #include <iostream>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "node/cli/cli.h"
 #include "node/durable_jobs/orders.h"
 #include "node/job_state/ledger.h"
--- a/src/node/cli/knowledge.cpp
+++ b/src/node/cli/knowledge.cpp
@@ -31,7 +31,7 @@
 
 Decoded Read(const std::string& path, const knowledge::Key& key) {
   std::string bytes;
-  if (knowledge::SystemDisk().Read(path, knowledge::kMostBytes, &bytes) != 0)
+  if (knowledge::SystemDisk().Read(path, knowledge::kMaxBytes, &bytes) != 0)
     throw dispatch::Malformed(path + ": " + std::strerror(errno));
   return knowledge::Decode(bytes, key);
 }
--- a/src/node/cli/main.cpp
+++ b/src/node/cli/main.cpp
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <iostream>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "node/capture/segment.h"
 #include "node/cli/cli.h"
 #include "node/cli/policy_hash.h"
--- a/src/node/cli/rules.cpp
+++ b/src/node/cli/rules.cpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "node/cli/call.h"
 #include "node/cli/cli.h"
 #include "node/config/xml.h"
--- a/src/node/config/config.h
+++ b/src/node/config/config.h
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "pearreach/dispatcher.h"
 
 namespace pearreach {
--- a/src/node/config/operator.cpp
+++ b/src/node/config/operator.cpp
@@ -4,7 +4,7 @@
 #include <cstdlib>
 #include <set>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "node/config/operator_schema.h"
 #include "node/config/xml.h"
 
--- a/src/node/config/xml.cpp
+++ b/src/node/config/xml.cpp
@@ -8,12 +8,12 @@
 #include <fstream>
 #include <iterator>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 
 namespace pearreach::xml {
 namespace {
 
-constexpr std::size_t kMostBytes = 1 << 20;
+constexpr std::size_t kMaxBytes = 1 << 20;
 
 template <typename T, void (*F)(T*)>
 struct Free {
@@ -49,7 +49,7 @@
 }
 
 Document Read(std::string_view text, const std::string& name, std::string_view schema_text) {
-  if (text.size() > kMostBytes) Fail(name, 1, "longer than a mebibyte");
+  if (text.size() > kMaxBytes) Fail(name, 1, "longer than a mebibyte");
   Complaint complaint;
   const Context context(xmlNewParserCtxt());
   xmlSetStructuredErrorFunc(&complaint,
--- a/src/node/durable_jobs/keeper.h
+++ b/src/node/durable_jobs/keeper.h
@@ -138,7 +138,7 @@
   std::vector<std::string> prefixes_;   // of URLs that may be called beside the loopback's
   std::set<std::string> knows_fences_;  // workers that have ever said so
 
-  std::set<std::pair<Micros, std::uint64_t>> calls_due_;  // by Now(); no more than kMostCalls
+  std::set<std::pair<Micros, std::uint64_t>> calls_due_;  // by Now(); no more than kMaxCalls
   std::set<std::uint64_t> calling_;
   bool more_calls_ = true, filling_calls_ = false;
   Callbacks callbacks_;
--- a/src/node/durable_jobs/keeper_callbacks.cpp
+++ b/src/node/durable_jobs/keeper_callbacks.cpp
@@ -9,14 +9,14 @@
 namespace pearreach {
 namespace {
 
-constexpr std::size_t kMostCalls = 1024;  // planned call-backs in memory; the rest in the store
+constexpr std::size_t kMaxCalls = 1024;  // planned call-backs in memory; the rest in the store
 
 }  // namespace
 
 void Keeper::PlanCall(const job_state::Job& job) {
   if (job.callback_at == 0 || calling_.contains(job.seq)) return;
   calls_due_.insert({Now() + std::max<Micros>(0, job.callback_at - UnixNow()), job.seq});
-  if (calls_due_.size() > kMostCalls) {  // the store knows the last one, too
+  if (calls_due_.size() > kMaxCalls) {  // the store knows the last one, too
     calls_due_.erase(std::prev(calls_due_.end()));
     more_calls_ = true;
   }
--- a/src/node/engine/discovery.cpp
+++ b/src/node/engine/discovery.cpp
@@ -8,20 +8,20 @@
 
 constexpr Micros kWatch = 5 * kSecond;    // asked of discovery: answer by then at the latest
 constexpr Micros kOverdue = 3 * kSecond;  // silence beyond it: a busy one has its turn by then
-constexpr Micros kLeastGap = 50 * kMs;    // between two calls of which the first told nothing
+constexpr Micros kMinGap = 50 * kMs;      // between two calls of which the first told nothing
 constexpr Micros kFirstWait = 20 * kMs;   // before another try; doubles up to the last
 constexpr Micros kLastWait = 1000 * kMs;
 // Where each watch costs discovery work, a node's share of its time: all nodes together begin no
 // more often. It goes on with calls that have waited too long, so a crowd of them fails the next.
 constexpr Micros kNodeGap = 50 * kMs;
-constexpr Micros kLongestSpread = 5 * kSecond;  // the protocol counts a list as told after 6 s
+constexpr Micros kMaxSpread = 5 * kSecond;  // the protocol counts a list as told after 6 s
 
 }  // namespace
 
 Discovery::Discovery(std::string address, int sharers, std::uint64_t seed,
                      std::function<void(const Listing&)> heard)
     : address_(std::move(address)),
-      spread_(std::min(sharers * kNodeGap, kLongestSpread)),
+      spread_(std::min(sharers * kNodeGap, kMaxSpread)),
       heard_(std::move(heard)),
       next_([this] { Call(); }),
       overdue_([this] { Again("no answer"); }),
@@ -107,7 +107,7 @@
   if (news) heard_(*list);
   // Guards the loop against an agent that answers a watch at once with nothing; still well within
   // the time after which a call would start a new watch.
-  if (!news && Now() - called_ < kLeastGap) return next_.Set(Now() + kLeastGap);
+  if (!news && Now() - called_ < kMinGap) return next_.Set(Now() + kMinGap);
   Call();
 }
 
--- a/src/node/engine/workers.cpp
+++ b/src/node/engine/workers.cpp
@@ -11,7 +11,7 @@
 using dispatch::WorkerId;
 
 constexpr int kRetireShare = 2;  // of ConnIdleMs a connection stays unused
-constexpr Micros kLongestIdle = 30 * kSecond;
+constexpr Micros kMaxIdle = 30 * kSecond;
 constexpr Micros kShortRest = 16 * kMs;      // the first tally's; each next one's is twice as long
 constexpr Micros kTallyHalf = 30 * kSecond;  // tallies are halved so often: what was learned fades
 constexpr double kBrokeLeast = 3;            // fewer breaks are no evidence
@@ -49,8 +49,8 @@
       // Guards jobs that may not run twice: what is written to a connection that its peer has just
       // closed for idleness ends as a reset, and may then have run.
       retire_(site.settings.connection_idle > 0
-                  ? std::min(site.settings.connection_idle / kRetireShare, kLongestIdle)
-                  : kLongestIdle),
+                  ? std::min(site.settings.connection_idle / kRetireShare, kMaxIdle)
+                  : kMaxIdle),
       events_(std::move(events)),
       expiry_([this] { Expire(); }),
       tell_([this] {
--- a/src/node/fleet/rules_file.cpp
+++ b/src/node/fleet/rules_file.cpp
@@ -10,7 +10,7 @@
 
 constexpr char kMagic[] = "PRULES01";
 constexpr std::size_t kMagicBytes = 8, kHashBytes = 8;
-constexpr std::size_t kMostFile = 1 << 20;
+constexpr std::size_t kMaxFile = 1 << 20;
 
 std::string Head(const std::string& bytes) {
   const std::uint64_t hash = rules::HashOf(bytes);
@@ -24,7 +24,7 @@
 std::optional<rules::Kept> RulesFile::Load(std::string* wrong) const {
   wrong->clear();
   std::string bytes;
-  if (disk_->Read(path_, kMostFile, &bytes) != 0) {
+  if (disk_->Read(path_, kMaxFile, &bytes) != 0) {
     if (errno != ENOENT) *wrong = path_ + ": " + std::strerror(errno);
     return std::nullopt;
   }
--- a/src/node/fleet/rules_part.cpp
+++ b/src/node/fleet/rules_part.cpp
@@ -7,14 +7,14 @@
 #include <utility>
 
 #include "common/diagnostics/log.h"
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 
 namespace pearreach {
 namespace {
 
 using rules::Agreement;
 
-constexpr std::size_t kMostOutcomes = 32;
+constexpr std::size_t kMaxOutcomes = 32;
 
 std::string List(const std::vector<int>& numbers) {
   std::string text;
@@ -111,7 +111,7 @@
                                                                     : "open"}},
         "proposal " + std::to_string(o.proposal) + ": " + o.text);
     outcomes_[o.proposal] = std::move(o);
-    if (outcomes_.size() > kMostOutcomes) outcomes_.erase(outcomes_.begin());
+    if (outcomes_.size() > kMaxOutcomes) outcomes_.erase(outcomes_.begin());
   }
   const rules::Figures& n = machine_.figures();
   CountGrowth("rules_words", n.words, &reported_.words);
--- a/src/node/hot_restart/handover.cpp
+++ b/src/node/hot_restart/handover.cpp
@@ -13,8 +13,8 @@
 
 constexpr char kTake = 'T', kListener = 'L', kKnowledge = 'K', kReady = 'R', kYours = 'Y',
                kNews = 'N', kConnection = 'C';
-constexpr std::size_t kHead = 5;               // type, length
-constexpr std::size_t kMostFrame = 40u << 20;  // knowledge is the longest
+constexpr std::size_t kHead = 5;              // type, length
+constexpr std::size_t kMaxFrame = 40u << 20;  // knowledge is the longest
 
 std::string Frame(char type, std::string_view payload) {
   std::string frame(1, type);
@@ -26,7 +26,7 @@
   std::size_t n = 0;
   for (int i = 3; i >= 0; --i)
     n = n << 8 | static_cast<unsigned char>(head[static_cast<std::size_t>(1 + i)]);
-  if (n > kMostFrame) return std::nullopt;
+  if (n > kMaxFrame) return std::nullopt;
   return n;
 }
 
--- a/src/node/http_frontend/front.cpp
+++ b/src/node/http_frontend/front.cpp
@@ -35,8 +35,8 @@
 constexpr Micros kAcceptLeast = 600 * kMs;  // and not sooner after SIGTERM than this
 constexpr Micros kDrainStep = 50 * kMs;
 constexpr Micros kDrainLeast = 1000 * kMs;
-constexpr Micros kLongestPatience = 3600 * kSecond;
-constexpr std::size_t kLongestId = 128;
+constexpr Micros kMaxPatience = 3600 * kSecond;
+constexpr std::size_t kMaxId = 128;
 constexpr Micros kEndWritten = 250 * kMs;  // for an end to reach the disk and its waiting client
 
 // "480m" or "1500u".
@@ -47,7 +47,7 @@
       std::string_view(text).substr(0, text.size() - 1), "X-Timeout");
   const Micros unit = text.back() == 'm' ? kMs : 1;
   if (number < 0) throw Malformed("bad X-Timeout " + dispatch::Quote(text));
-  return number > kLongestPatience / unit ? kLongestPatience : number * unit;
+  return number > kMaxPatience / unit ? kMaxPatience : number * unit;
 }
 
 // RFC 7240: "respond-async", "wait=SECONDS" and others that mean nothing here, with commas.
@@ -66,7 +66,7 @@
     if (!part.starts_with("wait=")) continue;
     const auto seconds = dispatch::Number<std::int64_t>(part.substr(5), "Prefer: wait");
     if (seconds < 0) throw Malformed("bad Prefer: wait");
-    prefer.wait = std::min<std::int64_t>(seconds, kLongestPatience / kSecond) * kSecond;
+    prefer.wait = std::min<std::int64_t>(seconds, kMaxPatience / kSecond) * kSecond;
   }
   return prefer;
 }
@@ -344,7 +344,7 @@
   try {
     if (core_->keeps()) prefer = ReadPrefer(message);
     job.id = text("X-Request-ID");
-    if (job.id.empty() || job.id.size() > kLongestId || job.id.find(' ') != std::string::npos ||
+    if (job.id.empty() || job.id.size() > kMaxId || job.id.find(' ') != std::string::npos ||
         job.id.find('/') != std::string::npos)
       throw Malformed("no or bad X-Request-ID");
     if (const std::string named = text("X-Priority-Class"); named != cls)
--- a/src/node/job_state/ledger.cpp
+++ b/src/node/job_state/ledger.cpp
@@ -106,7 +106,7 @@
 
 void PlanAfterEnd(Job* job, const Policy& policy, UnixMicros now, double chance) {
   const bool tells =
-      !job->callback.empty() && !job->callback_done && job->callback_tries < kMostCallbacks;
+      !job->callback.empty() && !job->callback_done && job->callback_tries < kMaxCallbacks;
   const std::int64_t wait =
       job->callback_tries == 0 ? 0 : CallbackWait(job->callback_tries - 1, chance);
   job->callback_at = tells ? std::max<UnixMicros>(now + wait, 1) : 0;
--- a/src/node/job_state/ledger.h
+++ b/src/node/job_state/ledger.h
@@ -66,7 +66,7 @@
 // may go. To be called at the end and after each call.
 void PlanAfterEnd(Job* job, const Policy& policy, UnixMicros now, double chance);
 std::int64_t CallbackWait(int tries, double chance);
-constexpr int kMostCallbacks = 20;
+constexpr int kMaxCallbacks = 20;
 
 // How many durable jobs are in the module's hands. New ones go to it at once while there is room;
 // what has no room, and what a restart found waiting, is the backlog: it lies in the store and
--- a/src/node/job_store/sqlite.cpp
+++ b/src/node/job_store/sqlite.cpp
@@ -23,11 +23,11 @@
 using job_state::Attempt;
 using job_state::Job;
 
-constexpr int kVersion = 2;                // of the schema; kMigrations leads up to it
-constexpr std::size_t kMostInGroup = 512;  // writes that share a sync
-constexpr std::size_t kMostReads = 256;    // answered between two syncs
-constexpr int kBusyMs = 5000;              // for a tool that holds the file
-constexpr int kWorthVacuum = 1024;         // free pages, and a quarter of the file: given back
+constexpr int kVersion = 2;               // of the schema; kMigrations leads up to it
+constexpr std::size_t kMaxInGroup = 512;  // writes that share a sync
+constexpr std::size_t kMaxReads = 256;    // answered between two syncs
+constexpr int kBusyMs = 5000;             // for a tool that holds the file
+constexpr int kWorthVacuum = 1024;        // free pages, and a quarter of the file: given back
 
 // Step i leads from version i to i + 1. A step is never changed once released.
 constexpr const char* kMigrations[] = {
@@ -607,11 +607,11 @@
       ready_.wait(lock, [&] { return stop_ || !queue_.empty() || !reads_.empty(); });
       if (queue_.empty() && stop_) return;
       auto told = std::make_unique<Told>();
-      while (!queue_.empty() && told->group.size() < kMostInGroup) {
+      while (!queue_.empty() && told->group.size() < kMaxInGroup) {
         told->group.push_back(std::move(queue_.front()));
         queue_.pop_front();
       }
-      while (!reads_.empty() && told->reads.size() < kMostReads) {
+      while (!reads_.empty() && told->reads.size() < kMaxReads) {
         told->reads.push_back(std::move(reads_.front()));
         reads_.pop_front();
       }
--- a/src/node/knowledge/file.cpp
+++ b/src/node/knowledge/file.cpp
@@ -18,10 +18,10 @@
 constexpr std::string_view kMagic = "PRKNOW\r\n";
 constexpr std::uint32_t kKeyed = 1;  // flag: the hash has a key
 constexpr std::size_t kHashAt = 32, kHashSize = 32;
-constexpr double kMostFigure = 1e15;
-constexpr std::int64_t kMostTime = std::int64_t{1} << 60;
-constexpr std::size_t kLeastKey = crypto_generichash_KEYBYTES_MIN * 2;
-static_assert(kLeastKey == 32 && kHashAt + kHashSize == kHeader);
+constexpr double kMaxFigure = 1e15;
+constexpr std::int64_t kMaxTime = std::int64_t{1} << 60;
+constexpr std::size_t kMinKey = crypto_generichash_KEYBYTES_MIN * 2;
+static_assert(kMinKey == 32 && kHashAt + kHashSize == kHeader);
 
 void PutNumber(std::uint64_t v, int bytes, std::string* to) {
   for (int i = 0; i < bytes; ++i) to->push_back(static_cast<char>(v >> (8 * i) & 0xff));
@@ -56,7 +56,7 @@
     return v;
   }
   std::int64_t Time(std::int64_t v) {
-    good = good && v >= 0 && v <= kMostTime;
+    good = good && v >= 0 && v <= kMaxTime;
     return v;
   }
 };
@@ -72,12 +72,12 @@
     k.limit = c.Figure(p.limit(), 0, 1e9);
     k.found = c.Figure(p.found(), 0, 1e9);
     k.slots_seen = c.Figure(p.slots_seen(), 1, 1e6);
-    k.ran = c.Figure(p.ran(), 0, kMostFigure);
-    k.worked = c.Figure(p.worked(), 0, kMostFigure);
-    k.tell = c.Figure(p.tell(), 0, kMostFigure);
+    k.ran = c.Figure(p.ran(), 0, kMaxFigure);
+    k.worked = c.Figure(p.worked(), 0, kMaxFigure);
+    k.tell = c.Figure(p.tell(), 0, kMaxFigure);
     m->pools.push_back({p.kind(), k});
   }
-  c.good = c.good && in.workers_size() <= static_cast<int>(kMostWorkers);
+  c.good = c.good && in.workers_size() <= static_cast<int>(kMaxWorkers);
   for (const wire::Worker& w : in.workers()) {
     if (!c.good) return false;
     dispatch::WorkerKnowledge k;
@@ -85,15 +85,15 @@
     k.failures = c.Figure(w.failures(), 0, 1);
     k.silent = w.silent();
     k.died_at = c.Time(w.died_ago());
-    c.good = c.good && w.cold_sends_size() <= static_cast<int>(kMostColdSends);
+    c.good = c.good && w.cold_sends_size() <= static_cast<int>(kMaxColdSends);
     for (const wire::ColdSend& s : w.cold_sends())
-      k.cold_sends.push_back({c.Time(s.ago()), c.Figure(s.work(), 0, kMostFigure)});
+      k.cold_sends.push_back({c.Time(s.ago()), c.Figure(s.work(), 0, kMaxFigure)});
     m->workers.push_back({w.id(), w.started_ms(), std::move(k)});
   }
   for (const wire::Class& k : in.classes())
-    m->classes.push_back({k.name(), {0, c.Figure(k.work(), 0, kMostFigure)}});
+    m->classes.push_back({k.name(), {0, c.Figure(k.work(), 0, kMaxFigure)}});
   for (const wire::Tenant& t : in.tenants())
-    m->tenants.push_back({t.name(), {0, c.Figure(t.left(), 0, kMostFigure)}});
+    m->tenants.push_back({t.name(), {0, c.Figure(t.left(), 0, kMaxFigure)}});
   return c.good;
 }
 
@@ -113,7 +113,7 @@
     to->set_worked(p.what.worked);
     to->set_tell(p.what.tell);
   }
-  for (std::size_t i = 0; i < std::min(m.workers.size(), kMostWorkers); ++i) {
+  for (std::size_t i = 0; i < std::min(m.workers.size(), kMaxWorkers); ++i) {
     const Memory::Worker& w = m.workers[i];
     wire::Worker* to = out.add_workers();
     to->set_id(w.id);
@@ -124,7 +124,7 @@
     to->set_died_ago(w.what.died_at);
     // Of more, the newest: the module's window holds them in their order.
     const std::size_t sends = w.what.cold_sends.size();
-    for (std::size_t s = sends - std::min(sends, kMostColdSends); s < sends; ++s) {
+    for (std::size_t s = sends - std::min(sends, kMaxColdSends); s < sends; ++s) {
       wire::ColdSend* send = to->add_cold_sends();
       send->set_ago(w.what.cold_sends[s].first);
       send->set_work(w.what.cold_sends[s].second);
@@ -158,9 +158,8 @@
   if (SystemDisk().Read(path, 1 << 16, &bytes) != 0)
     throw dispatch::Malformed(path + ": " + std::strerror(errno));
   while (!bytes.empty() && (bytes.back() == '\n' || bytes.back() == '\r')) bytes.pop_back();
-  if (bytes.size() < kLeastKey)
-    throw dispatch::Malformed(path + ": a key has " + std::to_string(kLeastKey) +
-                              " bytes at least");
+  if (bytes.size() < kMinKey)
+    throw dispatch::Malformed(path + ": a key has " + std::to_string(kMinKey) + " bytes at least");
   bytes.resize(std::min<std::size_t>(bytes.size(), crypto_generichash_KEYBYTES_MAX));
   return bytes;
 }
@@ -227,7 +226,7 @@
   for (const std::uint64_t parity : {0, 1}) {
     const std::string path = PathOf(parity);
     std::string bytes;
-    if (disk_->Read(path, kMostBytes, &bytes) != 0) {
+    if (disk_->Read(path, kMaxBytes, &bytes) != 0) {
       if (errno != ENOENT) found.push_back({path, {{}, 0, std::strerror(errno), false}});
       continue;
     }
@@ -247,7 +246,7 @@
   const std::string bytes = Encode(memory, generation, key_);
   const std::string path = PathOf(generation), aside = path + ".new";
   const auto wrong = [&](const std::string& at) { return at + ": " + std::strerror(errno); };
-  if (bytes.size() > kMostBytes) return path + ": too much to keep";
+  if (bytes.size() > kMaxBytes) return path + ": too much to keep";
   const int fd = disk_->Create(aside);
   if (fd < 0) return wrong(aside);
   for (std::size_t at = 0; at < bytes.size();) {
--- a/src/node/knowledge/file.h
+++ b/src/node/knowledge/file.h
@@ -16,11 +16,11 @@
 
 namespace pearreach::knowledge {
 
-constexpr std::uint32_t kFormat = 1;           // what this build writes, and the newest it reads
-constexpr std::size_t kHeader = 64;            // bytes
-constexpr std::size_t kMostBytes = 32u << 20;  // of a file
-constexpr std::size_t kMostWorkers = 100'000;  // in a file; of more, those first heard of
-constexpr std::size_t kMostColdSends = 1'000;  // of one worker
+constexpr std::uint32_t kFormat = 1;          // what this build writes, and the newest it reads
+constexpr std::size_t kHeader = 64;           // bytes
+constexpr std::size_t kMaxBytes = 32u << 20;  // of a file
+constexpr std::size_t kMaxWorkers = 100'000;  // in a file; of more, those first heard of
+constexpr std::size_t kMaxColdSends = 1'000;  // of one worker
 
 // The first 64 bytes of a key file at least are its key (32 to 64 bytes); none: an unkeyed hash,
 // which finds damage but not forgery.
--- a/src/node/knowledge/memory.h
+++ b/src/node/knowledge/memory.h
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "pearreach/dispatcher.h"
 
 namespace pearreach::knowledge {
--- a/src/node/membership/members.cpp
+++ b/src/node/membership/members.cpp
@@ -22,9 +22,9 @@
 constexpr double kDirect = 0.45;    // likewise: then others are asked to
 constexpr double kNackAfter = 0.3;  // likewise, of a helper's patience
 constexpr int kShared = 3;          // nodes that share a suspicion and so make it shortest
-constexpr Micros kLeastStall = 100'000;
+constexpr Micros kMinStall = 100'000;
 constexpr int kNobody = 10;  // periods without any word: it hears nobody
-constexpr std::size_t kMostRelays = 64;
+constexpr std::size_t kMaxRelays = 64;
 constexpr int kWants = 6;                        // asked for in one word
 constexpr std::size_t kLatest = 3, kInTurn = 4;  // entries for one whose digest is another
 
@@ -83,7 +83,7 @@
 // it suspects nobody.
 void Members::Wake(Micros now) {
   const Micros late = now - next();
-  if (late < std::max(kLeastStall, options_.period / 2)) return;
+  if (late < std::max(kMinStall, options_.period / 2)) return;
   ++counts_.stalls;
   probes_.clear();
   relays_.clear();
@@ -97,7 +97,7 @@
 }
 
 void Members::Slower(int by) {
-  if (options_.lifeguard) slow_ = std::clamp(slow_ + by, 0, kMostSlow);
+  if (options_.lifeguard) slow_ = std::clamp(slow_ + by, 0, kMaxSlow);
 }
 
 bool Members::HearsNobody(Micros now) const {
@@ -390,7 +390,7 @@
       if (!leaving_) Say(now, from, kAck, s.probe(), -1, out);
       return;
     case kAsk: {
-      if (!Valid(about) || about == options_.self || leaving_ || relays_.size() >= kMostRelays)
+      if (!Valid(about) || about == options_.self || leaving_ || relays_.size() >= kMaxRelays)
         return;
       Relay r;
       r.number = ++last_probe_;
--- a/src/node/membership/members.h
+++ b/src/node/membership/members.h
@@ -78,7 +78,7 @@
  public:
   // Probes that the view is made of: all others are among them up to 12 nodes, a sample beyond.
   static int Window(int nodes) { return std::clamp(2 * (nodes - 1), 4, 24); }
-  static constexpr int kMostSlow = 8;  // the node's own slowness is counted up to here
+  static constexpr int kMaxSlow = 8;  // the node's own slowness is counted up to here
   static constexpr std::uint64_t kEpoch = 1'767'225'600'000;  // 2026-01-01, Unix ms
 
   Members(const Options& options, std::uint64_t seed, Micros now, std::uint64_t process);
--- a/src/node/peer_transport/datagram.cpp
+++ b/src/node/peer_transport/datagram.cpp
@@ -48,11 +48,11 @@
 
 std::size_t Writer::room() const {
   const std::size_t used = text_.size() + kSectionHead;
-  return used >= kMostBytes ? 0 : std::min<std::size_t>(kMostBytes - used, 255);
+  return used >= kMaxBytes ? 0 : std::min<std::size_t>(kMaxBytes - used, 255);
 }
 
 bool Writer::Add(Topic topic, std::string_view bytes) {
-  if (bytes.size() > room() || text_.size() + kSectionHead > kMostBytes) return false;
+  if (bytes.size() > room() || text_.size() + kSectionHead > kMaxBytes) return false;
   text_ += static_cast<char>(topic);
   text_ += static_cast<char>(bytes.size());
   text_ += bytes;
@@ -69,7 +69,7 @@
     *why = reason;
     return std::nullopt;
   };
-  if (bytes.size() > kMostBytes) return drop(Dropped::kLong);
+  if (bytes.size() > kMaxBytes) return drop(Dropped::kLong);
   if (bytes.size() < kHeadBytes) return drop(Dropped::kShort);
   if (bytes[0] != kMark) return drop(Dropped::kForeign);
   if (static_cast<std::uint8_t>(bytes[1]) != kVersion) return drop(Dropped::kVersion);
--- a/src/node/peer_transport/datagram.h
+++ b/src/node/peer_transport/datagram.h
@@ -18,7 +18,7 @@
 
 namespace pearreach::peer_transport {
 
-constexpr std::size_t kMostBytes = 256;  // of a datagram, by the platform's protocol
+constexpr std::size_t kMaxBytes = 256;  // of a datagram, by the platform's protocol
 constexpr std::size_t kHeadBytes = 20;
 constexpr std::size_t kSectionHead = 2;
 constexpr std::uint8_t kVersion = 1;
--- a/src/node/peer_transport/peers.cpp
+++ b/src/node/peer_transport/peers.cpp
@@ -78,7 +78,7 @@
 }
 
 void Peers::OnReady(std::uint32_t) {
-  char bytes[kMostBytes + 1];  // one more shows what is too long
+  char bytes[kMaxBytes + 1];  // one more shows what is too long
   for (int i = 0; i < kWordsATurn && socket_ != nullptr; ++i) {
     GSocketAddress* from = nullptr;
     GError* error = nullptr;
--- a/src/node/rules/document.cpp
+++ b/src/node/rules/document.cpp
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <cstring>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "node/config/xml.h"
 #include "node/rules/rules.pb.h"
 #include "node/rules/rules_schema.h"
@@ -14,8 +14,8 @@
 namespace pearreach::rules {
 namespace {
 
-constexpr int kMostVoters = 9;
-constexpr double kMostRate = 1e6;
+constexpr int kMaxVoters = 9;
+constexpr double kMaxRate = 1e6;
 
 template <typename T>
 std::optional<T> Least(const std::optional<T>& a, const std::optional<T>& b) {
@@ -53,7 +53,7 @@
   return all;
 }
 
-bool IsRate(double value) { return std::isfinite(value) && value >= 0 && value <= kMostRate; }
+bool IsRate(double value) { return std::isfinite(value) && value >= 0 && value <= kMaxRate; }
 
 template <class Names>
 bool Ascending(const Names& names) {
@@ -169,9 +169,9 @@
     }
     if (!first) xml::Fail(name, xml::Line(n), what + " \"" + of + "\" is there twice");
   });
-  if (Encode(d).size() > kMostDocument)
+  if (Encode(d).size() > kMaxDocument)
     xml::Fail(name, xml::Line(root),
-              "longer than " + std::to_string(kMostDocument) + " bytes in canonical form");
+              "longer than " + std::to_string(kMaxDocument) + " bytes in canonical form");
   return d;
 }
 
@@ -252,14 +252,14 @@
 std::optional<Document> Decode(std::string_view bytes, bool* later) {
   if (later != nullptr) *later = false;
   wire::Document w;
-  if (bytes.size() > kMostDocument ||
+  if (bytes.size() > kMaxDocument ||
       !w.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     return std::nullopt;
   if (w.schema() > kSchema) {
     if (later != nullptr) *later = true;
     return std::nullopt;
   }
-  if (w.account_size() != w.share_size() || w.voters_size() < 1 || w.voters_size() > kMostVoters ||
+  if (w.account_size() != w.share_size() || w.voters_size() < 1 || w.voters_size() > kMaxVoters ||
       !Ascending(w.voters()) || !Ascending(w.account()) || !Ascending(w.ban()) ||
       !Ascending(w.leave()) || !Ascending(w.use()) || w.by() > 1'000'000 ||
       w.voters(w.voters_size() - 1) > 1'000'000 || w.attempts() > 1000 || w.nodes() > 1000 ||
--- a/src/node/rules/document.h
+++ b/src/node/rules/document.h
@@ -19,8 +19,8 @@
 
 namespace pearreach::rules {
 
-constexpr std::uint32_t kSchema = 1;             // the latest that this build reads
-constexpr std::size_t kMostDocument = 16 << 10;  // bytes, canonical
+constexpr std::uint32_t kSchema = 1;            // the latest that this build reads
+constexpr std::size_t kMaxDocument = 16 << 10;  // bytes, canonical
 
 // What is not said here is as the node's own file has it.
 struct Rules {
--- a/src/node/rules/documents.cpp
+++ b/src/node/rules/documents.cpp
@@ -6,9 +6,9 @@
 namespace pearreach::rules {
 namespace {
 
-constexpr std::size_t kMostHistory = 32;    // versions held
-constexpr std::size_t kMostDocuments = 16;  // that were not chosen
-constexpr std::size_t kMostFetches = 8;
+constexpr std::size_t kMaxHistory = 32;    // versions held
+constexpr std::size_t kMaxDocuments = 16;  // that were not chosen
+constexpr std::size_t kMaxFetches = 8;
 constexpr int kBatch = 4;  // parts of a document that one question brings
 
 }  // namespace
@@ -24,7 +24,7 @@
   }
   if (history_.back().head.hash != head_.hash) history_.push_back({head_, *document, bytes});
   history_.back().head = head_;
-  if (history_.size() > kMostHistory) history_.pop_front();
+  if (history_.size() > kMaxHistory) history_.pop_front();
   last_voters_ = document->voters;
   dirty_ = true;
   ++figures_.learned;
@@ -40,7 +40,7 @@
 // Those that are in use stay; of the others the oldest goes.
 void Agreement::StoreDocument(std::uint64_t hash, const std::string& bytes) {
   if (documents_.emplace(hash, bytes).second) documents_order_.push_back(hash);
-  for (std::size_t i = documents_order_.size(); i > 0 && documents_order_.size() > kMostDocuments;
+  for (std::size_t i = documents_order_.size(); i > 0 && documents_order_.size() > kMaxDocuments;
        --i) {
     const std::uint64_t oldest = documents_order_.front();
     documents_order_.pop_front();
@@ -54,7 +54,7 @@
 
 void Agreement::RequestDocument(Micros now, int from, std::uint64_t hash, std::vector<Out>* out) {
   if (unread_.count(hash) > 0 || DocumentOf(hash) != nullptr) return;
-  if (fetches_.count(hash) == 0 && fetches_.size() >= kMostFetches) {
+  if (fetches_.count(hash) == 0 && fetches_.size() >= kMaxFetches) {
     auto oldest = fetches_.begin();
     for (auto it = fetches_.begin(); it != fetches_.end(); ++it)
       if (it->second.asked < oldest->second.asked) oldest = it;
--- a/src/node/rules/messages.cpp
+++ b/src/node/rules/messages.cpp
@@ -8,10 +8,10 @@
 namespace pearreach::rules {
 namespace {
 
-constexpr std::int64_t kMostAgeMs = 60'000'000;
-constexpr std::uint64_t kMostFigure = 1ull << 50;
-constexpr int kMostParts = kMostDocument / kPartBytes + 1;
-constexpr std::size_t kMostHave = 125;  // 1,000 nodes
+constexpr std::int64_t kMaxAgeMs = 60'000'000;
+constexpr std::uint64_t kMaxFigure = 1ull << 50;
+constexpr int kMaxParts = kMaxDocument / kPartBytes + 1;
+constexpr std::size_t kMaxHave = 125;  // 1,000 nodes
 
 }  // namespace
 
@@ -20,7 +20,7 @@
   s.set_epoch(word.head.epoch);
   s.set_number(word.head.number);
   s.set_hash(word.head.hash);
-  s.set_age(static_cast<std::uint64_t>(std::clamp<std::int64_t>(word.age_ms, 0, kMostAgeMs)));
+  s.set_age(static_cast<std::uint64_t>(std::clamp<std::int64_t>(word.age_ms, 0, kMaxAgeMs)));
   s.set_schema(word.schema);
   s.set_refuses(word.refuses);
   s.set_ask(word.ask);
@@ -31,7 +31,7 @@
   s.set_promised(word.promised);
   s.set_accepted(word.accepted);
   s.set_accepted_hash(word.accepted_hash);
-  s.set_have(word.have.substr(0, kMostHave));
+  s.set_have(word.have.substr(0, kMaxHave));
   s.set_step(static_cast<std::uint32_t>(word.step));
   s.set_ballot(word.ballot);
   s.set_value_ballot(word.value_ballot);
@@ -48,11 +48,11 @@
 std::optional<Message> DecodeMessage(std::string_view bytes) {
   wire::Section s;
   if (!s.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return std::nullopt;
-  if (s.epoch() > kMostFigure || s.number() > kMostFigure || s.schema() < 1 ||
-      s.age() > static_cast<std::uint64_t>(kMostAgeMs) || s.promised() > kMostFigure ||
-      s.accepted() > kMostFigure || s.ballot() > kMostFigure || s.value_ballot() > kMostFigure ||
-      s.step() > static_cast<std::uint32_t>(Step::kRefused) || s.have().size() > kMostHave ||
-      s.want_part() > kMostParts || s.part() > kMostParts || s.parts() > kMostParts ||
+  if (s.epoch() > kMaxFigure || s.number() > kMaxFigure || s.schema() < 1 ||
+      s.age() > static_cast<std::uint64_t>(kMaxAgeMs) || s.promised() > kMaxFigure ||
+      s.accepted() > kMaxFigure || s.ballot() > kMaxFigure || s.value_ballot() > kMaxFigure ||
+      s.step() > static_cast<std::uint32_t>(Step::kRefused) || s.have().size() > kMaxHave ||
+      s.want_part() > kMaxParts || s.part() > kMaxParts || s.parts() > kMaxParts ||
       s.bytes().size() > kPartBytes || (s.part_of() != 0 && s.part() >= s.parts()))
     return std::nullopt;
   Message w;
--- a/src/node/rules/proposals.cpp
+++ b/src/node/rules/proposals.cpp
@@ -49,7 +49,7 @@
   Proposal p;
   p.number = ++proposals_;
   p.bytes = Encode(document);
-  if (p.bytes.size() > kMostDocument) return refuse("longer than a document may be");
+  if (p.bytes.size() > kMaxDocument) return refuse("longer than a document may be");
   p.hash = HashOf(p.bytes);
   p.after = head_;
   p.until = now + options_.patience;
--- a/src/node/rules/stored_state.cpp
+++ b/src/node/rules/stored_state.cpp
@@ -5,7 +5,7 @@
 namespace pearreach::rules {
 namespace {
 
-constexpr int kMostStored = 32;  // that are read
+constexpr int kMaxStored = 32;  // that are read
 
 }  // namespace
 
@@ -22,7 +22,7 @@
 std::optional<Kept> DecodeKept(std::string_view bytes) {
   wire::Kept k;
   if (!k.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) ||
-      k.document_size() > kMostStored || (k.accepted() != 0 && !Decode(k.accepted_document())))
+      k.document_size() > kMaxStored || (k.accepted() != 0 && !Decode(k.accepted_document())))
     return std::nullopt;
   Kept kept{k.epoch(), k.promised(), k.accepted(), k.accepted_document(), {}};
   for (const std::string& document : k.document()) {
--- a/src/node/shared_state/budgets.cpp
+++ b/src/node/shared_state/budgets.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 constexpr double kDemandLeast = 1e6, kDemandMost = 30e6;  // microseconds over which wants fade
-constexpr double kDemandJobs = 4;  // and over so many of an even part: of few jobs none says much
-constexpr double kLeastGrant = 0.05;   // of an even part: less is not worth a word
-constexpr double kLeastWhole = 0.001;  // a second
-constexpr double kMostAmount = 1e15;
+constexpr double kDemandJobs = 4;    // and over so many of an even part: of few jobs none says much
+constexpr double kMinGrant = 0.05;   // of an even part: less is not worth a word
+constexpr double kMinWhole = 0.001;  // a second
+constexpr double kMaxAmount = 1e15;
 
 std::int64_t Thousandths(double amount) { return static_cast<std::int64_t>(amount * 1000); }
 
@@ -39,7 +39,7 @@
 void Budgets::SetWhole(Micros now, int budget, double whole) {
   if (!Valid(budget)) return;
   Refill(now, budget);
-  options_.wholes[static_cast<std::size_t>(budget)] = std::max(whole, kLeastWhole);
+  options_.wholes[static_cast<std::size_t>(budget)] = std::max(whole, kMinWhole);
 }
 void Budgets::SetParts(Micros now, int parts) {
   for (int k = 0; k < budgets(); ++k) Refill(now, k);
@@ -173,7 +173,7 @@
     const auto wanted = static_cast<std::int64_t>(options_.spare * 1000 * Demand(now, k));
     Refill(now, k);
     const std::int64_t least =
-        static_cast<std::int64_t>(kLeastGrant * static_cast<double>(even(now, k)));
+        static_cast<std::int64_t>(kMinGrant * static_cast<double>(even(now, k)));
     const std::int64_t own = part(now, k) - got(now, k);
     bool asked = false;
     for (const auto& [from, g] : o.got) {
@@ -200,7 +200,7 @@
 
 std::optional<Grant> Budgets::OnAsk(Micros now, int from, std::uint64_t process, const Ask& ask) {
   if (!Valid(ask.budget) || from < 0 || from >= options_.nodes || from == options_.self ||
-      ask.amount <= 0 || static_cast<double>(ask.amount) > kMostAmount || settling(now))
+      ask.amount <= 0 || static_cast<double>(ask.amount) > kMaxAmount || settling(now))
     return std::nullopt;
   Own& o = At(ask.budget);
   Refill(now, ask.budget);
@@ -212,8 +212,7 @@
   const auto kept = static_cast<std::int64_t>(options_.spare * 1000 * Demand(now, ask.budget)) -
                     std::min(floor(ask.budget), even_part);
   const std::int64_t amount = std::min(ask.amount, free - std::max<std::int64_t>(0, kept));
-  if (static_cast<double>(amount) < kLeastGrant * static_cast<double>(even_part))
-    return std::nullopt;
+  if (static_cast<double>(amount) < kMinGrant * static_cast<double>(even_part)) return std::nullopt;
   const Grant g{ask.budget, ++o.number, process, amount, now + options_.lease};
   o.lent[from].push_back({g.amount, g.until});
   // What was saved up of it goes with it.
@@ -223,7 +222,7 @@
 
 void Budgets::OnGrant(Micros now, int from, std::uint64_t process, const Grant& g) {
   if (!Valid(g.budget) || from < 0 || from >= options_.nodes || from == options_.self ||
-      g.amount < 0 || static_cast<double>(g.amount) > kMostAmount)
+      g.amount < 0 || static_cast<double>(g.amount) > kMaxAmount)
     return;
   if (g.to_process != process_ && !without_.process) return;
   // A clock so far off that the lease would outlast the giver's is not believed.
--- a/src/node/shared_state/judgements.cpp
+++ b/src/node/shared_state/judgements.cpp
@@ -9,9 +9,9 @@
 namespace pearreach::shared_state {
 namespace {
 
-constexpr double kLearn = 0.15;             // weight of one job's end
-constexpr int kRefusedDead = 2;             // refused connections in a row
-constexpr std::size_t kMostWitnesses = 16;  // kept of one worker
+constexpr double kLearn = 0.15;            // weight of one job's end
+constexpr int kRefusedDead = 2;            // refused connections in a row
+constexpr std::size_t kMaxWitnesses = 16;  // kept of one worker
 
 std::uint64_t Mix(std::uint64_t x) {  // splitmix64
   x += 0x9e3779b97f4a7c15u;
@@ -132,7 +132,7 @@
   if (held.number > 0 && !Later(o, held)) return false;
   held = o;
   w.said[o.witness] = 0;
-  while (w.others.size() > kMostWitnesses) {
+  while (w.others.size() > kMaxWitnesses) {
     const auto oldest =
         std::min_element(w.others.begin(), w.others.end(),
                          [](const auto& a, const auto& b) { return a.second.at < b.second.at; });
--- a/src/node/shared_state/shared.cpp
+++ b/src/node/shared_state/shared.cpp
@@ -7,8 +7,8 @@
 namespace pearreach::shared_state {
 namespace {
 
-constexpr std::size_t kMostOpinions = 6;  // in a word: the rest is the counts'
-constexpr std::size_t kRelayed = 12;      // tried for the room that is left
+constexpr std::size_t kMaxOpinions = 6;  // in a word: the rest is the counts'
+constexpr std::size_t kRelayed = 12;     // tried for the room that is left
 
 CountsOptions ForCounts(const SharedOptions& o) {
   CountsOptions c;
@@ -78,7 +78,7 @@
   w.at = now;
   w.asks = std::move(asks);
   w.grants = std::move(grants);
-  w.opinions = judgements_.Say(now, kMostOpinions);
+  w.opinions = judgements_.Say(now, kMaxOpinions);
   const auto accounts = static_cast<std::size_t>(counts_.accounts());
   // Ceilings bind from when they are said: those that find no room bind all the same, which is the
   // safe side.
--- a/src/node/shared_state/words.cpp
+++ b/src/node/shared_state/words.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr Micros kEpoch = kEpochMs * 1000;
-constexpr int kMostEntries = 64;  // of one column: a datagram holds fewer
-constexpr std::uint64_t kMostFigure = 1'000'000'000'000'000;
+constexpr int kMaxEntries = 64;  // of one column: a datagram holds fewer
+constexpr std::uint64_t kMaxFigure = 1'000'000'000'000'000;
 
 std::uint64_t Since(Micros at) {
   return static_cast<std::uint64_t>(std::max<Micros>(0, at - kEpoch));
@@ -64,10 +64,10 @@
 template <class... Column>
 bool Even(const Column&... columns) {
   const int sizes[] = {columns.size()...};
-  return sizes[0] <= kMostEntries &&
+  return sizes[0] <= kMaxEntries &&
          std::all_of(std::begin(sizes), std::end(sizes), [&](int s) { return s == sizes[0]; });
 }
-bool Bounded(std::uint64_t figure) { return figure <= kMostFigure; }
+bool Bounded(std::uint64_t figure) { return figure <= kMaxFigure; }
 
 }  // namespace
 
--- a/src/node/zones/evidence.cpp
+++ b/src/node/zones/evidence.cpp
@@ -8,7 +8,7 @@
 namespace pearreach::zones {
 namespace {
 
-constexpr int kLeastJobs = 8;  // that a zone's share of failures and its time rest on
+constexpr int kMinJobs = 8;  // that a zone's share of failures and its time rest on
 
 std::uint8_t Part(double share) {
   return static_cast<std::uint8_t>(std::clamp(share, 0.0, 1.0) * 255 + 0.5);
@@ -63,12 +63,12 @@
   double failures = 0;
   int zones = 0;
   for (std::size_t other = 0; other < seen_.size(); ++other) {
-    if (other == zone || seen_[other].jobs < kLeastJobs) continue;
+    if (other == zone || seen_[other].jobs < kMinJobs) continue;
     failures += seen_[other].failures;
     ++zones;
   }
   const ZoneSeen& mine = seen_[zone];
-  return zones > 0 && mine.jobs >= kLeastJobs && mine.failures > options_.failing &&
+  return zones > 0 && mine.jobs >= kMinJobs && mine.failures > options_.failing &&
          mine.failures > 2 * failures / zones;
 }
 
@@ -80,11 +80,11 @@
     for (std::size_t other = 0; other < seen_.size(); ++other) {
       if (other == zone) continue;
       const auto it = seen_[other].runs.find(cls);
-      if (it == seen_[other].runs.end() || it->second.jobs < kLeastJobs) continue;
+      if (it == seen_[other].runs.end() || it->second.jobs < kMinJobs) continue;
       usual += it->second.mean;
       ++of;
     }
-    if (of > 0 && run.jobs >= kLeastJobs && run.mean >= options_.slow * usual / of) return true;
+    if (of > 0 && run.jobs >= kMinJobs && run.mean >= options_.slow * usual / of) return true;
   }
   return false;
 }
--- a/src/node/zones/messages.cpp
+++ b/src/node/zones/messages.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr std::int64_t kEpochMs = 1'767'225'600'000;  // 2026-01-01, Unix ms
-constexpr int kMostEntries = 64;                      // of one column: a datagram holds fewer
-constexpr std::uint64_t kMostFigure = 1'000'000'000'000'000;
-constexpr std::uint32_t kMostNode = 1'000'000;
+constexpr int kMaxEntries = 64;                       // of one column: a datagram holds fewer
+constexpr std::uint64_t kMaxFigure = 1'000'000'000'000'000;
+constexpr std::uint32_t kMaxNode = 1'000'000;
 
 std::int64_t AgeMs(const wire::Section& s, Micros at) {
   return kEpochMs + static_cast<std::int64_t>(s.at()) - at / 1000;
@@ -54,13 +54,13 @@
 template <class... Column>
 bool Even(const Column&... columns) {
   const int sizes[] = {columns.size()...};
-  return sizes[0] <= kMostEntries &&
+  return sizes[0] <= kMaxEntries &&
          std::all_of(std::begin(sizes), std::end(sizes), [&](int s) { return s == sizes[0]; });
 }
-bool Bounded(std::uint64_t figure) { return figure <= kMostFigure; }
+bool Bounded(std::uint64_t figure) { return figure <= kMaxFigure; }
 bool BoundedAge(std::int64_t age) {
-  return age <= static_cast<std::int64_t>(kMostFigure / 1000) &&
-         age >= -static_cast<std::int64_t>(kMostFigure / 1000);
+  return age <= static_cast<std::int64_t>(kMaxFigure / 1000) &&
+         age >= -static_cast<std::int64_t>(kMaxFigure / 1000);
 }
 
 }  // namespace
@@ -122,7 +122,7 @@
       !Even(s.report_target(), s.report_node(), s.report_zone(), s.report_process(),
             s.report_number(), s.report_seen(), s.report_age(), s.report_about(), s.report_good(),
             s.report_failed()) ||
-      !Bounded(s.at()) || s.at() > kMostFigure / 1000 || s.zone() > 10'000)
+      !Bounded(s.at()) || s.at() > kMaxFigure / 1000 || s.zone() > 10'000)
     return std::nullopt;
   Message w;
   w.zone = static_cast<int>(s.zone());
@@ -130,7 +130,7 @@
   w.asks = s.asks();
   for (int i = 0; i < s.verdict_target_size(); ++i) {
     if (s.verdict_for(i) > 10'000 || !Bounded(s.verdict_number(i)) ||
-        s.verdict_step(i) > kLastStep || s.verdict_cause(i) > 4 || s.verdict_by(i) > kMostNode ||
+        s.verdict_step(i) > kLastStep || s.verdict_cause(i) > 4 || s.verdict_by(i) > kMaxNode ||
         !BoundedAge(s.verdict_age(i)) || s.verdict_leaves(i) > 255)
       return std::nullopt;
     w.verdicts.push_back({s.verdict_target(i), static_cast<int>(s.verdict_for(i)) - 1,
@@ -140,7 +140,7 @@
                           static_cast<std::uint8_t>(s.verdict_leaves(i))});
   }
   for (int i = 0; i < s.order_target_size(); ++i) {
-    if (!Bounded(s.order_number(i)) || s.order_what(i) > 2 || s.order_by(i) > kMostNode ||
+    if (!Bounded(s.order_number(i)) || s.order_what(i) > 2 || s.order_by(i) > kMaxNode ||
         !BoundedAge(s.order_age(i)))
       return std::nullopt;
     w.orders.push_back({s.order_target(i), s.order_number(i),
@@ -149,9 +149,9 @@
   }
   for (int i = 0; i < s.report_target_size(); ++i) {
     const std::uint32_t seen = s.report_seen(i);
-    if (s.report_node(i) > kMostNode || s.report_zone(i) > 10'000 ||
-        !Bounded(s.report_process(i)) || seen >> 25 != 0 || ((seen >> 16) & 0xff) > 4 ||
-        !BoundedAge(s.report_age(i)) || !Bounded(s.report_about(i)))
+    if (s.report_node(i) > kMaxNode || s.report_zone(i) > 10'000 || !Bounded(s.report_process(i)) ||
+        seen >> 25 != 0 || ((seen >> 16) & 0xff) > 4 || !BoundedAge(s.report_age(i)) ||
+        !Bounded(s.report_about(i)))
       return std::nullopt;
     w.reports.push_back(
         {s.report_target(i), static_cast<int>(s.report_node(i)), static_cast<int>(s.report_zone(i)),
--- a/src/tier/batch/lot_api.cpp
+++ b/src/tier/batch/batch_job_api.cpp
@@ -1,4 +1,4 @@
-#include "tier/batch/lot_api.h"
+#include "tier/batch/batch_job_api.h"
 
 #include <fmt/format.h>
 
@@ -9,8 +9,8 @@
 #include <utility>
 #include <vector>
 
-#include "tier/batch/lot_hand_in.h"
-#include "tier/batch/lot_json.h"
+#include "tier/batch/batch_job_json.h"
+#include "tier/batch/batch_job_submission.h"
 #include "tier/logging/log.h"
 
 namespace pearreach::batch {
@@ -18,13 +18,13 @@
 
 constexpr char kModule[] = "batch";
 
-constexpr std::string_view kLotsPath = "/lots/";
+constexpr std::string_view kBatchJobsPath = "/lots/";
 constexpr std::string_view kItemsPath = "/items/";
 constexpr char kWriteRetryAfter[] = "0.5";
 constexpr char kNoRoomRetryAfter[] = "2";  // disks are freed as lots grow old
 constexpr char kReadRetryAfter[] = "0.3";
 // The longest hold of a read, whatever the client allows.
-constexpr std::int64_t kLongestWaitMs = 10'000;
+constexpr std::int64_t kMaxWaitMs = 10'000;
 // Beyond the time that a read may be held: its client waits 1.5 s longer than it allows.
 constexpr Micros kReadTime = 1200 * kMs;
 constexpr Micros kReadAttempt = 800 * kMs;
@@ -32,17 +32,17 @@
 // A hand-in: the longest wait where the client names none; the least before it is refused; what is
 // kept for the way back of the answer.
 constexpr Micros kSubmitTime = 5 * kSecond;
-constexpr Micros kLeastUnsentTime = 1 * kSecond;  // clients take a longer silence for a loss
-constexpr Micros kLongestMargin = 200 * kMs;
+constexpr Micros kMinUnsentTime = 1 * kSecond;  // clients take a longer silence for a loss
+constexpr Micros kMaxMargin = 200 * kMs;
 
 struct Target {
   std::string_view path, query;
 };
 
 Target SplitTarget(std::string_view target) {
-  const std::size_t mark = target.find('?');
-  if (mark == std::string_view::npos) return {target, {}};
-  return {target.substr(0, mark), target.substr(mark + 1)};
+  const std::size_t change_id = target.find('?');
+  if (change_id == std::string_view::npos) return {target, {}};
+  return {target.substr(0, change_id), target.substr(change_id + 1)};
 }
 
 int HexDigit(char c) {
@@ -107,7 +107,7 @@
 }
 
 // Seconds with fractions, as clients take them.
-std::string RetryAfterOf(const CreateLotAnswer& answer) {
+std::string RetryAfterOf(const CreateBatchJobResponse& answer) {
   if (answer.retry_after_ms <= 0) return kWriteRetryAfter;
   return fmt::format("{:.1f}", static_cast<double>(answer.retry_after_ms) / 1000);
 }
@@ -128,24 +128,24 @@
   };
   if (deadline.has_value()) shorten(*deadline);
   shorten(route.limit_ms);
-  return time - std::min(time / 10, kLongestMargin);
+  return time - std::min(time / 10, kMaxMargin);
 }
 
-LotSpec SpecOf(const routing::Route& route, const LotBounds& bounds) {
-  LotSpec lot;
-  lot.route = route.name;
-  lot.host = route.host;
-  lot.token_cap = route.token_cap;
-  lot.quota_excess = bounds.quota_excess;
-  lot.tries = route.tries;
-  lot.due_ms = route.due_ms;
-  lot.retain_s = route.retain_s;
-  lot.status_s = bounds.status_s;
-  return lot;
+BatchJobSpec SpecOf(const routing::Route& route, const BatchJobLimits& bounds) {
+  BatchJobSpec batch_job;
+  batch_job.route = route.name;
+  batch_job.host = route.host;
+  batch_job.token_cap = route.token_cap;
+  batch_job.quota_excess = bounds.quota_excess;
+  batch_job.attempts = route.attempts;
+  batch_job.due_ms = route.due_ms;
+  batch_job.retain_s = route.retain_s;
+  batch_job.status_s = bounds.status_s;
+  return batch_job;
 }
 
 void AnswerSubmit(const std::shared_ptr<http_server::Exchange>& exchange,
-                  const absl::StatusOr<CreateLotAnswer>& answer) {
+                  const absl::StatusOr<CreateBatchJobResponse>& answer) {
   if (!answer.ok())
     logging::Warning(kModule, "lot not taken", {{"why", std::string(answer.status().message())}});
   if (answer.ok() && answer->status == CreateStatus::kAccepted) {
@@ -164,79 +164,79 @@
 
 }  // namespace
 
-LotApi::LotApi(Timers* timers, StoreClient* stores, control::ControlClient* control,
-               LotBounds bounds, bool offers)
+BatchJobApi::BatchJobApi(Timers* timers, StoreClient* stores, control::ControlClient* control,
+                         BatchJobLimits bounds, bool offers)
     : timers_(timers), stores_(stores), control_(control), bounds_(bounds), offers_(offers) {}
 
-bool LotApi::IsLotCall(const http::Message& request) {
+bool BatchJobApi::IsBatchJobCall(const http::Message& request) {
   const std::string_view path = SplitTarget(request.target).path;
-  if (!IdAfter(path, kLotsPath).empty()) {
+  if (!IdAfter(path, kBatchJobsPath).empty()) {
     return request.method == "GET" || request.method == "DELETE";
   }
   return request.method == "GET" && !IdAfter(path, kItemsPath).empty();
 }
 
-void LotApi::CancelWith(const std::shared_ptr<http_server::Exchange>& exchange,
-                        StoreClient::CallId call) {
+void BatchJobApi::CancelWith(const std::shared_ptr<http_server::Exchange>& exchange,
+                             StoreClient::CallId call) {
   exchange->OnClosed([stores = stores_, call] { stores->Cancel(call); });
 }
 
-void LotApi::Handle(const std::shared_ptr<http_server::Exchange>& exchange) {
+void BatchJobApi::Handle(const std::shared_ptr<http_server::Exchange>& exchange) {
   const http::Message& request = exchange->request();
   if (control_->Current()->routes == nullptr || stores_->Table() == nullptr) {
     Refuse(exchange, 503, kReadRetryAfter);
     return;
   }
   const Target target = SplitTarget(request.target);
-  const std::string_view lot = IdAfter(target.path, kLotsPath);
-  if (lot.empty()) {
+  const std::string_view batch_job = IdAfter(target.path, kBatchJobsPath);
+  if (batch_job.empty()) {
     ReadBody(exchange, Unescaped(IdAfter(target.path, kItemsPath)), target.query);
   } else if (request.method == "DELETE") {
-    End(exchange, Unescaped(lot));
+    End(exchange, Unescaped(batch_job));
   } else {
-    Read(exchange, Unescaped(lot), target.query);
+    Read(exchange, Unescaped(batch_job), target.query);
   }
 }
 
-void LotApi::Submit(const std::shared_ptr<http_server::Exchange>& exchange,
-                    const routing::Route& route) {
+void BatchJobApi::Submit(const std::shared_ptr<http_server::Exchange>& exchange,
+                         const routing::Route& route) {
   http::Message& request = exchange->mutable_request();
   const std::string* id = request.Find("X-Attempt-Id");
   if (id == nullptr || id->empty()) {
     Answer(exchange, 400, R"({"error":"X-Attempt-Id: missing"})");
     return;
   }
-  LotSpec lot = SpecOf(route, bounds_);
-  lot.lot_id = *id;
-  lot.fingerprint = Fingerprint(request.body);
+  BatchJobSpec batch_job = SpecOf(route, bounds_);
+  batch_job.batch_job_id = *id;
+  batch_job.fingerprint = Fingerprint(request.body);
   auto items = ParseItems(std::move(request.body));
   if (!items.ok()) {
-    logging::Warning(
-        "batch", "hand-in does not read",
-        {logging::F("lot", lot.lot_id), {"why", std::string(items.status().message())}});
+    logging::Warning("batch", "hand-in does not read",
+                     {logging::F("lot", batch_job.batch_job_id),
+                      {"why", std::string(items.status().message())}});
     Answer(exchange, 400, R"({"error":"not a lot"})");
     return;
   }
-  lot.items = *std::move(items);
+  batch_job.items = *std::move(items);
   CallTime time;
   const Micros spent = std::max<Micros>(Now() - exchange->arrived(), 0);
   time.overall = std::max<Micros>(SubmitTime(request, route) - spent, 0);
   const Micros aim = static_cast<Micros>(route.target_ms * kMs);
-  time.unsent = std::min(time.overall, std::max(aim, kLeastUnsentTime));
-  const auto hand_in =
-      std::make_shared<LotHandIn>(timers_, stores_, std::move(lot), time, offers_,
-                                  [exchange](const absl::StatusOr<CreateLotAnswer>& answer) {
-                                    AnswerSubmit(exchange, answer);
-                                  });
+  time.unsent = std::min(time.overall, std::max(aim, kMinUnsentTime));
+  const auto hand_in = std::make_shared<BatchJobSubmission>(
+      timers_, stores_, std::move(batch_job), time, offers_,
+      [exchange](const absl::StatusOr<CreateBatchJobResponse>& answer) {
+        AnswerSubmit(exchange, answer);
+      });
   // The client's connection keeps the hand-in.
   exchange->OnClosed([hand_in] { hand_in->Cancel(); });
   hand_in->Start();
 }
 
-void LotApi::Read(const std::shared_ptr<http_server::Exchange>& exchange, std::string lot_id,
-                  std::string_view query) {
-  ReadLot read;
-  read.lot_id = std::move(lot_id);
+void BatchJobApi::Read(const std::shared_ptr<http_server::Exchange>& exchange,
+                       std::string batch_job_id, std::string_view query) {
+  ReadBatchJob read;
+  read.batch_job_id = std::move(batch_job_id);
   if (const auto text = QueryValue(query, "start_after"); text.has_value() && !text->empty()) {
     const auto start = ParseNumber<std::uint64_t>(*text);
     if (!start.has_value()) {
@@ -247,14 +247,13 @@
   }
   const double wait_ms = NumberHeader(exchange->request(), "X-Wait-Ms").value_or(0);
   if (wait_ms > 0) {
-    read.wait_ms =
-        static_cast<std::int64_t>(std::min(wait_ms, static_cast<double>(kLongestWaitMs)));
+    read.wait_ms = static_cast<std::int64_t>(std::min(wait_ms, static_cast<double>(kMaxWaitMs)));
   }
   CallTime time;
   time.overall = read.wait_ms * kMs + kReadTime;
   time.attempt = read.wait_ms * kMs + kReadAttempt;
   const std::uint64_t start = read.start_after;
-  const auto answered = [exchange, start](const absl::StatusOr<ReadLotAnswer>& answer) {
+  const auto answered = [exchange, start](const absl::StatusOr<ReadBatchJobResponse>& answer) {
     if (!answer.ok()) {
       Refuse(exchange, 503, kReadRetryAfter);
     } else if (!answer->found) {
@@ -266,20 +265,20 @@
   CancelWith(exchange, stores_->Read(std::move(read), time, answered));
 }
 
-void LotApi::ReadBody(const std::shared_ptr<http_server::Exchange>& exchange, std::string lot_id,
-                      std::string_view query) {
+void BatchJobApi::ReadBody(const std::shared_ptr<http_server::Exchange>& exchange,
+                           std::string batch_job_id, std::string_view query) {
   const auto item = QueryValue(query, "worker_id");
   if (!item.has_value() || item->empty()) {
     Answer(exchange, 400, R"({"error":"worker_id: missing"})");
     return;
   }
   ReadItemBody read;
-  read.lot_id = std::move(lot_id);
+  read.batch_job_id = std::move(batch_job_id);
   read.item_id = Unescaped(*item);
   CallTime time;
   time.overall = kReadTime;
   time.attempt = kReadAttempt;
-  const auto answered = [exchange](const absl::StatusOr<ReadItemBodyAnswer>& answer) {
+  const auto answered = [exchange](const absl::StatusOr<ReadItemBodyResponse>& answer) {
     if (!answer.ok()) {
       Refuse(exchange, 503, kReadRetryAfter);
     } else if (!answer->found) {
@@ -291,12 +290,13 @@
   CancelWith(exchange, stores_->ReadBody(std::move(read), time, answered));
 }
 
-void LotApi::End(const std::shared_ptr<http_server::Exchange>& exchange, std::string lot_id) {
-  CancelLot cancel;
-  cancel.lot_id = std::move(lot_id);
+void BatchJobApi::End(const std::shared_ptr<http_server::Exchange>& exchange,
+                      std::string batch_job_id) {
+  CancelBatchJob cancel;
+  cancel.batch_job_id = std::move(batch_job_id);
   CallTime time;
   time.overall = kEndTime;
-  const auto answered = [exchange](const absl::StatusOr<CancelLotAnswer>& answer) {
+  const auto answered = [exchange](const absl::StatusOr<CancelBatchJobResponse>& answer) {
     if (!answer.ok()) {
       Refuse(exchange, 503, kReadRetryAfter);
     } else if (!answer->found) {
--- a/src/tier/batch/lot_api.h
+++ b/src/tier/batch/batch_job_api.h
@@ -1,7 +1,7 @@
 // The clients' calls about lots at an edge node: hand in, read, body of an item, end. Nothing about
 // a lot is kept here; the stores answer.
-#ifndef PEARREACH_SRC_TIER_BATCH_LOT_API_H_
-#define PEARREACH_SRC_TIER_BATCH_LOT_API_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_BATCH_JOB_API_H_
+#define PEARREACH_SRC_TIER_BATCH_BATCH_JOB_API_H_
 
 #include <memory>
 #include <string>
@@ -16,41 +16,41 @@
 namespace pearreach::batch {
 
 // What the operator's bounds say of lots.
-struct LotBounds {
+struct BatchJobLimits {
   double status_s = 120;
   double quota_excess = 0.1;
 };
 
-class LotApi {
+class BatchJobApi {
  public:
-  // `offers`: see LotHandIn.
-  LotApi(Timers* timers, StoreClient* stores, control::ControlClient* control, LotBounds bounds,
-         bool offers = true);
+  // `offers`: see BatchJobSubmission.
+  BatchJobApi(Timers* timers, StoreClient* stores, control::ControlClient* control,
+              BatchJobLimits bounds, bool offers = true);
 
-  void SetBounds(LotBounds bounds) { bounds_ = bounds; }
+  void SetBounds(BatchJobLimits bounds) { bounds_ = bounds; }
   // GET or DELETE of /lots/ID, GET of /items/ID.
-  static bool IsLotCall(const http::Message& request);
-  // Answers a call for which IsLotCall is true.
+  static bool IsBatchJobCall(const http::Message& request);
+  // Answers a call for which IsBatchJobCall is true.
   void Handle(const std::shared_ptr<http_server::Exchange>& exchange);
   // A POST under the prefix of a bulk route. `route` is needed for the time of the call only.
   void Submit(const std::shared_ptr<http_server::Exchange>& exchange, const routing::Route& route);
 
  private:
-  void Read(const std::shared_ptr<http_server::Exchange>& exchange, std::string lot_id,
+  void Read(const std::shared_ptr<http_server::Exchange>& exchange, std::string batch_job_id,
             std::string_view query);
-  void ReadBody(const std::shared_ptr<http_server::Exchange>& exchange, std::string lot_id,
+  void ReadBody(const std::shared_ptr<http_server::Exchange>& exchange, std::string batch_job_id,
                 std::string_view query);
-  void End(const std::shared_ptr<http_server::Exchange>& exchange, std::string lot_id);
+  void End(const std::shared_ptr<http_server::Exchange>& exchange, std::string batch_job_id);
   // The call is dropped when the client leaves.
   void CancelWith(const std::shared_ptr<http_server::Exchange>& exchange, StoreClient::CallId call);
 
   Timers* timers_;
   StoreClient* stores_;
   control::ControlClient* control_;
-  LotBounds bounds_;
+  BatchJobLimits bounds_;
   const bool offers_;
 };
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_TIER_BATCH_LOT_API_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_BATCH_JOB_API_H_
--- a/src/tier/batch/lot_store_items.h
+++ b/src/tier/batch/batch_job_items.h
@@ -1,6 +1,6 @@
 // Hands out items of open lots to edge nodes and takes their results.
-#ifndef PEARREACH_SRC_TIER_BATCH_LOT_STORE_ITEMS_H_
-#define PEARREACH_SRC_TIER_BATCH_LOT_STORE_ITEMS_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_BATCH_JOB_ITEMS_H_
+#define PEARREACH_SRC_TIER_BATCH_BATCH_JOB_ITEMS_H_
 
 #include <cstdint>
 #include <functional>
@@ -10,58 +10,58 @@
 #include <vector>
 
 #include "tier/batch/leases.h"
-#include "tier/batch/lot_store_context.h"
 #include "tier/batch/messages.h"
+#include "tier/batch/store_context.h"
 
 namespace pearreach::batch {
 
-class LotItems {
+class BatchJobItems {
  public:
   // `changed` is called when something of a lot has become visible, `counted` when its waiting
   // tokens may have changed.
-  using LotListener = std::function<void(const std::string& lot_id)>;
-  LotItems(StoreContext* context, LotListener changed, LotListener counted);
+  using BatchJobListener = std::function<void(const std::string& batch_job_id)>;
+  BatchJobItems(StoreContext* context, BatchJobListener changed, BatchJobListener counted);
 
-  void OnTake(TakeItems take, rpc::Respond respond);
+  void OnTake(PullItems take, rpc::Respond respond);
   void OnResult(ItemResult result, rpc::Respond respond);
   void OnRenew(const RenewLeases& renew, const rpc::Respond& respond);
 
-  void OnAccepted(const std::string& lot_id);  // a new lot: its items wait from now on
-  void OnEnded(const std::string& lot_id);
+  void OnAccepted(const std::string& batch_job_id);  // a new lot: its items wait from now on
+  void OnEnded(const std::string& batch_job_id);
   void OnActive(std::uint32_t partition);
   void OnInactive(std::uint32_t partition);
   // Voids the leases of nodes that are not there any more.
   void DropNodes(const std::function<bool(const std::string& node)>& is_gone);
   // Gives up all items of the lot that have no result: their time is over.
-  void Abandon(PartitionReplica* replica, const std::string& lot_id);
+  void Abandon(PartitionReplica* replica, const std::string& batch_job_id);
 
  private:
   struct Parked {
-    TakeItems take;
+    PullItems take;
     rpc::Respond respond;
     Timers::Id timer = 0;
     std::uint64_t id = 0;
   };
 
-  void AddLot(const std::string& lot_id, const Lot& lot, Micros held_until);
-  TakeItemsAnswer Give(const TakeItems& take);
+  void AddBatchJob(const std::string& batch_job_id, const BatchJob& batch_job, Micros held_until);
+  PullItemsResponse Give(const PullItems& take);
   bool Describe(const TakenItem& taken, LeasedItem* item);
   std::map<std::string, int> Shares(const std::map<std::string, int>& room) const;
-  void Park(TakeItems take, rpc::Respond respond);
+  void Park(PullItems take, rpc::Respond respond);
   void Unpark(const std::string& node);
   void OnWaited(std::uint64_t id);
   void ServeParked();
   void NoteTaker(const std::string& node);
   void ArmExpiry();
   void OnExpiry();
-  void Append(PartitionReplica* replica, const Lot& lot, const ItemResult& result,
+  void Append(PartitionReplica* replica, const BatchJob& batch_job, const ItemResult& result,
               std::uint32_t item, const rpc::Respond& respond);
-  void CountFailure(PartitionReplica* replica, const Lot& lot, const ItemResult& result,
+  void CountFailure(PartitionReplica* replica, const BatchJob& batch_job, const ItemResult& result,
                     std::uint32_t item, const rpc::Respond& respond);
   void Submit(PartitionReplica* replica, Operation operation, const rpc::Respond& respond);
 
   StoreContext* const context_;
-  const LotListener changed_, counted_;
+  const BatchJobListener changed_, counted_;
   LeaseTable leases_;
   std::list<Parked> parked_;  // in the order of their coming
   std::uint64_t last_parked_ = 0;
@@ -72,4 +72,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_TIER_BATCH_LOT_STORE_ITEMS_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_BATCH_JOB_ITEMS_H_
--- a/src/tier/batch/lot_json.cpp
+++ b/src/tier/batch/batch_job_json.cpp
@@ -1,4 +1,4 @@
-#include "tier/batch/lot_json.h"
+#include "tier/batch/batch_job_json.h"
 
 #include <absl/status/status.h>
 #include <absl/strings/escaping.h>
@@ -19,7 +19,7 @@
 
 // An answer is a little under 1 MB also where contents grow by escapes; and what an output takes
 // besides its texts.
-constexpr std::size_t kMostAnswerBytes = 900'000, kOutputFrame = 64;
+constexpr std::size_t kMaxAnswerBytes = 900'000, kOutputFrame = 64;
 
 std::string_view View(const Value& text) { return {text.GetString(), text.GetStringLength()}; }
 
@@ -116,7 +116,7 @@
   return items;
 }
 
-std::string WriteOutputs(const ReadLotAnswer& answer, std::uint64_t start_after) {
+std::string WriteOutputs(const ReadBatchJobResponse& answer, std::uint64_t start_after) {
   rapidjson::StringBuffer buffer;
   rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
   const auto text = [&writer](std::string_view value) {
@@ -130,7 +130,7 @@
   writer.StartArray();
   for (const ItemOutput& output : answer.outputs) {
     const std::size_t size = output.content.size() + output.item_id.size() + kOutputFrame;
-    if (next > start_after && buffer.GetSize() + size > kMostAnswerBytes) break;
+    if (next > start_after && buffer.GetSize() + size > kMaxAnswerBytes) break;
     writer.StartObject();
     writer.Key("worker_id");
     text(output.item_id);
--- a/src/tier/batch/lot_json.h
+++ b/src/tier/batch/batch_job_json.h
@@ -1,6 +1,6 @@
 // The JSON of lots on the wire: the items of a hand-in, and the outputs of a read.
-#ifndef PEARREACH_SRC_TIER_BATCH_LOT_JSON_H_
-#define PEARREACH_SRC_TIER_BATCH_LOT_JSON_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_BATCH_JOB_JSON_H_
+#define PEARREACH_SRC_TIER_BATCH_BATCH_JOB_JSON_H_
 
 #include <absl/status/statusor.h>
 
@@ -22,11 +22,11 @@
 
 // {"total":..,"outputs":[..],"next_token":..}; the bytes of contents are kept as they are. Outputs
 // that would make the answer too long are left for the next read; there is one at least.
-std::string WriteOutputs(const ReadLotAnswer& answer, std::uint64_t start_after);
+std::string WriteOutputs(const ReadBatchJobResponse& answer, std::uint64_t start_after);
 
 // A hash of a hand-in, the same on every node.
 std::uint64_t Fingerprint(std::string_view body);
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_TIER_BATCH_LOT_JSON_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_BATCH_JOB_JSON_H_
--- a/src/tier/batch/lot_state.cpp
+++ b/src/tier/batch/batch_job_state.cpp
@@ -1,4 +1,4 @@
-#include "tier/batch/lot_state.h"
+#include "tier/batch/batch_job_state.h"
 
 #include <algorithm>
 #include <cstring>
@@ -81,12 +81,12 @@
 
 std::size_t Operation::Bytes() const {
   constexpr std::size_t kRecordOverhead = 32;
-  std::size_t bytes = lot_id.size() + kRecordOverhead;
+  std::size_t bytes = batch_job_id.size() + kRecordOverhead;
   for (const Record& record : records) bytes += record.value.size() + kRecordOverhead;
   return bytes;
 }
 
-double Lot::WaitingTokens() const {
+double BatchJob::WaitingTokens() const {
   if (ended) return 0;
   double tokens = 0;
   for (std::size_t i = 0; i < items.size(); ++i) {
@@ -95,7 +95,7 @@
   return tokens;
 }
 
-std::optional<std::uint32_t> Lot::FindItem(std::string_view item_id) const {
+std::optional<std::uint32_t> BatchJob::FindItem(std::string_view item_id) const {
   for (std::size_t i = 0; i < header.items.size(); ++i) {
     if (header.items[i].item_id == item_id) return static_cast<std::uint32_t>(i);
   }
@@ -125,19 +125,19 @@
   return result;
 }
 
-Operation MakeCreate(const LotSpec& spec, std::int64_t created_wall_ms) {
-  LotHeader header;
+Operation MakeCreate(const BatchJobSpec& spec, std::int64_t created_wall_ms) {
+  BatchJobHeader header;
   header.route = spec.route;
   header.host = spec.host;
   header.fingerprint = spec.fingerprint;
   header.token_cap = spec.token_cap;
-  header.tries = std::max(1, spec.tries);
+  header.attempts = std::max(1, spec.attempts);
   header.due_ms = spec.due_ms;
   header.retain_s = spec.retain_s;
   header.status_s = spec.status_s;
   header.created_wall_ms = created_wall_ms;
   for (const ItemSpec& item : spec.items) header.items.push_back({item.item_id, item.tokens});
-  Operation operation{spec.lot_id, false, {}};
+  Operation operation{spec.batch_job_id, false, {}};
   operation.records.reserve(spec.items.size() + 1);
   operation.records.push_back(MakeRecord(RecordKind::kHeader, 0, codec::Encode(header)));
   std::uint32_t index = 0;
@@ -147,25 +147,26 @@
   return operation;
 }
 
-Operation MakeEnd(const std::string& lot_id) {
-  return {lot_id, false, {MakeRecord(RecordKind::kEnded, 0, "1")}};
+Operation MakeEnd(const std::string& batch_job_id) {
+  return {batch_job_id, false, {MakeRecord(RecordKind::kEnded, 0, "1")}};
 }
 
-Operation MakeForget(const std::string& lot_id) { return {lot_id, true, {}}; }
+Operation MakeForget(const std::string& batch_job_id) { return {batch_job_id, true, {}}; }
 
-Operation MakeResult(const std::string& lot_id, std::uint32_t position,
+Operation MakeResult(const std::string& batch_job_id, std::uint32_t position,
                      const ResultRecord& result) {
-  Operation operation{lot_id, false, {}};
+  Operation operation{batch_job_id, false, {}};
   AddResult(position, result, &operation);
   return operation;
 }
 
-Operation MakeReservation(const std::string& lot_id, const QuotaReservation& reservation) {
-  return {lot_id, false, {MakeRecord(RecordKind::kReservation, 0, codec::Encode(reservation))}};
+Operation MakeReservation(const std::string& batch_job_id, const QuotaReservation& reservation) {
+  return {
+      batch_job_id, false, {MakeRecord(RecordKind::kReservation, 0, codec::Encode(reservation))}};
 }
 
-Operation MakeRelease(const std::string& lot_id) {
-  Operation operation{lot_id, false, {MakeRecord(RecordKind::kReservation, 0, {})}};
+Operation MakeRelease(const std::string& batch_job_id) {
+  Operation operation{batch_job_id, false, {MakeRecord(RecordKind::kReservation, 0, {})}};
   operation.records.back().erase = true;
   return operation;
 }
@@ -177,8 +178,9 @@
   operation->records.push_back(std::move(body));
 }
 
-void AddFailure(const Lot& lot, std::uint32_t item, std::uint64_t lease, Operation* operation) {
-  std::vector<std::uint64_t> leases = lot.items[item].failed_leases;
+void AddFailure(const BatchJob& batch_job, std::uint32_t item, std::uint64_t lease,
+                Operation* operation) {
+  std::vector<std::uint64_t> leases = batch_job.items[item].failed_leases;
   leases.push_back(lease);
   operation->records.push_back(MakeRecord(RecordKind::kFailures, item, PackLeases(leases)));
 }
@@ -191,25 +193,25 @@
   return prefix;
 }
 
-std::string LotPrefix(std::uint32_t partition, std::string_view lot_id) {
+std::string BatchJobPrefix(std::uint32_t partition, std::string_view batch_job_id) {
   std::string prefix = PartitionPrefix(partition);
-  prefix += lot_id;
+  prefix += batch_job_id;
   prefix.push_back('\0');
   return prefix;
 }
 
-std::string RecordKey(std::uint32_t partition, std::string_view lot_id, RecordKind kind,
+std::string RecordKey(std::uint32_t partition, std::string_view batch_job_id, RecordKind kind,
                       std::uint32_t index) {
   std::string key = PartitionPrefix(partition);
-  key += lot_id;
+  key += batch_job_id;
   AppendSuffix(kind, index, &key);
   return key;
 }
 
 // ---------------------------------------------------------------- the table
 
-void LotTable::Load(const storage::TableStore& disk) {
-  lots_.clear();
+void BatchJobTable::Load(const storage::TableStore& disk) {
+  batch_jobs_.clear();
   reservations_.clear();
   const std::string prefix = PartitionPrefix(partition_);
   disk.ForEach(prefix, [&](std::string_view key, std::string_view value) {
@@ -223,22 +225,22 @@
   });
 }
 
-std::vector<storage::Write> LotTable::Apply(const Operation& operation) {
+std::vector<storage::Write> BatchJobTable::Apply(const Operation& operation) {
   std::map<std::string, storage::Write> writes;
   if (operation.erase_first) {
-    EraseKeys(operation.lot_id, &writes);
-    lots_.erase(operation.lot_id);
-    reservations_.erase(operation.lot_id);
+    EraseKeys(operation.batch_job_id, &writes);
+    batch_jobs_.erase(operation.batch_job_id);
+    reservations_.erase(operation.batch_job_id);
   }
   for (const Record& record : operation.records) {
     const auto kind = static_cast<RecordKind>(record.kind);
     const bool known = kind == RecordKind::kHeader || kind == RecordKind::kReservation ||
-                       lots_.contains(operation.lot_id);
+                       batch_jobs_.contains(operation.batch_job_id);
     if (!known) continue;  // forgotten meanwhile
-    std::string key = RecordKey(partition_, operation.lot_id, kind, record.index);
+    std::string key = RecordKey(partition_, operation.batch_job_id, kind, record.index);
     storage::Write write{key, record.value, record.erase};
     writes[std::move(key)] = std::move(write);
-    ApplyRecord(operation.lot_id, record);
+    ApplyRecord(operation.batch_job_id, record);
   }
   std::vector<storage::Write> batch;
   batch.reserve(writes.size());
@@ -246,76 +248,77 @@
   return batch;
 }
 
-void LotTable::EraseKeys(const std::string& lot_id,
-                         std::map<std::string, storage::Write>* writes) const {
+void BatchJobTable::EraseKeys(const std::string& batch_job_id,
+                              std::map<std::string, storage::Write>* writes) const {
   const auto erase = [&](RecordKind kind, std::uint32_t index) {
-    std::string key = RecordKey(partition_, lot_id, kind, index);
+    std::string key = RecordKey(partition_, batch_job_id, kind, index);
     storage::Write write{key, {}, true};
     (*writes)[std::move(key)] = std::move(write);
   };
-  if (reservations_.contains(lot_id)) erase(RecordKind::kReservation, 0);
-  const auto at = lots_.find(lot_id);
-  if (at == lots_.end()) return;
-  const Lot& lot = at->second;
+  if (reservations_.contains(batch_job_id)) erase(RecordKind::kReservation, 0);
+  const auto at = batch_jobs_.find(batch_job_id);
+  if (at == batch_jobs_.end()) return;
+  const BatchJob& batch_job = at->second;
   erase(RecordKind::kHeader, 0);
-  if (lot.ended) erase(RecordKind::kEnded, 0);
-  for (std::uint32_t i = 0; i < lot.items.size(); ++i) {
-    if (!lot.items[i].done) erase(RecordKind::kItem, i);
-    if (!lot.items[i].failed_leases.empty()) erase(RecordKind::kFailures, i);
+  if (batch_job.ended) erase(RecordKind::kEnded, 0);
+  for (std::uint32_t i = 0; i < batch_job.items.size(); ++i) {
+    if (!batch_job.items[i].done) erase(RecordKind::kItem, i);
+    if (!batch_job.items[i].failed_leases.empty()) erase(RecordKind::kFailures, i);
   }
-  for (std::uint32_t i = 0; i < lot.results; ++i) erase(RecordKind::kResult, i);
+  for (std::uint32_t i = 0; i < batch_job.results; ++i) erase(RecordKind::kResult, i);
 }
 
-void LotTable::ApplyReservation(const std::string& lot_id, const Record& record) {
+void BatchJobTable::ApplyReservation(const std::string& batch_job_id, const Record& record) {
   auto reservation = codec::Decode<QuotaReservation>(record.value);
   if (record.erase || !reservation.ok()) {
-    reservations_.erase(lot_id);
+    reservations_.erase(batch_job_id);
     return;
   }
-  reservations_[lot_id] = {*std::move(reservation), RecordHash(record.kind, 0, record.value)};
+  reservations_[batch_job_id] = {*std::move(reservation), RecordHash(record.kind, 0, record.value)};
 }
 
-void LotTable::ApplyRecord(const std::string& lot_id, const Record& record) {
+void BatchJobTable::ApplyRecord(const std::string& batch_job_id, const Record& record) {
   if (static_cast<RecordKind>(record.kind) == RecordKind::kReservation) {
-    ApplyReservation(lot_id, record);
+    ApplyReservation(batch_job_id, record);
     return;
   }
   if (static_cast<RecordKind>(record.kind) != RecordKind::kHeader) {
-    const auto at = lots_.find(lot_id);
-    if (at != lots_.end()) ApplyToLot(&at->second, record);
+    const auto at = batch_jobs_.find(batch_job_id);
+    if (at != batch_jobs_.end()) ApplyToBatchJob(&at->second, record);
     return;
   }
-  if (lots_.contains(lot_id)) return;
-  auto header = codec::Decode<LotHeader>(record.value);
+  if (batch_jobs_.contains(batch_job_id)) return;
+  auto header = codec::Decode<BatchJobHeader>(record.value);
   if (!header.ok()) return;
-  Lot& lot = lots_[lot_id];
-  lot.header = *std::move(header);
-  lot.items.resize(lot.header.items.size());
-  lot.digest = RecordHash(record.kind, 0, record.value);
+  BatchJob& batch_job = batch_jobs_[batch_job_id];
+  batch_job.header = *std::move(header);
+  batch_job.items.resize(batch_job.header.items.size());
+  batch_job.digest = RecordHash(record.kind, 0, record.value);
 }
 
-void LotTable::ApplyToLot(Lot* lot, const Record& record) {
+void BatchJobTable::ApplyToBatchJob(BatchJob* batch_job, const Record& record) {
   switch (static_cast<RecordKind>(record.kind)) {
     case RecordKind::kEnded:
-      if (lot->ended) return;
-      lot->ended = true;
-      lot->digest ^= RecordHash(record.kind, 0, record.value);
+      if (batch_job->ended) return;
+      batch_job->ended = true;
+      batch_job->digest ^= RecordHash(record.kind, 0, record.value);
       return;
     case RecordKind::kFailures: {
-      if (record.index >= lot->items.size()) return;
-      auto& leases = lot->items[record.index].failed_leases;
-      if (!leases.empty()) lot->digest ^= RecordHash(record.kind, record.index, PackLeases(leases));
+      if (record.index >= batch_job->items.size()) return;
+      auto& leases = batch_job->items[record.index].failed_leases;
+      if (!leases.empty())
+        batch_job->digest ^= RecordHash(record.kind, record.index, PackLeases(leases));
       leases = UnpackLeases(record.value);
-      lot->digest ^= RecordHash(record.kind, record.index, record.value);
+      batch_job->digest ^= RecordHash(record.kind, record.index, record.value);
       return;
     }
     case RecordKind::kResult: {
-      if (record.index != lot->results) return;  // there already
+      if (record.index != batch_job->results) return;  // there already
       const auto result = UnpackResult(record.value);
-      if (!result.ok() || result->item >= lot->items.size()) return;
-      lot->items[result->item].done = true;
-      ++lot->results;
-      lot->digest ^= RecordHash(record.kind, record.index, record.value);
+      if (!result.ok() || result->item >= batch_job->items.size()) return;
+      batch_job->items[result->item].done = true;
+      ++batch_job->results;
+      batch_job->digest ^= RecordHash(record.kind, record.index, record.value);
       return;
     }
     default:
@@ -323,9 +326,10 @@
   }
 }
 
-Operation LotTable::Whole(const storage::TableStore& disk, const std::string& lot_id) const {
-  Operation operation{lot_id, true, {}};
-  const std::string prefix = LotPrefix(partition_, lot_id);
+Operation BatchJobTable::Whole(const storage::TableStore& disk,
+                               const std::string& batch_job_id) const {
+  Operation operation{batch_job_id, true, {}};
+  const std::string prefix = BatchJobPrefix(partition_, batch_job_id);
   disk.ForEach(prefix, [&](std::string_view key, std::string_view value) {
     Record record;
     if (!ParseSuffix(key.substr(prefix.size() - 1), &record)) return;
@@ -335,52 +339,54 @@
   return operation;
 }
 
-Lot* LotTable::Find(const std::string& lot_id) {
-  const auto at = lots_.find(lot_id);
-  return at == lots_.end() ? nullptr : &at->second;
+BatchJob* BatchJobTable::Find(const std::string& batch_job_id) {
+  const auto at = batch_jobs_.find(batch_job_id);
+  return at == batch_jobs_.end() ? nullptr : &at->second;
 }
 
-void LotTable::MakeAllVisible() {
-  for (auto& [id, lot] : lots_) {
-    lot.accepted = true;
-    lot.visible_results = lot.results;
+void BatchJobTable::MakeAllVisible() {
+  for (auto& [id, batch_job] : batch_jobs_) {
+    batch_job.accepted = true;
+    batch_job.visible_results = batch_job.results;
   }
 }
 
-void LotTable::StampNew(Micros now) {
-  for (auto& [id, lot] : lots_) {
-    if (!lot.known_since.has_value()) lot.known_since = now;
+void BatchJobTable::StampNew(Micros now) {
+  for (auto& [id, batch_job] : batch_jobs_) {
+    if (!batch_job.known_since.has_value()) batch_job.known_since = now;
   }
 }
 
-std::uint32_t LotTable::BucketOf(std::string_view lot_id) {
-  return static_cast<std::uint32_t>(Mix(HashBytes(lot_id)) % kDigestBuckets);
+std::uint32_t BatchJobTable::BucketOf(std::string_view batch_job_id) {
+  return static_cast<std::uint32_t>(Mix(HashBytes(batch_job_id)) % kDigestBuckets);
 }
 
-std::map<std::string, QuotaReservation> LotTable::Reservations() const {
+std::map<std::string, QuotaReservation> BatchJobTable::Reservations() const {
   std::map<std::string, QuotaReservation> reservations;
-  for (const auto& [lot_id, held] : reservations_) reservations[lot_id] = held.reservation;
+  for (const auto& [batch_job_id, held] : reservations_)
+    reservations[batch_job_id] = held.reservation;
   return reservations;
 }
 
-std::vector<std::uint64_t> LotTable::BucketDigests() const {
+std::vector<std::uint64_t> BatchJobTable::BucketDigests() const {
   std::vector<std::uint64_t> digests(kDigestBuckets, 0);
-  for (const auto& [id, lot] : lots_) digests[BucketOf(id)] ^= Mix(HashBytes(id) + lot.digest);
+  for (const auto& [id, batch_job] : batch_jobs_)
+    digests[BucketOf(id)] ^= Mix(HashBytes(id) + batch_job.digest);
   for (const auto& [id, held] : reservations_) {
     digests[BucketOf(id)] ^= Mix(HashBytes(id) + held.digest);
   }
   return digests;
 }
 
-std::vector<std::pair<std::string, std::uint64_t>> LotTable::LotDigests(
+std::vector<std::pair<std::string, std::uint64_t>> BatchJobTable::BatchJobDigests(
     const std::vector<std::uint32_t>& buckets) const {
   std::vector<bool> wanted(kDigestBuckets, false);
   for (const std::uint32_t bucket : buckets) {
     if (bucket < kDigestBuckets) wanted[bucket] = true;
   }
   std::map<std::string, std::uint64_t> digests;
-  for (const auto& [id, lot] : lots_) {
-    if (wanted[BucketOf(id)]) digests[id] ^= lot.digest;
+  for (const auto& [id, batch_job] : batch_jobs_) {
+    if (wanted[BucketOf(id)]) digests[id] ^= batch_job.digest;
   }
   for (const auto& [id, held] : reservations_) {
     if (wanted[BucketOf(id)]) digests[id] ^= held.digest;
--- a/src/tier/batch/lot_state.h
+++ b/src/tier/batch/batch_job_state.h
@@ -1,8 +1,8 @@
 // The lots of one partition as every replica holds them: small records on disk and what must be
 // known of them in memory. Item bodies and results stay on disk. Disk, replication and repair all
 // pass through the same records, so that there is one way in which a lot's state comes about.
-#ifndef PEARREACH_SRC_TIER_BATCH_LOT_STATE_H_
-#define PEARREACH_SRC_TIER_BATCH_LOT_STATE_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_BATCH_JOB_STATE_H_
+#define PEARREACH_SRC_TIER_BATCH_BATCH_JOB_STATE_H_
 
 #include <absl/status/statusor.h>
 
@@ -43,12 +43,12 @@
 
 // A change of one lot, made durable as a whole. Applying it twice comes to the same as once.
 struct Operation {
-  std::string lot_id;
+  std::string batch_job_id;
   bool erase_first = false;  // what is there of the lot goes: with no records, it is forgotten
   std::vector<Record> records;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& lot_id& erase_first& records;
+    archive& batch_job_id& erase_first& records;
   }
   std::size_t Bytes() const;
 };
@@ -62,17 +62,17 @@
   }
 };
 
-struct LotHeader {
+struct BatchJobHeader {
   std::string route, host;
   std::uint64_t fingerprint = 0;
   double token_cap = 0;
-  int tries = 1;
+  int attempts = 1;
   double due_ms = 0, retain_s = 0, status_s = 0;
   std::int64_t created_wall_ms = 0;  // time of day at the primary that took it
   std::vector<ItemHead> items;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& route& host& fingerprint& token_cap& tries& due_ms& retain_s& status_s&
+    archive& route& host& fingerprint& token_cap& attempts& due_ms& retain_s& status_s&
         created_wall_ms& items;
   }
 };
@@ -82,8 +82,8 @@
   std::vector<std::uint64_t> failed_leases;  // each counts one answer of 500
 };
 
-struct Lot {
-  LotHeader header;
+struct BatchJob {
+  BatchJobHeader header;
   std::vector<ItemState> items;
   bool ended = false;
   std::uint32_t results = 0;          // positions taken
@@ -123,44 +123,46 @@
 absl::StatusOr<ResultRecord> UnpackResult(std::string_view bytes);
 
 // Operations, as the primary makes them.
-Operation MakeCreate(const LotSpec& spec, std::int64_t created_wall_ms);
-Operation MakeEnd(const std::string& lot_id);
-Operation MakeForget(const std::string& lot_id);
-Operation MakeResult(const std::string& lot_id, std::uint32_t position, const ResultRecord& result);
-Operation MakeReservation(const std::string& lot_id, const QuotaReservation& reservation);
-Operation MakeRelease(const std::string& lot_id);  // of a reservation
-void AddFailure(const Lot& lot, std::uint32_t item, std::uint64_t lease, Operation* operation);
+Operation MakeCreate(const BatchJobSpec& spec, std::int64_t created_wall_ms);
+Operation MakeEnd(const std::string& batch_job_id);
+Operation MakeForget(const std::string& batch_job_id);
+Operation MakeResult(const std::string& batch_job_id, std::uint32_t position,
+                     const ResultRecord& result);
+Operation MakeReservation(const std::string& batch_job_id, const QuotaReservation& reservation);
+Operation MakeRelease(const std::string& batch_job_id);  // of a reservation
+void AddFailure(const BatchJob& batch_job, std::uint32_t item, std::uint64_t lease,
+                Operation* operation);
 void AddResult(std::uint32_t position, const ResultRecord& result, Operation* operation);
 
-std::string RecordKey(std::uint32_t partition, std::string_view lot_id, RecordKind kind,
+std::string RecordKey(std::uint32_t partition, std::string_view batch_job_id, RecordKind kind,
                       std::uint32_t index);
 std::string PartitionPrefix(std::uint32_t partition);
-std::string LotPrefix(std::uint32_t partition, std::string_view lot_id);
+std::string BatchJobPrefix(std::uint32_t partition, std::string_view batch_job_id);
 
 constexpr std::uint32_t kDigestBuckets = 32;
 
-class LotTable {
+class BatchJobTable {
  public:
-  explicit LotTable(std::uint32_t partition) : partition_(partition) {}
+  explicit BatchJobTable(std::uint32_t partition) : partition_(partition) {}
 
   // Reads all of the partition from disk in place of what is in memory.
   void Load(const storage::TableStore& disk);
   // Changes memory and returns what is to be written for it.
   std::vector<storage::Write> Apply(const Operation& operation);
   // The whole lot as it is on disk, in place of whatever another replica has of it.
-  Operation Whole(const storage::TableStore& disk, const std::string& lot_id) const;
+  Operation Whole(const storage::TableStore& disk, const std::string& batch_job_id) const;
 
-  Lot* Find(const std::string& lot_id);
-  const std::map<std::string, Lot>& lots() const { return lots_; }
+  BatchJob* Find(const std::string& batch_job_id);
+  const std::map<std::string, BatchJob>& batch_jobs() const { return batch_jobs_; }
   // By lot, for routes of this partition.
   std::map<std::string, QuotaReservation> Reservations() const;
   void MakeAllVisible();
   // Lots that were not stamped before are known since `now`, of the steady clock.
   void StampNew(Micros now);
 
-  static std::uint32_t BucketOf(std::string_view lot_id);
+  static std::uint32_t BucketOf(std::string_view batch_job_id);
   std::vector<std::uint64_t> BucketDigests() const;
-  std::vector<std::pair<std::string, std::uint64_t>> LotDigests(
+  std::vector<std::pair<std::string, std::uint64_t>> BatchJobDigests(
       const std::vector<std::uint32_t>& buckets) const;
 
  private:
@@ -169,16 +171,17 @@
     std::uint64_t digest = 0;
   };
 
-  void ApplyRecord(const std::string& lot_id, const Record& record);
-  void ApplyReservation(const std::string& lot_id, const Record& record);
-  void ApplyToLot(Lot* lot, const Record& record);
-  void EraseKeys(const std::string& lot_id, std::map<std::string, storage::Write>* writes) const;
+  void ApplyRecord(const std::string& batch_job_id, const Record& record);
+  void ApplyReservation(const std::string& batch_job_id, const Record& record);
+  void ApplyToBatchJob(BatchJob* batch_job, const Record& record);
+  void EraseKeys(const std::string& batch_job_id,
+                 std::map<std::string, storage::Write>* writes) const;
 
   std::uint32_t partition_;
-  std::map<std::string, Lot> lots_;
+  std::map<std::string, BatchJob> batch_jobs_;
   std::map<std::string, HeldReservation> reservations_;
 };
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_TIER_BATCH_LOT_STATE_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_BATCH_JOB_STATE_H_
--- a/src/tier/batch/lot_store.cpp
+++ b/src/tier/batch/batch_job_store.cpp
@@ -1,4 +1,4 @@
-#include "tier/batch/lot_store.h"
+#include "tier/batch/batch_job_store.h"
 
 #include <glib.h>
 
@@ -6,7 +6,7 @@
 #include <set>
 #include <utility>
 
-#include "tier/batch/leave_check.h"
+#include "tier/batch/shutdown_check.h"
 #include "tier/codec/archive.h"
 #include "tier/logging/log.h"
 
@@ -27,12 +27,12 @@
 
 }  // namespace
 
-StoreServer::StoreServer(Timers* timers, rpc::Mesh* mesh, storage::TableStore* disk,
+StoreServer::StoreServer(Timers* timers, rpc::Transport* transport, storage::TableStore* disk,
                          control::ControlClient* control, StoreId self,
                          const settings::Bounds& bounds, const settings::Tolerance& tolerance,
                          double link_mbps)
     : timers_(timers),
-      mesh_(mesh),
+      transport_(transport),
       disk_(disk),
       control_(control),
       self_(std::move(self)),
@@ -46,12 +46,12 @@
                      [this](Micros delay, std::function<void()> callback) {
                        After(delay, std::move(callback));
                      }}),
-      silence_(mesh, control),
+      unresponsive_stores_(transport, control),
       reads_(this),
       quota_(this),
       items_(
-          this, [this](const std::string& lot_id) { reads_.OnVisible(lot_id); },
-          [this](const std::string& lot_id) { quota_.Update(lot_id); }),
+          this, [this](const std::string& batch_job_id) { reads_.OnVisible(batch_job_id); },
+          [this](const std::string& batch_job_id) { quota_.Update(batch_job_id); }),
       changes_(this, &items_, &reads_, &quota_) {
   ReplicationEnvironment* const environment = this;
   for (std::uint32_t partition = 0; partition < kPartitions; ++partition) {
@@ -94,30 +94,34 @@
         }
       });
   handlers_[type] = handler;
-  mesh_->Handle(type, std::move(handler));
+  transport_->Handle(type, std::move(handler));
 }
 
 void StoreServer::RegisterHandlers() {
   using rpc::MessageType;
   using rpc::Respond;
-  mesh_->Handle(MessageType::kStorePing, [](const std::string&, std::string_view,
-                                            const Respond& respond) { respond(std::string()); });
-  Register<CreateLot>(MessageType::kLotCreate, [this](CreateLot message, Respond respond) {
-    changes_.OnCreate(std::move(message), std::move(respond));
-  });
-  Register<OfferLot>(MessageType::kLotOffer, [this](const OfferLot& message, Respond respond) {
-    changes_.OnOffer(message, std::move(respond));
-  });
-  Register<CancelLot>(MessageType::kLotCancel, [this](const CancelLot& message, Respond respond) {
-    changes_.OnCancel(message, std::move(respond));
-  });
-  Register<ReadLot>(MessageType::kLotRead, [this](ReadLot message, Respond respond) {
+  transport_->Handle(
+      MessageType::kStorePing,
+      [](const std::string&, std::string_view, const Respond& respond) { respond(std::string()); });
+  Register<CreateBatchJob>(MessageType::kBatchJobCreate,
+                           [this](CreateBatchJob message, Respond respond) {
+                             changes_.OnCreate(std::move(message), std::move(respond));
+                           });
+  Register<OfferBatchJob>(MessageType::kBatchJobOffer,
+                          [this](const OfferBatchJob& message, Respond respond) {
+                            changes_.OnOffer(message, std::move(respond));
+                          });
+  Register<CancelBatchJob>(MessageType::kBatchJobCancel,
+                           [this](const CancelBatchJob& message, Respond respond) {
+                             changes_.OnCancel(message, std::move(respond));
+                           });
+  Register<ReadBatchJob>(MessageType::kBatchJobRead, [this](ReadBatchJob message, Respond respond) {
     reads_.OnRead(std::move(message), std::move(respond));
   });
   Register<ReadItemBody>(
-      MessageType::kLotItemBody,
+      MessageType::kItemBody,
       [this](const ReadItemBody& message, Respond respond) { reads_.OnBody(message, respond); });
-  Register<TakeItems>(MessageType::kItemTake, [this](TakeItems message, Respond respond) {
+  Register<PullItems>(MessageType::kItemPull, [this](PullItems message, Respond respond) {
     items_.OnTake(std::move(message), std::move(respond));
   });
   Register<ItemResult>(MessageType::kItemResult, [this](ItemResult message, Respond respond) {
@@ -142,13 +146,14 @@
     }
     Replica(message.scope.partition).OnRepairDigest(message, std::move(respond));
   });
-  Register<QuotaReserve>(MessageType::kQuotaReserve, [this](QuotaReserve message, Respond respond) {
-    quota_.OnReserve(std::move(message), std::move(respond));
-  });
-  Register<QuotaQuestion>(MessageType::kQuotaQuestion,
-                          [this](const QuotaQuestion& message, const Respond& respond) {
-                            quota_.OnQuestion(message, respond);
-                          });
+  Register<QuotaReserveRequest>(MessageType::kQuotaReserve,
+                                [this](QuotaReserveRequest message, Respond respond) {
+                                  quota_.OnReserve(std::move(message), std::move(respond));
+                                });
+  Register<QuotaQuery>(MessageType::kQuotaQuery,
+                       [this](const QuotaQuery& message, const Respond& respond) {
+                         quota_.OnQuestion(message, respond);
+                       });
   Register<QuotaReport>(MessageType::kQuotaReport,
                         [this](const QuotaReport& message, const Respond& respond) {
                           quota_.OnReport(message, respond);
@@ -200,7 +205,7 @@
     After(0, [guarded] { guarded(absl::UnavailableError("the store is not there")); });
     return;
   }
-  mesh_->Call(address, type, std::move(body), timeout, std::move(guarded));
+  transport_->Call(address, type, std::move(body), timeout, std::move(guarded));
 }
 
 void StoreServer::SendLocal(rpc::MessageType type, std::string body, rpc::Done done) {
@@ -271,7 +276,7 @@
 }
 
 // A suspect may be gone already, and one that said that it leaves holds nothing for long.
-bool StoreServer::MayLeave() const {
+bool StoreServer::MayShutDown() const {
   return OthersHoldAll(placement_, self_, [this](const StoreId& store) {
     const auto at = control_->members().find(store.name);
     return at != control_->members().end() && at->second.info.disk_id == store.disk_id &&
@@ -297,7 +302,7 @@
   }
   if (filled.empty()) return;
   for (const auto& [store, status] : filled)
-    SendToPlacementDuty(mesh_, *control_, status, kFilledPeriod);
+    SendToPlacementController(transport_, *control_, status, kFilledPeriod);
   filled_timer_ = After(kFilledPeriod, [this] { ReportFilled(); });
 }
 
@@ -315,7 +320,7 @@
 
 // ---------------------------------------------------------------- room and pace
 
-void StoreServer::PaceRepair(bool urgent, RepairPacer::Send send) {
+void StoreServer::PaceRepair(bool urgent, RepairThrottle::Send send) {
   repair_pacer_.Ask(urgent, std::move(send));
 }
 
@@ -323,7 +328,8 @@
   std::uint64_t owed = 0;
   std::set<std::string> stores;
   for (const auto& replica : replicas_) {
-    for (const auto& [lot_id, lot] : replica->lots().lots()) owed += OwedBytes(lot);
+    for (const auto& [batch_job_id, batch_job] : replica->batch_jobs().batch_jobs())
+      owed += OwedBytes(batch_job);
     for (const StoreId& store : replica->table().replicas) stores.insert(store.name);
   }
   for (const std::string& name : placement_.retiring) stores.erase(name);
@@ -332,7 +338,7 @@
   repair_pacer_.SetRate(RepairRate(link_mbps_, disk_->space().used_bytes, sync_s_));
 }
 
-bool StoreServer::HasRoom(const Partition& table, std::uint64_t bytes) {
+bool StoreServer::HasDiskCapacity(const Partition& table, std::uint64_t bytes) {
   const auto lacking = room_.Lacking(table, self_, disk_->space(), bytes);
   const Micros now = Now();
   if (lacking.has_value() && now - no_room_logged_at_ >= kNoRoomLogPeriod) {
@@ -345,8 +351,8 @@
   return !lacking.has_value();
 }
 
-bool StoreServer::TakeRoom(const Partition& table, std::uint64_t bytes) {
-  if (!HasRoom(table, bytes)) return false;
+bool StoreServer::ReserveDiskCapacity(const Partition& table, std::uint64_t bytes) {
+  if (!HasDiskCapacity(table, bytes)) return false;
   room_.Take(table, self_, bytes);
   return true;
 }
--- a/src/tier/batch/lot_store.h
+++ b/src/tier/batch/batch_job_store.h
@@ -1,7 +1,7 @@
 // A store machine: the partitions of lots that it holds by the placement table, and the calls of
 // edge nodes and other stores about them.
-#ifndef PEARREACH_SRC_TIER_BATCH_LOT_STORE_H_
-#define PEARREACH_SRC_TIER_BATCH_LOT_STORE_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_BATCH_JOB_STORE_H_
+#define PEARREACH_SRC_TIER_BATCH_BATCH_JOB_STORE_H_
 
 #include <cstdint>
 #include <functional>
@@ -12,18 +12,18 @@
 #include <vector>
 
 #include "common/event_loop/timers.h"
-#include "tier/batch/disk_room.h"
-#include "tier/batch/lot_store_changes.h"
-#include "tier/batch/lot_store_context.h"
-#include "tier/batch/lot_store_items.h"
-#include "tier/batch/lot_store_quota.h"
-#include "tier/batch/lot_store_reads.h"
+#include "tier/batch/batch_job_changes.h"
+#include "tier/batch/batch_job_items.h"
+#include "tier/batch/batch_job_reads.h"
+#include "tier/batch/disk_capacity.h"
 #include "tier/batch/messages.h"
-#include "tier/batch/repair_pacer.h"
+#include "tier/batch/repair_throttle.h"
 #include "tier/batch/replication.h"
-#include "tier/batch/silence_reports.h"
+#include "tier/batch/store_context.h"
+#include "tier/batch/store_quota.h"
+#include "tier/batch/unresponsive_store_reporter.h"
 #include "tier/control/control_client.h"
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 #include "tier/settings/node_settings.h"
 #include "tier/storage/table_store.h"
 
@@ -33,7 +33,7 @@
  public:
   // Registers its handlers with the mesh and reads its lots from disk. All that is given must live
   // as long; the disk's pending writes must be done with, or dropped, before this goes.
-  StoreServer(Timers* timers, rpc::Mesh* mesh, storage::TableStore* disk,
+  StoreServer(Timers* timers, rpc::Transport* transport, storage::TableStore* disk,
               control::ControlClient* control, StoreId self, const settings::Bounds& bounds,
               const settings::Tolerance& tolerance, double link_mbps = 0);
   ~StoreServer() override;
@@ -42,7 +42,7 @@
 
   int active_partitions() const;
   // Nothing is lost if this store ends now and never comes back.
-  bool MayLeave() const;
+  bool MayShutDown() const;
 
  private:
   using Handler = rpc::Handler;
@@ -62,7 +62,7 @@
   void OnActive(std::uint32_t partition) override;
   void OnInactive(std::uint32_t partition) override;
   void OnFilled(std::uint32_t partition) override;
-  void OnSilent(const StoreId& peer) override { silence_.Report(peer, Now()); }
+  void OnSilent(const StoreId& peer) override { unresponsive_stores_.Report(peer, Now()); }
   const StoreId& Self() const override { return self_; }
   const PlacementTable& Placement() const override { return placement_; }
   PartitionReplica& Replica(std::uint32_t partition) override { return *replicas_[partition]; }
@@ -76,18 +76,18 @@
   void AdoptTable(const control::ControlSnapshot& snapshot);
   void StrictRead();
   void ReportFilled();
-  void PaceRepair(bool urgent, RepairPacer::Send send) override;
+  void PaceRepair(bool urgent, RepairThrottle::Send send) override;
   std::uint64_t Room() const override { return room_.Own(disk_->space()); }
   void NoteRoom(const StoreId& store, std::uint64_t bytes) override {
     room_.NotePeer(store, bytes);
   }
-  bool HasRoom(const Partition& table, std::uint64_t bytes) override;
-  bool TakeRoom(const Partition& table, std::uint64_t bytes) override;
+  bool HasDiskCapacity(const Partition& table, std::uint64_t bytes) override;
+  bool ReserveDiskCapacity(const Partition& table, std::uint64_t bytes) override;
   void CountRoom();
   void Tick();
 
   Timers* const timers_;
-  rpc::Mesh* const mesh_;
+  rpc::Transport* const transport_;
   storage::TableStore* const disk_;
   control::ControlClient* const control_;
   const StoreId self_;
@@ -96,17 +96,17 @@
   Micros start_ = 0;
   const std::size_t replicas_wanted_;
   const double sync_s_, link_mbps_;
-  DiskRoom room_;
+  DiskCapacity room_;
   Micros no_room_logged_at_ = 0;
-  RepairPacer repair_pacer_;
-  SilenceReports silence_;
+  RepairThrottle repair_pacer_;
+  UnresponsiveStoreReporter unresponsive_stores_;
   PlacementTable placement_;
   std::uint64_t stores_revision_ = 0;
   std::map<rpc::MessageType, Handler> handlers_;
-  LotReads reads_;
+  BatchJobReads reads_;
   QuotaService quota_;
-  LotItems items_;
-  LotChanges changes_;
+  BatchJobItems items_;
+  BatchJobChanges changes_;
   std::vector<std::unique_ptr<PartitionReplica>> replicas_;  // by partition
   bool reading_ = false;                                     // a strict read is under way
   std::vector<std::function<void(bool ok)>> next_read_;      // wait for one that starts from now on
@@ -117,4 +117,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_TIER_BATCH_LOT_STORE_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_BATCH_JOB_STORE_H_
--- a/src/tier/batch/lot_hand_in.cpp
+++ b/src/tier/batch/batch_job_submission.cpp
@@ -1,10 +1,10 @@
-#include "tier/batch/lot_hand_in.h"
+#include "tier/batch/batch_job_submission.h"
 
 #include <algorithm>
 #include <string>
 #include <utility>
 
-#include "tier/batch/disk_room.h"
+#include "tier/batch/disk_capacity.h"
 #include "tier/logging/log.h"
 
 namespace pearreach::batch {
@@ -15,27 +15,27 @@
 // to its replicas, and a small part of the second that clients wait.
 constexpr Micros kQuestionTime = 300 * kMs;
 
-double TokensOf(const LotSpec& lot) {
+double TokensOf(const BatchJobSpec& batch_job) {
   double tokens = 0;
-  for (const ItemSpec& item : lot.items) tokens += item.tokens;
+  for (const ItemSpec& item : batch_job.items) tokens += item.tokens;
   return tokens;
 }
 
 }  // namespace
 
-LotHandIn::LotHandIn(Timers* timers, StoreClient* stores, LotSpec lot, CallTime time, bool offers,
-                     Done done)
+BatchJobSubmission::BatchJobSubmission(Timers* timers, StoreClient* stores, BatchJobSpec batch_job,
+                                       CallTime time, bool offers, Done done)
     : timers_(timers),
       stores_(stores),
-      lot_(std::move(lot)),
+      batch_job_(std::move(batch_job)),
       began_(Now()),
       time_(time),
       offers_(offers),
       done_(std::move(done)) {}
 
-LotHandIn::~LotHandIn() { Cancel(); }
+BatchJobSubmission::~BatchJobSubmission() { Cancel(); }
 
-void LotHandIn::Start() {
+void BatchJobSubmission::Start() {
   if (!offers_) return Create();
   const Micros unsent = time_.unsent > 0 ? time_.unsent : time_.overall;
   give_up_timer_ = timers_->After(unsent, [this] {
@@ -43,14 +43,14 @@
     const auto self = shared_from_this();
     GiveUp();
   });
-  if (lot_.token_cap > 0)
+  if (batch_job_.token_cap > 0)
     AskQuota();
   else
-    fits_ = QuotaVerdict::kGranted;
+    fits_ = QuotaDecision::kGranted;
   Offer();
 }
 
-void LotHandIn::Cancel() {
+void BatchJobSubmission::Cancel() {
   done_ = nullptr;
   timers_->Cancel(&give_up_timer_);
   timers_->Cancel(&offer_timer_);
@@ -58,34 +58,35 @@
     stores_->Cancel(std::exchange(*call, 0));
 }
 
-CallTime LotHandIn::QuestionTime() const {
+CallTime BatchJobSubmission::QuestionTime() const {
   CallTime time;
   time.overall = std::max<Micros>(began_ + time_.overall - Now(), 0);
   time.attempt = kQuestionTime;
   return time;
 }
 
-void LotHandIn::Offer() {
-  OfferLot offer;
-  offer.lot_id = lot_.lot_id;
-  offer.disk_bytes = LotBytes(lot_);
-  offer_call_ =
-      stores_->Offer(std::move(offer), QuestionTime(),
-                     [self = weak_from_this()](const absl::StatusOr<OfferLotAnswer>& answer) {
-                       if (const auto hand_in = self.lock()) hand_in->OnOffer(answer);
-                     });
+void BatchJobSubmission::Offer() {
+  OfferBatchJob offer;
+  offer.batch_job_id = batch_job_.batch_job_id;
+  offer.disk_bytes = BatchJobBytes(batch_job_);
+  offer_call_ = stores_->Offer(
+      std::move(offer), QuestionTime(),
+      [self = weak_from_this()](const absl::StatusOr<OfferBatchJobResponse>& answer) {
+        if (const auto hand_in = self.lock()) hand_in->OnOffer(answer);
+      });
 }
 
-void LotHandIn::AskQuota() {
-  QuotaQuestion question{lot_.route, lot_.lot_id, TokensOf(lot_), lot_.token_cap};
-  quota_call_ = stores_->AskQuota(
-      std::move(question), QuestionTime(),
-      [self = weak_from_this()](const absl::StatusOr<QuotaReserveAnswer>& answer) {
-        if (const auto hand_in = self.lock()) hand_in->OnQuota(answer);
-      });
+void BatchJobSubmission::AskQuota() {
+  QuotaQuery question{batch_job_.route, batch_job_.batch_job_id, TokensOf(batch_job_),
+                      batch_job_.token_cap};
+  quota_call_ =
+      stores_->AskQuota(std::move(question), QuestionTime(),
+                        [self = weak_from_this()](const absl::StatusOr<QuotaResponse>& answer) {
+                          if (const auto hand_in = self.lock()) hand_in->OnQuota(answer);
+                        });
 }
 
-void LotHandIn::OnOffer(const absl::StatusOr<OfferLotAnswer>& answer) {
+void BatchJobSubmission::OnOffer(const absl::StatusOr<OfferBatchJobResponse>& answer) {
   offer_call_ = 0;
   if (!answer.ok()) return;  // its time is over: GiveUp comes
   offer_ = answer->verdict;
@@ -93,7 +94,7 @@
 }
 
 // A question that the owner cannot answer for sure is left to the reservation.
-void LotHandIn::OnQuota(const absl::StatusOr<QuotaReserveAnswer>& answer) {
+void BatchJobSubmission::OnQuota(const absl::StatusOr<QuotaResponse>& answer) {
   quota_call_ = 0;
   if (!answer.ok()) return;
   fits_ = answer->verdict;
@@ -101,10 +102,11 @@
   Decide();
 }
 
-void LotHandIn::Decide() {
+void BatchJobSubmission::Decide() {
   if (create_call_ != 0 || done_ == nullptr) return;
   if (offer_ == OfferVerdict::kKnown) return Create();
-  if (offer_ == OfferVerdict::kNoRoom) return Finish(CreateLotAnswer{CreateStatus::kNoRoom, 0});
+  if (offer_ == OfferVerdict::kNoRoom)
+    return Finish(CreateBatchJobResponse{CreateStatus::kNoRoom, 0});
   if (!fits_.has_value()) return;
   if (!offer_.has_value()) return AwaitOffer();
   if (IsOver()) return RefuseOverQuota();
@@ -113,7 +115,7 @@
 
 // A lot that does not fit is refused also where the stores that would keep it do not answer. They
 // are given a moment, since one that was taken before is acknowledged again.
-void LotHandIn::AwaitOffer() {
+void BatchJobSubmission::AwaitOffer() {
   if (!IsOver() || offer_timer_ != 0) return;
   offer_timer_ = timers_->After(kQuestionTime, [this] {
     offer_timer_ = 0;
@@ -122,7 +124,7 @@
   });
 }
 
-void LotHandIn::Create() {
+void BatchJobSubmission::Create() {
   timers_->Cancel(&give_up_timer_);
   timers_->Cancel(&offer_timer_);
   stores_->Cancel(std::exchange(quota_call_, 0));
@@ -130,30 +132,30 @@
   CallTime time = time_;
   time.overall = std::max<Micros>(time.overall - spent, 0);
   if (time.unsent > 0) time.unsent = std::max<Micros>(time.unsent - spent, 1);
-  create_call_ =
-      stores_->Create(std::move(lot_), time,
-                      [self = weak_from_this()](const absl::StatusOr<CreateLotAnswer>& answer) {
-                        const auto hand_in = self.lock();
-                        if (hand_in == nullptr) return;
-                        hand_in->create_call_ = 0;
-                        hand_in->Finish(answer);
-                      });
+  create_call_ = stores_->Create(
+      std::move(batch_job_), time,
+      [self = weak_from_this()](const absl::StatusOr<CreateBatchJobResponse>& answer) {
+        const auto hand_in = self.lock();
+        if (hand_in == nullptr) return;
+        hand_in->create_call_ = 0;
+        hand_in->Finish(answer);
+      });
 }
 
-void LotHandIn::RefuseOverQuota() {
-  Finish(CreateLotAnswer{CreateStatus::kOverQuota, retry_after_ms_});
+void BatchJobSubmission::RefuseOverQuota() {
+  Finish(CreateBatchJobResponse{CreateStatus::kOverQuota, retry_after_ms_});
 }
 
-void LotHandIn::GiveUp() {
+void BatchJobSubmission::GiveUp() {
   const char* why = fits_.has_value() ? "its stores do not all answer" : "the quota is not known";
   logging::Info(kModule, "lot refused",
-                {logging::F("lot", lot_.lot_id), logging::F("why", why),
-                 logging::F("partition", PartitionOf(lot_.lot_id)),
+                {logging::F("lot", batch_job_.batch_job_id), logging::F("why", why),
+                 logging::F("partition", PartitionOf(batch_job_.batch_job_id)),
                  logging::F("waited_ms", (Now() - began_) / kMs)});
   Finish(absl::UnavailableError(why));
 }
 
-void LotHandIn::Finish(const absl::StatusOr<CreateLotAnswer>& answer) {
+void BatchJobSubmission::Finish(const absl::StatusOr<CreateBatchJobResponse>& answer) {
   const Done done = std::exchange(done_, nullptr);
   Cancel();
   if (done != nullptr) done(answer);
--- a/src/tier/batch/lot_hand_in.h
+++ b/src/tier/batch/batch_job_submission.h
@@ -2,8 +2,8 @@
 // whether the stores that would keep it answer, and sends its items only then. A hand-in that
 // cannot go on is therefore refused for sure, in time for its client to come again, except where a
 // store is lost in the few milliseconds between the offer and the answer.
-#ifndef PEARREACH_SRC_TIER_BATCH_LOT_HAND_IN_H_
-#define PEARREACH_SRC_TIER_BATCH_LOT_HAND_IN_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_BATCH_JOB_SUBMISSION_H_
+#define PEARREACH_SRC_TIER_BATCH_BATCH_JOB_SUBMISSION_H_
 
 #include <absl/status/statusor.h>
 
@@ -18,18 +18,18 @@
 
 namespace pearreach::batch {
 
-class LotHandIn : public std::enable_shared_from_this<LotHandIn> {
+class BatchJobSubmission : public std::enable_shared_from_this<BatchJobSubmission> {
  public:
-  using Done = StoreClient::Done<CreateLotAnswer>;
+  using Done = StoreClient::Done<CreateBatchJobResponse>;
 
   // `time`: see StoreClient::Create. `offers`: false sends the lot without a question. `done` is
   // called exactly once, never from inside Start, unless Cancel comes first. UNAVAILABLE: surely
   // not taken.
-  LotHandIn(Timers* timers, StoreClient* stores, LotSpec lot, CallTime time, bool offers,
-            Done done);
-  ~LotHandIn();
-  LotHandIn(const LotHandIn&) = delete;
-  LotHandIn& operator=(const LotHandIn&) = delete;
+  BatchJobSubmission(Timers* timers, StoreClient* stores, BatchJobSpec batch_job, CallTime time,
+                     bool offers, Done done);
+  ~BatchJobSubmission();
+  BatchJobSubmission(const BatchJobSubmission&) = delete;
+  BatchJobSubmission& operator=(const BatchJobSubmission&) = delete;
 
   void Start();
   // The client has left.
@@ -38,31 +38,31 @@
  private:
   void Offer();
   void AskQuota();
-  void OnOffer(const absl::StatusOr<OfferLotAnswer>& answer);
-  void OnQuota(const absl::StatusOr<QuotaReserveAnswer>& answer);
+  void OnOffer(const absl::StatusOr<OfferBatchJobResponse>& answer);
+  void OnQuota(const absl::StatusOr<QuotaResponse>& answer);
   void Decide();
   void AwaitOffer();
   void Create();
   void GiveUp();
   void RefuseOverQuota();
-  void Finish(const absl::StatusOr<CreateLotAnswer>& answer);
-  bool IsOver() const { return fits_.has_value() && *fits_ == QuotaVerdict::kOver; }
+  void Finish(const absl::StatusOr<CreateBatchJobResponse>& answer);
+  bool IsOver() const { return fits_.has_value() && *fits_ == QuotaDecision::kOver; }
   CallTime QuestionTime() const;
 
   Timers* const timers_;
   StoreClient* const stores_;
-  LotSpec lot_;
+  BatchJobSpec batch_job_;
   const Micros began_;
   const CallTime time_;
   const bool offers_;
   Done done_;  // null: it has ended
   StoreClient::CallId offer_call_ = 0, quota_call_ = 0, create_call_ = 0;
   std::optional<OfferVerdict> offer_;
-  std::optional<QuotaVerdict> fits_;
+  std::optional<QuotaDecision> fits_;
   std::int64_t retry_after_ms_ = 0;
   Timers::Id give_up_timer_ = 0, offer_timer_ = 0;
 };
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_TIER_BATCH_LOT_HAND_IN_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_BATCH_JOB_SUBMISSION_H_
--- a/src/tier/batch/disk_room.h
+++ b/src/tier/batch/disk_capacity.h
@@ -1,25 +1,25 @@
 // Whether a lot finds room on the disks of all replicas of its partition, from the sizes: what is
 // in use, what open lots may still add, and what must stay free to repair the loss of a store.
-#ifndef PEARREACH_SRC_TIER_BATCH_DISK_ROOM_H_
-#define PEARREACH_SRC_TIER_BATCH_DISK_ROOM_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_DISK_CAPACITY_H_
+#define PEARREACH_SRC_TIER_BATCH_DISK_CAPACITY_H_
 
 #include <cstddef>
 #include <cstdint>
 #include <map>
 #include <optional>
 
-#include "tier/batch/lot_state.h"
+#include "tier/batch/batch_job_state.h"
 #include "tier/batch/messages.h"
 #include "tier/storage/table_store.h"
 
 namespace pearreach::batch {
 
 // What a lot takes on disk at most, with its results (bytes, whole pages where these count).
-std::uint64_t LotBytes(const LotSpec& lot);
+std::uint64_t BatchJobBytes(const BatchJobSpec& batch_job);
 // What the results that are still to come may add.
-std::uint64_t OwedBytes(const Lot& lot);
+std::uint64_t OwedBytes(const BatchJob& batch_job);
 
-class DiskRoom {
+class DiskCapacity {
  public:
   // `replicas`: wanted of each partition. Once a store of `stores` is lost, the others take over
   // what it held, as long as enough of them are left.
@@ -48,4 +48,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_TIER_BATCH_DISK_ROOM_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_DISK_CAPACITY_H_
--- a/src/tier/batch/item_taker.cpp
+++ b/src/tier/batch/item_puller.cpp
@@ -1,4 +1,4 @@
-#include "tier/batch/item_taker.h"
+#include "tier/batch/item_puller.h"
 
 #include <algorithm>
 #include <set>
@@ -19,19 +19,19 @@
 constexpr Micros kWorkMemory = 5 * kSecond;
 // After an error of a store, or an empty answer that came too early.
 constexpr Micros kErrorPause = 200 * kMs;
-constexpr Micros kLeastHold = 100 * kMs;
+constexpr Micros kMinHold = 100 * kMs;
 constexpr Micros kHoldOff = 200 * kMs;
 // Most items of a route that are asked for at once.
-constexpr int kMostAtOnce = 32;
+constexpr int kMaxAtOnce = 32;
 
-int RoomOf(const routing::Route& route, const proxy::JobRunner& runner) {
+int RoomOf(const routing::Route& route, const proxy::RequestRunner& runner) {
   std::set<std::string_view> services;
   int room = 0;
   for (const routing::Target& target : route.targets) {
     if (target.share <= 0 || !services.insert(target.service).second) continue;
     room += std::max(runner.BulkRoom(target.service), 0);
   }
-  return std::min(room, kMostAtOnce);
+  return std::min(room, kMaxAtOnce);
 }
 
 bool HasBulk(const routing::RouteTable& routes) {
@@ -41,8 +41,9 @@
 
 }  // namespace
 
-ItemTaker::ItemTaker(Timers* timers, StoreClient* stores, control::ControlClient* control,
-                     proxy::JobRunner* runner, std::string node, std::uint64_t process, Taken taken)
+ItemPuller::ItemPuller(Timers* timers, StoreClient* stores, control::ControlClient* control,
+                       proxy::RequestRunner* runner, std::string node, std::uint64_t process,
+                       Taken taken)
     : timers_(timers),
       stores_(stores),
       control_(control),
@@ -51,15 +52,15 @@
       process_(process),
       taken_(std::move(taken)) {}
 
-ItemTaker::~ItemTaker() { Stop(); }
+ItemPuller::~ItemPuller() { Stop(); }
 
-void ItemTaker::Stop() {
+void ItemPuller::Stop() {
   stopped_ = true;
   *alive_ = false;
   timers_->Cancel(&timer_);
 }
 
-void ItemTaker::AskLater(Micros delay) {
+void ItemPuller::AskLater(Micros delay) {
   timers_->Cancel(&timer_);
   timer_ = timers_->After(delay, [this] {
     timer_ = 0;
@@ -67,12 +68,12 @@
   });
 }
 
-bool ItemTaker::WorkIsKnown(Micros now) const {
+bool ItemPuller::WorkIsKnown(Micros now) const {
   return work_seen_ != 0 && now - work_seen_ < kWorkMemory;
 }
 
 // The room by route, a store's share of it.
-std::map<std::string, int> ItemTaker::Room(const routing::RouteTable& routes, int stores) const {
+std::map<std::string, int> ItemPuller::Room(const routing::RouteTable& routes, int stores) const {
   std::map<std::string, int> room;
   for (const routing::Route& route : routes.routes()) {
     if (route.variant != routing::Variant::kBulk) continue;
@@ -82,7 +83,7 @@
   return room;
 }
 
-void ItemTaker::Ask() {
+void ItemPuller::Ask() {
   if (stopped_) return;
   const auto routes = control_->Current()->routes;
   if (routes == nullptr || !HasBulk(*routes)) return;  // a new configuration asks again
@@ -109,32 +110,33 @@
   if (!all_open) AskLater(next);
 }
 
-std::uint64_t ItemTaker::Process() const {
+std::uint64_t ItemPuller::Process() const {
   const auto self = control_->members().find(node_);
   return self == control_->members().end() ? process_ : self->second.info.incarnation;
 }
 
-void ItemTaker::AskStore(const StoreId& store, std::map<std::string, int> room) {
+void ItemPuller::AskStore(const StoreId& store, std::map<std::string, int> room) {
   asked_[store].open = true;
-  TakeItems take;
+  PullItems take;
   take.node = node_;
   take.process = Process();
   take.room = std::move(room);
   take.wait_ms = kTakeWaitMs;
   const Micros timeout = kTakeWaitMs * kMs + kAnswerTime;
-  stores_->Take(store, std::move(take), timeout,
-                [this, alive = alive_, store, at = Now()](absl::StatusOr<TakeItemsAnswer> answer) {
-                  if (*alive) OnAnswer(store, at, std::move(answer));
-                });
+  stores_->Take(
+      store, std::move(take), timeout,
+      [this, alive = alive_, store, at = Now()](absl::StatusOr<PullItemsResponse> answer) {
+        if (*alive) OnAnswer(store, at, std::move(answer));
+      });
 }
 
-void ItemTaker::OnAnswer(const StoreId& store, Micros asked_at,
-                         absl::StatusOr<TakeItemsAnswer> answer) {
+void ItemPuller::OnAnswer(const StoreId& store, Micros asked_at,
+                          absl::StatusOr<PullItemsResponse> answer) {
   const Micros now = Now();
   Asked& asked = asked_[store];
   asked.open = false;
   const bool is_empty = answer.ok() && answer->items.empty();
-  if (!answer.ok() || (is_empty && now - asked_at < kLeastHold)) {
+  if (!answer.ok() || (is_empty && now - asked_at < kMinHold)) {
     asked.not_before = now + kErrorPause;
   }
   if (answer.ok() && !is_empty) {
@@ -144,7 +146,7 @@
   Ask();
 }
 
-void ItemTaker::HoldOff() {
+void ItemPuller::HoldOff() {
   hold_off_until_ = Now() + kHoldOff;
   work_seen_ = Now();
 }
--- a/src/tier/batch/item_taker.h
+++ b/src/tier/batch/item_puller.h
@@ -1,7 +1,7 @@
 // Takes items of lots from the stores: keeps a call open at each primary store for as long as this
 // node has room to run items.
-#ifndef PEARREACH_SRC_TIER_BATCH_ITEM_TAKER_H_
-#define PEARREACH_SRC_TIER_BATCH_ITEM_TAKER_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_ITEM_PULLER_H_
+#define PEARREACH_SRC_TIER_BATCH_ITEM_PULLER_H_
 
 #include <cstdint>
 #include <functional>
@@ -13,23 +13,23 @@
 #include "tier/batch/messages.h"
 #include "tier/batch/store_client.h"
 #include "tier/control/control_client.h"
-#include "tier/proxy/job.h"
+#include "tier/proxy/request.h"
 #include "tier/routing/route_table.h"
 
 namespace pearreach::batch {
 
-class ItemTaker {
+class ItemPuller {
  public:
   using Taken = std::function<void(LeasedItem item)>;
 
   // `process`: this process of the node, greater for a later one, until membership says more.
-  ItemTaker(Timers* timers, StoreClient* stores, control::ControlClient* control,
-            proxy::JobRunner* runner, std::string node, std::uint64_t process, Taken taken);
+  ItemPuller(Timers* timers, StoreClient* stores, control::ControlClient* control,
+             proxy::RequestRunner* runner, std::string node, std::uint64_t process, Taken taken);
   // What stores know this process by: its incarnation in membership, which may have been raised.
   std::uint64_t Process() const;
-  ~ItemTaker();
-  ItemTaker(const ItemTaker&) = delete;
-  ItemTaker& operator=(const ItemTaker&) = delete;
+  ~ItemPuller();
+  ItemPuller(const ItemPuller&) = delete;
+  ItemPuller& operator=(const ItemPuller&) = delete;
 
   // Asks the stores that are not being asked, where there is room.
   void Ask();
@@ -45,14 +45,14 @@
 
   std::map<std::string, int> Room(const routing::RouteTable& routes, int stores) const;
   void AskStore(const StoreId& store, std::map<std::string, int> room);
-  void OnAnswer(const StoreId& store, Micros asked_at, absl::StatusOr<TakeItemsAnswer> answer);
+  void OnAnswer(const StoreId& store, Micros asked_at, absl::StatusOr<PullItemsResponse> answer);
   void AskLater(Micros delay);
   bool WorkIsKnown(Micros now) const;
 
   Timers* timers_;
   StoreClient* stores_;
   control::ControlClient* control_;
-  proxy::JobRunner* runner_;
+  proxy::RequestRunner* runner_;
   const std::string node_;
   const std::uint64_t process_;
   Taken taken_;
@@ -65,4 +65,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_TIER_BATCH_ITEM_TAKER_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_ITEM_PULLER_H_
--- a/src/tier/batch/item_job.cpp
+++ b/src/tier/batch/item_request.cpp
@@ -1,4 +1,4 @@
-#include "tier/batch/item_job.h"
+#include "tier/batch/item_request.h"
 
 #include <algorithm>
 #include <array>
@@ -43,9 +43,9 @@
 
 }  // namespace
 
-proxy::JobSpec JobOf(LeasedItem leased, const routing::Route& route, std::string service,
-                     Micros time) {
-  proxy::JobSpec spec;
+proxy::RequestSpec RequestOf(LeasedItem leased, const routing::Route& route, std::string service,
+                             Micros time) {
+  proxy::RequestSpec spec;
   spec.service = std::move(service);
   spec.method = "POST";
   spec.headers = HeadersOf(leased, route);
@@ -64,7 +64,7 @@
   spec.target_ms = static_cast<double>(time / kMs);
   spec.gap_aim_ms = route.gap_aim_ms;
   spec.rank = route.rank;
-  spec.tries = kWorkersOfRun;
+  spec.attempts = kWorkersOfRun;
   spec.repeatable = true;
   spec.streamed = true;
   spec.resumable = true;
--- a/src/tier/batch/item_job.h
+++ b/src/tier/batch/item_request.h
@@ -1,21 +1,21 @@
 // The job that runs an item of a lot.
-#ifndef PEARREACH_SRC_TIER_BATCH_ITEM_JOB_H_
-#define PEARREACH_SRC_TIER_BATCH_ITEM_JOB_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_ITEM_REQUEST_H_
+#define PEARREACH_SRC_TIER_BATCH_ITEM_REQUEST_H_
 
 #include <string>
 
 #include "common/event_loop/io.h"
 #include "tier/batch/messages.h"
-#include "tier/proxy/job.h"
+#include "tier/proxy/request.h"
 #include "tier/routing/route_table.h"
 
 namespace pearreach::batch {
 
 // A bulk job at a worker of `service` that is over within `time` from now. It ends at the first
 // answer of 500: the store counts these.
-proxy::JobSpec JobOf(LeasedItem leased, const routing::Route& route, std::string service,
-                     Micros time);
+proxy::RequestSpec RequestOf(LeasedItem leased, const routing::Route& route, std::string service,
+                             Micros time);
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_TIER_BATCH_ITEM_JOB_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_ITEM_REQUEST_H_
--- a/src/tier/batch/item_worker.cpp
+++ b/src/tier/batch/item_worker.cpp
@@ -4,13 +4,13 @@
 #include <string_view>
 
 #include "tier/batch/event_text.h"
-#include "tier/batch/item_job.h"
+#include "tier/batch/item_request.h"
 
 namespace pearreach::batch {
 namespace {
 
 // The longest that one run of an item may take; items stand outside the route's limit.
-constexpr Micros kLongestRun = 30 * kSecond;
+constexpr Micros kMaxRun = 30 * kSecond;
 constexpr Micros kRenewPeriod = 1 * kSecond;
 constexpr Micros kRenewTimeout = 1 * kSecond;
 // A result is offered to the stores for this long at a time, with pauses.
@@ -47,7 +47,7 @@
 
 // ---------------------------------------------------------------- one run
 
-class ItemWorker::Run final : public proxy::JobSink {
+class ItemWorker::Run final : public proxy::RequestSink {
  public:
   Run(ItemWorker* worker, Key key) : worker_(worker), key_(std::move(key)) {}
 
@@ -55,7 +55,7 @@
   void OnBody(std::string_view bytes) override {
     if (IsSuccess()) text_.Feed(bytes);
   }
-  void OnEnd(const proxy::JobResult& result) override {
+  void OnEnd(const proxy::RequestResult& result) override {
     if (worker_ == nullptr) return;
     ItemWorker* worker = worker_;
     worker_ = nullptr;
@@ -63,10 +63,10 @@
   }
 
   void Detach() { worker_ = nullptr; }
-  RunOutcome Outcome(const proxy::JobResult& result) const {
+  RunOutcome Outcome(const proxy::RequestResult& result) const {
     const int status = IsSuccess() || status_ == 0 ? result.worker_status : status_;
     const bool is_whole = IsSuccess() && text_.AtEventEnd();
-    if (result.end == proxy::JobEnd::kComplete && is_whole) return RunOutcome::kComplete;
+    if (result.end == proxy::RequestEnd::kComplete && is_whole) return RunOutcome::kComplete;
     if (status == kWorkerFailed) return RunOutcome::kFailed;
     if (status == kItemImpossible) return RunOutcome::kImpossible;
     return RunOutcome::kReturned;
@@ -83,7 +83,7 @@
 };
 
 ItemWorker::ItemWorker(Timers* timers, StoreClient* stores, control::ControlClient* control,
-                       proxy::JobRunner* runner, std::string node, std::uint64_t process)
+                       proxy::RequestRunner* runner, std::string node, std::uint64_t process)
     : timers_(timers),
       stores_(stores),
       control_(control),
@@ -121,7 +121,7 @@
 }
 
 void ItemWorker::OnTaken(LeasedItem leased) {
-  const Key key = {leased.lot_id, leased.item.item_id};
+  const Key key = {leased.batch_job_id, leased.item.item_id};
   const Micros lease_time = leased.expires_ms * kMs;
   if (const auto found = held_.find(key); found != held_.end()) {
     LeaseAgain(found->second.get(), leased);
@@ -158,7 +158,7 @@
   if (outcome == RunOutcome::kComplete || outcome == RunOutcome::kImpossible) return;
   taker_.HoldOff();
   ItemResult returned;
-  returned.lot_id = leased.lot_id;
+  returned.batch_job_id = leased.batch_job_id;
   returned.item_id = leased.item.item_id;
   returned.lease = leased.lease;
   returned.outcome = RunOutcome::kReturned;
@@ -169,7 +169,7 @@
 
 void ItemWorker::Launch(const Key& key, LeasedItem leased, const routing::Route& route) {
   const Micros retain_left = static_cast<Micros>(leased.retain_left_ms * kMs);
-  const Micros time = std::min(retain_left, kLongestRun);
+  const Micros time = std::min(retain_left, kMaxRun);
   if (time <= 0) {
     Conclude(key, RunOutcome::kReturned, {});
     return;
@@ -179,13 +179,13 @@
   held->run = std::make_shared<Run>(this, key);
   const std::shared_ptr<Run> run = held->run;
   const std::uint64_t job =
-      runner_->Submit(JobOf(std::move(leased), route, held->service, time), run);
+      runner_->Submit(RequestOf(std::move(leased), route, held->service, time), run);
   // The run may have ended inside Submit.
   const auto found = held_.find(key);
   if (found != held_.end() && found->second->run == run) found->second->job = job;
 }
 
-void ItemWorker::OnRunEnd(const Key& key, const proxy::JobResult& result) {
+void ItemWorker::OnRunEnd(const Key& key, const proxy::RequestResult& result) {
   const auto found = held_.find(key);
   if (found == held_.end()) return;
   const std::shared_ptr<Run> run = std::move(found->second->run);
@@ -201,7 +201,7 @@
   Held* held = held_.at(key).get();
   held->run = nullptr;
   held->job = 0;
-  held->result.lot_id = key.first;
+  held->result.batch_job_id = key.first;
   held->result.item_id = key.second;
   held->result.lease = held->lease;
   held->result.outcome = outcome;
@@ -297,14 +297,14 @@
     renew.held = keys;
     stores_->Renew(store, std::move(renew), kRenewTimeout,
                    [this, alive = alive_, keys = std::move(keys),
-                    now](const absl::StatusOr<RenewLeasesAnswer>& answer) {
+                    now](const absl::StatusOr<RenewLeasesResponse>& answer) {
                      if (*alive) OnRenewed(keys, now, answer);
                    });
   }
 }
 
 void ItemWorker::OnRenewed(const std::vector<Key>& asked, Micros sent,
-                           const absl::StatusOr<RenewLeasesAnswer>& answer) {
+                           const absl::StatusOr<RenewLeasesResponse>& answer) {
   if (!answer.ok()) return;
   for (const Key& key : answer->stop) {
     const auto found = held_.find(key);
--- a/src/tier/batch/item_worker.h
+++ b/src/tier/batch/item_worker.h
@@ -13,11 +13,11 @@
 #include <vector>
 
 #include "common/event_loop/timers.h"
-#include "tier/batch/item_taker.h"
+#include "tier/batch/item_puller.h"
 #include "tier/batch/messages.h"
 #include "tier/batch/store_client.h"
 #include "tier/control/control_client.h"
-#include "tier/proxy/job.h"
+#include "tier/proxy/request.h"
 
 namespace pearreach::batch {
 
@@ -25,7 +25,7 @@
  public:
   // `process`: this process of the node, greater for a later one (its incarnation in membership).
   ItemWorker(Timers* timers, StoreClient* stores, control::ControlClient* control,
-             proxy::JobRunner* runner, std::string node, std::uint64_t process);
+             proxy::RequestRunner* runner, std::string node, std::uint64_t process);
   ~ItemWorker();
   ItemWorker(const ItemWorker&) = delete;
   ItemWorker& operator=(const ItemWorker&) = delete;
@@ -44,7 +44,7 @@
   void LeaseAgain(Held* held, const LeasedItem& leased);
   void Launch(const Key& key, LeasedItem leased, const routing::Route& route);
   const routing::Target& PickTarget(const routing::Route& route);
-  void OnRunEnd(const Key& key, const proxy::JobResult& result);
+  void OnRunEnd(const Key& key, const proxy::RequestResult& result);
   void Conclude(const Key& key, RunOutcome outcome, std::string content);
   void Report(const Key& key);
   void OnReported(const Key& key, const absl::Status& status);
@@ -59,12 +59,12 @@
   void GiveUpExpired(Micros now);
   void RenewAll(Micros now);
   void OnRenewed(const std::vector<Key>& asked, Micros sent,
-                 const absl::StatusOr<RenewLeasesAnswer>& answer);
+                 const absl::StatusOr<RenewLeasesResponse>& answer);
 
   Timers* timers_;
   StoreClient* stores_;
   control::ControlClient* control_;
-  proxy::JobRunner* runner_;
+  proxy::RequestRunner* runner_;
   const std::string node_;
   std::minstd_rand random_;
   std::map<Key, std::unique_ptr<Held>> held_;
@@ -73,7 +73,7 @@
   bool stopping_ = false;
   std::function<void()> idle_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  ItemTaker taker_;
+  ItemPuller taker_;
 };
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/leases.cpp
+++ b/src/tier/batch/leases.cpp
@@ -4,11 +4,12 @@
 
 namespace pearreach::batch {
 
-LeaseTable::LotItems* LeaseTable::Find(const std::string& lot_id, std::uint64_t* number) {
-  const auto at = numbers_.find(lot_id);
+LeaseTable::BatchJobItems* LeaseTable::Find(const std::string& batch_job_id,
+                                            std::uint64_t* number) {
+  const auto at = numbers_.find(batch_job_id);
   if (at == numbers_.end()) return nullptr;
   *number = at->second;
-  return &lots_.at(at->second);
+  return &batch_jobs_.at(at->second);
 }
 
 std::uint32_t LeaseTable::NodeNumber(const std::string& node) {
@@ -18,81 +19,81 @@
   return at->second;
 }
 
-void LeaseTable::AddLot(const std::string& lot_id, const std::string& route, std::int64_t due_ms,
-                        std::size_t items, const std::vector<std::uint32_t>& open,
-                        Micros held_until) {
-  DropLot(lot_id);
-  const std::uint64_t number = next_lot_++;
-  numbers_[lot_id] = number;
-  LotItems& lot = lots_[number];
-  lot.id = lot_id;
-  lot.route = route;
-  lot.due_ms = due_ms;
-  lot.items.resize(items);
+void LeaseTable::AddBatchJob(const std::string& batch_job_id, const std::string& route,
+                             std::int64_t due_ms, std::size_t items,
+                             const std::vector<std::uint32_t>& open, Micros held_until) {
+  DropBatchJob(batch_job_id);
+  const std::uint64_t number = next_batch_job_++;
+  numbers_[batch_job_id] = number;
+  BatchJobItems& batch_job = batch_jobs_[number];
+  batch_job.id = batch_job_id;
+  batch_job.route = route;
+  batch_job.due_ms = due_ms;
+  batch_job.items.resize(items);
   for (const std::uint32_t item : open) {
     if (held_until == 0) {
-      MakeWaiting(number, &lot, item);
+      MakeWaiting(number, &batch_job, item);
     } else {
-      Lease(number, &lot, item, 0, 0, held_until);
+      Lease(number, &batch_job, item, 0, 0, held_until);
     }
   }
 }
 
-void LeaseTable::MakeWaiting(std::uint64_t number, LotItems* lot, std::uint32_t item) {
-  lot->items[item] = Item{Phase::kWaiting, 0, 0, 0};
-  lot->first = lot->waiting == 0 ? item : std::min(lot->first, item);
-  ++lot->waiting;
-  RouteItems& route = routes_[lot->route];
+void LeaseTable::MakeWaiting(std::uint64_t number, BatchJobItems* batch_job, std::uint32_t item) {
+  batch_job->items[item] = Item{Phase::kWaiting, 0, 0, 0};
+  batch_job->first = batch_job->waiting == 0 ? item : std::min(batch_job->first, item);
+  ++batch_job->waiting;
+  RouteItems& route = routes_[batch_job->route];
   ++route.waiting;
-  route.lots.emplace(lot->due_ms, number);
+  route.batch_jobs.emplace(batch_job->due_ms, number);
 }
 
-void LeaseTable::RemoveWaiting(std::uint64_t number, LotItems* lot, std::uint32_t item) {
-  lot->items[item].phase = Phase::kGone;
-  --lot->waiting;
-  const auto at = routes_.find(lot->route);
+void LeaseTable::RemoveWaiting(std::uint64_t number, BatchJobItems* batch_job, std::uint32_t item) {
+  batch_job->items[item].phase = Phase::kGone;
+  --batch_job->waiting;
+  const auto at = routes_.find(batch_job->route);
   --at->second.waiting;
-  if (lot->waiting == 0) at->second.lots.erase({lot->due_ms, number});
+  if (batch_job->waiting == 0) at->second.batch_jobs.erase({batch_job->due_ms, number});
   if (at->second.waiting == 0) routes_.erase(at);
 }
 
-void LeaseTable::Lease(std::uint64_t number, LotItems* lot, std::uint32_t item, std::uint32_t node,
-                       std::uint64_t lease, Micros expires) {
-  lot->items[item] = Item{Phase::kLeased, node, lease, expires};
+void LeaseTable::Lease(std::uint64_t number, BatchJobItems* batch_job, std::uint32_t item,
+                       std::uint32_t node, std::uint64_t lease, Micros expires) {
+  batch_job->items[item] = Item{Phase::kLeased, node, lease, expires};
   leased_.emplace(expires, number, item);
 }
 
-void LeaseTable::RemoveLease(std::uint64_t number, LotItems* lot, std::uint32_t item) {
-  leased_.erase({lot->items[item].expires, number, item});
-  lot->items[item].phase = Phase::kGone;
+void LeaseTable::RemoveLease(std::uint64_t number, BatchJobItems* batch_job, std::uint32_t item) {
+  leased_.erase({batch_job->items[item].expires, number, item});
+  batch_job->items[item].phase = Phase::kGone;
 }
 
-void LeaseTable::Finish(const std::string& lot_id, std::uint32_t item) {
+void LeaseTable::Finish(const std::string& batch_job_id, std::uint32_t item) {
   std::uint64_t number = 0;
-  LotItems* lot = Find(lot_id, &number);
-  if (lot == nullptr || item >= lot->items.size()) return;
-  if (lot->items[item].phase == Phase::kWaiting) RemoveWaiting(number, lot, item);
-  if (lot->items[item].phase == Phase::kLeased) RemoveLease(number, lot, item);
+  BatchJobItems* batch_job = Find(batch_job_id, &number);
+  if (batch_job == nullptr || item >= batch_job->items.size()) return;
+  if (batch_job->items[item].phase == Phase::kWaiting) RemoveWaiting(number, batch_job, item);
+  if (batch_job->items[item].phase == Phase::kLeased) RemoveLease(number, batch_job, item);
 }
 
-void LeaseTable::DropLot(const std::string& lot_id) {
+void LeaseTable::DropBatchJob(const std::string& batch_job_id) {
   std::uint64_t number = 0;
-  const LotItems* lot = Find(lot_id, &number);
-  if (lot == nullptr) return;
-  for (std::uint32_t i = 0; i < lot->items.size(); ++i) Finish(lot_id, i);
-  lots_.erase(number);
-  numbers_.erase(lot_id);
+  const BatchJobItems* batch_job = Find(batch_job_id, &number);
+  if (batch_job == nullptr) return;
+  for (std::uint32_t i = 0; i < batch_job->items.size(); ++i) Finish(batch_job_id, i);
+  batch_jobs_.erase(number);
+  numbers_.erase(batch_job_id);
 }
 
-bool LeaseTable::Return(const std::string& lot_id, std::uint32_t item, std::uint64_t lease) {
+bool LeaseTable::Return(const std::string& batch_job_id, std::uint32_t item, std::uint64_t lease) {
   std::uint64_t number = 0;
-  LotItems* lot = Find(lot_id, &number);
-  if (lot == nullptr || item >= lot->items.size()) return false;
-  const Item& held = lot->items[item];
+  BatchJobItems* batch_job = Find(batch_job_id, &number);
+  if (batch_job == nullptr || item >= batch_job->items.size()) return false;
+  const Item& held = batch_job->items[item];
   if (held.phase != Phase::kLeased) return false;
   if (held.lease != lease && held.lease != 0) return false;
-  RemoveLease(number, lot, item);
-  MakeWaiting(number, lot, item);
+  RemoveLease(number, batch_job, item);
+  MakeWaiting(number, batch_job, item);
   return true;
 }
 
@@ -106,13 +107,13 @@
 }
 
 TakenItem LeaseTable::TakeFirst(std::uint64_t number, std::uint32_t node, Micros now) {
-  LotItems& lot = lots_.at(number);
-  while (lot.items[lot.first].phase != Phase::kWaiting) ++lot.first;
-  const std::uint32_t item = lot.first;
-  RemoveWaiting(number, &lot, item);
+  BatchJobItems& batch_job = batch_jobs_.at(number);
+  while (batch_job.items[batch_job.first].phase != Phase::kWaiting) ++batch_job.first;
+  const std::uint32_t item = batch_job.first;
+  RemoveWaiting(number, &batch_job, item);
   const std::uint64_t lease = next_lease_++;
-  Lease(number, &lot, item, node, lease, now + kLeaseSpan);
-  return {lot.id, item, lease};
+  Lease(number, &batch_job, item, node, lease, now + kLeaseSpan);
+  return {batch_job.id, item, lease};
 }
 
 std::vector<TakenItem> LeaseTable::Take(const std::string& node,
@@ -128,7 +129,7 @@
       if (places <= 0) continue;
       const auto at = routes_.find(route);
       if (at == routes_.end()) continue;
-      const auto* first = &*at->second.lots.begin();
+      const auto* first = &*at->second.batch_jobs.begin();
       if (earliest != nullptr && !(*first < *earliest)) continue;
       earliest = first;
       room_left = &places;
@@ -140,22 +141,22 @@
   return taken;
 }
 
-bool LeaseTable::Renew(const std::string& node, const std::string& lot_id, std::uint32_t item,
+bool LeaseTable::Renew(const std::string& node, const std::string& batch_job_id, std::uint32_t item,
                        Micros now) {
   std::uint64_t number = 0;
-  LotItems* lot = Find(lot_id, &number);
-  if (lot == nullptr || item >= lot->items.size()) return false;
-  const Item held = lot->items[item];
+  BatchJobItems* batch_job = Find(batch_job_id, &number);
+  if (batch_job == nullptr || item >= batch_job->items.size()) return false;
+  const Item held = batch_job->items[item];
   const std::uint32_t who = NodeNumber(node);
   if (held.phase == Phase::kGone) return false;
   if (held.phase == Phase::kWaiting) {  // expired, or leased by an earlier primary
-    RemoveWaiting(number, lot, item);
-    Lease(number, lot, item, who, 0, now + kLeaseSpan);
+    RemoveWaiting(number, batch_job, item);
+    Lease(number, batch_job, item, who, 0, now + kLeaseSpan);
     return true;
   }
   if (held.node != 0 && held.node != who) return false;
-  RemoveLease(number, lot, item);
-  Lease(number, lot, item, who, held.lease, now + kLeaseSpan);
+  RemoveLease(number, batch_job, item);
+  Lease(number, batch_job, item, who, held.lease, now + kLeaseSpan);
   return true;
 }
 
@@ -164,21 +165,21 @@
   if (at == node_numbers_.end()) return;
   std::vector<std::pair<std::uint64_t, std::uint32_t>> held;
   for (const auto& [expires, number, item] : leased_) {
-    if (lots_.at(number).items[item].node == at->second) held.emplace_back(number, item);
+    if (batch_jobs_.at(number).items[item].node == at->second) held.emplace_back(number, item);
   }
   for (const auto& [number, item] : held) {
-    LotItems& lot = lots_.at(number);
-    RemoveLease(number, &lot, item);
-    MakeWaiting(number, &lot, item);
+    BatchJobItems& batch_job = batch_jobs_.at(number);
+    RemoveLease(number, &batch_job, item);
+    MakeWaiting(number, &batch_job, item);
   }
 }
 
 void LeaseTable::Expire(Micros now) {
   while (!leased_.empty() && std::get<0>(*leased_.begin()) <= now) {
     const auto [expires, number, item] = *leased_.begin();
-    LotItems& lot = lots_.at(number);
-    RemoveLease(number, &lot, item);
-    MakeWaiting(number, &lot, item);
+    BatchJobItems& batch_job = batch_jobs_.at(number);
+    RemoveLease(number, &batch_job, item);
+    MakeWaiting(number, &batch_job, item);
   }
 }
 
@@ -196,7 +197,7 @@
 std::vector<std::string> LeaseTable::HoldingNodes() const {
   std::set<std::uint32_t> numbers;
   for (const auto& [expires, number, item] : leased_) {
-    numbers.insert(lots_.at(number).items[item].node);
+    numbers.insert(batch_jobs_.at(number).items[item].node);
   }
   numbers.erase(0);
   std::vector<std::string> names;
--- a/src/tier/batch/leases.h
+++ b/src/tier/batch/leases.h
@@ -17,10 +17,10 @@
 namespace pearreach::batch {
 
 constexpr Micros kLeaseSpan = 3 * kSecond;  // unless renewed
-constexpr int kMostTaken = 8;               // items of one answer
+constexpr int kMaxTaken = 8;                // items of one answer
 
 struct TakenItem {
-  std::string lot_id;
+  std::string batch_job_id;
   std::uint32_t item = 0;
   std::uint64_t lease = 0;
 };
@@ -31,12 +31,12 @@
 
   // The items of a lot that is open now. Held back: they may still run for an edge node that has
   // their lease of an earlier primary; whoever renews one until `held_until` gets it.
-  void AddLot(const std::string& lot_id, const std::string& route, std::int64_t due_ms,
-              std::size_t items, const std::vector<std::uint32_t>& open, Micros held_until);
-  void DropLot(const std::string& lot_id);
-  void Finish(const std::string& lot_id, std::uint32_t item);  // it has a result
+  void AddBatchJob(const std::string& batch_job_id, const std::string& route, std::int64_t due_ms,
+                   std::size_t items, const std::vector<std::uint32_t>& open, Micros held_until);
+  void DropBatchJob(const std::string& batch_job_id);
+  void Finish(const std::string& batch_job_id, std::uint32_t item);  // it has a result
   // Puts the item back where `lease` is its lease; an adopted one matches any.
-  bool Return(const std::string& lot_id, std::uint32_t item, std::uint64_t lease);
+  bool Return(const std::string& batch_job_id, std::uint32_t item, std::uint64_t lease);
 
   // Tells of a node's process; the leases of its earlier ones are void. False: it is an earlier
   // one.
@@ -45,7 +45,8 @@
   std::vector<TakenItem> Take(const std::string& node, const std::map<std::string, int>& room,
                               int most, Micros now);
   // Whether the node holds the item from now on for another span.
-  bool Renew(const std::string& node, const std::string& lot_id, std::uint32_t item, Micros now);
+  bool Renew(const std::string& node, const std::string& batch_job_id, std::uint32_t item,
+             Micros now);
   void DropNode(const std::string& node);
   void Expire(Micros now);
 
@@ -62,7 +63,7 @@
     std::uint64_t lease = 0;  // 0: adopted, or held back
     Micros expires = 0;
   };
-  struct LotItems {
+  struct BatchJobItems {
     std::string id, route;
     std::int64_t due_ms = 0;
     std::vector<Item> items;
@@ -70,22 +71,22 @@
     std::uint32_t first = 0;  // no item before it waits
   };
   struct RouteItems {
-    std::set<std::pair<std::int64_t, std::uint64_t>> lots;  // by due time, with waiting items
+    std::set<std::pair<std::int64_t, std::uint64_t>> batch_jobs;  // by due time, with waiting items
     std::size_t waiting = 0;
   };
 
-  LotItems* Find(const std::string& lot_id, std::uint64_t* number);
-  void MakeWaiting(std::uint64_t number, LotItems* lot, std::uint32_t item);
-  void RemoveWaiting(std::uint64_t number, LotItems* lot, std::uint32_t item);
-  void RemoveLease(std::uint64_t number, LotItems* lot, std::uint32_t item);
-  void Lease(std::uint64_t number, LotItems* lot, std::uint32_t item, std::uint32_t node,
+  BatchJobItems* Find(const std::string& batch_job_id, std::uint64_t* number);
+  void MakeWaiting(std::uint64_t number, BatchJobItems* batch_job, std::uint32_t item);
+  void RemoveWaiting(std::uint64_t number, BatchJobItems* batch_job, std::uint32_t item);
+  void RemoveLease(std::uint64_t number, BatchJobItems* batch_job, std::uint32_t item);
+  void Lease(std::uint64_t number, BatchJobItems* batch_job, std::uint32_t item, std::uint32_t node,
              std::uint64_t lease, Micros expires);
   std::uint32_t NodeNumber(const std::string& node);
   TakenItem TakeFirst(std::uint64_t number, std::uint32_t node, Micros now);
 
-  std::uint64_t next_lease_, next_lot_ = 1;
+  std::uint64_t next_lease_, next_batch_job_ = 1;
   std::unordered_map<std::string, std::uint64_t> numbers_;
-  std::unordered_map<std::uint64_t, LotItems> lots_;
+  std::unordered_map<std::uint64_t, BatchJobItems> batch_jobs_;
   std::map<std::string, RouteItems> routes_;
   std::set<std::tuple<Micros, std::uint64_t, std::uint32_t>> leased_;  // by expiry
   std::unordered_map<std::string, std::uint32_t> node_numbers_;
--- a/src/tier/batch/messages.h
+++ b/src/tier/batch/messages.h
@@ -47,7 +47,7 @@
 };
 
 constexpr std::uint32_t kPartitions = 32;
-std::uint32_t PartitionOf(std::string_view lot_id);  // FNV-1a, the same on every node
+std::uint32_t PartitionOf(std::string_view batch_job_id);  // FNV-1a, the same on every node
 
 // ---------------------------------------------------------------- lots
 
@@ -63,42 +63,42 @@
   }
 };
 
-struct LotSpec {
-  std::string lot_id, route, host;
+struct BatchJobSpec {
+  std::string batch_job_id, route, host;
   std::uint64_t fingerprint = 0;  // of the whole hand-in: the same lot sent again
   double token_cap = 0, quota_excess = 0;
-  int tries = 1;
+  int attempts = 1;
   double due_ms = 0, retain_s = 0, status_s = 0;
   std::vector<ItemSpec> items;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& lot_id& route& host& fingerprint& token_cap& quota_excess& tries& due_ms& retain_s&
-        status_s& items;
+    archive& batch_job_id& route& host& fingerprint& token_cap& quota_excess& attempts& due_ms&
+        retain_s& status_s& items;
   }
 };
 
 // Every call to a store carries the placement epoch that the caller knows. A store that is not the
 // active primary of the lot's partition answers FAILED_PRECONDITION or UNAVAILABLE: ask again.
-// A store whose epoch of the partition is another one refuses a CreateLot: one that is late cannot
-// come into force once the partition has changed.
-struct CreateLot {
+// A store whose epoch of the partition is another one refuses a CreateBatchJob: one that is late
+// cannot come into force once the partition has changed.
+struct CreateBatchJob {
   std::uint64_t placement_epoch = 0, partition_epoch = 0;
-  LotSpec lot;
+  BatchJobSpec batch_job;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& placement_epoch& partition_epoch& lot;
+    archive& placement_epoch& partition_epoch& batch_job;
   }
 };
 
 // Asked before a lot's items are sent: whether they could be kept now. It changes nothing, so an
 // answer that does not come leaves nothing in doubt.
-struct OfferLot {
+struct OfferBatchJob {
   std::uint64_t placement_epoch = 0;
-  std::string lot_id;
-  std::uint64_t disk_bytes = 0;  // that the lot takes at most (LotBytes)
+  std::string batch_job_id;
+  std::uint64_t disk_bytes = 0;  // that the lot takes at most (BatchJobBytes)
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& placement_epoch& lot_id& disk_bytes;
+    archive& placement_epoch& batch_job_id& disk_bytes;
   }
 };
 enum class OfferVerdict : std::uint8_t {
@@ -106,7 +106,7 @@
   kKnown,    // handed in before, or being handed in
   kNoRoom,   // on the disk of a replica
 };
-struct OfferLotAnswer {
+struct OfferBatchJobResponse {
   OfferVerdict verdict = OfferVerdict::kWelcome;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -118,7 +118,7 @@
   kOverQuota,
   kNoRoom,  // on the disk of a replica
 };
-struct CreateLotAnswer {
+struct CreateBatchJobResponse {
   CreateStatus status = CreateStatus::kAccepted;
   std::int64_t retry_after_ms = 0;  // of a refusal; 0: not known
   template <class Archive>
@@ -138,18 +138,18 @@
   }
 };
 
-struct ReadLot {
+struct ReadBatchJob {
   std::uint64_t placement_epoch = 0;
-  std::string lot_id;
+  std::string batch_job_id;
   std::uint64_t start_after = 0;
   std::int64_t wait_ms = 0;  // hold the answer this long where nothing is there yet
   std::uint64_t max_bytes = 1'000'000;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& placement_epoch& lot_id& start_after& wait_ms& max_bytes;
+    archive& placement_epoch& batch_job_id& start_after& wait_ms& max_bytes;
   }
 };
-struct ReadLotAnswer {
+struct ReadBatchJobResponse {
   bool found = false;  // false only where it is sure that no such lot was accepted
   std::uint64_t total = 0;
   std::vector<ItemOutput> outputs;
@@ -161,13 +161,13 @@
 
 struct ReadItemBody {
   std::uint64_t placement_epoch = 0;
-  std::string lot_id, item_id;
+  std::string batch_job_id, item_id;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& placement_epoch& lot_id& item_id;
+    archive& placement_epoch& batch_job_id& item_id;
   }
 };
-struct ReadItemBodyAnswer {
+struct ReadItemBodyResponse {
   bool found = false;
   std::string body;
   template <class Archive>
@@ -176,15 +176,15 @@
   }
 };
 
-struct CancelLot {
+struct CancelBatchJob {
   std::uint64_t placement_epoch = 0;
-  std::string lot_id;
+  std::string batch_job_id;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& placement_epoch& lot_id;
+    archive& placement_epoch& batch_job_id;
   }
 };
-struct CancelLotAnswer {
+struct CancelBatchJobResponse {
   bool found = false;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -194,7 +194,7 @@
 
 // ---------------------------------------------------------------- leases of items
 
-struct TakeItems {
+struct PullItems {
   std::string node;           // name of the edge node
   std::uint64_t process = 0;  // of its process: leases of an earlier one are void
   std::uint64_t placement_epoch = 0;
@@ -206,19 +206,19 @@
   }
 };
 struct LeasedItem {
-  std::string lot_id, route, host;
+  std::string batch_job_id, route, host;
   std::uint64_t lease = 0;      // unique at its store process; results and renewals name it
   std::int64_t expires_ms = 0;  // from now: give the item up by then unless renewed
   std::uint32_t failures = 0;   // answers of 500 so far
-  int tries = 1;
+  int attempts = 1;
   double retain_left_ms = 0;
   ItemSpec item;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& lot_id& route& host& lease& expires_ms& failures& tries& retain_left_ms& item;
+    archive& batch_job_id& route& host& lease& expires_ms& failures& attempts& retain_left_ms& item;
   }
 };
-struct TakeItemsAnswer {
+struct PullItemsResponse {
   std::vector<LeasedItem> items;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -233,13 +233,13 @@
   kReturned,    // not run, or nothing known: run it again
 };
 struct ItemResult {
-  std::string lot_id, item_id;
+  std::string batch_job_id, item_id;
   std::uint64_t lease = 0;
   RunOutcome outcome = RunOutcome::kReturned;
   std::string content;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& lot_id& item_id& lease& outcome& content;
+    archive& batch_job_id& item_id& lease& outcome& content;
   }
 };
 // The answer to an ItemResult is empty: it has been made durable or is of no more use. The edge
@@ -253,7 +253,7 @@
     archive& node& process& held;
   }
 };
-struct RenewLeasesAnswer {
+struct RenewLeasesResponse {
   std::vector<std::pair<std::string, std::string>> stop;  // of ended lots or done: cancel these
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
--- a/src/tier/batch/placement_duty.cpp
+++ b/src/tier/batch/placement_controller.cpp
@@ -1,4 +1,4 @@
-#include "tier/batch/placement_duty.h"
+#include "tier/batch/placement_controller.h"
 
 #include <algorithm>
 #include <utility>
@@ -11,7 +11,7 @@
 // How often the stores are looked at: while something is under way, in calm, and without the duty.
 constexpr Micros kBusyPeriod = 200 * kMs;
 constexpr Micros kCalmPeriod = 500 * kMs;
-constexpr Micros kOffDutyPeriod = 1 * kSecond;
+constexpr Micros kStandbyPeriod = 1 * kSecond;
 // The first table waits until no further store has shown up for this long.
 constexpr Micros kSettleTime = 1 * kSecond;
 // A store that went away has this long to come back before another takes its place.
@@ -22,37 +22,38 @@
 // A store that has not answered somebody for a quarter of a second and the duty for this time more
 // has been silent for over half a second: longer than any way takes that is not in trouble.
 constexpr Micros kPingTime = 350 * kMs;
-constexpr char kDutyName[] = "placement";
+constexpr char kRoleName[] = "placement";
 
 }  // namespace
 
-PlacementDuty::PlacementDuty(Timers* timers, rpc::Mesh* mesh, control::ControlClient* control,
-                             std::string self, PlacementSpread spread, Micros silent_after,
-                             bool asks_silent)
+PlacementController::PlacementController(Timers* timers, rpc::Transport* transport,
+                                         control::ControlClient* control, std::string self,
+                                         PlacementSpread spread, Micros silent_after,
+                                         bool asks_silent)
     : timers_(timers),
-      mesh_(mesh),
+      transport_(transport),
       control_(control),
-      duty_(control, kDutyName, std::move(self), [this] { LookLater(0); }),
+      role_(control, kRoleName, std::move(self), [this] { LookLater(0); }),
       spread_(std::move(spread)),
       asks_silent_(asks_silent),
-      presence_(silent_after) {
-  mesh->Handle(rpc::MessageType::kStoreStatus,
-               [this, alive = alive_](const std::string&, std::string_view body,
-                                      const rpc::Respond& respond) {
-                 if (*alive) OnStatus(body, respond);
-               });
+      liveness_(silent_after) {
+  transport->Handle(rpc::MessageType::kStoreStatus,
+                    [this, alive = alive_](const std::string&, std::string_view body,
+                                           const rpc::Respond& respond) {
+                      if (*alive) OnStatus(body, respond);
+                    });
   control->OnChange([this, alive = alive_] {
     if (*alive) Look();
   });
   LookLater(0);
 }
 
-PlacementDuty::~PlacementDuty() {
+PlacementController::~PlacementController() {
   *alive_ = false;
   timers_->Cancel(&timer_);
 }
 
-void PlacementDuty::LookLater(Micros delay) {
+void PlacementController::LookLater(Micros delay) {
   timers_->Cancel(&timer_);
   timer_ = timers_->After(delay, [this] {
     timer_ = 0;
@@ -60,13 +61,13 @@
   });
 }
 
-void PlacementDuty::OnStatus(std::string_view body, const rpc::Respond& respond) {
+void PlacementController::OnStatus(std::string_view body, const rpc::Respond& respond) {
   auto status = codec::Decode<StoreStatus>(body);
   if (!status.ok()) {
     respond(status.status());
     return;
   }
-  if (!duty_.Update(Now())) {
+  if (!role_.Update(Now())) {
     respond(absl::FailedPreconditionError("this node does not place partitions"));
     return;
   }
@@ -74,44 +75,44 @@
     filled_.insert({status->store, partition, epoch});
   }
   respond(std::string());
-  for (const StoreId& store : status->silent) AskSilent(store);
+  for (const StoreId& store : status->silent) PingUnresponsive(store);
   if (!status->filled.empty()) Look();
 }
 
 // A report is no more than a hint: its sender may be the one that is cut off.
-void PlacementDuty::AskSilent(const StoreId& store) {
+void PlacementController::PingUnresponsive(const StoreId& store) {
   const auto member = control_->members().find(store.name);
   const bool known = asks_silent_ && member != control_->members().end() &&
                      member->second.info.disk_id == store.disk_id && !asking_.contains(store);
   if (!known) return;
   asking_.insert(store);
-  mesh_->Call(member->second.info.address, rpc::MessageType::kStorePing, {}, kPingTime,
-              [this, alive = alive_, store](const absl::StatusOr<std::string>& answer) {
-                if (!*alive) return;
-                asking_.erase(store);
-                if (answer.ok())
-                  presence_.MarkHeard(Now(), store);
-                else if (on_duty_)
-                  presence_.MarkSilent(Now(), store);
-                LookLater(0);
-              });
+  transport_->Call(member->second.info.address, rpc::MessageType::kStorePing, {}, kPingTime,
+                   [this, alive = alive_, store](const absl::StatusOr<std::string>& answer) {
+                     if (!*alive) return;
+                     asking_.erase(store);
+                     if (answer.ok())
+                       liveness_.MarkResponsive(Now(), store);
+                     else if (has_role_)
+                       liveness_.MarkUnresponsive(Now(), store);
+                     LookLater(0);
+                   });
 }
 
-void PlacementDuty::BeginDuty(Micros now) {
-  on_duty_ = true;
-  duty_since_ = now;
-  presence_.Reset(now);
+void PlacementController::OnRoleAcquired(Micros now) {
+  has_role_ = true;
+  role_since_ = now;
+  liveness_.Reset(now);
 }
 
-void PlacementDuty::EndDuty() {
-  on_duty_ = false;
+void PlacementController::OnRoleLost() {
+  has_role_ = false;
   filled_.clear();
   table_.reset();
   revision_ = 0;
 }
 
 // False: there is a table that cannot be read, nothing may be done.
-bool PlacementDuty::LoadTable() {
+bool PlacementController::LoadTable() {
   const auto snapshot = control_->Current();
   if (snapshot->stores.empty()) {
     table_.reset();
@@ -131,58 +132,58 @@
   return true;
 }
 
-void PlacementDuty::ForgetOldReports() {
+void PlacementController::ForgetOldReports() {
   std::erase_if(filled_, [this](const FilledReport& report) {
     if (report.partition >= table_->partitions.size()) return true;
     return report.epoch < table_->partitions[report.partition].epoch;
   });
 }
 
-PlacementInput PlacementDuty::Gather(Micros now) {
+PlacementInput PlacementController::Gather(Micros now) {
   PlacementInput input;
-  input.stores = presence_.Look(now, control_->members());
+  input.stores = liveness_.Look(now, control_->members());
   input.spread = spread_;
   input.filled = filled_;
-  if (table_ != nullptr && now - duty_since_ >= kUnknownTime) {
+  if (table_ != nullptr && now - role_since_ >= kUnknownTime) {
     for (const Partition& partition : table_->partitions) {
       for (const StoreId& store : partition.replicas)
-        presence_.AddUnheard(now, store, &input.stores);
+        liveness_.AddUnheard(now, store, &input.stores);
     }
   }
-  input.allow_first = now - presence_.changed() >= kSettleTime;
-  input.allow_joining = !presence_.AwaitsReturn(now, kReturnTime);
+  input.allow_first = now - liveness_.changed() >= kSettleTime;
+  input.allow_joining = !liveness_.AwaitsReturn(now, kReturnTime);
   return input;
 }
 
-void PlacementDuty::Look() {
+void PlacementController::Look() {
   const Micros now = Now();
-  if (!duty_.Update(now)) {
-    if (on_duty_) EndDuty();
-    LookLater(control_->IsDutyHolder() ? kBusyPeriod : kOffDutyPeriod);
+  if (!role_.Update(now)) {
+    if (has_role_) OnRoleLost();
+    LookLater(control_->IsSingletonRoleCandidate() ? kBusyPeriod : kStandbyPeriod);
     return;
   }
-  if (!on_duty_) BeginDuty(now);
+  if (!has_role_) OnRoleAcquired(now);
   if (proposing_ || !LoadTable()) {
     LookLater(kBusyPeriod);
     return;
   }
-  for (const auto& [store, since] : presence_.silent()) AskSilent(store);
+  for (const auto& [store, since] : liveness_.silent()) PingUnresponsive(store);
   const PlacementInput input = Gather(now);
   auto next = NextPlacement(table_.get(), input);
   if (next.has_value()) Propose(*std::move(next), revision_);
   const bool calm = !proposing_ && table_ != nullptr && IsSettled(*table_, spread_.replicas);
-  const bool calm_stores = presence_.silent().empty();
+  const bool calm_stores = liveness_.silent().empty();
   Micros next_look = calm && calm_stores ? kCalmPeriod : kBusyPeriod;
-  if (const Micros silence = presence_.NextSilence(); silence > now)
+  if (const Micros silence = liveness_.NextSilence(); silence > now)
     next_look = std::min(next_look, silence - now);
   LookLater(next_look);
 }
 
-void PlacementDuty::Propose(PlacementTable table, std::uint64_t revision) {
+void PlacementController::Propose(PlacementTable table, std::uint64_t revision) {
   proposing_ = true;
   logging::Info("batch", "placement proposed",
                 {logging::F("epoch", table.epoch), logging::F("revision", revision)});
-  control_->Change({control::kStoresKey, revision, codec::Encode(table), duty_.fence()},
+  control_->Change({control::kStoresKey, revision, codec::Encode(table), role_.fencing_token()},
                    kChangeTimeout, [this, alive = alive_](const control::ChangeOutcome&) {
                      if (!*alive) return;
                      proposing_ = false;
--- a/src/tier/batch/placement_duty.h
+++ b/src/tier/batch/placement_controller.h
@@ -1,8 +1,8 @@
 // The duty of placing partitions on stores, held by one node at a time under an epoch
-// (control::DutyHolder): watches the stores' membership and their reports, and proposes the next
-// placement table, which the control state refuses once another node has taken the duty.
-#ifndef PEARREACH_SRC_TIER_BATCH_PLACEMENT_DUTY_H_
-#define PEARREACH_SRC_TIER_BATCH_PLACEMENT_DUTY_H_
+// (control::SingletonRoleDriver): watches the stores' membership and their reports, and proposes
+// the next placement table, which the control state refuses once another node has taken the duty.
+#ifndef PEARREACH_SRC_TIER_BATCH_PLACEMENT_CONTROLLER_H_
+#define PEARREACH_SRC_TIER_BATCH_PLACEMENT_CONTROLLER_H_
 
 #include <cstdint>
 #include <map>
@@ -14,24 +14,25 @@
 #include "common/event_loop/timers.h"
 #include "tier/batch/messages.h"
 #include "tier/batch/placement.h"
-#include "tier/batch/store_presence.h"
+#include "tier/batch/store_liveness.h"
 #include "tier/control/control_client.h"
-#include "tier/control/duty_holder.h"
-#include "tier/rpc/mesh.h"
+#include "tier/control/singleton_role_driver.h"
+#include "tier/rpc/transport.h"
 
 namespace pearreach::batch {
 
-class PlacementDuty {
+class PlacementController {
  public:
   // `self`: a name of this process that no other one has. Handles kStoreStatus; a node that does
-  // not hold the duty answers it FAILED_PRECONDITION. `silent_after`: see StorePresence.
+  // not hold the duty answers it FAILED_PRECONDITION. `silent_after`: see StoreLiveness.
   // `asks_silent`: stores that others report as silent are asked, and count as gone where they
   // don't answer.
-  PlacementDuty(Timers* timers, rpc::Mesh* mesh, control::ControlClient* control, std::string self,
-                PlacementSpread spread, Micros silent_after, bool asks_silent = true);
-  ~PlacementDuty();
-  PlacementDuty(const PlacementDuty&) = delete;
-  PlacementDuty& operator=(const PlacementDuty&) = delete;
+  PlacementController(Timers* timers, rpc::Transport* transport, control::ControlClient* control,
+                      std::string self, PlacementSpread spread, Micros silent_after,
+                      bool asks_silent = true);
+  ~PlacementController();
+  PlacementController(const PlacementController&) = delete;
+  PlacementController& operator=(const PlacementController&) = delete;
 
   // Membership has changed: looks at once.
   void Look();
@@ -39,24 +40,24 @@
  private:
   void OnStatus(std::string_view body, const rpc::Respond& respond);
   void LookLater(Micros delay);
-  void BeginDuty(Micros now);
-  void EndDuty();
+  void OnRoleAcquired(Micros now);
+  void OnRoleLost();
   bool LoadTable();
   PlacementInput Gather(Micros now);
-  void AskSilent(const StoreId& store);
+  void PingUnresponsive(const StoreId& store);
   void ForgetOldReports();
   void Propose(PlacementTable table, std::uint64_t revision);
 
   Timers* timers_;
-  rpc::Mesh* mesh_;
+  rpc::Transport* transport_;
   control::ControlClient* control_;
-  control::DutyHolder duty_;
+  control::SingletonRoleDriver role_;
   const PlacementSpread spread_;
   Timers::Id timer_ = 0;
-  bool on_duty_ = false, proposing_ = false;
-  Micros duty_since_ = 0;
+  bool has_role_ = false, proposing_ = false;
+  Micros role_since_ = 0;
   const bool asks_silent_;
-  StorePresence presence_;
+  StoreLiveness liveness_;
   std::set<StoreId> asking_;  // stores that were reported as silent
   std::set<FilledReport> filled_;
   std::unique_ptr<PlacementTable> table_;  // of `revision_`
@@ -66,4 +67,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_TIER_BATCH_PLACEMENT_DUTY_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_PLACEMENT_CONTROLLER_H_
