--- a/src/tier/batch/quota.cpp
+++ b/src/tier/batch/quota.cpp
@@ -6,16 +6,16 @@
 
 namespace pearreach::batch {
 
-QuotaLedger::QuotaLedger(const std::map<std::string, QuotaReservation>& reservations, Micros now)
+QuotaTracker::QuotaTracker(const std::map<std::string, QuotaReservation>& reservations, Micros now)
     : since_(now) {
-  for (const auto& [lot, reservation] : reservations) {
-    entries_[lot] = {reservation, true, reservation.tokens, now};
+  for (const auto& [batch_job, reservation] : reservations) {
+    entries_[batch_job] = {reservation, true, reservation.tokens, now};
   }
 }
 
 // Whether a report that does not name the lot tells that it does not wait and will not: the report
 // was made after the reservation had been asked for, and would name it while that is under way.
-bool QuotaLedger::IsOver(const Entry& entry, const Reporter& reporter) {
+bool QuotaTracker::IsOver(const Entry& entry, const Reporter& reporter) {
   if (!entry.reserved) return true;
   const QuotaReservation& asked = entry.reservation;
   if (reporter.epoch != asked.epoch) return reporter.epoch > asked.epoch;
@@ -23,7 +23,7 @@
   return reporter.process > asked.process && reporter.reported >= entry.granted + kReservationSpan;
 }
 
-std::vector<std::string> QuotaLedger::Report(const QuotaReport& report, Micros now) {
+std::vector<std::string> QuotaTracker::Report(const QuotaReport& report, Micros now) {
   std::map<std::uint32_t, Reporter> taken;
   for (const auto& [partition, epoch] : report.partitions) {
     if (partition >= kPartitions) continue;
@@ -36,8 +36,9 @@
     taken[partition] = reporter;
   }
   std::map<std::string, double> waiting;
-  for (const LotTokens& lot : report.lots) {
-    if (taken.contains(PartitionOf(lot.lot_id))) waiting[lot.lot_id] = lot.tokens;
+  for (const BatchJobTokens& batch_job : report.batch_jobs) {
+    if (taken.contains(PartitionOf(batch_job.batch_job_id)))
+      waiting[batch_job.batch_job_id] = batch_job.tokens;
   }
   const std::set<std::string> asked(report.asked.begin(), report.asked.end());
   const double before = Sum();
@@ -49,24 +50,24 @@
     if (entry.second.reserved) released.push_back(entry.first);
     return true;
   });
-  for (const auto& [lot, tokens] : waiting) entries_[lot].tokens = tokens;
+  for (const auto& [batch_job, tokens] : waiting) entries_[batch_job].tokens = tokens;
   drain_.NoteFreed(std::max(before - Sum(), 0.0), now);
   return released;
 }
 
-double QuotaLedger::Sum() const {
+double QuotaTracker::Sum() const {
   double sum = 0;
-  for (const auto& [lot, entry] : entries_) sum += entry.tokens;
+  for (const auto& [batch_job, entry] : entries_) sum += entry.tokens;
   return sum;
 }
 
-bool QuotaLedger::IsFresh() const {
+bool QuotaTracker::IsFresh() const {
   return std::all_of(entries_.begin(), entries_.end(), [this](const auto& entry) {
     return reporters_.contains(PartitionOf(entry.first));
   });
 }
 
-bool QuotaLedger::WantsReports(Micros now) const {
+bool QuotaTracker::WantsReports(Micros now) const {
   return std::any_of(entries_.begin(), entries_.end(), [&](const auto& entry) {
     const auto reporter = reporters_.find(PartitionOf(entry.first));
     const Micros heard = reporter == reporters_.end() ? since_ : reporter->second.reported;
@@ -74,33 +75,33 @@
   });
 }
 
-QuotaVerdict QuotaLedger::Fits(const QuotaQuestion& question) const {
-  const auto entry = entries_.find(question.lot_id);
+QuotaDecision QuotaTracker::Fits(const QuotaQuery& question) const {
+  const auto entry = entries_.find(question.batch_job_id);
   const bool known = entry != entries_.end();
-  if (known && entry->second.reserved) return QuotaVerdict::kGranted;
+  if (known && entry->second.reserved) return QuotaDecision::kGranted;
   const double others = Sum() - (known ? entry->second.tokens : 0);
-  if (others + question.tokens <= question.cap) return QuotaVerdict::kGranted;
-  return IsFresh() ? QuotaVerdict::kOver : QuotaVerdict::kUnknown;
+  if (others + question.tokens <= question.cap) return QuotaDecision::kGranted;
+  return IsFresh() ? QuotaDecision::kOver : QuotaDecision::kUnknown;
 }
 
-Micros QuotaLedger::RetryAfter(const QuotaQuestion& question, Micros now) {
-  drain_.NoteRefused(question.lot_id, question.tokens, now);
-  return drain_.Wait(question.lot_id, Sum() + question.tokens - question.cap, now);
+Micros QuotaTracker::RetryAfter(const QuotaQuery& question, Micros now) {
+  drain_.NoteRefused(question.batch_job_id, question.tokens, now);
+  return drain_.Wait(question.batch_job_id, Sum() + question.tokens - question.cap, now);
 }
 
-QuotaVerdict QuotaLedger::Reserve(const QuotaReserve& reserve, Micros now) {
-  Entry& entry = entries_[reserve.lot_id];
+QuotaDecision QuotaTracker::Reserve(const QuotaReserveRequest& reserve, Micros now) {
+  Entry& entry = entries_[reserve.batch_job_id];
   const double tokens = reserve.reservation.tokens;
   if (!entry.reserved && Sum() - entry.tokens + tokens > reserve.cap) {
-    if (entry.tokens == 0) entries_.erase(reserve.lot_id);
-    return QuotaVerdict::kOver;
+    if (entry.tokens == 0) entries_.erase(reserve.batch_job_id);
+    return QuotaDecision::kOver;
   }
   if (!entry.reserved) entry.tokens = tokens;
   entry.reservation = reserve.reservation;
   entry.reserved = true;
   entry.granted = now;
-  drain_.NoteGranted(reserve.lot_id);
-  return QuotaVerdict::kGranted;
+  drain_.NoteGranted(reserve.batch_job_id);
+  return QuotaDecision::kGranted;
 }
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/quota.h
+++ b/src/tier/batch/quota.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "common/event_loop/timers.h"
-#include "tier/batch/lot_state.h"
+#include "tier/batch/batch_job_state.h"
 #include "tier/batch/messages.h"
 #include "tier/batch/quota_drain.h"
 
@@ -22,33 +22,33 @@
 // A partition that tokens were granted to is asked again once it has been silent this long.
 constexpr Micros kReportSpan = 2 * kSecond;
 
-enum class QuotaVerdict : std::uint8_t {
+enum class QuotaDecision : std::uint8_t {
   kGranted,
   kOver,
   kUnknown,  // nobody who could tell has answered
 };
 
-struct QuotaReserve {
-  std::string lot_id;
+struct QuotaReserveRequest {
+  std::string batch_job_id;
   QuotaReservation reservation;
   double cap = 0;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& lot_id& reservation& cap;
+    archive& batch_job_id& reservation& cap;
   }
 };
 // Whether a lot would fit now; nothing is set aside for it.
-struct QuotaQuestion {
-  std::string route, lot_id;
+struct QuotaQuery {
+  std::string route, batch_job_id;
   double tokens = 0, cap = 0;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& route& lot_id& tokens& cap;
+    archive& route& batch_job_id& tokens& cap;
   }
 };
 // The answer to both.
-struct QuotaReserveAnswer {
-  QuotaVerdict verdict = QuotaVerdict::kUnknown;
+struct QuotaResponse {
+  QuotaDecision verdict = QuotaDecision::kUnknown;
   std::int64_t retry_after_ms = 0;  // kOver: when it may fit; 0: not known
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -56,12 +56,12 @@
   }
 };
 
-struct LotTokens {
-  std::string lot_id;
+struct BatchJobTokens {
+  std::string batch_job_id;
   double tokens = 0;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& lot_id& tokens;
+    archive& batch_job_id& tokens;
   }
 };
 
@@ -74,31 +74,31 @@
   std::uint64_t process = 0, sequence = 0;
   bool ask = false;
   std::vector<std::pair<std::uint32_t, std::uint64_t>> partitions;  // with their epochs
-  std::vector<LotTokens> lots;
+  std::vector<BatchJobTokens> batch_jobs;
   std::vector<std::string> asked;  // lots for which a reservation is under way
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& route& process& sequence& ask& partitions& lots& asked;
+    archive& route& process& sequence& ask& partitions& batch_jobs& asked;
   }
 };
 
-class QuotaLedger {
+class QuotaTracker {
  public:
-  QuotaLedger() = default;
+  QuotaTracker() = default;
   // With the reservations that are on disk, of this route alone.
-  QuotaLedger(const std::map<std::string, QuotaReservation>& reservations, Micros now);
+  QuotaTracker(const std::map<std::string, QuotaReservation>& reservations, Micros now);
 
   // Takes over what the report tells. Returns the lots whose reservations are over.
   std::vector<std::string> Report(const QuotaReport& report, Micros now);
   // Counts the lot from now on where all that waits with its tokens stays within the cap: it may be
   // taken once the reservation is on disk. A lot with a reservation is granted again.
-  QuotaVerdict Reserve(const QuotaReserve& reserve, Micros now);
+  QuotaDecision Reserve(const QuotaReserveRequest& reserve, Micros now);
   // Whether Reserve would grant it. A ledger that is not fresh says no more than kUnknown for one
   // that does not fit.
-  QuotaVerdict Fits(const QuotaQuestion& question) const;
+  QuotaDecision Fits(const QuotaQuery& question) const;
   double Sum() const;
   // Of a lot that does not fit: notes that it was refused, and when it may fit.
-  Micros RetryAfter(const QuotaQuestion& question, Micros now);
+  Micros RetryAfter(const QuotaQuery& question, Micros now);
   // All partitions that tokens were granted to have reported to this ledger.
   bool IsFresh() const;
   // A partition that tokens were granted to has been silent for kReportSpan.
--- a/src/tier/batch/quota_drain.cpp
+++ b/src/tier/batch/quota_drain.cpp
@@ -9,8 +9,8 @@
 constexpr Micros kMemory = 1 * kSecond;  // of what became free
 // A refused lot that has not been asked for again within this comes no more.
 constexpr Micros kRefusedMemory = 2 * kSecond;
-constexpr Micros kLeastWait = 200 * kMs;
-constexpr Micros kMostWait = 5 * kSecond;  // clients heed no more than a third of their time
+constexpr Micros kMinWait = 200 * kMs;
+constexpr Micros kMaxWait = 5 * kSecond;  // clients heed no more than a third of their time
 constexpr Micros kUnknownWait = 500 * kMs;
 
 double Seconds(Micros time) { return static_cast<double>(time) / static_cast<double>(kSecond); }
@@ -26,24 +26,24 @@
   freed_at_ = now;
 }
 
-void QuotaDrain::NoteRefused(const std::string& lot_id, double tokens, Micros now) {
+void QuotaDrain::NoteRefused(const std::string& batch_job_id, double tokens, Micros now) {
   std::erase_if(refused_,
                 [now](const auto& entry) { return now - entry.second.second >= kRefusedMemory; });
-  refused_[lot_id] = {tokens, now};
+  refused_[batch_job_id] = {tokens, now};
 }
 
 double QuotaDrain::Rate(Micros now) const {
   return Faded(freed_, now - freed_at_) / Seconds(kMemory);
 }
 
-Micros QuotaDrain::Wait(const std::string& lot_id, double missing, Micros now) const {
+Micros QuotaDrain::Wait(const std::string& batch_job_id, double missing, Micros now) const {
   const double rate = Rate(now);
   if (rate < 1) return kUnknownWait;
   for (const auto& [other, refused] : refused_) {
-    if (other != lot_id && now - refused.second < kRefusedMemory) missing += refused.first;
+    if (other != batch_job_id && now - refused.second < kRefusedMemory) missing += refused.first;
   }
   const auto wait = static_cast<Micros>(missing / rate * static_cast<double>(kSecond));
-  return std::clamp(wait, kLeastWait, kMostWait);
+  return std::clamp(wait, kMinWait, kMaxWait);
 }
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/quota_drain.h
+++ b/src/tier/batch/quota_drain.h
@@ -15,11 +15,11 @@
  public:
   // Tokens that no longer wait.
   void NoteFreed(double tokens, Micros now);
-  void NoteRefused(const std::string& lot_id, double tokens, Micros now);
-  void NoteGranted(const std::string& lot_id) { refused_.erase(lot_id); }
+  void NoteRefused(const std::string& batch_job_id, double tokens, Micros now);
+  void NoteGranted(const std::string& batch_job_id) { refused_.erase(batch_job_id); }
   // Until so many tokens, and those of the other refused lots, have become free; a default where
   // nothing has become free lately.
-  Micros Wait(const std::string& lot_id, double missing, Micros now) const;
+  Micros Wait(const std::string& batch_job_id, double missing, Micros now) const;
 
  private:
   double Rate(Micros now) const;  // tokens a second
--- a/src/tier/batch/repair_pacer.cpp
+++ b/src/tier/batch/repair_throttle.cpp
@@ -1,4 +1,4 @@
-#include "tier/batch/repair_pacer.h"
+#include "tier/batch/repair_throttle.h"
 
 #include <algorithm>
 #include <utility>
@@ -8,10 +8,10 @@
 namespace pearreach::batch {
 namespace {
 
-constexpr int kMostInFlight = 4;
+constexpr int kMaxInFlight = 4;
 constexpr double kBytesPerMbit = 125'000;
 constexpr double kUnknownLinkMbps = 100;
-constexpr double kUsualShare = 0.25, kMostShare = 0.75;
+constexpr double kUsualShare = 0.25, kMaxShare = 0.75;
 constexpr Micros kLogPeriod = 1 * kSecond;
 
 }  // namespace
@@ -19,15 +19,15 @@
 double RepairRate(double link_mbps, std::uint64_t used_bytes, double sync_s) {
   const double link = (link_mbps > 0 ? link_mbps : kUnknownLinkMbps) * kBytesPerMbit;
   const double needed = static_cast<double>(used_bytes) / (std::max(sync_s, 1.0) / 2);
-  return std::clamp(needed, link * kUsualShare, link * kMostShare);
+  return std::clamp(needed, link * kUsualShare, link * kMaxShare);
 }
 
-void RepairPacer::Ask(bool urgent, Send send) {
+void RepairThrottle::Ask(bool urgent, Send send) {
   (urgent ? urgent_ : waiting_).push_back(std::move(send));
   Wake(0);
 }
 
-RepairPacer::Slot RepairPacer::NewSlot() {
+RepairThrottle::Slot RepairThrottle::NewSlot() {
   ++in_flight_;
   return Slot(nullptr, [this, alive = std::weak_ptr<bool>(alive_)](void*) {
     if (alive.expired()) return;
@@ -36,7 +36,7 @@
   });
 }
 
-void RepairPacer::Wake(Micros delay) {
+void RepairThrottle::Wake(Micros delay) {
   const Micros at = surroundings_.now() + delay;
   if (wake_at_ != 0 && wake_at_ <= at) return;
   wake_at_ = at;
@@ -47,9 +47,9 @@
   });
 }
 
-void RepairPacer::Next() {
+void RepairThrottle::Next() {
   const Micros now = surroundings_.now();
-  const bool is_free = now >= free_at_ && in_flight_ < kMostInFlight;
+  const bool is_free = now >= free_at_ && in_flight_ < kMaxInFlight;
   if (urgent_.empty() && (waiting_.empty() || !is_free)) {
     if (!waiting_.empty() && now < free_at_) Wake(free_at_ - now);
     return;
@@ -64,7 +64,7 @@
   if (!urgent_.empty() || !waiting_.empty()) Wake(0);
 }
 
-void RepairPacer::Log(Micros now, std::size_t bytes) {
+void RepairThrottle::Log(Micros now, std::size_t bytes) {
   sent_ += bytes;
   if (sent_ == 0 || (logged_at_ != 0 && now - logged_at_ < kLogPeriod)) return;
   logging::Info("batch", "repair sends lots",
--- a/src/tier/batch/repair_pacer.h
+++ b/src/tier/batch/repair_throttle.h
@@ -1,7 +1,7 @@
 // One bound over all partitions of a store on what repair sends: bytes a second and calls in
 // flight, so that live changes find the links free.
-#ifndef PEARREACH_SRC_TIER_BATCH_REPAIR_PACER_H_
-#define PEARREACH_SRC_TIER_BATCH_REPAIR_PACER_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_REPAIR_THROTTLE_H_
+#define PEARREACH_SRC_TIER_BATCH_REPAIR_THROTTLE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace pearreach::batch {
 
-class RepairPacer {
+class RepairThrottle {
  public:
   // Held while the call that was sent is under way.
   using Slot = std::shared_ptr<void>;
@@ -24,7 +24,7 @@
     std::function<void(Micros delay, std::function<void()>)> after;  // not once this has gone
   };
 
-  explicit RepairPacer(Surroundings surroundings) : surroundings_(std::move(surroundings)) {}
+  explicit RepairThrottle(Surroundings surroundings) : surroundings_(std::move(surroundings)) {}
 
   void SetRate(double bytes_per_second) { rate_ = bytes_per_second; }
   // Calls `send` on a later turn, in its order. What a partition waits for before it may serve is
@@ -54,4 +54,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_TIER_BATCH_REPAIR_PACER_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_REPAIR_THROTTLE_H_
--- a/src/tier/batch/replication.cpp
+++ b/src/tier/batch/replication.cpp
@@ -23,11 +23,11 @@
     : partition_(partition),
       self_(std::move(self)),
       environment_(environment),
-      lots_(partition),
+      batch_jobs_(partition),
       commits_([environment](std::vector<storage::Write> batch, CommitQueue::Done done) {
         environment->Commit(std::move(batch), std::move(done));
       }) {
-  lots_.Load(environment_->Disk());
+  batch_jobs_.Load(environment_->Disk());
 }
 
 PartitionReplica::~PartitionReplica() { environment_->Cancel(&confirm_timer_); }
@@ -135,7 +135,7 @@
 
 void PartitionReplica::Activate() {
   active_ = true;
-  lots_.MakeAllVisible();
+  batch_jobs_.MakeAllVisible();
   environment_->OnActive(partition_);
 }
 
@@ -181,7 +181,7 @@
   }
   const std::uint64_t sequence = ++last_sequence_;
   auto shared = std::make_shared<const Operation>(std::move(operation));
-  std::vector<storage::Write> batch = lots_.Apply(*shared);
+  std::vector<storage::Write> batch = batch_jobs_.Apply(*shared);
   pending_.push_back({sequence, shared, false, std::move(done)});
   const std::uint64_t term = term_;
   commits_.Commit(std::move(batch), [this, term, sequence](const absl::Status& status) {
@@ -221,13 +221,13 @@
 }
 
 void PartitionReplica::Complete(const Pending& pending) {
-  Lot* lot = lots_.Find(pending.operation->lot_id);
-  if (lot != nullptr) {
+  BatchJob* batch_job = batch_jobs_.Find(pending.operation->batch_job_id);
+  if (batch_job != nullptr) {
     for (const Record& record : pending.operation->records) {
       const auto kind = static_cast<RecordKind>(record.kind);
-      if (kind == RecordKind::kHeader) lot->accepted = true;
+      if (kind == RecordKind::kHeader) batch_job->accepted = true;
       if (kind == RecordKind::kResult) {
-        lot->visible_results = std::max(lot->visible_results, record.index + 1);
+        batch_job->visible_results = std::max(batch_job->visible_results, record.index + 1);
       }
     }
   }
@@ -249,11 +249,11 @@
                  {logging::F("partition", partition_), logging::F("error", status.ToString())});
   if (!primary_) return;
   StepDown();
-  lots_.Load(environment_->Disk());
+  batch_jobs_.Load(environment_->Disk());
   const std::uint64_t term = term_;
   environment_->After(kSecond, [this, term] {
     if (term != term_ || table_.replicas.empty() || table_.replicas.front() != self_) return;
-    lots_.Load(environment_->Disk());
+    batch_jobs_.Load(environment_->Disk());
     BecomePrimary();
     UpdateLinks();
     CheckActive();
@@ -372,7 +372,7 @@
 }
 
 void PartitionReplica::OnReplicate(Replicate message, rpc::Respond respond) {
-  ReplicateAnswer answer;
+  ReplicateResponse answer;
   answer.verdict = JudgeReplicate(message);
   if (answer.verdict != ReplicaVerdict::kTaken) {
     respond(codec::Encode(answer));
@@ -383,7 +383,7 @@
   for (const Operation& operation : message.operations) {
     const bool known = !message.fill && sequence++ < next_;
     if (known) continue;
-    std::vector<storage::Write> writes = lots_.Apply(operation);
+    std::vector<storage::Write> writes = batch_jobs_.Apply(operation);
     std::move(writes.begin(), writes.end(), std::back_inserter(batch));
   }
   if (!message.fill) next_ = std::max(next_, sequence);
@@ -403,27 +403,28 @@
       return;
     }
     stream_open_ = false;
-    if (!primary_) lots_.Load(environment_->Disk());
+    if (!primary_) batch_jobs_.Load(environment_->Disk());
     respond(status);
   });
 }
 
 void PartitionReplica::OnRepairDigest(const RepairDigest& message, rpc::Respond respond) {
-  RepairDigestAnswer answer;
+  RepairDigestResponse answer;
   answer.verdict = Judge(message.scope, !message.buckets.empty());
   if (answer.verdict == ReplicaVerdict::kTaken) {
-    const std::vector<std::uint64_t> mine = lots_.BucketDigests();
+    const std::vector<std::uint64_t> mine = batch_jobs_.BucketDigests();
     for (std::uint32_t i = 0; i < mine.size() && i < message.buckets.size(); ++i) {
       if (mine[i] != message.buckets[i]) answer.differing.push_back(i);
     }
     std::map<std::string, std::uint64_t> held;
-    for (auto& [lot, digest] : lots_.LotDigests(message.listed)) held.emplace(lot, digest);
-    for (const auto& [lot, digest] : message.lots) {
-      const auto at = held.find(lot);
-      if (at == held.end() || at->second != digest) answer.wanted.push_back(lot);
+    for (auto& [batch_job, digest] : batch_jobs_.BatchJobDigests(message.listed))
+      held.emplace(batch_job, digest);
+    for (const auto& [batch_job, digest] : message.batch_jobs) {
+      const auto at = held.find(batch_job);
+      if (at == held.end() || at->second != digest) answer.wanted.push_back(batch_job);
       if (at != held.end()) held.erase(at);
     }
-    for (const auto& [lot, digest] : held) answer.surplus.push_back(lot);
+    for (const auto& [batch_job, digest] : held) answer.surplus.push_back(batch_job);
   }
   respond(codec::Encode(answer));
 }
--- a/src/tier/batch/replication.h
+++ b/src/tier/batch/replication.h
@@ -19,13 +19,13 @@
 #include <vector>
 
 #include "common/event_loop/timers.h"
+#include "tier/batch/batch_job_state.h"
 #include "tier/batch/commit_queue.h"
-#include "tier/batch/lot_state.h"
 #include "tier/batch/messages.h"
-#include "tier/batch/repair_pacer.h"
+#include "tier/batch/repair_throttle.h"
 #include "tier/batch/replication_link.h"
 #include "tier/batch/replication_messages.h"
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 #include "tier/storage/table_store.h"
 
 namespace pearreach::batch {
@@ -52,7 +52,7 @@
   virtual void OnActive(std::uint32_t partition) = 0;
   virtual void OnInactive(std::uint32_t partition) = 0;
   // Calls `send` once the store may send a part of a repair.
-  virtual void PaceRepair(bool /*urgent*/, RepairPacer::Send send) {
+  virtual void PaceRepair(bool /*urgent*/, RepairThrottle::Send send) {
     After(0, [send = std::move(send)] { send(nullptr); });
   }
   // Bytes that this store's disk has for further lots; as another store told it.
@@ -80,8 +80,8 @@
   std::uint64_t epoch() const { return table_.epoch; }
   const Partition& table() const { return table_; }
 
-  LotTable& lots() { return lots_; }
-  const LotTable& lots() const { return lots_; }
+  BatchJobTable& batch_jobs() { return batch_jobs_; }
+  const BatchJobTable& batch_jobs() const { return batch_jobs_; }
 
   // Active primary only. The change is in lots() at once, counts once `done` is called with OK, and
   // is in doubt (UNAVAILABLE) where this store loses its part before that.
@@ -115,7 +115,7 @@
   ReplicaScope Scope(const StoreId& to) const override;
   void LinkCommit(CommitQueue::Done done) override { commits_.Commit({}, std::move(done)); }
   std::uint64_t last_sequence() const override { return last_sequence_; }
-  const LotTable& link_lots() const override { return lots_; }
+  const BatchJobTable& link_batch_jobs() const override { return batch_jobs_; }
   void LinkAdvanced() override;
   void Require(ReplicaLink* link) const;
 
@@ -146,7 +146,7 @@
   const std::uint32_t partition_;
   const StoreId self_;
   ReplicationEnvironment* const environment_;
-  LotTable lots_;
+  BatchJobTable batch_jobs_;
   CommitQueue commits_;
   Partition table_;
   bool primary_ = false, active_ = false;
--- a/src/tier/batch/replication_link.cpp
+++ b/src/tier/batch/replication_link.cpp
@@ -79,35 +79,35 @@
 void ReplicaLink::SendBuckets() {
   RepairDigest message;
   message.scope = Scope();
-  message.buckets = owner_->link_lots().BucketDigests();
-  Call<RepairDigestAnswer>(rpc::MessageType::kRepairDigest, codec::Encode(message), kStreamTimeout,
-                           [this](const RepairDigestAnswer& answer) {
-                             if (answer.differing.empty()) {
-                               Begin();
-                             } else {
-                               SendLots(answer.differing);
-                             }
-                           });
+  message.buckets = owner_->link_batch_jobs().BucketDigests();
+  Call<RepairDigestResponse>(rpc::MessageType::kRepairDigest, codec::Encode(message),
+                             kStreamTimeout, [this](const RepairDigestResponse& answer) {
+                               if (answer.differing.empty()) {
+                                 Begin();
+                               } else {
+                                 SendBatchJobs(answer.differing);
+                               }
+                             });
 }
 
-void ReplicaLink::SendLots(std::vector<std::uint32_t> buckets) {
+void ReplicaLink::SendBatchJobs(std::vector<std::uint32_t> buckets) {
   RepairDigest message;
   message.scope = Scope();
-  message.lots = owner_->link_lots().LotDigests(buckets);
+  message.batch_jobs = owner_->link_batch_jobs().BatchJobDigests(buckets);
   message.listed = std::move(buckets);
-  Call<RepairDigestAnswer>(rpc::MessageType::kRepairDigest, codec::Encode(message), kFillTimeout,
-                           [this](const RepairDigestAnswer& answer) {
-                             to_send_.assign(answer.wanted.begin(), answer.wanted.end());
-                             to_erase_.assign(answer.surplus.begin(), answer.surplus.end());
-                             const std::weak_ptr<ReplicaLink> weak = weak_from_this();
-                             const std::uint64_t generation = generation_;
-                             // Lots are read from disk: what the digests told must be there.
-                             owner_->LinkCommit([weak, generation](const absl::Status&) {
-                               const auto self = weak.lock();
-                               if (self == nullptr || self->generation_ != generation) return;
-                               self->Fill();
+  Call<RepairDigestResponse>(rpc::MessageType::kRepairDigest, codec::Encode(message), kFillTimeout,
+                             [this](const RepairDigestResponse& answer) {
+                               to_send_.assign(answer.wanted.begin(), answer.wanted.end());
+                               to_erase_.assign(answer.surplus.begin(), answer.surplus.end());
+                               const std::weak_ptr<ReplicaLink> weak = weak_from_this();
+                               const std::uint64_t generation = generation_;
+                               // Lots are read from disk: what the digests told must be there.
+                               owner_->LinkCommit([weak, generation](const absl::Status&) {
+                                 const auto self = weak.lock();
+                                 if (self == nullptr || self->generation_ != generation) return;
+                                 self->Fill();
+                               });
                              });
-                           });
 }
 
 // A part at a time, as the store's pace of repair allows.
@@ -118,7 +118,7 @@
   }
   const std::weak_ptr<ReplicaLink> weak = weak_from_this();
   const std::uint64_t generation = generation_;
-  environment_->PaceRepair(counts, [weak, generation](const RepairPacer::Slot& slot) {
+  environment_->PaceRepair(counts, [weak, generation](const RepairThrottle::Slot& slot) {
     const auto self = weak.lock();
     const bool wanted = self != nullptr && self->generation_ == generation;
     return wanted ? self->SendFill(slot) : std::size_t{0};
@@ -126,27 +126,27 @@
 }
 
 // What is to go first, and by itself: a full disk takes nothing else.
-std::size_t ReplicaLink::SendFill(const RepairPacer::Slot& slot) {
+std::size_t ReplicaLink::SendFill(const RepairThrottle::Slot& slot) {
   Replicate message;
   message.scope = Scope();
   message.fill = true;
   std::size_t bytes = 0;
   const bool erases = !to_erase_.empty();
-  auto& lots = erases ? to_erase_ : to_send_;
-  while (!lots.empty() && bytes < kFillBytes) {
+  auto& batch_jobs = erases ? to_erase_ : to_send_;
+  while (!batch_jobs.empty() && bytes < kFillBytes) {
     message.operations.push_back(
-        erases ? MakeForget(lots.front())
-               : owner_->link_lots().Whole(environment_->Disk(), lots.front()));
+        erases ? MakeForget(batch_jobs.front())
+               : owner_->link_batch_jobs().Whole(environment_->Disk(), batch_jobs.front()));
     bytes += message.operations.back().Bytes();
-    lots.pop_front();
+    batch_jobs.pop_front();
   }
-  auto held = std::make_shared<RepairPacer::Slot>(slot);
-  Call<ReplicateAnswer>(rpc::MessageType::kReplicate, codec::Encode(message), kFillTimeout,
-                        [this, held](const ReplicateAnswer& answer) {
-                          held->reset();
-                          environment_->NoteRoom(peer_, answer.room);
-                          Fill();
-                        });
+  auto held = std::make_shared<RepairThrottle::Slot>(slot);
+  Call<ReplicateResponse>(rpc::MessageType::kReplicate, codec::Encode(message), kFillTimeout,
+                          [this, held](const ReplicateResponse& answer) {
+                            held->reset();
+                            environment_->NoteRoom(peer_, answer.room);
+                            Fill();
+                          });
   return bytes;
 }
 
@@ -157,12 +157,12 @@
   message.fill = true;
   message.begin = true;
   const Micros sent = environment_->Now();
-  Call<ReplicateAnswer>(rpc::MessageType::kReplicate, codec::Encode(message), kFillTimeout,
-                        [this, sent](const ReplicateAnswer& answer) {
-                          environment_->NoteRoom(peer_, answer.room);
-                          state_ = State::kStreaming;
-                          OnTaken(base_, sent);
-                        });
+  Call<ReplicateResponse>(rpc::MessageType::kReplicate, codec::Encode(message), kFillTimeout,
+                          [this, sent](const ReplicateResponse& answer) {
+                            environment_->NoteRoom(peer_, answer.room);
+                            state_ = State::kStreaming;
+                            OnTaken(base_, sent);
+                          });
 }
 
 void ReplicaLink::Push(std::uint64_t sequence, std::shared_ptr<const Operation> operation) {
@@ -193,13 +193,13 @@
   in_flight_ = true;
   probe_wanted_ = false;
   const Micros sent = environment_->Now();
-  Call<ReplicateAnswer>(rpc::MessageType::kReplicate, codec::Encode(message),
-                        bytes < kMessageBytes / 4 ? kStreamTimeout : kFillTimeout,
-                        [this, last, sent](const ReplicateAnswer& answer) {
-                          environment_->NoteRoom(peer_, answer.room);
-                          in_flight_ = false;
-                          OnTaken(last, sent);
-                        });
+  Call<ReplicateResponse>(rpc::MessageType::kReplicate, codec::Encode(message),
+                          bytes < kMessageBytes / 4 ? kStreamTimeout : kFillTimeout,
+                          [this, last, sent](const ReplicateResponse& answer) {
+                            environment_->NoteRoom(peer_, answer.room);
+                            in_flight_ = false;
+                            OnTaken(last, sent);
+                          });
 }
 
 void ReplicaLink::OnTaken(std::uint64_t last, Micros sent) {
--- a/src/tier/batch/replication_link.h
+++ b/src/tier/batch/replication_link.h
@@ -13,12 +13,12 @@
 #include <vector>
 
 #include "common/event_loop/timers.h"
+#include "tier/batch/batch_job_state.h"
 #include "tier/batch/commit_queue.h"
-#include "tier/batch/lot_state.h"
 #include "tier/batch/messages.h"
-#include "tier/batch/repair_pacer.h"
+#include "tier/batch/repair_throttle.h"
 #include "tier/batch/replication_messages.h"
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 
 namespace pearreach::batch {
 
@@ -34,7 +34,7 @@
   // Calls back once all changes made so far are on disk.
   virtual void LinkCommit(CommitQueue::Done done) = 0;
   virtual std::uint64_t last_sequence() const = 0;
-  virtual const LotTable& link_lots() const = 0;
+  virtual const BatchJobTable& link_batch_jobs() const = 0;
   virtual void LinkAdvanced() = 0;
 };
 
@@ -70,9 +70,9 @@
             std::function<void(const Answer&)> taken);
   ReplicaScope Scope() const;
   void SendBuckets();
-  void SendLots(std::vector<std::uint32_t> buckets);
+  void SendBatchJobs(std::vector<std::uint32_t> buckets);
   void Fill();
-  std::size_t SendFill(const RepairPacer::Slot& slot);
+  std::size_t SendFill(const RepairThrottle::Slot& slot);
   void Begin();
   void Pump();
   void OnTaken(std::uint64_t last, Micros sent);
--- a/src/tier/batch/replication_messages.h
+++ b/src/tier/batch/replication_messages.h
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-#include "tier/batch/lot_state.h"
+#include "tier/batch/batch_job_state.h"
 #include "tier/batch/messages.h"
 
 namespace pearreach::batch {
@@ -46,7 +46,7 @@
   }
 };
 
-struct ReplicateAnswer {
+struct ReplicateResponse {
   ReplicaVerdict verdict = ReplicaVerdict::kTaken;
   std::uint64_t room = 0;  // bytes that the replica's disk has for further lots; only if taken
   template <class Archive>
@@ -60,14 +60,14 @@
   ReplicaScope scope;
   std::vector<std::uint64_t> buckets;
   std::vector<std::uint32_t> listed;  // buckets of which `lots` holds all
-  std::vector<std::pair<std::string, std::uint64_t>> lots;
+  std::vector<std::pair<std::string, std::uint64_t>> batch_jobs;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& scope& buckets& listed& lots;
+    archive& scope& buckets& listed& batch_jobs;
   }
 };
 
-struct RepairDigestAnswer {
+struct RepairDigestResponse {
   ReplicaVerdict verdict = ReplicaVerdict::kTaken;
   std::vector<std::uint32_t> differing;  // buckets
   std::vector<std::string> wanted;       // lots that differ or are missing
--- a/src/tier/batch/retire_api.cpp
+++ b/src/tier/batch/retire_api.cpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "tier/batch/placement.h"
-#include "tier/batch/placement_duty.h"
+#include "tier/batch/placement_controller.h"
 
 namespace pearreach::batch {
 namespace {
--- a/src/tier/batch/leave_check.h
+++ b/src/tier/batch/shutdown_check.h
@@ -1,7 +1,7 @@
 // Whether a store may end without being the last to hold something: what it asks itself before a
 // planned end.
-#ifndef PEARREACH_SRC_TIER_BATCH_LEAVE_CHECK_H_
-#define PEARREACH_SRC_TIER_BATCH_LEAVE_CHECK_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_SHUTDOWN_CHECK_H_
+#define PEARREACH_SRC_TIER_BATCH_SHUTDOWN_CHECK_H_
 
 #include <functional>
 
@@ -16,4 +16,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_TIER_BATCH_LEAVE_CHECK_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_SHUTDOWN_CHECK_H_
--- a/src/tier/batch/store_client.cpp
+++ b/src/tier/batch/store_client.cpp
@@ -34,7 +34,7 @@
 
 struct StoreClient::Call {
   rpc::MessageType type;
-  std::string lot_id;
+  std::string batch_job_id;
   Micros deadline = 0, unsent_deadline = 0, attempt = 0;
   Encoder encode;
   Finished finished;
@@ -42,20 +42,20 @@
   bool unclear = false;  // a store may have carried it out without saying so
   // Epochs of the partition under which it was asked last, and last without an answer.
   std::uint64_t asked_epoch = 0, unclear_epoch = 0;
-  std::uint64_t tries = 0;  // numbers the attempt whose answer counts
-  std::string last_error;   // of a store, for the log
-  StoreId asked;            // the last store
+  std::uint64_t attempts = 0;  // numbers the attempt whose answer counts
+  std::string last_error;      // of a store, for the log
+  StoreId asked;               // the last store
   Micros began = 0;
   Timers::Id timer = 0;
 };
 
-StoreClient::StoreClient(Timers* timers, rpc::Mesh* mesh, control::ControlClient* control,
+StoreClient::StoreClient(Timers* timers, rpc::Transport* transport, control::ControlClient* control,
                          std::string self)
     : timers_(timers),
-      mesh_(mesh),
+      transport_(transport),
       control_(control),
-      silence_(mesh, control),
-      path_(mesh, control, std::move(self)) {
+      unresponsive_stores_(transport, control),
+      path_(transport, control, std::move(self)) {
   control_->OnChange([this, alive = alive_] {
     if (*alive && control_->Current()->stores_revision != table_revision_) WakeMoved();
   });
@@ -67,7 +67,7 @@
   if (table == nullptr) return;
   std::vector<CallId> moved;
   for (const auto& [id, call] : calls_) {
-    const std::uint64_t epoch = table->partitions[PartitionOf(call->lot_id)].epoch;
+    const std::uint64_t epoch = table->partitions[PartitionOf(call->batch_job_id)].epoch;
     if (call->pausing && call->asked_epoch != epoch) moved.push_back(id);
   }
   for (const CallId id : moved) {
@@ -99,10 +99,10 @@
   return table_;
 }
 
-const StoreId* StoreClient::PrimaryOf(std::string_view lot_id) {
+const StoreId* StoreClient::PrimaryOf(std::string_view batch_job_id) {
   const auto table = Table();
   if (table == nullptr) return nullptr;
-  const Partition& partition = table->partitions[PartitionOf(lot_id)];
+  const Partition& partition = table->partitions[PartitionOf(batch_job_id)];
   return partition.replicas.empty() ? nullptr : &partition.replicas.front();
 }
 
@@ -122,13 +122,13 @@
 
 // ---------------------------------------------------------------- calls with repetition
 
-StoreClient::CallId StoreClient::Start(rpc::MessageType type, std::string lot_id, CallTime time,
-                                       Encoder encode, Finished finished) {
+StoreClient::CallId StoreClient::Start(rpc::MessageType type, std::string batch_job_id,
+                                       CallTime time, Encoder encode, Finished finished) {
   const CallId id = ++last_;
   auto call = std::make_unique<Call>();
   const Micros now = Now();
   call->type = type;
-  call->lot_id = std::move(lot_id);
+  call->batch_job_id = std::move(batch_job_id);
   call->began = now;
   call->deadline = now + time.overall;
   call->unsent_deadline = now + (time.unsent > 0 ? time.unsent : time.overall);
@@ -146,22 +146,23 @@
   Call* call = found->second.get();
   call->timer = 0;
   call->pausing = false;
-  const StoreId* primary = PrimaryOf(call->lot_id);
+  const StoreId* primary = PrimaryOf(call->batch_job_id);
   const bool there = primary != nullptr && !path_.AddressOf(*primary).empty();
   const Micros left = call->deadline - Now();
   if (!there || left <= 0) {
     RetryLater(id, call);
     return;
   }
-  const std::uint64_t number = ++call->tries;
+  const std::uint64_t number = ++call->attempts;
   call->asked = *primary;
-  const Asking asking{table_->epoch, table_->partitions[PartitionOf(call->lot_id)].epoch, left};
+  const Asking asking{table_->epoch, table_->partitions[PartitionOf(call->batch_job_id)].epoch,
+                      left};
   call->asked_epoch = asking.partition_epoch;
   path_.Call(call->asked, call->type, call->encode(asking), std::min(left, call->attempt),
              [this, alive = alive_, id, number](absl::StatusOr<std::string> answer) {
                if (!*alive) return;
                const auto at = calls_.find(id);
-               if (at == calls_.end() || at->second->tries != number) return;
+               if (at == calls_.end() || at->second->attempts != number) return;
                OnAnswer(id, std::move(answer));
              });
 }
@@ -181,7 +182,8 @@
   }
   call->last_error = std::string(answer.status().message());
   const bool is_short = call->attempt < kAttemptTime;  // others may wait for something
-  if (is_short && absl::IsDeadlineExceeded(answer.status())) silence_.Report(call->asked, Now());
+  if (is_short && absl::IsDeadlineExceeded(answer.status()))
+    unresponsive_stores_.Report(call->asked, Now());
   RetryLater(id, call);
 }
 
@@ -199,25 +201,25 @@
 }
 
 // A lot that is neither taken nor refused costs its client all of it: what it waited for must show.
-void StoreClient::LogLotGivenUp(const Call& call, std::string_view why) const {
-  if (call.type != rpc::MessageType::kLotCreate) return;
+void StoreClient::LogAbandonedBatchJob(const Call& call, std::string_view why) const {
+  if (call.type != rpc::MessageType::kBatchJobCreate) return;
   const StoreId* primary =
-      table_ == nullptr || table_->partitions[PartitionOf(call.lot_id)].replicas.empty()
+      table_ == nullptr || table_->partitions[PartitionOf(call.batch_job_id)].replicas.empty()
           ? nullptr
-          : &table_->partitions[PartitionOf(call.lot_id)].replicas.front();
+          : &table_->partitions[PartitionOf(call.batch_job_id)].replicas.front();
   logging::Warning(
       kModule, "lot without an answer",
-      {logging::F("lot", call.lot_id), logging::F("why", why),
-       logging::F("partition", PartitionOf(call.lot_id)),
+      {logging::F("lot", call.batch_job_id), logging::F("why", why),
+       logging::F("partition", PartitionOf(call.batch_job_id)),
        logging::F("primary", primary == nullptr ? std::string("none") : primary->name),
-       logging::F("asked_last", call.asked.name), logging::F("tries", call.tries),
+       logging::F("asked_last", call.asked.name), logging::F("tries", call.attempts),
        logging::F("unclear", call.unclear), logging::F("waited_ms", (Now() - call.began) / kMs),
        logging::F("last_error", call.last_error)});
 }
 
 void StoreClient::GiveUp(CallId id, const Call& call) {
   if (call.unclear) {
-    LogLotGivenUp(call, "its time is over");
+    LogAbandonedBatchJob(call, "its time is over");
     Finish(id, absl::DeadlineExceededError("no store has answered; it may have been carried out: " +
                                            call.last_error));
     return;
@@ -236,25 +238,26 @@
 void StoreClient::Cancel(CallId id) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
-  LogLotGivenUp(*found->second, "its client has left");
+  LogAbandonedBatchJob(*found->second, "its client has left");
   timers_->Cancel(&found->second->timer);
   calls_.erase(found);
 }
 
 // ---------------------------------------------------------------- typed calls
 
-StoreClient::CallId StoreClient::Create(LotSpec lot, CallTime time, Done<CreateLotAnswer> done) {
-  auto message = std::make_shared<CreateLot>();
-  message->lot = std::move(lot);
-  const std::string lot_id = message->lot.lot_id;
+StoreClient::CallId StoreClient::Create(BatchJobSpec batch_job, CallTime time,
+                                        Done<CreateBatchJobResponse> done) {
+  auto message = std::make_shared<CreateBatchJob>();
+  message->batch_job = std::move(batch_job);
+  const std::string batch_job_id = message->batch_job.batch_job_id;
   Encoder encode = [message](const Asking& asking) {
     message->placement_epoch = asking.placement_epoch;
     message->partition_epoch = asking.partition_epoch;
     return codec::Encode(*message);
   };
-  return Start(rpc::MessageType::kLotCreate, lot_id, time, std::move(encode),
+  return Start(rpc::MessageType::kBatchJobCreate, batch_job_id, time, std::move(encode),
                [done = std::move(done)](absl::StatusOr<std::string> bytes, bool unclear) {
-                 auto answer = Decoded<CreateLotAnswer>(std::move(bytes));
+                 auto answer = Decoded<CreateBatchJobResponse>(std::move(bytes));
                  // An earlier attempt may still reach a store: a refusal would promise too much.
                  const bool refused = answer.ok() && answer->status != CreateStatus::kAccepted;
                  if (refused && unclear) {
@@ -264,80 +267,83 @@
                });
 }
 
-StoreClient::CallId StoreClient::Offer(OfferLot offer, CallTime time, Done<OfferLotAnswer> done) {
-  const std::string lot_id = offer.lot_id;
+StoreClient::CallId StoreClient::Offer(OfferBatchJob offer, CallTime time,
+                                       Done<OfferBatchJobResponse> done) {
+  const std::string batch_job_id = offer.batch_job_id;
   Encoder encode = [offer = std::move(offer)](const Asking& asking) {
-    OfferLot message = offer;
+    OfferBatchJob message = offer;
     message.placement_epoch = asking.placement_epoch;
     return codec::Encode(message);
   };
-  return Start(rpc::MessageType::kLotOffer, lot_id, time, std::move(encode),
+  return Start(rpc::MessageType::kBatchJobOffer, batch_job_id, time, std::move(encode),
                [done = std::move(done)](absl::StatusOr<std::string> bytes, bool) {
-                 done(Decoded<OfferLotAnswer>(std::move(bytes)));
+                 done(Decoded<OfferBatchJobResponse>(std::move(bytes)));
                });
 }
 
 // The owner of a route is the primary of the partition that its name falls into.
-StoreClient::CallId StoreClient::AskQuota(QuotaQuestion question, CallTime time,
-                                          Done<QuotaReserveAnswer> done) {
+StoreClient::CallId StoreClient::AskQuota(QuotaQuery question, CallTime time,
+                                          Done<QuotaResponse> done) {
   const std::string route = question.route;
   Encoder encode = [question = std::move(question)](const Asking&) {
     return codec::Encode(question);
   };
-  return Start(rpc::MessageType::kQuotaQuestion, route, time, std::move(encode),
+  return Start(rpc::MessageType::kQuotaQuery, route, time, std::move(encode),
                [done = std::move(done)](absl::StatusOr<std::string> bytes, bool) {
-                 done(Decoded<QuotaReserveAnswer>(std::move(bytes)));
+                 done(Decoded<QuotaResponse>(std::move(bytes)));
                });
 }
 
-StoreClient::CallId StoreClient::Read(ReadLot read, CallTime time, Done<ReadLotAnswer> done) {
-  const std::string lot_id = read.lot_id;
+StoreClient::CallId StoreClient::Read(ReadBatchJob read, CallTime time,
+                                      Done<ReadBatchJobResponse> done) {
+  const std::string batch_job_id = read.batch_job_id;
   Encoder encode = [read = std::move(read)](const Asking& asking) {
-    ReadLot message = read;
+    ReadBatchJob message = read;
     message.placement_epoch = asking.placement_epoch;
     const Micros longest = std::max<Micros>(asking.left - kReadMargin, 0);
     message.wait_ms = std::min<std::int64_t>(message.wait_ms, longest / kMs);
     return codec::Encode(message);
   };
-  return Start(rpc::MessageType::kLotRead, lot_id, time, std::move(encode),
+  return Start(rpc::MessageType::kBatchJobRead, batch_job_id, time, std::move(encode),
                [done = std::move(done)](absl::StatusOr<std::string> bytes, bool) {
-                 done(Decoded<ReadLotAnswer>(std::move(bytes)));
+                 done(Decoded<ReadBatchJobResponse>(std::move(bytes)));
                });
 }
 
 StoreClient::CallId StoreClient::ReadBody(ReadItemBody read, CallTime time,
-                                          Done<ReadItemBodyAnswer> done) {
-  const std::string lot_id = read.lot_id;
+                                          Done<ReadItemBodyResponse> done) {
+  const std::string batch_job_id = read.batch_job_id;
   Encoder encode = [read = std::move(read)](const Asking& asking) {
     ReadItemBody message = read;
     message.placement_epoch = asking.placement_epoch;
     return codec::Encode(message);
   };
-  return Start(rpc::MessageType::kLotItemBody, lot_id, time, std::move(encode),
+  return Start(rpc::MessageType::kItemBody, batch_job_id, time, std::move(encode),
                [done = std::move(done)](absl::StatusOr<std::string> bytes, bool) {
-                 done(Decoded<ReadItemBodyAnswer>(std::move(bytes)));
+                 done(Decoded<ReadItemBodyResponse>(std::move(bytes)));
                });
 }
 
-StoreClient::CallId StoreClient::End(CancelLot cancel, CallTime time, Done<CancelLotAnswer> done) {
-  const std::string lot_id = cancel.lot_id;
+StoreClient::CallId StoreClient::End(CancelBatchJob cancel, CallTime time,
+                                     Done<CancelBatchJobResponse> done) {
+  const std::string batch_job_id = cancel.batch_job_id;
   Encoder encode = [cancel = std::move(cancel)](const Asking& asking) {
-    CancelLot message = cancel;
+    CancelBatchJob message = cancel;
     message.placement_epoch = asking.placement_epoch;
     return codec::Encode(message);
   };
-  return Start(rpc::MessageType::kLotCancel, lot_id, time, std::move(encode),
+  return Start(rpc::MessageType::kBatchJobCancel, batch_job_id, time, std::move(encode),
                [done = std::move(done)](absl::StatusOr<std::string> bytes, bool) {
-                 done(Decoded<CancelLotAnswer>(std::move(bytes)));
+                 done(Decoded<CancelBatchJobResponse>(std::move(bytes)));
                });
 }
 
 StoreClient::CallId StoreClient::Report(ItemResult result, CallTime time,
                                         std::function<void(absl::Status)> done) {
-  const std::string lot_id = result.lot_id;
+  const std::string batch_job_id = result.batch_job_id;
   Encoder encode = [result = std::move(result)](const Asking&) { return codec::Encode(result); };
   return Start(
-      rpc::MessageType::kItemResult, lot_id, time, std::move(encode),
+      rpc::MessageType::kItemResult, batch_job_id, time, std::move(encode),
       [done = std::move(done)](absl::StatusOr<std::string> bytes, bool) { done(bytes.status()); });
 }
 
@@ -351,24 +357,24 @@
     });
     return;
   }
-  mesh_->Call(address, type, std::move(body), timeout,
-              [alive = alive_, done = std::move(done)](absl::StatusOr<std::string> bytes) {
-                if (*alive) done(Decoded<Answer>(std::move(bytes)));
-              });
+  transport_->Call(address, type, std::move(body), timeout,
+                   [alive = alive_, done = std::move(done)](absl::StatusOr<std::string> bytes) {
+                     if (*alive) done(Decoded<Answer>(std::move(bytes)));
+                   });
 }
 
-void StoreClient::Take(const StoreId& store, TakeItems take, Micros timeout,
-                       Done<TakeItemsAnswer> done) {
+void StoreClient::Take(const StoreId& store, PullItems take, Micros timeout,
+                       Done<PullItemsResponse> done) {
   const auto table = Table();
   take.placement_epoch = table == nullptr ? 0 : table->epoch;
-  CallStore<TakeItemsAnswer>(store, rpc::MessageType::kItemTake, codec::Encode(take), timeout,
-                             std::move(done));
+  CallStore<PullItemsResponse>(store, rpc::MessageType::kItemPull, codec::Encode(take), timeout,
+                               std::move(done));
 }
 
 void StoreClient::Renew(const StoreId& store, RenewLeases renew, Micros timeout,
-                        Done<RenewLeasesAnswer> done) {
-  CallStore<RenewLeasesAnswer>(store, rpc::MessageType::kItemRenew, codec::Encode(renew), timeout,
-                               std::move(done));
+                        Done<RenewLeasesResponse> done) {
+  CallStore<RenewLeasesResponse>(store, rpc::MessageType::kItemRenew, codec::Encode(renew), timeout,
+                                 std::move(done));
 }
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/store_client.h
+++ b/src/tier/batch/store_client.h
@@ -16,10 +16,10 @@
 #include "common/event_loop/timers.h"
 #include "tier/batch/messages.h"
 #include "tier/batch/quota.h"
-#include "tier/batch/silence_reports.h"
 #include "tier/batch/store_path.h"
+#include "tier/batch/unresponsive_store_reporter.h"
 #include "tier/control/control_client.h"
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 
 namespace pearreach::batch {
 
@@ -41,7 +41,7 @@
   using CallId = std::uint64_t;  // 0 is never a call
 
   // `self`: see StorePath.
-  StoreClient(Timers* timers, rpc::Mesh* mesh, control::ControlClient* control,
+  StoreClient(Timers* timers, rpc::Transport* transport, control::ControlClient* control,
               std::string self = {});
   ~StoreClient();
   StoreClient(const StoreClient&) = delete;
@@ -51,27 +51,28 @@
   // comes first. Errors: UNAVAILABLE, surely not carried out; DEADLINE_EXCEEDED, it may have been
   // or may yet be carried out; others as the store gave them. The messages' `placement_epoch` is
   // filled in here; the `wait_ms` of a read is shortened by what was waited before.
-  CallId Create(LotSpec lot, CallTime time, Done<CreateLotAnswer> done);
+  CallId Create(BatchJobSpec batch_job, CallTime time, Done<CreateBatchJobResponse> done);
   // These change nothing at the stores.
-  CallId Offer(OfferLot offer, CallTime time, Done<OfferLotAnswer> done);
-  CallId AskQuota(QuotaQuestion question, CallTime time, Done<QuotaReserveAnswer> done);
-  CallId Read(ReadLot read, CallTime time, Done<ReadLotAnswer> done);
-  CallId ReadBody(ReadItemBody read, CallTime time, Done<ReadItemBodyAnswer> done);
-  CallId End(CancelLot cancel, CallTime time, Done<CancelLotAnswer> done);
+  CallId Offer(OfferBatchJob offer, CallTime time, Done<OfferBatchJobResponse> done);
+  CallId AskQuota(QuotaQuery question, CallTime time, Done<QuotaResponse> done);
+  CallId Read(ReadBatchJob read, CallTime time, Done<ReadBatchJobResponse> done);
+  CallId ReadBody(ReadItemBody read, CallTime time, Done<ReadItemBodyResponse> done);
+  CallId End(CancelBatchJob cancel, CallTime time, Done<CancelBatchJobResponse> done);
   CallId Report(ItemResult result, CallTime time, std::function<void(absl::Status)> done);
   // The call's `done` is not called any more. Does nothing for 0 or a call that is over.
   void Cancel(CallId call);
 
   // Calls to one store, tried once.
-  void Take(const StoreId& store, TakeItems take, Micros timeout, Done<TakeItemsAnswer> done);
-  void Renew(const StoreId& store, RenewLeases renew, Micros timeout, Done<RenewLeasesAnswer> done);
+  void Take(const StoreId& store, PullItems take, Micros timeout, Done<PullItemsResponse> done);
+  void Renew(const StoreId& store, RenewLeases renew, Micros timeout,
+             Done<RenewLeasesResponse> done);
 
   // The newest placement table; null: none is known.
   std::shared_ptr<const PlacementTable> Table();
   // Stores that are the primary of a partition and not known to be dead.
   std::vector<StoreId> Primaries();
   // The primary of the lot's partition; null: none is known.
-  const StoreId* PrimaryOf(std::string_view lot_id);
+  const StoreId* PrimaryOf(std::string_view batch_job_id);
   std::size_t pending() const { return calls_.size(); }
 
  private:
@@ -84,25 +85,25 @@
   using Encoder = std::function<std::string(const Asking& asking)>;
   using Finished = std::function<void(absl::StatusOr<std::string>, bool unclear)>;
 
-  CallId Start(rpc::MessageType type, std::string lot_id, CallTime time, Encoder encode,
+  CallId Start(rpc::MessageType type, std::string batch_job_id, CallTime time, Encoder encode,
                Finished finished);
   void Attempt(CallId id);
   void OnAnswer(CallId id, absl::StatusOr<std::string> answer);
   void RetryLater(CallId id, Call* call);
   void WakeMoved();
   void GiveUp(CallId id, const Call& call);
-  void LogLotGivenUp(const Call& call, std::string_view why) const;
+  void LogAbandonedBatchJob(const Call& call, std::string_view why) const;
   void Finish(CallId id, absl::StatusOr<std::string> answer);
   template <class Answer>
   void CallStore(const StoreId& store, rpc::MessageType type, std::string body, Micros timeout,
                  Done<Answer> done);
 
   Timers* timers_;
-  rpc::Mesh* mesh_;
+  rpc::Transport* transport_;
   control::ControlClient* control_;
   std::shared_ptr<const PlacementTable> table_;
   std::uint64_t table_revision_ = 0;
-  SilenceReports silence_;
+  UnresponsiveStoreReporter unresponsive_stores_;
   StorePath path_;
   std::unordered_map<CallId, std::unique_ptr<Call>> calls_;
   CallId last_ = 0;
--- a/src/tier/batch/lot_store_context.h
+++ b/src/tier/batch/store_context.h
@@ -1,7 +1,7 @@
 // What the parts of a store use of each other's surroundings: the partitions, the placement table,
 // this store's identity and the time of day.
-#ifndef PEARREACH_SRC_TIER_BATCH_LOT_STORE_CONTEXT_H_
-#define PEARREACH_SRC_TIER_BATCH_LOT_STORE_CONTEXT_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_STORE_CONTEXT_H_
+#define PEARREACH_SRC_TIER_BATCH_STORE_CONTEXT_H_
 
 #include <absl/status/statusor.h>
 
@@ -14,7 +14,7 @@
 #include "tier/batch/messages.h"
 #include "tier/batch/replication.h"
 #include "tier/codec/archive.h"
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 
 namespace pearreach::batch {
 
@@ -25,14 +25,16 @@
   virtual PartitionReplica& Replica(std::uint32_t partition) = 0;
   // Whether the disks of all replicas have room for a lot of so many bytes; the second sets it
   // aside.
-  virtual bool HasRoom(const Partition& /*table*/, std::uint64_t /*bytes*/) { return true; }
-  virtual bool TakeRoom(const Partition& /*table*/, std::uint64_t /*bytes*/) { return true; }
+  virtual bool HasDiskCapacity(const Partition& /*table*/, std::uint64_t /*bytes*/) { return true; }
+  virtual bool ReserveDiskCapacity(const Partition& /*table*/, std::uint64_t /*bytes*/) {
+    return true;
+  }
   // Milliseconds since 1970; does not jump while this process lives.
   virtual std::int64_t WallMs() const = 0;
 
   // The lot's partition where this store is its active primary, else null.
-  PartitionReplica* ActiveReplica(std::string_view lot_id) {
-    PartitionReplica& replica = Replica(PartitionOf(lot_id));
+  PartitionReplica* ActiveReplica(std::string_view batch_job_id) {
+    PartitionReplica& replica = Replica(PartitionOf(batch_job_id));
     return replica.is_active() ? &replica : nullptr;
   }
 };
@@ -58,4 +60,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_TIER_BATCH_LOT_STORE_CONTEXT_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_STORE_CONTEXT_H_
--- a/src/tier/batch/store_presence.cpp
+++ b/src/tier/batch/store_liveness.cpp
@@ -1,4 +1,4 @@
-#include "tier/batch/store_presence.h"
+#include "tier/batch/store_liveness.h"
 
 #include <algorithm>
 
@@ -33,20 +33,20 @@
   return stores;
 }
 
-void StorePresence::Reset(Micros now) {
+void StoreLiveness::Reset(Micros now) {
   seen_.clear();
   silent_.clear();
   changed_ = now;
 }
 
-void StorePresence::Observe(Micros now, const StoreView& store) {
+void StoreLiveness::Observe(Micros now, const StoreView& store) {
   Seen& seen = seen_[store.id.name];
   if (seen.since != 0 && seen.id == store.id && seen.condition == store.condition) return;
   seen = {store.id, store.condition, now};
   changed_ = now;
 }
 
-std::map<std::string, StoreView> StorePresence::Look(
+std::map<std::string, StoreView> StoreLiveness::Look(
     Micros now, const std::map<std::string, coordination::Member>& members) {
   std::map<std::string, StoreView> stores = StoresOf(members);
   for (auto& [name, store] : stores) {
@@ -62,15 +62,15 @@
   return stores;
 }
 
-void StorePresence::MarkSilent(Micros now, const StoreId& store) {
+void StoreLiveness::MarkUnresponsive(Micros now, const StoreId& store) {
   if (silent_.emplace(store, now).second) changed_ = now;
 }
 
-void StorePresence::MarkHeard(Micros now, const StoreId& store) {
+void StoreLiveness::MarkResponsive(Micros now, const StoreId& store) {
   if (silent_.erase(store) > 0) changed_ = now;
 }
 
-void StorePresence::AddUnheard(Micros now, const StoreId& store,
+void StoreLiveness::AddUnheard(Micros now, const StoreId& store,
                                std::map<std::string, StoreView>* stores) {
   const auto [at, fresh] = stores->try_emplace(store.name);
   if (!fresh) return;
@@ -79,7 +79,7 @@
 }
 
 // A suspect that stays silent is gone already for the table, and may come back just the same.
-bool StorePresence::AwaitsReturn(Micros now, Micros span) const {
+bool StoreLiveness::AwaitsReturn(Micros now, Micros span) const {
   const bool lately_silent = std::any_of(
       silent_.begin(), silent_.end(), [&](const auto& entry) { return now - entry.second < span; });
   return lately_silent || std::any_of(seen_.begin(), seen_.end(), [&](const auto& entry) {
@@ -88,7 +88,7 @@
          });
 }
 
-Micros StorePresence::NextSilence() const {
+Micros StoreLiveness::NextSilence() const {
   Micros next = 0;
   for (const auto& [name, seen] : seen_) {
     if (seen.condition != StoreCondition::kUncertain) continue;
--- a/src/tier/batch/store_presence.h
+++ b/src/tier/batch/store_liveness.h
@@ -1,7 +1,7 @@
 // What the placement duty makes of the stores' membership over time: which of them are there, which
 // are silent and which have gone. Pure: no clock, no transport.
-#ifndef PEARREACH_SRC_TIER_BATCH_STORE_PRESENCE_H_
-#define PEARREACH_SRC_TIER_BATCH_STORE_PRESENCE_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_STORE_LIVENESS_H_
+#define PEARREACH_SRC_TIER_BATCH_STORE_LIVENESS_H_
 
 #include <map>
 #include <string>
@@ -16,12 +16,12 @@
 std::map<std::string, StoreView> StoresOf(
     const std::map<std::string, coordination::Member>& members);
 
-class StorePresence {
+class StoreLiveness {
  public:
   // `silent_after`: a store that has been suspect for so long without refuting it counts as gone.
   // Every node asks its suspects again within a probe period, so a live one has been heard by then.
   // A store that is taken for gone by mistake joins again with what is on its disk.
-  explicit StorePresence(Micros silent_after) : silent_after_(silent_after) {}
+  explicit StoreLiveness(Micros silent_after) : silent_after_(silent_after) {}
 
   void Reset(Micros now);
   // Takes over what membership says. Returns the stores with a suspect that stays silent as gone.
@@ -32,8 +32,8 @@
 
   // A store did not answer the duty, or has answered it again. One that is silent counts as gone
   // until it answers or another disk is at its place.
-  void MarkSilent(Micros now, const StoreId& store);
-  void MarkHeard(Micros now, const StoreId& store);
+  void MarkUnresponsive(Micros now, const StoreId& store);
+  void MarkResponsive(Micros now, const StoreId& store);
   const std::map<StoreId, Micros>& silent() const { return silent_; }  // since when
 
   // Since when no store has appeared, gone or changed.
@@ -59,4 +59,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_TIER_BATCH_STORE_PRESENCE_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_STORE_LIVENESS_H_
--- a/src/tier/batch/store_path.cpp
+++ b/src/tier/batch/store_path.cpp
@@ -21,9 +21,9 @@
 constexpr Micros kRelayMargin = 20 * kMs;
 
 constexpr std::array<MessageType, 7> kRelayed = {
-    MessageType::kLotCreate,    MessageType::kLotRead,    MessageType::kLotItemBody,
-    MessageType::kLotCancel,    MessageType::kItemResult, MessageType::kLotOffer,
-    MessageType::kQuotaQuestion};
+    MessageType::kBatchJobCreate, MessageType::kBatchJobRead, MessageType::kItemBody,
+    MessageType::kBatchJobCancel, MessageType::kItemResult,   MessageType::kBatchJobOffer,
+    MessageType::kQuotaQuery};
 
 bool MayBeRelayed(std::uint8_t type) {
   return std::any_of(kRelayed.begin(), kRelayed.end(),
@@ -32,13 +32,17 @@
 
 }  // namespace
 
-StorePath::StorePath(rpc::Mesh* mesh, const control::ControlClient* control, std::string self)
-    : mesh_(mesh), control_(control), self_(std::move(self)), random_(std::random_device()()) {
-  mesh_->Handle(MessageType::kStoreRelay,
-                [this, alive = std::weak_ptr<bool>(alive_)](
-                    const std::string&, std::string_view body, const rpc::Respond& respond) {
-                  if (!alive.expired()) Serve(body, respond);
-                });
+StorePath::StorePath(rpc::Transport* transport, const control::ControlClient* control,
+                     std::string self)
+    : transport_(transport),
+      control_(control),
+      self_(std::move(self)),
+      random_(std::random_device()()) {
+  transport_->Handle(MessageType::kStoreRelay,
+                     [this, alive = std::weak_ptr<bool>(alive_)](
+                         const std::string&, std::string_view body, const rpc::Respond& respond) {
+                       if (!alive.expired()) Serve(body, respond);
+                     });
 }
 
 StorePath::~StorePath() = default;
@@ -77,10 +81,10 @@
     if (!alive.expired()) OnAnswer(store, relayed, answer.status());
     done(std::move(answer));
   };
-  if (!relayed) return mesh_->Call(AddressOf(store), type, std::move(body), timeout, answered);
+  if (!relayed) return transport_->Call(AddressOf(store), type, std::move(body), timeout, answered);
   const Micros left = std::max(timeout - kRelayMargin, timeout / 2);
   const RelayedCall call{store, static_cast<std::uint8_t>(type), std::move(body), left / kMs};
-  mesh_->Call(relay, MessageType::kStoreRelay, codec::Encode(call), timeout, answered);
+  transport_->Call(relay, MessageType::kStoreRelay, codec::Encode(call), timeout, answered);
 }
 
 void StorePath::OnAnswer(const StoreId& store, bool relayed, const absl::Status& status) {
@@ -103,9 +107,9 @@
   if (address.empty() || !MayBeRelayed(call->type)) {
     return respond(absl::FailedPreconditionError("no such store, or no call to pass on"));
   }
-  mesh_->Call(address, static_cast<MessageType>(call->type), std::move(call->body),
-              std::max<Micros>(call->timeout_ms, 1) * kMs,
-              [respond](absl::StatusOr<std::string> answer) { respond(std::move(answer)); });
+  transport_->Call(address, static_cast<MessageType>(call->type), std::move(call->body),
+                   std::max<Micros>(call->timeout_ms, 1) * kMs,
+                   [respond](absl::StatusOr<std::string> answer) { respond(std::move(answer)); });
 }
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/store_path.h
+++ b/src/tier/batch/store_path.h
@@ -14,7 +14,7 @@
 #include "common/event_loop/timers.h"
 #include "tier/batch/messages.h"
 #include "tier/control/control_client.h"
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 
 namespace pearreach::batch {
 
@@ -33,7 +33,7 @@
 class StorePath {
  public:
   // `self`: this node's name; empty: no call goes through another node. Handles kStoreRelay.
-  StorePath(rpc::Mesh* mesh, const control::ControlClient* control, std::string self);
+  StorePath(rpc::Transport* transport, const control::ControlClient* control, std::string self);
   ~StorePath();
   StorePath(const StorePath&) = delete;
   StorePath& operator=(const StorePath&) = delete;
@@ -54,7 +54,7 @@
   std::string ChooseRelay();
   void Serve(std::string_view body, const rpc::Respond& respond);
 
-  rpc::Mesh* const mesh_;
+  rpc::Transport* const transport_;
   const control::ControlClient* const control_;
   const std::string self_;
   std::minstd_rand random_;
--- a/src/tier/batch/lot_store_quota.cpp
+++ b/src/tier/batch/store_quota.cpp
@@ -1,4 +1,4 @@
-#include "tier/batch/lot_store_quota.h"
+#include "tier/batch/store_quota.h"
 
 #include <utility>
 
@@ -17,7 +17,7 @@
   return started | (context->Random() & ((1U << kRandomBits) - 1));
 }
 
-std::string Verdict(QuotaVerdict verdict) { return codec::Encode(QuotaReserveAnswer{verdict, 0}); }
+std::string Verdict(QuotaDecision verdict) { return codec::Encode(QuotaResponse{verdict, 0}); }
 
 }  // namespace
 
@@ -37,58 +37,60 @@
 
 // ---------------------------------------------------------------- as a primary of lots
 
-void QuotaService::Reserve(const LotSpec& lot, std::function<void(QuotaVerdict)> done) {
-  const StoreId* owner = OwnerOf(lot.route);
+void QuotaService::Reserve(const BatchJobSpec& batch_job, std::function<void(QuotaDecision)> done) {
+  const StoreId* owner = OwnerOf(batch_job.route);
   if (owner == nullptr) {
-    context_->After(0, [done = std::move(done)] { done(QuotaVerdict::kUnknown); });
+    context_->After(0, [done = std::move(done)] { done(QuotaDecision::kUnknown); });
     return;
   }
-  QuotaReserve reserve{lot.lot_id, {}, lot.token_cap};
+  QuotaReserveRequest reserve{batch_job.batch_job_id, {}, batch_job.token_cap};
   QuotaReservation& reservation = reserve.reservation;
-  reservation.route = lot.route;
-  for (const ItemSpec& item : lot.items) reservation.tokens += item.tokens;
-  reservation.epoch = context_->Replica(PartitionOf(lot.lot_id)).epoch();
+  reservation.route = batch_job.route;
+  for (const ItemSpec& item : batch_job.items) reservation.tokens += item.tokens;
+  reservation.epoch = context_->Replica(PartitionOf(batch_job.batch_job_id)).epoch();
   reservation.process = process_;
   reservation.sequence = ++sequence_;
-  asked_[lot.lot_id] = {lot.route, reservation.sequence};
+  asked_[batch_job.batch_job_id] = {batch_job.route, reservation.sequence};
   context_->Send(*owner, rpc::MessageType::kQuotaReserve, codec::Encode(reserve), kReserveTimeout,
-                 [this, lot_id = lot.lot_id, reservation,
+                 [this, batch_job_id = batch_job.batch_job_id, reservation,
                   done = std::move(done)](const absl::StatusOr<std::string>& bytes) {
-                   OnReserved(lot_id, reservation, bytes, done);
+                   OnReserved(batch_job_id, reservation, bytes, done);
                  });
 }
 
 // Until `done` has been called, reports name the lot as asked for; from then on as waiting here, if
 // it was granted. A grant from before a change of the partition counts no more: the owner may have
 // been told since, by another primary, that there is no such lot.
-void QuotaService::OnReserved(const std::string& lot_id, const QuotaReservation& reservation,
+void QuotaService::OnReserved(const std::string& batch_job_id, const QuotaReservation& reservation,
                               const absl::StatusOr<std::string>& bytes,
-                              const std::function<void(QuotaVerdict)>& done) {
-  const auto at = asked_.find(lot_id);
+                              const std::function<void(QuotaDecision)>& done) {
+  const auto at = asked_.find(batch_job_id);
   if (at != asked_.end() && at->second.sequence == reservation.sequence) asked_.erase(at);
   if (!bytes.ok()) {
     if (absl::IsFailedPrecondition(bytes.status())) context_->RefreshTable();
-    done(QuotaVerdict::kUnknown);
+    done(QuotaDecision::kUnknown);
     return;
   }
-  const auto answer = codec::Decode<QuotaReserveAnswer>(*bytes);
-  const bool stands = context_->Replica(PartitionOf(lot_id)).epoch() == reservation.epoch;
-  done(answer.ok() && stands ? answer->verdict : QuotaVerdict::kUnknown);
+  const auto answer = codec::Decode<QuotaResponse>(*bytes);
+  const bool stands = context_->Replica(PartitionOf(batch_job_id)).epoch() == reservation.epoch;
+  done(answer.ok() && stands ? answer->verdict : QuotaDecision::kUnknown);
 }
 
-void QuotaService::Update(const std::string& lot_id) {
-  PartitionReplica* replica = context_->ActiveReplica(lot_id);
-  const Lot* lot = replica == nullptr ? nullptr : replica->lots().Find(lot_id);
-  const auto known = routes_.find(lot_id);
-  const double tokens = lot == nullptr || lot->header.token_cap <= 0 ? 0 : lot->WaitingTokens();
+void QuotaService::Update(const std::string& batch_job_id) {
+  PartitionReplica* replica = context_->ActiveReplica(batch_job_id);
+  const BatchJob* batch_job =
+      replica == nullptr ? nullptr : replica->batch_jobs().Find(batch_job_id);
+  const auto known = routes_.find(batch_job_id);
+  const double tokens =
+      batch_job == nullptr || batch_job->header.token_cap <= 0 ? 0 : batch_job->WaitingTokens();
   if (known == routes_.end() && tokens == 0) return;
-  const std::string route = known == routes_.end() ? lot->header.route : known->second;
+  const std::string route = known == routes_.end() ? batch_job->header.route : known->second;
   if (tokens == 0) {
-    tokens_[route].erase(lot_id);
-    routes_.erase(lot_id);
+    tokens_[route].erase(batch_job_id);
+    routes_.erase(batch_job_id);
   } else {
-    tokens_[route][lot_id] = tokens;
-    routes_[lot_id] = route;
+    tokens_[route][batch_job_id] = tokens;
+    routes_[batch_job_id] = route;
   }
   MarkChanged(route);
 }
@@ -123,29 +125,31 @@
     const PartitionReplica& replica = context_->Replica(partition);
     if (replica.is_active()) report.partitions.emplace_back(partition, replica.epoch());
   }
-  for (const auto& [lot_id, asked] : asked_) {
-    if (asked.route == route) report.asked.push_back(lot_id);
+  for (const auto& [batch_job_id, asked] : asked_) {
+    if (asked.route == route) report.asked.push_back(batch_job_id);
   }
   const auto at = tokens_.find(route);
   if (at == tokens_.end()) return report;
-  for (const auto& [lot_id, tokens] : at->second) report.lots.push_back({lot_id, tokens});
+  for (const auto& [batch_job_id, tokens] : at->second)
+    report.batch_jobs.push_back({batch_job_id, tokens});
   return report;
 }
 
 void QuotaService::OnActive(std::uint32_t partition) {
-  const LotTable& lots = context_->Replica(partition).lots();
-  for (const auto& [lot_id, lot] : lots.lots()) Update(lot_id);
-  for (const auto& [lot_id, reservation] : lots.Reservations()) OwnedOf(reservation.route);
+  const BatchJobTable& batch_jobs = context_->Replica(partition).batch_jobs();
+  for (const auto& [batch_job_id, batch_job] : batch_jobs.batch_jobs()) Update(batch_job_id);
+  for (const auto& [batch_job_id, reservation] : batch_jobs.Reservations())
+    OwnedOf(reservation.route);
 }
 
 void QuotaService::OnInactive(std::uint32_t partition) {
-  std::vector<std::string> lots;
-  for (const auto& [lot_id, route] : routes_) {
-    if (PartitionOf(lot_id) == partition) lots.push_back(lot_id);
+  std::vector<std::string> batch_jobs;
+  for (const auto& [batch_job_id, route] : routes_) {
+    if (PartitionOf(batch_job_id) == partition) batch_jobs.push_back(batch_job_id);
   }
-  for (const std::string& lot_id : lots) {
-    tokens_[routes_[lot_id]].erase(lot_id);
-    routes_.erase(lot_id);
+  for (const std::string& batch_job_id : batch_jobs) {
+    tokens_[routes_[batch_job_id]].erase(batch_job_id);
+    routes_.erase(batch_job_id);
   }
   std::erase_if(owned_, [&](auto& entry) {
     if (PartitionOf(entry.first) != partition) return false;
@@ -156,7 +160,7 @@
 
 // ---------------------------------------------------------------- as the owner of a route
 
-void QuotaService::OnReserve(QuotaReserve reserve, rpc::Respond respond) {
+void QuotaService::OnReserve(QuotaReserveRequest reserve, rpc::Respond respond) {
   if (!IsOwner(reserve.reservation.route)) {
     respond(NotPrimary());
     return;
@@ -171,15 +175,15 @@
   });
 }
 
-void QuotaService::OnQuestion(const QuotaQuestion& question, const rpc::Respond& respond) {
+void QuotaService::OnQuestion(const QuotaQuery& question, const rpc::Respond& respond) {
   if (!IsOwner(question.route)) {
     respond(NotPrimary());
     return;
   }
-  QuotaLedger& ledger = OwnedOf(question.route).ledger;
-  QuotaReserveAnswer answer{ledger.Fits(question), 0};
-  if (answer.verdict == QuotaVerdict::kOver)
-    answer.retry_after_ms = ledger.RetryAfter(question, context_->Now()) / kMs;
+  QuotaTracker& tracker = OwnedOf(question.route).tracker;
+  QuotaResponse answer{tracker.Fits(question), 0};
+  if (answer.verdict == QuotaDecision::kOver)
+    answer.retry_after_ms = tracker.RetryAfter(question, context_->Now()) / kMs;
   respond(codec::Encode(answer));
 }
 
@@ -187,27 +191,27 @@
   const auto [at, fresh] = owned_.try_emplace(route);
   if (!fresh) return at->second;
   std::map<std::string, QuotaReservation> held =
-      context_->Replica(PartitionOf(route)).lots().Reservations();
+      context_->Replica(PartitionOf(route)).batch_jobs().Reservations();
   std::erase_if(held, [&](const auto& entry) { return entry.second.route != route; });
   at->second.since = context_->Now();
-  at->second.ledger = QuotaLedger(held, at->second.since);
+  at->second.tracker = QuotaTracker(held, at->second.since);
   if (!held.empty()) context_->After(0, [this, route] { AskStores(route); });
   return at->second;
 }
 
 // A new owner knows what was granted but not yet how much of it has been done: a lot that does not
 // fit waits a moment for the first reports.
-void QuotaService::Grant(const QuotaReserve& reserve, const rpc::Respond& respond) {
+void QuotaService::Grant(const QuotaReserveRequest& reserve, const rpc::Respond& respond) {
   const std::string route = reserve.reservation.route;
   Owned& owned = OwnedOf(route);
   const Micros now = context_->Now();
-  if (owned.ledger.Reserve(reserve, now) == QuotaVerdict::kGranted) {
+  if (owned.tracker.Reserve(reserve, now) == QuotaDecision::kGranted) {
     KeepGrant(reserve, respond);
     return;
   }
   const Micros give_up = owned.since + kWaitForReports;
-  if (owned.ledger.IsFresh() || now >= give_up) {
-    respond(Verdict(QuotaVerdict::kOver));
+  if (owned.tracker.IsFresh() || now >= give_up) {
+    respond(Verdict(QuotaDecision::kOver));
     return;
   }
   owned.waiting.push_back({reserve, respond, give_up});
@@ -215,12 +219,12 @@
   context_->After(give_up - now, [this, route] { AnswerWaiting(route); });
 }
 
-void QuotaService::KeepGrant(const QuotaReserve& reserve, const rpc::Respond& respond) {
+void QuotaService::KeepGrant(const QuotaReserveRequest& reserve, const rpc::Respond& respond) {
   PartitionReplica& replica = context_->Replica(PartitionOf(reserve.reservation.route));
-  replica.Submit(MakeReservation(reserve.lot_id, reserve.reservation),
+  replica.Submit(MakeReservation(reserve.batch_job_id, reserve.reservation),
                  [respond](const absl::Status& status) {
                    if (status.ok()) {
-                     respond(Verdict(QuotaVerdict::kGranted));
+                     respond(Verdict(QuotaDecision::kGranted));
                    } else {
                      respond(status);
                    }
@@ -260,10 +264,10 @@
   std::vector<Waiting> waiting = std::move(at->second.waiting);
   at->second.waiting.clear();
   for (Waiting& one : waiting) {
-    if (at->second.ledger.Reserve(one.reserve, now) == QuotaVerdict::kGranted) {
+    if (at->second.tracker.Reserve(one.reserve, now) == QuotaDecision::kGranted) {
       KeepGrant(one.reserve, one.respond);
-    } else if (at->second.ledger.IsFresh() || now >= one.give_up) {
-      one.respond(Verdict(QuotaVerdict::kOver));
+    } else if (at->second.tracker.IsFresh() || now >= one.give_up) {
+      one.respond(Verdict(QuotaDecision::kOver));
     } else {
       at->second.waiting.push_back(std::move(one));
     }
@@ -274,8 +278,8 @@
   const auto at = owned_.find(report.route);
   if (at == owned_.end()) return;
   PartitionReplica& replica = context_->Replica(PartitionOf(report.route));
-  for (const std::string& lot_id : at->second.ledger.Report(report, context_->Now())) {
-    replica.Submit(MakeRelease(lot_id), [](const absl::Status&) {});
+  for (const std::string& batch_job_id : at->second.tracker.Report(report, context_->Now())) {
+    replica.Submit(MakeRelease(batch_job_id), [](const absl::Status&) {});
   }
   AnswerWaiting(report.route);
 }
@@ -297,7 +301,7 @@
 void QuotaService::Tick() {
   const Micros now = context_->Now();
   for (auto& [route, owned] : owned_) {
-    if (owned.ledger.WantsReports(now)) AskStores(route);
+    if (owned.tracker.WantsReports(now)) AskStores(route);
   }
 }
 
--- a/src/tier/batch/lot_store_quota.h
+++ b/src/tier/batch/store_quota.h
@@ -2,8 +2,8 @@
 // owners what waits here, and keeps the ledgers of the routes that this store owns. A grant is a
 // change of the owner's partition, so it is on disk at every replica before it is told: a later
 // owner knows all that was granted, whoever can be asked.
-#ifndef PEARREACH_SRC_TIER_BATCH_LOT_STORE_QUOTA_H_
-#define PEARREACH_SRC_TIER_BATCH_LOT_STORE_QUOTA_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_STORE_QUOTA_H_
+#define PEARREACH_SRC_TIER_BATCH_STORE_QUOTA_H_
 
 #include <cstdint>
 #include <functional>
@@ -12,9 +12,9 @@
 #include <string>
 #include <vector>
 
-#include "tier/batch/lot_store_context.h"
 #include "tier/batch/messages.h"
 #include "tier/batch/quota.h"
+#include "tier/batch/store_context.h"
 
 namespace pearreach::batch {
 
@@ -23,14 +23,14 @@
   explicit QuotaService(StoreContext* context);
 
   // For a lot that is to be taken here.
-  void Reserve(const LotSpec& lot, std::function<void(QuotaVerdict)> done);
+  void Reserve(const BatchJobSpec& batch_job, std::function<void(QuotaDecision)> done);
   // A lot for which a reservation was made is not taken after all.
   void Drop(const std::string& route) { MarkChanged(route); }
   // The lot's waiting tokens may have changed.
-  void Update(const std::string& lot_id);
+  void Update(const std::string& batch_job_id);
 
-  void OnReserve(QuotaReserve reserve, rpc::Respond respond);
-  void OnQuestion(const QuotaQuestion& question, const rpc::Respond& respond);
+  void OnReserve(QuotaReserveRequest reserve, rpc::Respond respond);
+  void OnQuestion(const QuotaQuery& question, const rpc::Respond& respond);
   void OnReport(const QuotaReport& report, const rpc::Respond& respond);
   void OnActive(std::uint32_t partition);
   void OnInactive(std::uint32_t partition);
@@ -38,12 +38,12 @@
 
  private:
   struct Waiting {
-    QuotaReserve reserve;
+    QuotaReserveRequest reserve;
     rpc::Respond respond;
     Micros give_up = 0;
   };
   struct Owned {
-    QuotaLedger ledger;
+    QuotaTracker tracker;
     Micros since = 0;
     std::vector<Waiting> waiting;  // for the first reports
     int asked = 0;                 // stores that have not answered yet
@@ -59,12 +59,12 @@
   void MarkChanged(const std::string& route);
   void SendReports();
   void SendReport(const std::string& route);
-  void OnReserved(const std::string& lot_id, const QuotaReservation& reservation,
+  void OnReserved(const std::string& batch_job_id, const QuotaReservation& reservation,
                   const absl::StatusOr<std::string>& bytes,
-                  const std::function<void(QuotaVerdict)>& done);
+                  const std::function<void(QuotaDecision)>& done);
   Owned& OwnedOf(const std::string& route);
-  void Grant(const QuotaReserve& reserve, const rpc::Respond& respond);
-  void KeepGrant(const QuotaReserve& reserve, const rpc::Respond& respond);
+  void Grant(const QuotaReserveRequest& reserve, const rpc::Respond& respond);
+  void KeepGrant(const QuotaReserveRequest& reserve, const rpc::Respond& respond);
   void TakeReport(const QuotaReport& report);
   void AskStores(const std::string& route);
   void AnswerWaiting(const std::string& route);
@@ -82,4 +82,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_TIER_BATCH_LOT_STORE_QUOTA_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_STORE_QUOTA_H_
--- a/src/tier/batch/silence_reports.cpp
+++ b/src/tier/batch/unresponsive_store_reporter.cpp
@@ -1,4 +1,4 @@
-#include "tier/batch/silence_reports.h"
+#include "tier/batch/unresponsive_store_reporter.h"
 
 #include <string>
 
@@ -12,24 +12,24 @@
 
 }  // namespace
 
-void SendToPlacementDuty(rpc::Mesh* mesh, const control::ControlClient& control,
-                         const StoreStatus& status, Micros timeout) {
+void SendToPlacementController(rpc::Transport* transport, const control::ControlClient& control,
+                               const StoreStatus& status, Micros timeout) {
   const std::string body = codec::Encode(status);
   for (const auto& [name, member] : control.members()) {
     const bool live = member.status == coordination::MemberStatus::kAlive ||
                       member.status == coordination::MemberStatus::kSuspect;
     if (!live || !member.info.Is(coordination::MemberInfo::kQuorumMember)) continue;
-    mesh->Call(member.info.address, rpc::MessageType::kStoreStatus, body, timeout,
-               [](const absl::StatusOr<std::string>&) {});
+    transport->Call(member.info.address, rpc::MessageType::kStoreStatus, body, timeout,
+                    [](const absl::StatusOr<std::string>&) {});
   }
 }
 
-void SilenceReports::Report(const StoreId& silent, Micros now) {
+void UnresponsiveStoreReporter::Report(const StoreId& silent, Micros now) {
   std::erase_if(reported_, [now](const auto& entry) { return now - entry.second >= kReportPause; });
   if (!reported_.emplace(silent, now).second) return;
   StoreStatus status;
   status.silent.push_back(silent);
-  SendToPlacementDuty(mesh_, *control_, status, kReportTime);
+  SendToPlacementController(transport_, *control_, status, kReportTime);
 }
 
 }  // namespace pearreach::batch
--- a/src/tier/control/announced_fetch.cpp
+++ b/src/tier/control/announced_fetch.cpp
@@ -19,9 +19,9 @@
 
 }  // namespace
 
-AnnouncedFetch::AnnouncedFetch(TimeSource* time, rpc::Mesh* mesh, SnapshotStore* snapshots,
-                               const MemberDirectory* directory)
-    : time_(time), mesh_(mesh), snapshots_(snapshots), directory_(directory) {}
+AnnouncedFetch::AnnouncedFetch(TimeSource* time, rpc::Transport* transport,
+                               SnapshotStore* snapshots, const MemberDirectory* directory)
+    : time_(time), transport_(transport), snapshots_(snapshots), directory_(directory) {}
 
 AnnouncedFetch::~AnnouncedFetch() { time_->Cancel(&timer_); }
 
@@ -67,10 +67,10 @@
   fetching_ = true;
   const auto current = snapshots_->current();
   const PollRequest request{current->version, RevisionsOf(*current), false};
-  mesh_->Call(member->info.address, rpc::MessageType::kControlPoll, codec::Encode(request),
-              kFetchTimeout, callbacks_.Bind([this, name](absl::StatusOr<std::string> answer) {
-                Answered(name, std::move(answer));
-              }));
+  transport_->Call(member->info.address, rpc::MessageType::kControlPoll, codec::Encode(request),
+                   kFetchTimeout, callbacks_.Bind([this, name](absl::StatusOr<std::string> answer) {
+                     Answered(name, std::move(answer));
+                   }));
 }
 
 void AnnouncedFetch::Answered(const std::string& name, absl::StatusOr<std::string> answer) {
--- a/src/tier/control/announced_fetch.h
+++ b/src/tier/control/announced_fetch.h
@@ -11,7 +11,7 @@
 #include "tier/control/member_directory.h"
 #include "tier/control/snapshot_store.h"
 #include "tier/control/time_source.h"
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 
 namespace pearreach::control {
 
@@ -20,7 +20,7 @@
 
 class AnnouncedFetch {
  public:
-  AnnouncedFetch(TimeSource* time, rpc::Mesh* mesh, SnapshotStore* snapshots,
+  AnnouncedFetch(TimeSource* time, rpc::Transport* transport, SnapshotStore* snapshots,
                  const MemberDirectory* directory);
   ~AnnouncedFetch();
   void MembersChanged(const std::vector<std::string>& names);
@@ -37,7 +37,7 @@
   void Answered(const std::string& name, absl::StatusOr<std::string> answer);
 
   TimeSource* time_;
-  rpc::Mesh* mesh_;
+  rpc::Transport* transport_;
   SnapshotStore* snapshots_;
   const MemberDirectory* directory_;
   std::map<std::string, Tried> tried_;  // by name
--- a/src/tier/control/change_relay.h
+++ b/src/tier/control/change_relay.h
@@ -11,17 +11,17 @@
 #include "tier/control/messages.h"
 #include "tier/control/replica_driver.h"
 #include "tier/control/time_source.h"
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 
 namespace pearreach::control {
 
 class ChangeRelay {
  public:
-  using Done = std::function<void(const WriteAnswer&)>;
+  using Done = std::function<void(const WriteResponse&)>;
 
   // `replica`: null on nodes outside the quorum.
-  ChangeRelay(TimeSource* time, rpc::Mesh* mesh, const MemberDirectory* directory,
-              ReplicaDriver* replica, const QuorumReach* reach);
+  ChangeRelay(TimeSource* time, rpc::Transport* transport, const MemberDirectory* directory,
+              ReplicaDriver* replica, const QuorumConnectivity* connectivity);
   // `done` is called exactly once, within `request.timeout`.
   void Change(WriteRequest request, Done done);
 
@@ -31,7 +31,7 @@
     Micros deadline = 0;
     Done done;
     std::string hint;
-    std::size_t tries = 0;
+    std::size_t attempts = 0;
     std::size_t passed_on = 0;  // the try that another node has now; 0: none
   };
   using AttemptPtr = std::shared_ptr<Attempt>;
@@ -40,18 +40,18 @@
   void PassOn(const AttemptPtr& attempt, const Contact& to, Micros left);
   void Watch(const AttemptPtr& attempt, std::size_t number, const std::string& to);
   bool SeemsThere(const std::string& name) const;
-  void End(const AttemptPtr& attempt, const WriteAnswer& answer);
+  void End(const AttemptPtr& attempt, const WriteResponse& answer);
   bool MayChangeHere() const;
   bool IsCutOff() const;
   Contact Next(const AttemptPtr& attempt) const;
-  void Settle(const AttemptPtr& attempt, const WriteAnswer& answer);
+  void Settle(const AttemptPtr& attempt, const WriteResponse& answer);
   void TryLater(const AttemptPtr& attempt);
 
   TimeSource* time_;
-  rpc::Mesh* mesh_;
+  rpc::Transport* transport_;
   const MemberDirectory* directory_;
   ReplicaDriver* replica_;
-  const QuorumReach* reach_;
+  const QuorumConnectivity* connectivity_;
   CallbackOwner callbacks_;
 };
 
--- a/src/tier/control/config_mark.cpp
+++ b/src/tier/control/config_change_id.cpp
@@ -1,4 +1,4 @@
-#include "tier/control/config_mark.h"
+#include "tier/control/config_change_id.h"
 
 #include <rapidjson/document.h>
 #include <xxhash.h>
@@ -16,7 +16,7 @@
 constexpr unsigned kParseFlags =
     rapidjson::kParseIterativeFlag | rapidjson::kParseFullPrecisionFlag;
 // Whole numbers up to here are the same as a double and as an integer.
-constexpr double kMostExact = 9007199254740992.0;  // 2^53
+constexpr double kMaxExact = 9007199254740992.0;  // 2^53
 
 // Feeds a value to the digest in a canonical form: each value begins with a tag, strings and
 // containers with their size, and members are sorted by name.
@@ -74,7 +74,7 @@
     if (number.IsInt64()) return AddHead('i', static_cast<std::uint64_t>(number.GetInt64()));
     if (number.IsUint64()) return AddHead('u', number.GetUint64());
     const double value = number.GetDouble();
-    if (std::trunc(value) == value && std::fabs(value) <= kMostExact) {
+    if (std::trunc(value) == value && std::fabs(value) <= kMaxExact) {
       return AddHead('i', static_cast<std::uint64_t>(static_cast<std::int64_t>(value)));
     }
     std::uint64_t bits = 0;
@@ -90,7 +90,7 @@
 
 }  // namespace
 
-coordination::ChangeMark ConfigMark(std::int64_t version, std::string_view json) {
+coordination::ChangeId ConfigChangeId(std::int64_t version, std::string_view json) {
   rapidjson::Document document;
   document.Parse<kParseFlags>(json.data(), json.size());
   CanonicalDigest digest;
--- a/src/tier/control/config_mark.h
+++ b/src/tier/control/config_change_id.h
@@ -1,7 +1,7 @@
 // The mark of a configuration in the record of taken ones (coordination/change_marks.h): its
 // version and a digest of its content.
-#ifndef PEARREACH_SRC_TIER_CONTROL_CONFIG_MARK_H_
-#define PEARREACH_SRC_TIER_CONTROL_CONFIG_MARK_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_CONFIG_CHANGE_ID_H_
+#define PEARREACH_SRC_TIER_CONTROL_CONFIG_CHANGE_ID_H_
 
 #include <cstdint>
 #include <string_view>
@@ -13,8 +13,8 @@
 // `json` must be valid. Texts of equal JSON (white space, order of members, escapes, 1 and 1.0)
 // have the same digest: 128 bits of XXH3 over a canonical form. It tells operators' configurations
 // apart; it is no protection against somebody who looks for two of one digest.
-coordination::ChangeMark ConfigMark(std::int64_t version, std::string_view json);
+coordination::ChangeId ConfigChangeId(std::int64_t version, std::string_view json);
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_TIER_CONTROL_CONFIG_MARK_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_CONFIG_CHANGE_ID_H_
--- a/src/tier/control/control_client.h
+++ b/src/tier/control/control_client.h
@@ -14,7 +14,7 @@
 
 #include "common/event_loop/io.h"
 #include "tier/coordination/chain.h"
-#include "tier/coordination/change_marks.h"
+#include "tier/coordination/change_history.h"
 #include "tier/coordination/membership.h"
 #include "tier/routing/route_table.h"
 
@@ -38,8 +38,9 @@
   std::string key;
   std::uint64_t expected_revision = 0;
   std::string value;
-  coordination::Fence fence{};  // refused with kFenced once the fence's key has a later revision
-  std::optional<coordination::ChangeMark> mark{};  // recorded in the same commit
+  coordination::FencingToken
+      fencing_token{};  // refused with kFenced once the fence's key has a later revision
+  std::optional<coordination::ChangeId> change_id{};  // recorded in the same commit
 };
 
 struct ChangeOutcome {
@@ -48,16 +49,16 @@
 };
 
 // A strict read together with what the record of the configurations' marks says of one.
-struct MarkReading {
+struct ChangeHistoryRead {
   std::shared_ptr<const ControlSnapshot> snapshot;
-  coordination::MarkStanding standing = coordination::MarkStanding::kForgotten;
+  coordination::ChangeHistoryStatus history_status = coordination::ChangeHistoryStatus::kForgotten;
 };
 
 class ControlClient {
  public:
   using ChangeDone = std::function<void(ChangeOutcome)>;
   using ReadDone = std::function<void(absl::StatusOr<std::shared_ptr<const ControlSnapshot>>)>;
-  using MarkDone = std::function<void(absl::StatusOr<MarkReading>)>;
+  using HistoryReadDone = std::function<void(absl::StatusOr<ChangeHistoryRead>)>;
 
   virtual ~ControlClient() = default;
   virtual std::shared_ptr<const ControlSnapshot> Current() const = 0;  // never null
@@ -68,16 +69,18 @@
   virtual void StrictRead(Micros timeout, ReadDone done) = 0;
   // The same, and whether the configuration of that mark has been taken. A client that keeps no
   // record is sure of nothing.
-  virtual void ReadMark(const coordination::ChangeMark& mark, Micros timeout, MarkDone done);
+  virtual void ReadWithHistory(const coordination::ChangeId& change_id, Micros timeout,
+                               HistoryReadDone done);
   // This node is the first live one in the order of the current view, so that duties of the whole
-  // system are its to take (see DutyHolder).
-  virtual bool IsDutyHolder() const = 0;
+  // system are its to take (see SingletonRoleDriver).
+  virtual bool IsSingletonRoleCandidate() const = 0;
   // Membership as this node sees it.
   virtual const std::map<std::string, coordination::Member>& members() const = 0;
 };
 
-inline void ControlClient::ReadMark(const coordination::ChangeMark&, Micros, MarkDone done) {
-  const MarkDone tell = std::move(done);
+inline void ControlClient::ReadWithHistory(const coordination::ChangeId&, Micros,
+                                           HistoryReadDone done) {
+  const HistoryReadDone tell = std::move(done);
   tell(absl::UnimplementedError("no record of changes is kept here"));
 }
 
--- a/src/tier/control/control_node.cpp
+++ b/src/tier/control/control_node.cpp
@@ -51,7 +51,7 @@
   return self;
 }
 
-std::vector<std::string> MeshSeeds(const settings::NodeSettings& settings) {
+std::vector<std::string> SeedAddresses(const settings::NodeSettings& settings) {
   std::vector<std::string> seeds;
   for (const std::string& seed : settings.seed_nodes) {
     seeds.push_back(fmt::format("{}:{}", IpOf(seed), settings.peer_port()));
@@ -59,27 +59,28 @@
   return seeds;
 }
 
-ControlNode::ControlNode(Timers* timers, rpc::Mesh* mesh, storage::TableStore* store,
+ControlNode::ControlNode(Timers* timers, rpc::Transport* transport, storage::TableStore* store,
                          const settings::NodeSettings& settings, std::uint64_t incarnation)
-    : ControlNode(TimeSourceOf(timers), mesh, store, settings, incarnation) {}
+    : ControlNode(TimeSourceOf(timers), transport, store, settings, incarnation) {}
 
-ControlNode::ControlNode(std::unique_ptr<TimeSource> time, rpc::Mesh* mesh,
+ControlNode::ControlNode(std::unique_ptr<TimeSource> time, rpc::Transport* transport,
                          storage::TableStore* store, const settings::NodeSettings& settings,
                          std::uint64_t incarnation)
     : time_(std::move(time)),
       self_(DescribeSelf(settings, store, incarnation)),
-      seeds_(MeshSeeds(settings)),
+      seeds_(SeedAddresses(settings)),
       timing_(TimingOf(settings.bounds)),
-      membership_(time_.get(), mesh, MembershipOptionsOf(self_, seeds_, timing_), SeedOf(self_)),
+      membership_(time_.get(), transport, MembershipOptionsOf(self_, seeds_, timing_),
+                  SeedOf(self_)),
       directory_(&membership_.members(), self_.name,
                  MembershipOptionsOf(self_, seeds_, timing_).seeds, settings.zones),
-      reach_(time_.get(), mesh, &directory_, timing_),
-      replica_(MakeReplica(mesh, store, settings, SeedOf(self_))),
-      poll_server_(time_.get(), mesh, &snapshots_),
-      poller_(time_.get(), mesh, &snapshots_, &directory_),
-      fetch_(time_.get(), mesh, &snapshots_, &directory_),
-      relay_(time_.get(), mesh, &directory_, replica_.get(), &reach_),
-      reader_(time_.get(), mesh, &snapshots_, &directory_, replica_.get(), &reach_),
+      connectivity_(time_.get(), transport, &directory_, timing_),
+      replica_(MakeReplica(transport, store, settings, SeedOf(self_))),
+      poll_server_(time_.get(), transport, &snapshots_),
+      poller_(time_.get(), transport, &snapshots_, &directory_),
+      fetch_(time_.get(), transport, &snapshots_, &directory_),
+      relay_(time_.get(), transport, &directory_, replica_.get(), &connectivity_),
+      reader_(time_.get(), transport, &snapshots_, &directory_, replica_.get(), &connectivity_),
       first_state_(time_.get(), &snapshots_, &reader_, timing_),
       founding_(settings.bootstrap && replica_ != nullptr) {
   Start();
@@ -87,7 +88,8 @@
 
 ControlNode::~ControlNode() { time_->Cancel(&founder_timer_); }
 
-std::unique_ptr<ReplicaDriver> ControlNode::MakeReplica(rpc::Mesh* mesh, storage::TableStore* store,
+std::unique_ptr<ReplicaDriver> ControlNode::MakeReplica(rpc::Transport* transport,
+                                                        storage::TableStore* store,
                                                         const settings::NodeSettings& settings,
                                                         std::uint64_t seed) {
   if (!self_.Is(MemberInfo::kQuorumMember)) return nullptr;
@@ -98,8 +100,8 @@
                        settings.tolerance.regions};
   options.call_timeout = timing_.call_timeout;
   options.retry = timing_.retry;
-  return std::make_unique<ReplicaDriver>(time_.get(), mesh, store, &snapshots_, &directory_,
-                                         &reach_, std::move(options), seed);
+  return std::make_unique<ReplicaDriver>(time_.get(), transport, store, &snapshots_, &directory_,
+                                         &connectivity_, std::move(options), seed);
 }
 
 void ControlNode::Start() {
@@ -118,9 +120,9 @@
   first_state_.Start();
   if (replica_ == nullptr) return;
   replica_->MembersChanged();
-  reach_.Start([this] {
+  connectivity_.Start([this] {
     replica_->MembersChanged();
-    if (reach_.disk().is_old() && disk_is_old_) std::exchange(disk_is_old_, nullptr)();
+    if (connectivity_.disk().is_old() && disk_is_old_) std::exchange(disk_is_old_, nullptr)();
   });
 }
 
@@ -140,36 +142,38 @@
   WriteRequest request;
   request.change = std::move(change);
   request.timeout = timeout;
-  relay_.Change(std::move(request), [done = std::move(done)](const WriteAnswer& answer) {
+  relay_.Change(std::move(request), [done = std::move(done)](const WriteResponse& answer) {
     done({static_cast<coordination::ChangeStatus>(answer.status), answer.revision});
   });
 }
 
 void ControlNode::StrictRead(Micros timeout, ReadDone done) {
   reader_.Read(std::nullopt, timeout,
-               [done = std::move(done)](absl::StatusOr<MarkReading> reading) {
+               [done = std::move(done)](absl::StatusOr<ChangeHistoryRead> reading) {
                  if (!reading.ok()) return done(reading.status());
                  done(std::move(reading->snapshot));
                });
 }
 
-void ControlNode::ReadMark(const coordination::ChangeMark& mark, Micros timeout, MarkDone done) {
-  reader_.Read(mark, timeout, std::move(done));
+void ControlNode::ReadWithHistory(const coordination::ChangeId& change_id, Micros timeout,
+                                  HistoryReadDone done) {
+  reader_.Read(change_id, timeout, std::move(done));
 }
 
-void ControlNode::PrepareToLeave() {
-  reach_.SetLeaving();
+void ControlNode::PrepareToShutDown() {
+  connectivity_.SetLeaving();
   if (replica_ != nullptr) replica_->MembersChanged();
 }
 
 // A state that is committed in a view is on the disks of all its members.
-bool ControlNode::MayLeave() const {
+bool ControlNode::MayShutDown() const {
   if (replica_ == nullptr) return true;
   const bool begun = Current()->version.epoch >= replica_->view().epoch;
-  if (!replica_->InView() && begun && reach_.IsReleased()) return true;
+  if (!replica_->InView() && begun && connectivity_.IsReleased()) return true;
   const auto contacts = directory_.QuorumContacts();
-  return std::all_of(contacts.begin(), contacts.end(),
-                     [this](const Contact& contact) { return reach_.IsLeaving(contact.name); });
+  return std::all_of(contacts.begin(), contacts.end(), [this](const Contact& contact) {
+    return connectivity_.IsLeaving(contact.name);
+  });
 }
 
 bool ControlNode::RosterChanged(const std::vector<std::string>& names) {
@@ -191,7 +195,7 @@
 void ControlNode::MembersChanged(const std::vector<std::string>& names) {
   if (RosterChanged(names)) {
     if (replica_ != nullptr) {
-      if (!reach_.IsDiskChecked()) reach_.AskAgain();
+      if (!connectivity_.IsDiskChecked()) connectivity_.AskAgain();
       replica_->MembersChanged();
     }
     if (founding_) Found(founder_wait_over_);
@@ -213,7 +217,7 @@
 }
 
 void ControlNode::ReplicaStepped() {
-  reach_.Update(replica_->is_head(), replica_->is_agreeing(), replica_->view());
+  connectivity_.Update(replica_->is_head(), replica_->is_agreeing(), replica_->view());
   UpdatePolls();
 }
 
--- a/src/tier/control/control_node.h
+++ b/src/tier/control/control_node.h
@@ -16,7 +16,7 @@
 #include "tier/control/member_directory.h"
 #include "tier/control/membership_driver.h"
 #include "tier/control/poll_server.h"
-#include "tier/control/quorum_reach.h"
+#include "tier/control/quorum_connectivity.h"
 #include "tier/control/replica_driver.h"
 #include "tier/control/snapshot_store.h"
 #include "tier/control/state_poller.h"
@@ -30,24 +30,25 @@
 coordination::MemberInfo DescribeSelf(const settings::NodeSettings& settings,
                                       const storage::TableStore* store, std::uint64_t incarnation);
 // The mesh addresses of the settings' seed nodes.
-std::vector<std::string> MeshSeeds(const settings::NodeSettings& settings);
+std::vector<std::string> SeedAddresses(const settings::NodeSettings& settings);
 
 class ControlNode : public ControlClient {
  public:
   // Joins at once. `store`: null without a disk. `incarnation` must rise over restarts of the node.
   // All pointers outlive this.
-  ControlNode(Timers* timers, rpc::Mesh* mesh, storage::TableStore* store,
-              const settings::NodeSettings& settings, std::uint64_t incarnation);
-  ControlNode(std::unique_ptr<TimeSource> time, rpc::Mesh* mesh, storage::TableStore* store,
+  ControlNode(Timers* timers, rpc::Transport* transport, storage::TableStore* store,
               const settings::NodeSettings& settings, std::uint64_t incarnation);
+  ControlNode(std::unique_ptr<TimeSource> time, rpc::Transport* transport,
+              storage::TableStore* store, const settings::NodeSettings& settings,
+              std::uint64_t incarnation);
   ~ControlNode() override;
 
   // This process will end on purpose, and its disk may never come back: the view of the control
   // state should do without it. Everything goes on until Leave.
-  void PrepareToLeave();
+  void PrepareToShutDown();
   // The control state does not need this node: it is in a view that has begun without it, or no
   // other member is left that could take over.
-  bool MayLeave() const;
+  bool MayShutDown() const;
   // Tells others that this process ends on purpose. Calls are answered on.
   void Leave() { membership_.Leave(); }
 
@@ -55,8 +56,11 @@
   void OnChange(std::function<void()> listener) override;
   void Change(ControlChange change, Micros timeout, ChangeDone done) override;
   void StrictRead(Micros timeout, ReadDone done) override;
-  void ReadMark(const coordination::ChangeMark& mark, Micros timeout, MarkDone done) override;
-  bool IsDutyHolder() const override { return reach_.HoldsDuty(); }
+  void ReadWithHistory(const coordination::ChangeId& change_id, Micros timeout,
+                       HistoryReadDone done) override;
+  bool IsSingletonRoleCandidate() const override {
+    return connectivity_.IsSingletonRoleCandidate();
+  }
   const MemberMap& members() const override { return membership_.members(); }
   // Further listeners for changes of members: status, info or announced versions.
   void OnMembersChanged(MembershipDriver::Listener listener);
@@ -76,7 +80,7 @@
     std::uint64_t incarnation = 0;
     bool operator==(const Presence&) const = default;
   };
-  std::unique_ptr<ReplicaDriver> MakeReplica(rpc::Mesh* mesh, storage::TableStore* store,
+  std::unique_ptr<ReplicaDriver> MakeReplica(rpc::Transport* transport, storage::TableStore* store,
                                              const settings::NodeSettings& settings,
                                              std::uint64_t seed);
   void Start();
@@ -94,7 +98,7 @@
   SnapshotStore snapshots_;
   MembershipDriver membership_;
   MemberDirectory directory_;
-  QuorumReach reach_;
+  QuorumConnectivity connectivity_;
   std::unique_ptr<ReplicaDriver> replica_;  // null: not a quorum member
   PollServer poll_server_;
   StatePoller poller_;
--- a/src/tier/control/control_timing.h
+++ b/src/tier/control/control_timing.h
@@ -12,31 +12,31 @@
 namespace pearreach::control {
 
 struct ControlTiming {
-  Micros probe_period = 200 * kMs;   // membership: one probe each
-  Micros probe_timeout = 250 * kMs;  // until second opinions are asked for, and until suspicion
-  Micros suspicion = kSecond;        // from suspicion to dead
-  Micros sign_period = 250 * kMs;    // between questions for a sign among quorum members
-  Micros sign_timeout = 500 * kMs;
-  Micros duty_span = kSecond;     // a sign asked for longer ago gives no duty,
-  Micros lost_span = kSecond;     // nor, longer ago than this, a place in the view
-  Micros call_timeout = kSecond;  // of a change or read in the chain
-  Micros retry = 100 * kMs;       // in the chain
+  Micros probe_period = 200 * kMs;      // membership: one probe each
+  Micros probe_timeout = 250 * kMs;     // until second opinions are asked for, and until suspicion
+  Micros suspicion = kSecond;           // from suspicion to dead
+  Micros heartbeat_period = 250 * kMs;  // between questions for a sign among quorum members
+  Micros heartbeat_timeout = 500 * kMs;
+  Micros role_candidate_span = kSecond;  // a sign asked for longer ago gives no duty,
+  Micros lost_span = kSecond;            // nor, longer ago than this, a place in the view
+  Micros call_timeout = kSecond;         // of a change or read in the chain
+  Micros retry = 100 * kMs;              // in the chain
 };
 
 inline ControlTiming TimingOf(const settings::Bounds& bounds) {
-  constexpr Micros kLeastSpan = 300 * kMs;  // scheduling and the network take their part of less
+  constexpr Micros kMinSpan = 300 * kMs;  // scheduling and the network take their part of less
   const Micros contact = static_cast<Micros>(bounds.contact_ms * kMs);
   const Micros ack = static_cast<Micros>(bounds.ack_ms * kMs);
-  const Micros span = std::max(std::min(contact / 3, ack / 4), kLeastSpan);
+  const Micros span = std::max(std::min(contact / 3, ack / 4), kMinSpan);
   ControlTiming timing;
   timing.probe_period = span / 5;
   timing.probe_timeout = span / 4;
   timing.suspicion = span;
-  timing.sign_period = span / 4;
-  timing.sign_timeout = span / 2;
-  timing.duty_span = span;
+  timing.heartbeat_period = span / 4;
+  timing.heartbeat_timeout = span / 2;
+  timing.role_candidate_span = span;
   timing.lost_span = span;
-  timing.call_timeout = std::max(ack / 4, kLeastSpan);
+  timing.call_timeout = std::max(ack / 4, kMinSpan);
   timing.retry = timing.call_timeout / 10;
   return timing;
 }
--- a/src/tier/control/wake_timer.h
+++ b/src/tier/control/deadline_timer.h
@@ -1,7 +1,7 @@
 // The one timer of a machine that says when it wants to be called next: set again whenever that is
 // earlier than what it is set for.
-#ifndef PEARREACH_SRC_TIER_CONTROL_WAKE_TIMER_H_
-#define PEARREACH_SRC_TIER_CONTROL_WAKE_TIMER_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_DEADLINE_TIMER_H_
+#define PEARREACH_SRC_TIER_CONTROL_DEADLINE_TIMER_H_
 
 #include <algorithm>
 #include <functional>
@@ -11,13 +11,14 @@
 
 namespace pearreach::control {
 
-class WakeTimer {
+class DeadlineTimer {
  public:
   // `wake` is called once for each time that is reached; it sets the next one.
-  WakeTimer(TimeSource* time, std::function<void()> wake) : time_(time), wake_(std::move(wake)) {}
-  ~WakeTimer() { Stop(); }
-  WakeTimer(const WakeTimer&) = delete;
-  WakeTimer& operator=(const WakeTimer&) = delete;
+  DeadlineTimer(TimeSource* time, std::function<void()> wake)
+      : time_(time), wake_(std::move(wake)) {}
+  ~DeadlineTimer() { Stop(); }
+  DeadlineTimer(const DeadlineTimer&) = delete;
+  DeadlineTimer& operator=(const DeadlineTimer&) = delete;
 
   // `next`: on the time source's clock; kNoTick and later: never.
   void Set(Micros next) {
@@ -41,4 +42,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_TIER_CONTROL_WAKE_TIMER_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_DEADLINE_TIMER_H_
--- a/src/tier/control/first_state.cpp
+++ b/src/tier/control/first_state.cpp
@@ -17,7 +17,7 @@
 void FirstState::Ask() {
   if (snapshots_->known()) return;
   reader_->Read(std::nullopt, read_timeout_,
-                callbacks_.Bind([this](const absl::StatusOr<MarkReading>&) {
+                callbacks_.Bind([this](const absl::StatusOr<ChangeHistoryRead>&) {
                   if (snapshots_->known()) return;
                   time_->After(pause_, callbacks_.Bind([this] { Ask(); }));
                 }));
--- a/src/tier/control/membership_driver.cpp
+++ b/src/tier/control/membership_driver.cpp
@@ -4,15 +4,15 @@
 
 namespace pearreach::control {
 
-MembershipDriver::MembershipDriver(TimeSource* time, rpc::Mesh* mesh,
+MembershipDriver::MembershipDriver(TimeSource* time, rpc::Transport* transport,
                                    coordination::MembershipOptions options, std::uint64_t seed)
     : time_(time),
-      mesh_(mesh),
+      transport_(transport),
       membership_(std::move(options), seed, time->Now()),
       timer_(time, [this] {
         if (running_) Tick();
       }) {
-  mesh_->HandleDatagrams(callbacks_.Bind(
+  transport_->HandleDatagrams(callbacks_.Bind(
       [this](const std::string& from, std::string_view bytes) { Receive(from, bytes); }));
 }
 
@@ -27,7 +27,7 @@
   timer_.Stop();
   std::vector<coordination::Datagram> datagrams;
   membership_.Leave(time_->Now(), &datagrams);
-  for (const auto& datagram : datagrams) mesh_->SendDatagram(datagram.to, datagram.bytes);
+  for (const auto& datagram : datagrams) transport_->SendDatagram(datagram.to, datagram.bytes);
 }
 
 void MembershipDriver::Announce(const std::string& name, std::uint64_t version) {
@@ -49,7 +49,7 @@
 }
 
 void MembershipDriver::AfterStep(const std::vector<coordination::Datagram>& datagrams) {
-  for (const auto& datagram : datagrams) mesh_->SendDatagram(datagram.to, datagram.bytes);
+  for (const auto& datagram : datagrams) transport_->SendDatagram(datagram.to, datagram.bytes);
   timer_.Set(membership_.NextTick());
   const std::vector<std::string> changed = membership_.TakeChanged();
   if (!changed.empty() && listener_) listener_(changed);
--- a/src/tier/control/membership_driver.h
+++ b/src/tier/control/membership_driver.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
+#include "tier/control/deadline_timer.h"
 #include "tier/control/time_source.h"
-#include "tier/control/wake_timer.h"
 #include "tier/coordination/membership.h"
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 
 namespace pearreach::control {
 
@@ -18,8 +18,8 @@
   // Names whose status, info or announced versions changed.
   using Listener = std::function<void(const std::vector<std::string>& names)>;
 
-  MembershipDriver(TimeSource* time, rpc::Mesh* mesh, coordination::MembershipOptions options,
-                   std::uint64_t seed);
+  MembershipDriver(TimeSource* time, rpc::Transport* transport,
+                   coordination::MembershipOptions options, std::uint64_t seed);
 
   void OnChange(Listener listener) { listener_ = std::move(listener); }
   void Start();
@@ -34,11 +34,11 @@
   void Tick();
   void AfterStep(const std::vector<coordination::Datagram>& datagrams);
   TimeSource* time_;
-  rpc::Mesh* mesh_;
+  rpc::Transport* transport_;
   coordination::Membership membership_;
   Listener listener_;
   bool running_ = false;
-  WakeTimer timer_;
+  DeadlineTimer timer_;
   CallbackOwner callbacks_;
 };
 
--- a/src/tier/control/messages.h
+++ b/src/tier/control/messages.h
@@ -12,7 +12,7 @@
 #include "tier/control/control_client.h"
 #include "tier/control/disk_use.h"
 #include "tier/coordination/chain_messages.h"
-#include "tier/coordination/change_marks.h"
+#include "tier/coordination/change_history.h"
 
 namespace pearreach::control {
 
@@ -34,11 +34,11 @@
 struct ReadRequest {
   Revisions revisions;
   std::int64_t timeout = 0;
-  std::optional<coordination::ChangeMark> mark;  // whether that configuration has been taken
+  std::optional<coordination::ChangeId> change_id;  // whether that configuration has been taken
   bool passed_on = false;  // by a quorum member that is cut off from the others
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& revisions& timeout& mark& passed_on;
+    archive& revisions& timeout& change_id& passed_on;
   }
 };
 
@@ -57,10 +57,10 @@
   coordination::Version version;
   std::vector<StateEntry> entries;  // those whose revision differs from the asker's
   // Of the mark that was asked about.
-  coordination::MarkStanding standing = coordination::MarkStanding::kForgotten;
+  coordination::ChangeHistoryStatus history_status = coordination::ChangeHistoryStatus::kForgotten;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& present& version.epoch& version.sequence& entries& standing;
+    archive& present& version.epoch& version.sequence& entries& history_status;
   }
 };
 
@@ -72,11 +72,11 @@
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& change.key& change.value& change.expected_revision& timeout& hops;
-    archive& change.fence.key& change.fence.revision& change.mark;
+    archive& change.fencing_token.key& change.fencing_token.revision& change.change_id;
   }
 };
 
-struct WriteAnswer {
+struct WriteResponse {
   std::uint8_t status = 0;  // coordination::ChangeStatus
   std::uint64_t revision = 0;
   std::string hint;  // name of the head, as far as known
@@ -89,7 +89,7 @@
 // kChain: a message between chain replicas, or a question for a sign; `from` is the sender's name.
 struct ChainEnvelope {
   std::string from, bytes{};
-  bool sign = false;  // answered with SignAnswer
+  bool sign = false;  // answered with HeartbeatResponse
   // Of a question:
   bool leaving = false;  // the sender's process ends on purpose
   std::string disk_id;   // the sender's disk
@@ -100,18 +100,18 @@
   }
 };
 
-struct SignAnswer {
-  std::string name;                // of the answering node
-  std::vector<std::string> hears;  // quorum members that it has lately heard directly
-  bool leaving = false;            // its process ends on purpose
-  std::uint64_t epoch = 0;         // of the view that it is in
-  bool agreeing = false;           // it takes part in an agreement on the next one
-  std::string disk_id;             // its disk
-  DiskUse use;                     // as far as that is synced
-  DiskUse heard;                   // of the asker's disk, before this question
+struct HeartbeatResponse {
+  std::string name;                            // of the answering node
+  std::vector<std::string> reachable_members;  // quorum members that it has lately heard directly
+  bool leaving = false;                        // its process ends on purpose
+  std::uint64_t epoch = 0;                     // of the view that it is in
+  bool agreeing = false;                       // it takes part in an agreement on the next one
+  std::string disk_id;                         // its disk
+  DiskUse use;                                 // as far as that is synced
+  DiskUse heard;                               // of the asker's disk, before this question
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& name& hears& leaving& epoch& agreeing& disk_id& use& heard;
+    archive& name& reachable_members& leaving& epoch& agreeing& disk_id& use& heard;
   }
 };
 
--- a/src/tier/control/poll_server.cpp
+++ b/src/tier/control/poll_server.cpp
@@ -6,11 +6,13 @@
 
 namespace pearreach::control {
 
-PollServer::PollServer(TimeSource* time, rpc::Mesh* mesh, SnapshotStore* snapshots)
+PollServer::PollServer(TimeSource* time, rpc::Transport* transport, SnapshotStore* snapshots)
     : time_(time), snapshots_(snapshots) {
-  mesh->Handle(rpc::MessageType::kControlPoll,
-               callbacks_.Bind([this](const std::string&, std::string_view body,
-                                      rpc::Respond respond) { Take(body, std::move(respond)); }));
+  transport->Handle(
+      rpc::MessageType::kControlPoll,
+      callbacks_.Bind([this](const std::string&, std::string_view body, rpc::Respond respond) {
+        Take(body, std::move(respond));
+      }));
   snapshots_->OnChange(callbacks_.Bind([this] { AnswerHeld(); }));
 }
 
--- a/src/tier/control/poll_server.h
+++ b/src/tier/control/poll_server.h
@@ -9,7 +9,7 @@
 #include "tier/control/messages.h"
 #include "tier/control/snapshot_store.h"
 #include "tier/control/time_source.h"
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 
 namespace pearreach::control {
 
@@ -18,7 +18,7 @@
 
 class PollServer {
  public:
-  PollServer(TimeSource* time, rpc::Mesh* mesh, SnapshotStore* snapshots);
+  PollServer(TimeSource* time, rpc::Transport* transport, SnapshotStore* snapshots);
   ~PollServer();
   std::size_t held() const { return held_.size(); }
 
--- a/src/tier/control/quorum_reach.h
+++ b/src/tier/control/quorum_connectivity.h
@@ -1,8 +1,8 @@
 // Which quorum members hear one another directly. Membership knows of a node also through others,
 // so a member that is cut off from the rest of the quorum alone looks alive to everybody; the
 // members of a view therefore ask one another for a sign, and learn with it whom the other hears.
-#ifndef PEARREACH_SRC_TIER_CONTROL_QUORUM_REACH_H_
-#define PEARREACH_SRC_TIER_CONTROL_QUORUM_REACH_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_QUORUM_CONNECTIVITY_H_
+#define PEARREACH_SRC_TIER_CONTROL_QUORUM_CONNECTIVITY_H_
 
 #include <functional>
 #include <map>
@@ -16,15 +16,15 @@
 #include "tier/control/messages.h"
 #include "tier/control/time_source.h"
 #include "tier/coordination/chain.h"
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 
 namespace pearreach::control {
 
-class QuorumReach {
+class QuorumConnectivity {
  public:
-  QuorumReach(TimeSource* time, rpc::Mesh* mesh, const MemberDirectory* directory,
-              const ControlTiming& timing);
-  ~QuorumReach();
+  QuorumConnectivity(TimeSource* time, rpc::Transport* transport, const MemberDirectory* directory,
+                     const ControlTiming& timing);
+  ~QuorumConnectivity();
 
   // Begins to ask; `checked` is called after each round.
   void Start(std::function<void()> checked);
@@ -50,16 +50,16 @@
   // A majority of the view is known to hear less than a majority in common with that member.
   bool IsLost(const std::string& name) const;
   // This node has just heard a majority of the view, itself among it where it is a member.
-  bool HearsMajority() const;
+  bool ReachesMajority() const;
   // It did once in this process's life, and does no longer: it is cut off from the others.
-  bool LostMajority() const { return has_heard_majority_ && !HearsMajority(); }
+  bool HasLostMajority() const { return has_heard_majority_ && !ReachesMajority(); }
   // The same, and it is the head.
-  bool HoldsDuty() const { return is_head_ && HearsMajority(); }
+  bool IsSingletonRoleCandidate() const { return is_head_ && ReachesMajority(); }
 
  private:
   struct Answer {
-    Micros asked = 0;             // when the last answered question was sent
-    std::set<std::string> hears;  // what that answer says
+    Micros asked = 0;                         // when the last answered question was sent
+    std::set<std::string> reachable_members;  // what that answer says
     std::uint64_t epoch = 0;
     bool agreeing = false;
   };
@@ -72,7 +72,7 @@
   bool HeardByMembership(const std::string& name, Micros span) const;
 
   TimeSource* time_;
-  rpc::Mesh* mesh_;
+  rpc::Transport* transport_;
   const MemberDirectory* directory_;
   const ControlTiming timing_;
   std::function<void()> checked_;
@@ -88,4 +88,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_TIER_CONTROL_QUORUM_REACH_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_QUORUM_CONNECTIVITY_H_
--- a/src/tier/control/replace_call.cpp
+++ b/src/tier/control/replace_call.cpp
@@ -9,7 +9,7 @@
 
 #include "tier/control/api_answers.h"
 #include "tier/control/config_api.h"
-#include "tier/control/config_mark.h"
+#include "tier/control/config_change_id.h"
 #include "tier/logging/log.h"
 
 namespace pearreach::control {
@@ -18,7 +18,7 @@
 using coordination::ChangeStatus;
 
 constexpr Micros kResolveTime = 300 * kMs;  // kept back to look into an unclear outcome
-constexpr Micros kLeastChangeTime = 100 * kMs;
+constexpr Micros kMinChangeTime = 100 * kMs;
 
 std::optional<std::int64_t> ParseVersion(const std::string* text) {
   if (text == nullptr || text->empty()) return std::nullopt;
@@ -57,7 +57,7 @@
     AnswerError(exchange_.get(), 400, "X-Parent-Version is not a whole number");
     return false;
   }
-  if (exchange_->request().body.size() > kMostConfigBytes) {
+  if (exchange_->request().body.size() > kMaxConfigBytes) {
     AnswerError(exchange_.get(), 413, "the configuration is too large");
     return false;
   }
@@ -69,35 +69,36 @@
   }
   parent_ = *parent;
   version_ = (*parsed)->version();
-  mark_ = ConfigMark(version_, body_);
+  change_id_ = ConfigChangeId(version_, body_);
   return true;
 }
 
 void ReplaceCall::Read(Micros timeout, Next next) {
-  client_->ReadMark(mark_, std::max<Micros>(timeout, 0),
-                    [self = shared_from_this(), next](const absl::StatusOr<MarkReading>& reading) {
-                      if (!reading.ok()) {
-                        return AnswerUnavailable(self->exchange_.get(),
-                                                 "the newest state is not known for sure");
-                      }
-                      ((*self).*next)(*reading);
-                    });
+  client_->ReadWithHistory(
+      change_id_, std::max<Micros>(timeout, 0),
+      [self = shared_from_this(), next](const absl::StatusOr<ChangeHistoryRead>& reading) {
+        if (!reading.ok()) {
+          return AnswerUnavailable(self->exchange_.get(), "the newest state is not known for sure");
+        }
+        ((*self).*next)(*reading);
+      });
 }
 
 bool ReplaceCall::IsCurrent(const ControlSnapshot& snapshot) const {
   return snapshot.config_revision != 0 && CurrentVersion(snapshot) == version_ &&
-         ConfigMark(version_, snapshot.config_json) == mark_;
+         ConfigChangeId(version_, snapshot.config_json) == change_id_;
 }
 
-bool ReplaceCall::IsSettled(const MarkReading& reading) {
+bool ReplaceCall::IsSettled(const ChangeHistoryRead& reading) {
   const ControlSnapshot& snapshot = *reading.snapshot;
   const std::int64_t current = CurrentVersion(snapshot);
-  if (reading.standing == coordination::MarkStanding::kRecorded || IsCurrent(snapshot)) {
+  if (reading.history_status == coordination::ChangeHistoryStatus::kRecorded ||
+      IsCurrent(snapshot)) {
     AnswerTaken();
     return true;
   }
   if (parent_ == current) return false;
-  const bool forgotten = reading.standing == coordination::MarkStanding::kForgotten;
+  const bool forgotten = reading.history_status == coordination::ChangeHistoryStatus::kForgotten;
   if (forgotten && version_ <= current) {
     AnswerUnavailable(exchange_.get(), "the version is older than the record of taken ones");
   } else {
@@ -107,7 +108,7 @@
   return true;
 }
 
-void ReplaceCall::Decide(const MarkReading& reading) {
+void ReplaceCall::Decide(const ChangeHistoryRead& reading) {
   if (IsSettled(reading)) return;
   // Versions only rise: what is not above its parent is never valid, whatever is current by now.
   if (version_ <= parent_) {
@@ -121,7 +122,7 @@
   const Micros timeout = Left() - kResolveTime;
   if (timeout <= 0) return AnswerUnavailable(exchange_.get(), "no time is left for the change");
   client_->Change(
-      {kConfigKey, snapshot.config_revision, body_, {}, mark_}, timeout,
+      {kConfigKey, snapshot.config_revision, body_, {}, change_id_}, timeout,
       [self = shared_from_this()](const ChangeOutcome& outcome) { self->Changed(outcome); });
 }
 
@@ -131,10 +132,10 @@
   Read(Left(), &ReplaceCall::Resolve);
 }
 
-void ReplaceCall::Resolve(const MarkReading& reading) {
+void ReplaceCall::Resolve(const ChangeHistoryRead& reading) {
   if (IsSettled(reading)) return;
   // The same change again: at most one of the two finds the revision that both expect.
-  if (unclear_ && !std::exchange(again_, true) && Left() > kResolveTime + kLeastChangeTime) {
+  if (unclear_ && !std::exchange(again_, true) && Left() > kResolveTime + kMinChangeTime) {
     return Change(*reading.snapshot);
   }
   AnswerUnavailable(exchange_.get(), "the change may or may not come into force");
--- a/src/tier/control/replace_call.h
+++ b/src/tier/control/replace_call.h
@@ -22,17 +22,17 @@
   void Start();
 
  private:
-  using Next = void (ReplaceCall::*)(const MarkReading&);
+  using Next = void (ReplaceCall::*)(const ChangeHistoryRead&);
 
   // False: answered already.
   bool ReadRequest();
   void Read(Micros timeout, Next next);
   // By a strict reading.
-  void Decide(const MarkReading& reading);
+  void Decide(const ChangeHistoryRead& reading);
   // The same after a conflict or an unclear outcome.
-  void Resolve(const MarkReading& reading);
+  void Resolve(const ChangeHistoryRead& reading);
   // True: the reading alone gives the answer, which has been sent.
-  bool IsSettled(const MarkReading& reading);
+  bool IsSettled(const ChangeHistoryRead& reading);
   void Change(const ControlSnapshot& snapshot);
   void Changed(const ChangeOutcome& outcome);
   bool IsCurrent(const ControlSnapshot& snapshot) const;
@@ -46,7 +46,7 @@
   Micros deadline_;
   std::string body_;
   std::int64_t parent_ = 0, version_ = 0;
-  coordination::ChangeMark mark_;
+  coordination::ChangeId change_id_;
   bool unclear_ = false;  // nothing is known of the change that was sent last
   bool again_ = false;    // the change has been sent a second time
 };
--- a/src/tier/control/replica_driver.cpp
+++ b/src/tier/control/replica_driver.cpp
@@ -16,8 +16,8 @@
 // A message of a whole configuration may take longer than the replica waits: it is not sent again
 // while it is on its way.
 constexpr std::size_t kLargeMessage = 64 << 10;
-constexpr std::size_t kMostHeld = 64;
-constexpr std::size_t kLeastBytesPerSecond = 1 << 20;
+constexpr std::size_t kMaxHeld = 64;
+constexpr std::size_t kMinBytesPerSecond = 1 << 20;
 
 std::map<std::string, std::string> RecordsOf(const storage::TableStore& store) {
   const std::string_view prefix = kRecordPrefix;
@@ -41,30 +41,30 @@
 
 }  // namespace
 
-ReplicaDriver::ReplicaDriver(TimeSource* time, rpc::Mesh* mesh, storage::TableStore* store,
-                             SnapshotStore* snapshots, const MemberDirectory* directory,
-                             QuorumReach* reach, coordination::ChainOptions options,
-                             std::uint64_t seed)
+ReplicaDriver::ReplicaDriver(TimeSource* time, rpc::Transport* transport,
+                             storage::TableStore* store, SnapshotStore* snapshots,
+                             const MemberDirectory* directory, QuorumConnectivity* connectivity,
+                             coordination::ChainOptions options, std::uint64_t seed)
     : time_(time),
-      mesh_(mesh),
+      transport_(transport),
       writer_(time, store, std::mt19937_64(seed)(),
               [this](const auto& tokens) { Written(tokens); }),
       snapshots_(snapshots),
       directory_(directory),
-      reach_(reach),
+      connectivity_(connectivity),
       self_(options.self),
       replica_(std::move(options), RecordsOf(*store), seed, time->Now()),
       timer_(time, [this] { Tick(); }) {
-  mesh_->Handle(rpc::MessageType::kChain,
-                callbacks_.Bind(
-                    [this](const std::string&, std::string_view body, const rpc::Respond& respond) {
-                      const auto envelope = codec::Decode<ChainEnvelope>(body);
-                      if (!envelope.ok()) return respond(envelope.status());
-                      if (envelope->sign) return respond(reach_->Sign(*envelope));
-                      respond(std::string());
-                      Receive(*envelope);
-                    }));
-  reach_->disk().SetDisk(self_.disk_id, &writer_);
+  transport_->Handle(rpc::MessageType::kChain,
+                     callbacks_.Bind([this](const std::string&, std::string_view body,
+                                            const rpc::Respond& respond) {
+                       const auto envelope = codec::Decode<ChainEnvelope>(body);
+                       if (!envelope.ok()) return respond(envelope.status());
+                       if (envelope->sign) return respond(connectivity_->Sign(*envelope));
+                       respond(std::string());
+                       Receive(*envelope);
+                     }));
+  connectivity_->disk().SetDisk(self_.disk_id, &writer_);
   snapshots_->Apply(replica_.committed_version(), replica_.committed());
   timer_.Set(replica_.NextTick());
 }
@@ -80,11 +80,11 @@
 }
 
 void ReplicaDriver::MembersChanged() {
-  if (!held_.empty() && reach_->IsDiskChecked()) SendHeld();
+  if (!held_.empty() && connectivity_->IsDiskChecked()) SendHeld();
   std::vector<coordination::Peer> peers = directory_->Peers();
   for (coordination::Peer& peer : peers) {
-    peer.alive = peer.alive && !reach_->IsLost(peer.id.name);
-    peer.leaving = reach_->IsLeaving(peer.id.name);
+    peer.alive = peer.alive && !connectivity_->IsLost(peer.id.name);
+    peer.leaving = connectivity_->IsLeaving(peer.id.name);
   }
   if (Same(peers, peers_)) return;
   peers_ = peers;
@@ -142,7 +142,7 @@
 
 // What is lost here is sent again, as on the network.
 void ReplicaDriver::Receive(const ChainEnvelope& envelope) {
-  if (!reach_->IsDiskChecked()) return;
+  if (!connectivity_->IsDiskChecked()) return;
   coordination::Effects effects;
   replica_.Receive(time_->Now(), envelope.from, envelope.bytes, &effects);
   CarryOut(std::move(effects));
@@ -157,8 +157,8 @@
 void ReplicaDriver::CarryOut(coordination::Effects effects) {
   for (auto& persist : effects.persists) writer_.Write(std::move(persist));
   for (auto& message : effects.messages) held_.push_back(std::move(message));
-  if (reach_->IsDiskChecked()) SendHeld();
-  while (held_.size() > kMostHeld) held_.pop_front();
+  if (connectivity_->IsDiskChecked()) SendHeld();
+  while (held_.size() > kMaxHeld) held_.pop_front();
   for (auto& committed : effects.committed) {
     snapshots_->Apply(committed.version, std::move(committed.map));
   }
@@ -173,7 +173,8 @@
 }
 
 void ReplicaDriver::Written(const std::vector<std::uint64_t>& tokens) {
-  if (!reach_->IsDiskChecked()) reach_->AskAgain();  // the others can be told of this process now
+  if (!connectivity_->IsDiskChecked())
+    connectivity_->AskAgain();  // the others can be told of this process now
   coordination::Effects effects;
   for (const std::uint64_t token : tokens) replica_.Persisted(time_->Now(), token, &effects);
   CarryOut(std::move(effects));
@@ -185,17 +186,17 @@
   if (message.bytes.size() < kLargeMessage) return SendTo(member->info.address, message);
   const std::pair key(message.to, std::hash<std::string>()(message.bytes));
   if (!large_under_way_.insert(key).second) return;
-  const Micros way = static_cast<Micros>(message.bytes.size()) * kSecond / kLeastBytesPerSecond;
-  mesh_->Call(member->info.address, rpc::MessageType::kChain, Enveloped(self_.name, message.bytes),
-              kMessageTimeout + way,
-              callbacks_.Bind([this, key](const absl::StatusOr<std::string>&) {
-                large_under_way_.erase(key);
-              }));
+  const Micros way = static_cast<Micros>(message.bytes.size()) * kSecond / kMinBytesPerSecond;
+  transport_->Call(member->info.address, rpc::MessageType::kChain,
+                   Enveloped(self_.name, message.bytes), kMessageTimeout + way,
+                   callbacks_.Bind([this, key](const absl::StatusOr<std::string>&) {
+                     large_under_way_.erase(key);
+                   }));
 }
 
 void ReplicaDriver::SendTo(const std::string& address, const coordination::SendMessage& message) {
-  mesh_->Call(address, rpc::MessageType::kChain, Enveloped(self_.name, message.bytes),
-              kMessageTimeout, [](const absl::StatusOr<std::string>&) {});
+  transport_->Call(address, rpc::MessageType::kChain, Enveloped(self_.name, message.bytes),
+                   kMessageTimeout, [](const absl::StatusOr<std::string>&) {});
 }
 
 }  // namespace pearreach::control
--- a/src/tier/control/replica_driver.h
+++ b/src/tier/control/replica_driver.h
@@ -11,14 +11,14 @@
 #include <utility>
 #include <vector>
 
+#include "tier/control/deadline_timer.h"
 #include "tier/control/member_directory.h"
-#include "tier/control/quorum_reach.h"
+#include "tier/control/quorum_connectivity.h"
 #include "tier/control/record_writer.h"
 #include "tier/control/snapshot_store.h"
 #include "tier/control/time_source.h"
-#include "tier/control/wake_timer.h"
 #include "tier/coordination/chain.h"
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 #include "tier/storage/table_store.h"
 
 namespace pearreach::control {
@@ -28,9 +28,10 @@
   using ChangeDone = std::function<void(const coordination::ChangeResult&)>;
   using ReadDone = std::function<void(const coordination::ReadResult&)>;
 
-  ReplicaDriver(TimeSource* time, rpc::Mesh* mesh, storage::TableStore* store,
-                SnapshotStore* snapshots, const MemberDirectory* directory, QuorumReach* reach,
-                coordination::ChainOptions options, std::uint64_t seed);
+  ReplicaDriver(TimeSource* time, rpc::Transport* transport, storage::TableStore* store,
+                SnapshotStore* snapshots, const MemberDirectory* directory,
+                QuorumConnectivity* connectivity, coordination::ChainOptions options,
+                std::uint64_t seed);
   ~ReplicaDriver();
 
   // Called after each step of the replica.
@@ -71,11 +72,11 @@
   void Finish(const coordination::ReadResult& result);
 
   TimeSource* time_;
-  rpc::Mesh* mesh_;
+  rpc::Transport* transport_;
   RecordWriter writer_;
   SnapshotStore* snapshots_;
   const MemberDirectory* directory_;
-  QuorumReach* reach_;
+  QuorumConnectivity* connectivity_;
   const coordination::ReplicaId self_;
   coordination::ChainReplica replica_;
   std::function<void()> listener_;
@@ -86,7 +87,7 @@
   std::map<std::uint64_t, WaitingChange> changes_;
   std::map<std::uint64_t, WaitingRead> reads_;
   std::uint64_t last_ticket_ = 0;
-  WakeTimer timer_;
+  DeadlineTimer timer_;
   CallbackOwner callbacks_;
 };
 
--- a/src/tier/control/duty_holder.cpp
+++ b/src/tier/control/singleton_role_driver.cpp
@@ -1,4 +1,4 @@
-#include "tier/control/duty_holder.h"
+#include "tier/control/singleton_role_driver.h"
 
 #include <utility>
 
@@ -7,42 +7,42 @@
 namespace pearreach::control {
 namespace {
 
-constexpr char kDutyPrefix[] = "duty/";  // of a duty's key in the control state
+constexpr char kRoleKeyPrefix[] = "duty/";  // of a duty's key in the control state
 constexpr Micros kClaimTimeout = 1 * kSecond;
 constexpr Micros kClaimPause = 200 * kMs;
 
 }  // namespace
 
-DutyHolder::DutyHolder(ControlClient* control, const std::string& duty, std::string self,
-                       std::function<void()> changed)
+SingletonRoleDriver::SingletonRoleDriver(ControlClient* control, const std::string& duty,
+                                         std::string self, std::function<void()> changed)
     : control_(control),
-      key_(kDutyPrefix + duty),
+      key_(kRoleKeyPrefix + duty),
       self_(std::move(self)),
       changed_(std::move(changed)),
-      duty_(self_, kClaimPause) {}
+      role_(self_, kClaimPause) {}
 
-bool DutyHolder::Update(Micros now) {
+bool SingletonRoleDriver::Update(Micros now) {
   Observe();
-  duty_.SetFirst(control_->IsDutyHolder());
-  if (const auto epoch = duty_.NextClaim(now)) Claim(*epoch);
+  role_.SetFirst(control_->IsSingletonRoleCandidate());
+  if (const auto epoch = role_.NextClaim(now)) Claim(*epoch);
   return holds();
 }
 
-void DutyHolder::Observe() {
+void SingletonRoleDriver::Observe() {
   const auto map = control_->Current()->map;
   if (map == nullptr) return;
   const auto entry = map->find(key_);
-  if (entry != map->end()) duty_.Observe({entry->second.revision, entry->second.value});
+  if (entry != map->end()) role_.Observe({entry->second.revision, entry->second.value});
 }
 
-void DutyHolder::Claim(std::uint64_t epoch) {
+void SingletonRoleDriver::Claim(std::uint64_t epoch) {
   control_->Change(
       {key_, epoch, self_}, kClaimTimeout, [this, alive = alive_](const ChangeOutcome& outcome) {
         if (!*alive) return;
-        duty_.ClaimEnded(outcome.status, outcome.revision);
+        role_.ClaimEnded(outcome.status, outcome.revision);
         if (holds()) {
           logging::Info("control", "duty taken",
-                        {logging::F("duty", key_), logging::F("epoch", duty_.record().epoch)});
+                        {logging::F("duty", key_), logging::F("epoch", role_.record().epoch)});
         }
         changed_();
       });
--- a/src/tier/control/snapshot_store.cpp
+++ b/src/tier/control/snapshot_store.cpp
@@ -95,7 +95,7 @@
   Revisions revisions;
   if (snapshot.map == nullptr) return revisions;
   for (const auto& [key, entry] : *snapshot.map) {
-    if (!coordination::IsMarkKey(key)) revisions[key] = entry.revision;
+    if (!coordination::IsChangeHistoryKey(key)) revisions[key] = entry.revision;
   }
   return revisions;
 }
@@ -106,7 +106,7 @@
   update.present = true;
   update.version = version;
   for (const auto& [key, entry] : map) {
-    if (coordination::IsMarkKey(key)) continue;
+    if (coordination::IsChangeHistoryKey(key)) continue;
     const auto found = known.find(key);
     if (found != known.end() && found->second == entry.revision) continue;
     update.entries.push_back({key, entry.value, entry.revision});
--- a/src/tier/control/state_poller.cpp
+++ b/src/tier/control/state_poller.cpp
@@ -11,15 +11,15 @@
 
 constexpr Micros kPollTimeout = kPollHold + kSecond;
 constexpr Micros kRetryAfterFailure = 300 * kMs;
-constexpr Micros kLeastHold = 100 * kMs;  // an empty answer before that counts as a failure
+constexpr Micros kMinHold = 100 * kMs;  // an empty answer before that counts as a failure
 
 bool Same(const Contact& a, const Contact& b) { return a.address == b.address; }
 
 }  // namespace
 
-StatePoller::StatePoller(TimeSource* time, rpc::Mesh* mesh, SnapshotStore* snapshots,
+StatePoller::StatePoller(TimeSource* time, rpc::Transport* transport, SnapshotStore* snapshots,
                          const MemberDirectory* directory)
-    : time_(time), mesh_(mesh), snapshots_(snapshots), directory_(directory) {}
+    : time_(time), transport_(transport), snapshots_(snapshots), directory_(directory) {}
 
 StatePoller::~StatePoller() { time_->Cancel(&retry_timer_); }
 
@@ -68,7 +68,7 @@
   slot->call = ++last_call_;
   slot->asked = time_->Now();
   const PollRequest request{current->version, RevisionsOf(*current), true};
-  mesh_->Call(
+  transport_->Call(
       slot->contact.address, rpc::MessageType::kControlPoll, codec::Encode(request), kPollTimeout,
       callbacks_.Bind([this, call = slot->call,
                        address = slot->contact.address](absl::StatusOr<std::string> answer) {
@@ -86,7 +86,7 @@
   const auto slot =
       std::find_if(slots_.begin(), slots_.end(), [&](const Slot& s) { return s.call == call; });
   if (slot == slots_.end()) return;
-  const bool failed = failed_call || (!present && time_->Now() - slot->asked < kLeastHold);
+  const bool failed = failed_call || (!present && time_->Now() - slot->asked < kMinHold);
   slot->call = 0;
   if (failed) Fail(address);
   Refresh();
--- a/src/tier/control/state_poller.h
+++ b/src/tier/control/state_poller.h
@@ -11,13 +11,13 @@
 #include "tier/control/member_directory.h"
 #include "tier/control/snapshot_store.h"
 #include "tier/control/time_source.h"
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 
 namespace pearreach::control {
 
 class StatePoller {
  public:
-  StatePoller(TimeSource* time, rpc::Mesh* mesh, SnapshotStore* snapshots,
+  StatePoller(TimeSource* time, rpc::Transport* transport, SnapshotStore* snapshots,
               const MemberDirectory* directory);
   ~StatePoller();
 
@@ -40,7 +40,7 @@
   void ArmRetry();
 
   TimeSource* time_;
-  rpc::Mesh* mesh_;
+  rpc::Transport* transport_;
   SnapshotStore* snapshots_;
   const MemberDirectory* directory_;
   bool active_ = false;
--- a/src/tier/control/strict_reader.cpp
+++ b/src/tier/control/strict_reader.cpp
@@ -9,33 +9,34 @@
 namespace {
 
 constexpr Micros kPause = 30 * kMs;
-constexpr Micros kLeastTry = 150 * kMs;  // one member gets no less, while time is left
+constexpr Micros kMinTry = 150 * kMs;  // one member gets no less, while time is left
 
 // A sure answer without a map: nothing has ever been set.
 std::shared_ptr<const coordination::Map> MapOf(const coordination::ReadResult& result) {
   return result.map != nullptr ? result.map : std::make_shared<const coordination::Map>();
 }
 
-coordination::MarkStanding StandingOf(const StrictReader::Mark& mark,
-                                      const coordination::Map& map) {
-  if (!mark) return coordination::MarkStanding::kForgotten;
-  return coordination::FindMark(map, kConfigKey, *mark);
+coordination::ChangeHistoryStatus HistoryStatusOf(const StrictReader::Mark& change_id,
+                                                  const coordination::Map& map) {
+  if (!change_id) return coordination::ChangeHistoryStatus::kForgotten;
+  return coordination::FindInChangeHistory(map, kConfigKey, *change_id);
 }
 
 }  // namespace
 
-StrictReader::StrictReader(TimeSource* time, rpc::Mesh* mesh, SnapshotStore* snapshots,
+StrictReader::StrictReader(TimeSource* time, rpc::Transport* transport, SnapshotStore* snapshots,
                            const MemberDirectory* directory, ReplicaDriver* replica,
-                           const QuorumReach* reach)
+                           const QuorumConnectivity* connectivity)
     : time_(time),
-      mesh_(mesh),
+      transport_(transport),
       snapshots_(snapshots),
       directory_(directory),
       replica_(replica),
-      reach_(reach) {
-  mesh_->Handle(rpc::MessageType::kControlRead,
-                callbacks_.Bind([this](const std::string&, std::string_view body,
-                                       const rpc::Respond& respond) { Serve(body, respond); }));
+      connectivity_(connectivity) {
+  transport_->Handle(
+      rpc::MessageType::kControlRead,
+      callbacks_.Bind([this](const std::string&, std::string_view body,
+                             const rpc::Respond& respond) { Serve(body, respond); }));
 }
 
 void StrictReader::Serve(std::string_view body, const rpc::Respond& respond) {
@@ -47,7 +48,7 @@
                    if (!result.ok) return respond(codec::Encode(StateUpdate()));
                    const auto map = MapOf(result);
                    StateUpdate update = UpdateFor(request.revisions, result.version, *map);
-                   update.standing = StandingOf(request.mark, *map);
+                   update.history_status = HistoryStatusOf(request.change_id, *map);
                    respond(codec::Encode(update));
                  });
 }
@@ -55,23 +56,23 @@
 // A node outside the quorum reads for a member that does not reach the others.
 void StrictReader::ServeForCutOff(const ReadRequest& request, const rpc::Respond& respond) {
   if (!request.passed_on) return respond(absl::FailedPreconditionError("not a quorum member"));
-  Read(request.mark, request.timeout,
-       [respond, known = request.revisions](const absl::StatusOr<MarkReading>& reading) {
+  Read(request.change_id, request.timeout,
+       [respond, known = request.revisions](const absl::StatusOr<ChangeHistoryRead>& reading) {
          if (!reading.ok()) return respond(codec::Encode(StateUpdate()));
          const ControlSnapshot& snapshot = *reading->snapshot;
          StateUpdate update = UpdateFor(known, snapshot.version, *snapshot.map);
-         update.standing = reading->standing;
+         update.history_status = reading->history_status;
          respond(codec::Encode(update));
        });
 }
 
 bool StrictReader::IsCutOff() const {
-  return replica_ != nullptr && replica_->InView() && reach_->LostMajority();
+  return replica_ != nullptr && replica_->InView() && connectivity_->HasLostMajority();
 }
 
-void StrictReader::Read(const Mark& mark, Micros timeout, Done done) {
+void StrictReader::Read(const Mark& change_id, Micros timeout, Done done) {
   auto attempt = std::make_shared<Attempt>();
-  attempt->mark = mark;
+  attempt->change_id = change_id;
   attempt->deadline = time_->Now() + timeout;
   attempt->done = std::move(done);
   Try(attempt);
@@ -80,8 +81,8 @@
 void StrictReader::Try(const AttemptPtr& attempt) {
   const Micros left = attempt->deadline - time_->Now();
   if (left <= 0) return attempt->done(absl::UnavailableError("no sure answer in time"));
-  const Micros timeout = std::min(left, std::max(left / 2, kLeastTry));
-  const std::size_t number = attempt->tries++;
+  const Micros timeout = std::min(left, std::max(left / 2, kMinTry));
+  const std::size_t number = attempt->attempts++;
   const std::vector<Contact> members = directory_->QuorumContacts();
   const std::vector<Contact> others = directory_->PlainContacts();
   if (IsCutOff() && !others.empty() && number % 2 == 0) {
@@ -98,21 +99,23 @@
     if (!result.ok) return Failed(attempt);
     const auto map = MapOf(result);
     snapshots_->ApplyConfirmed(result.version, map);
-    attempt->done(MarkReading{snapshots_->current(), StandingOf(attempt->mark, *map)});
+    attempt->done(
+        ChangeHistoryRead{snapshots_->current(), HistoryStatusOf(attempt->change_id, *map)});
   }));
 }
 
 void StrictReader::Ask(const AttemptPtr& attempt, const Contact& contact, Micros timeout) {
-  const ReadRequest request{RevisionsOf(*snapshots_->current()), timeout, attempt->mark,
+  const ReadRequest request{RevisionsOf(*snapshots_->current()), timeout, attempt->change_id,
                             IsCutOff()};
-  mesh_->Call(contact.address, rpc::MessageType::kControlRead, codec::Encode(request), timeout,
-              callbacks_.Bind([this, attempt](const absl::StatusOr<std::string>& answer) {
-                auto update = answer.ok() ? codec::Decode<StateUpdate>(*answer) : answer.status();
-                if (!update.ok() || !update->present) return Failed(attempt);
-                const coordination::MarkStanding standing = update->standing;
-                snapshots_->ApplyConfirmed(*std::move(update));
-                attempt->done(MarkReading{snapshots_->current(), standing});
-              }));
+  transport_->Call(
+      contact.address, rpc::MessageType::kControlRead, codec::Encode(request), timeout,
+      callbacks_.Bind([this, attempt](const absl::StatusOr<std::string>& answer) {
+        auto update = answer.ok() ? codec::Decode<StateUpdate>(*answer) : answer.status();
+        if (!update.ok() || !update->present) return Failed(attempt);
+        const coordination::ChangeHistoryStatus history_status = update->history_status;
+        snapshots_->ApplyConfirmed(*std::move(update));
+        attempt->done(ChangeHistoryRead{snapshots_->current(), history_status});
+      }));
 }
 
 void StrictReader::Failed(const AttemptPtr& attempt) {
--- a/src/tier/control/strict_reader.h
+++ b/src/tier/control/strict_reader.h
@@ -14,28 +14,29 @@
 #include "tier/control/replica_driver.h"
 #include "tier/control/snapshot_store.h"
 #include "tier/control/time_source.h"
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 
 namespace pearreach::control {
 
 class StrictReader {
  public:
-  using Done = std::function<void(absl::StatusOr<MarkReading>)>;
-  using Mark = std::optional<coordination::ChangeMark>;
+  using Done = std::function<void(absl::StatusOr<ChangeHistoryRead>)>;
+  using Mark = std::optional<coordination::ChangeId>;
 
   // `replica`: null on nodes outside the quorum.
-  StrictReader(TimeSource* time, rpc::Mesh* mesh, SnapshotStore* snapshots,
-               const MemberDirectory* directory, ReplicaDriver* replica, const QuorumReach* reach);
+  StrictReader(TimeSource* time, rpc::Transport* transport, SnapshotStore* snapshots,
+               const MemberDirectory* directory, ReplicaDriver* replica,
+               const QuorumConnectivity* connectivity);
   // `done` is called exactly once, within `timeout`. `mark`: of a configuration, whose standing the
   // reading tells.
-  void Read(const Mark& mark, Micros timeout, Done done);
+  void Read(const Mark& change_id, Micros timeout, Done done);
 
  private:
   struct Attempt {
-    Mark mark;
+    Mark change_id;
     Micros deadline = 0;
     Done done;
-    std::size_t tries = 0;
+    std::size_t attempts = 0;
   };
   using AttemptPtr = std::shared_ptr<Attempt>;
   void Serve(std::string_view body, const rpc::Respond& respond);
@@ -47,11 +48,11 @@
   void Failed(const AttemptPtr& attempt);
 
   TimeSource* time_;
-  rpc::Mesh* mesh_;
+  rpc::Transport* transport_;
   SnapshotStore* snapshots_;
   const MemberDirectory* directory_;
   ReplicaDriver* replica_;
-  const QuorumReach* reach_;
+  const QuorumConnectivity* connectivity_;
   CallbackOwner callbacks_;
 };
 
--- a/src/tier/coordination/chain.h
+++ b/src/tier/coordination/chain.h
@@ -62,17 +62,17 @@
 
 // Refuses a change once `key` has a later revision than this one: what was decided while `revision`
 // was the newest does not come into force after it.
-struct Fence {
+struct FencingToken {
   std::string key;  // empty: none
   std::uint64_t revision = 0;
 };
 
 // What stands for a change in the record of its key's changes (change_marks.h): the number that its
 // author gave it, which rises from change to change, and a digest of its content.
-struct ChangeMark {
+struct ChangeId {
   std::uint64_t number = 0;
   std::uint64_t digest_high = 0, digest_low = 0;
-  auto operator<=>(const ChangeMark&) const = default;
+  auto operator<=>(const ChangeId&) const = default;
 };
 
 // Sets `key` to `value` where its revision is `expected` and the fence stands.
@@ -81,8 +81,8 @@
   std::string key;
   std::uint64_t expected = 0;
   std::string value;
-  Fence fence;
-  std::optional<ChangeMark> mark{};  // recorded in the same commit
+  FencingToken fencing_token;
+  std::optional<ChangeId> change_id{};  // recorded in the same commit
 };
 
 struct ChangeResult {
--- a/src/tier/coordination/chain_messages.h
+++ b/src/tier/coordination/chain_messages.h
@@ -30,8 +30,8 @@
   archive& entry.value& entry.revision;
 }
 template <class Archive>
-void serialize(Archive& archive, ChangeMark& mark, unsigned) {
-  archive& mark.number& mark.digest_high& mark.digest_low;
+void serialize(Archive& archive, ChangeId& change_id, unsigned) {
+  archive& change_id.number& change_id.digest_high& change_id.digest_low;
 }
 template <class Archive>
 void serialize(Archive& archive, View& view, unsigned) {
@@ -41,10 +41,10 @@
 namespace chain {
 
 // Orders the proposals for one view.
-struct Ballot {
+struct ProposalNumber {
   std::uint64_t round = 0;  // 0: none
   ReplicaId proposer;
-  auto operator<=>(const Ballot&) const = default;
+  auto operator<=>(const ProposalNumber&) const = default;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& round& proposer;
@@ -114,7 +114,7 @@
 };
 
 // Successor -> predecessor: this member has the view and does not know whether you have it.
-struct Probe {
+struct ViewProbe {
   template <class Archive>
   void serialize(Archive&, unsigned) {}
 };
@@ -125,7 +125,7 @@
   void serialize(Archive&, unsigned) {}
 };
 
-struct ViewAsk {
+struct ViewRequest {
   std::vector<Version> have;  // maps that need not be sent
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -133,7 +133,7 @@
   }
 };
 
-struct ViewAnswer {
+struct ViewResponse {
   Proposal start;
   bool committed = false;  // the map is the committed one of `version`, no longer the start
   Version version;
@@ -145,30 +145,30 @@
 
 // Agreement on the view after the header's epoch.
 struct Prepare {
-  Ballot ballot;
+  ProposalNumber proposal_number;
   std::vector<ReplicaId> acceptors;
   Version have;  // the proposer's own newest state
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& ballot& acceptors& have;
+    archive& proposal_number& acceptors& have;
   }
 };
 
 struct Promise {
-  Ballot ballot;
+  ProposalNumber proposal_number;
   Version latest;  // newest state on this acceptor's disk
   MapRef map;      // of `latest`, where it is newer than the proposer's
-  Ballot accepted_ballot;
+  ProposalNumber accepted_number;
   Proposal accepted;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& ballot& latest& map& accepted_ballot& accepted;
+    archive& proposal_number& latest& map& accepted_number& accepted;
   }
 };
 
 // A greater ballot is promised.
-struct Refuse {
-  Ballot promised;
+struct Reject {
+  ProposalNumber promised;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& promised;
@@ -176,33 +176,33 @@
 };
 
 // The acceptor of the sender's name is gone for good: the sender runs on another disk.
-struct Absent {
-  Ballot ballot;
+struct AcceptorGone {
+  ProposalNumber proposal_number;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& ballot;
+    archive& proposal_number;
   }
 };
 
 struct Accept {
-  Ballot ballot;
+  ProposalNumber proposal_number;
   Proposal proposal;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& ballot& proposal;
+    archive& proposal_number& proposal;
   }
 };
 
 struct Accepted {
-  Ballot ballot;
+  ProposalNumber proposal_number;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& ballot;
+    archive& proposal_number;
   }
 };
 
 // Any replica -> tail.
-struct ReadAsk {
+struct ReadRequest {
   std::uint64_t instance = 0;  // of the asking process
   std::uint64_t ticket = 0;
   Version have;
@@ -213,7 +213,7 @@
 };
 
 // Tail -> members: is the view still in force with you?
-struct ConfirmAsk {
+struct ConfirmRequest {
   std::uint64_t nonce = 0;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -221,7 +221,7 @@
   }
 };
 
-struct Confirm {
+struct ConfirmResponse {
   std::uint64_t nonce = 0;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -229,7 +229,7 @@
   }
 };
 
-struct ReadAnswer {
+struct ReadResponse {
   std::uint64_t instance = 0, ticket = 0;
   Version version;
   MapRef map;  // null: the asker has this version
@@ -240,9 +240,9 @@
 };
 
 // The position in this list is the kind's value on the wire.
-using Body =
-    std::variant<Append, CommitNotice, Probe, ViewNotice, ViewAsk, ViewAnswer, Prepare, Promise,
-                 Refuse, Absent, Accept, Accepted, ReadAsk, ConfirmAsk, Confirm, ReadAnswer>;
+using Body = std::variant<Append, CommitNotice, ViewProbe, ViewNotice, ViewRequest, ViewResponse,
+                          Prepare, Promise, Reject, AcceptorGone, Accept, Accepted, ReadRequest,
+                          ConfirmRequest, ConfirmResponse, ReadResponse>;
 
 struct Header {
   ReplicaId from;
--- a/src/tier/coordination/chain_reads.cpp
+++ b/src/tier/coordination/chain_reads.cpp
@@ -35,13 +35,15 @@
     WakeAt(read.deadline);
     if (members.empty()) continue;
     if (read.resend.Due(now)) {
-      Send(members.back().name, chain::ReadAsk{instance_, read.ticket, state_.committed().version});
+      Send(members.back().name,
+           chain::ReadRequest{instance_, read.ticket, state_.committed().version});
     }
     WakeAt(read.resend.at());
   }
 }
 
-void ChainReplica::Impl::On(Micros now, const chain::Header& header, const chain::ReadAsk& ask) {
+void ChainReplica::Impl::On(Micros now, const chain::Header& header,
+                            const chain::ReadRequest& ask) {
   (void)now;
   if (!IsServing() || !IsTail() || !state_.started()) return;
   TailRead read{header.from.name, ask};
@@ -71,7 +73,8 @@
   if (!round_) return;
   if (round_->resend.Due(now)) {
     for (const ReplicaId& member : members) {
-      if (round_->confirmed.count(member) == 0) Send(member.name, chain::ConfirmAsk{round_->nonce});
+      if (round_->confirmed.count(member) == 0)
+        Send(member.name, chain::ConfirmRequest{round_->nonce});
     }
   }
   WakeAt(std::min(round_->resend.at(), round_->deadline));
@@ -80,25 +83,26 @@
 void ChainReplica::Impl::AnswerReads() {
   const chain::State& newest = state_.committed();
   for (const TailRead& read : round_->reads) {
-    chain::ReadAnswer answer{read.ask.instance, read.ask.ticket, newest.version, {}};
+    chain::ReadResponse answer{read.ask.instance, read.ask.ticket, newest.version, {}};
     if (read.ask.have != newest.version) answer.map.map = newest.map;
     Send(read.asker, std::move(answer));
   }
   round_.reset();
 }
 
-void ChainReplica::Impl::On(Micros, const chain::Header& header, const chain::ConfirmAsk& ask) {
+void ChainReplica::Impl::On(Micros, const chain::Header& header, const chain::ConfirmRequest& ask) {
   const auto& members = state_.view().members;
   if (!IsServing() || members.empty() || header.from != members.back()) return;
-  Send(header.from.name, chain::Confirm{ask.nonce});
+  Send(header.from.name, chain::ConfirmResponse{ask.nonce});
 }
 
-void ChainReplica::Impl::On(Micros, const chain::Header& header, const chain::Confirm& confirm) {
+void ChainReplica::Impl::On(Micros, const chain::Header& header,
+                            const chain::ConfirmResponse& confirm) {
   if (!round_ || round_->nonce != confirm.nonce) return;
   if (chain::Contains(state_.view().members, header.from)) round_->confirmed.insert(header.from);
 }
 
-void ChainReplica::Impl::On(Micros, const chain::Header&, const chain::ReadAnswer& answer) {
+void ChainReplica::Impl::On(Micros, const chain::Header&, const chain::ReadResponse& answer) {
   if (answer.instance != instance_) return;
   const auto read = std::find_if(asked_.begin(), asked_.end(), [&](const AskedRead& asked) {
     return asked.ticket == answer.ticket;
--- a/src/tier/coordination/chain_replica.cpp
+++ b/src/tier/coordination/chain_replica.cpp
@@ -134,16 +134,16 @@
   }
   const std::uint64_t epoch = state_.view().epoch;
   if (header.epoch > epoch) {
-    if (const auto* answer = std::get_if<chain::ViewAnswer>(&envelope.body)) {
-      OnViewAnswer(now, *answer);
-    } else if (!std::holds_alternative<chain::ViewAsk>(envelope.body)) {
+    if (const auto* answer = std::get_if<chain::ViewResponse>(&envelope.body)) {
+      OnViewResponse(now, *answer);
+    } else if (!std::holds_alternative<chain::ViewRequest>(envelope.body)) {
       AskForView(now, header);
     }
     return;
   }
   if (header.epoch < epoch) {
     // An answer to this ballot comes from any epoch: a wiped node has none.
-    if (const auto* absent = std::get_if<chain::Absent>(&envelope.body)) {
+    if (const auto* absent = std::get_if<chain::AcceptorGone>(&envelope.body)) {
       On(now, header, *absent);
       return;
     }
--- a/src/tier/coordination/chain_replica.h
+++ b/src/tier/coordination/chain_replica.h
@@ -80,7 +80,7 @@
   // A read that waits at the tail.
   struct TailRead {
     std::string asker;
-    chain::ReadAsk ask;
+    chain::ReadRequest ask;
     auto Key() const { return std::tie(asker, ask.instance, ask.ticket); }
   };
   // One question to all members, for all reads that waited when it began.
@@ -128,26 +128,26 @@
   bool IsFenced(const QueuedChange& change) const;
   void On(Micros now, const chain::Header& header, const chain::Append& append);
   void On(Micros now, const chain::Header& header, const chain::CommitNotice& notice);
-  void On(Micros now, const chain::Header& header, const chain::Probe& probe);
+  void On(Micros now, const chain::Header& header, const chain::ViewProbe& probe);
 
   // chain_views.cpp
   const std::vector<ReplicaId>& Acceptors() const;
   bool IsAcceptor() const;
   void AskForView(Micros now, const chain::Header& header);
   void AnswerOlder(const chain::Header& header, const chain::Body& body);
-  void OnViewAnswer(Micros now, const chain::ViewAnswer& answer);
+  void OnViewResponse(Micros now, const chain::ViewResponse& answer);
   void Install(Micros now, const chain::Proposal& proposal);
   void AfterInstall(Micros now);
   void AnswerIfReplaced(const chain::Header& header, const chain::Prepare& prepare);
   void On(Micros now, const chain::Header& header, const chain::Prepare& prepare);
   void On(Micros now, const chain::Header& header, const chain::Promise& promise);
-  void On(Micros now, const chain::Header& header, const chain::Refuse& refuse);
-  void On(Micros now, const chain::Header& header, const chain::Absent& absent);
+  void On(Micros now, const chain::Header& header, const chain::Reject& refuse);
+  void On(Micros now, const chain::Header& header, const chain::AcceptorGone& absent);
   void On(Micros now, const chain::Header& header, const chain::Accept& accept);
   void On(Micros now, const chain::Header& header, const chain::Accepted& accepted);
   void On(Micros, const chain::Header&, const chain::ViewNotice&) {}
-  void On(Micros, const chain::Header&, const chain::ViewAsk&) {}
-  void On(Micros, const chain::Header&, const chain::ViewAnswer&) {}
+  void On(Micros, const chain::Header&, const chain::ViewRequest&) {}
+  void On(Micros, const chain::Header&, const chain::ViewResponse&) {}
   void AdvanceViews(Micros now);
   void AdvanceProposer(Micros now);
   void Propose();
@@ -166,10 +166,10 @@
   void AdvanceAskedReads(Micros now);
   void AdvanceConfirmRound(Micros now);
   void AnswerReads();
-  void On(Micros now, const chain::Header& header, const chain::ReadAsk& ask);
-  void On(Micros now, const chain::Header& header, const chain::ConfirmAsk& ask);
-  void On(Micros now, const chain::Header& header, const chain::Confirm& confirm);
-  void On(Micros now, const chain::Header& header, const chain::ReadAnswer& answer);
+  void On(Micros now, const chain::Header& header, const chain::ReadRequest& ask);
+  void On(Micros now, const chain::Header& header, const chain::ConfirmRequest& ask);
+  void On(Micros now, const chain::Header& header, const chain::ConfirmResponse& confirm);
+  void On(Micros now, const chain::Header& header, const chain::ReadResponse& answer);
 
   const ChainOptions options_;
   std::mt19937_64 random_;
--- a/src/tier/coordination/chain_replication.cpp
+++ b/src/tier/coordination/chain_replication.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "tier/coordination/chain_replica.h"
-#include "tier/coordination/change_marks.h"
+#include "tier/coordination/change_history.h"
 
 namespace pearreach::coordination {
 
@@ -27,7 +27,8 @@
 }
 
 bool ChainReplica::Impl::IsFenced(const QueuedChange& change) const {
-  return !change.fence.key.empty() && CommittedRevision(change.fence.key) > change.fence.revision;
+  return !change.fencing_token.key.empty() &&
+         CommittedRevision(change.fencing_token.key) > change.fencing_token.revision;
 }
 
 void ChainReplica::Impl::FinishChange(const QueuedChange& change, ChangeStatus status,
@@ -44,7 +45,7 @@
   if (state_.pending() && synced_token_ >= pending_token_ && IsSynced()) {
     const Version version = state_.pending()->version;
     if (!predecessors_have_start_) {
-      if (push_.Due(now)) Send(Neighbour(-1)->name, chain::Probe{});
+      if (push_.Due(now)) Send(Neighbour(-1)->name, chain::ViewProbe{});
     } else if (IsTail()) {
       Commit();
     } else if (push_.Due(now)) {
@@ -84,12 +85,13 @@
       FinishChange(change, ChangeStatus::kConflict, revision);
     } else if (IsFenced(change)) {
       FinishChange(change, ChangeStatus::kFenced, revision);
-    } else if (keys.count(change.key) + keys.count(change.fence.key) + fences.count(change.key) >
+    } else if (keys.count(change.key) + keys.count(change.fencing_token.key) +
+                   fences.count(change.key) >
                0) {
       later.push_back(std::move(change));
     } else {
       keys.insert(change.key);
-      if (!change.fence.key.empty()) fences.insert(change.fence.key);
+      if (!change.fencing_token.key.empty()) fences.insert(change.fencing_token.key);
       AddChange(change, revision + 1, &changes);
       in_flight_.push_back(std::move(change));
     }
@@ -108,8 +110,9 @@
 void ChainReplica::Impl::AddChange(const QueuedChange& change, std::uint64_t revision,
                                    std::vector<chain::KeyChange>* changes) const {
   changes->push_back({change.key, {change.value, revision}});
-  if (!change.mark) return;
-  auto [key, page] = PageWithMark(*state_.committed().map, change.key, revision, *change.mark);
+  if (!change.change_id) return;
+  auto [key, page] =
+      ChangeHistoryPageWith(*state_.committed().map, change.key, revision, *change.change_id);
   changes->push_back({std::move(key), std::move(page)});
 }
 
@@ -210,7 +213,7 @@
   Commit();
 }
 
-void ChainReplica::Impl::On(Micros, const chain::Header& header, const chain::Probe&) {
+void ChainReplica::Impl::On(Micros, const chain::Header& header, const chain::ViewProbe&) {
   const ReplicaId* successor = Neighbour(1);
   if (!IsServing() || !successor || header.from != *successor) return;
   if (state_.started()) {
--- a/src/tier/coordination/chain_views.cpp
+++ b/src/tier/coordination/chain_views.cpp
@@ -13,7 +13,7 @@
 // A pending change that is not committed for this many call timeouts calls for another view.
 constexpr int kStuckTimeouts = 2;
 // The longest back-off between ballots is the stagger doubled this many times.
-constexpr int kMostDoublings = 1;
+constexpr int kMaxDoublings = 1;
 
 }  // namespace
 
@@ -30,20 +30,20 @@
   if (header.epoch > asked_epoch_) ask_resend_.Restart();
   asked_epoch_ = std::max(asked_epoch_, header.epoch);
   if (!ask_resend_.Due(now)) return;
-  chain::ViewAsk ask;
+  chain::ViewRequest ask;
   ask.have = {Version{}, state_.committed().version, state_.latest().version};
   Send(header.from.name, std::move(ask));
 }
 
 void ChainReplica::Impl::AnswerOlder(const chain::Header& header, const chain::Body& body) {
-  const auto* ask = std::get_if<chain::ViewAsk>(&body);
+  const auto* ask = std::get_if<chain::ViewRequest>(&body);
   if (!ask) {
-    const bool answer = std::holds_alternative<chain::ViewAnswer>(body) ||
+    const bool answer = std::holds_alternative<chain::ViewResponse>(body) ||
                         std::holds_alternative<chain::ViewNotice>(body);
     if (!answer) Send(header.from.name, chain::ViewNotice{});
     return;
   }
-  chain::ViewAnswer answer;
+  chain::ViewResponse answer;
   answer.start.view = state_.view();
   answer.start.base = state_.base();
   answer.committed = state_.started();
@@ -56,7 +56,7 @@
   Send(header.from.name, std::move(answer));
 }
 
-void ChainReplica::Impl::OnViewAnswer(Micros now, const chain::ViewAnswer& answer) {
+void ChainReplica::Impl::OnViewResponse(Micros now, const chain::ViewResponse& answer) {
   const View& view = answer.start.view;
   if (view.epoch <= state_.view().epoch || answer.version.epoch != view.epoch) return;
   if (!answer.committed) {
@@ -105,31 +105,34 @@
   };
   const auto& acceptors = prepare.acceptors;
   if (std::any_of(acceptors.begin(), acceptors.end(), replaced)) {
-    Send(header.from.name, chain::Absent{prepare.ballot});
+    Send(header.from.name, chain::AcceptorGone{prepare.proposal_number});
   }
 }
 
 void ChainReplica::Impl::On(Micros now, const chain::Header& header,
                             const chain::Prepare& prepare) {
   if (!IsAcceptor() || prepare.acceptors != Acceptors()) return;
-  greatest_round_ = std::max(greatest_round_, prepare.ballot.round);
-  const chain::Ballot before = acceptor_.promised();
-  if (!acceptor_.Promise(prepare.ballot)) {
-    Send(header.from.name, chain::Refuse{before});
+  greatest_round_ = std::max(greatest_round_, prepare.proposal_number.round);
+  const chain::ProposalNumber before = acceptor_.promised();
+  if (!acceptor_.Promise(prepare.proposal_number)) {
+    Send(header.from.name, chain::Reject{before});
     return;
   }
   const chain::State& latest = state_.latest();
-  if (before != prepare.ballot) Sync(acceptor_.Save(latest.version));
+  if (before != prepare.proposal_number) Sync(acceptor_.Save(latest.version));
   if (header.from != options_.self) GiveTime(now);
-  if (proposer_ && proposer_->ballot() < prepare.ballot) AbandonProposal(now);
-  chain::Promise promise{
-      prepare.ballot, latest.version, {}, acceptor_.accepted_ballot(), acceptor_.accepted()};
+  if (proposer_ && proposer_->proposal_number() < prepare.proposal_number) AbandonProposal(now);
+  chain::Promise promise{prepare.proposal_number,
+                         latest.version,
+                         {},
+                         acceptor_.accepted_number(),
+                         acceptor_.accepted()};
   if (latest.version > prepare.have) promise.map.map = latest.map;
   const Version& base = promise.accepted.base;
   const bool held = base == prepare.have || base == latest.version;
   if (held)
     promise.accepted.map = {};
-  else if (promise.accepted_ballot.round > 0 && !promise.accepted.map.map) {
+  else if (promise.accepted_number.round > 0 && !promise.accepted.map.map) {
     promise.accepted.map.map = state_.MapAt(base);
   }
   Send(header.from.name, std::move(promise));
@@ -139,14 +142,15 @@
   if (proposer_) proposer_->OnPromise(header.from, promise);
 }
 
-void ChainReplica::Impl::On(Micros now, const chain::Header& header, const chain::Refuse& refuse) {
+void ChainReplica::Impl::On(Micros now, const chain::Header& header, const chain::Reject& refuse) {
   if (!chain::Contains(Acceptors(), header.from)) return;
   greatest_round_ = std::max(greatest_round_, refuse.promised.round);
-  if (proposer_ && proposer_->ballot() < refuse.promised) AbandonProposal(now);
+  if (proposer_ && proposer_->proposal_number() < refuse.promised) AbandonProposal(now);
 }
 
-void ChainReplica::Impl::On(Micros, const chain::Header& header, const chain::Absent& absent) {
-  if (proposer_) proposer_->OnAbsent(header.from, absent.ballot);
+void ChainReplica::Impl::On(Micros, const chain::Header& header,
+                            const chain::AcceptorGone& absent) {
+  if (proposer_) proposer_->OnAcceptorGone(header.from, absent.proposal_number);
 }
 
 void ChainReplica::Impl::On(Micros now, const chain::Header& header, const chain::Accept& accept) {
@@ -154,19 +158,19 @@
   chain::Proposal proposal = accept.proposal;
   if (!proposal.map.map) proposal.map.map = state_.MapAt(proposal.base);
   if (!proposal.map.map) return;
-  greatest_round_ = std::max(greatest_round_, accept.ballot.round);
-  const bool known = acceptor_.accepted_ballot() == accept.ballot;
-  if (!acceptor_.Accept(accept.ballot, proposal)) {
-    Send(header.from.name, chain::Refuse{acceptor_.promised()});
+  greatest_round_ = std::max(greatest_round_, accept.proposal_number.round);
+  const bool known = acceptor_.accepted_number() == accept.proposal_number;
+  if (!acceptor_.Accept(accept.proposal_number, proposal)) {
+    Send(header.from.name, chain::Reject{acceptor_.promised()});
     return;
   }
   if (!known) Sync(acceptor_.Save(state_.latest().version));
   if (header.from != options_.self) GiveTime(now);
-  Send(header.from.name, chain::Accepted{accept.ballot});
+  Send(header.from.name, chain::Accepted{accept.proposal_number});
 }
 
 void ChainReplica::Impl::On(Micros, const chain::Header& header, const chain::Accepted& accepted) {
-  if (proposer_) proposer_->OnAccepted(header.from, accepted.ballot);
+  if (proposer_) proposer_->OnAccepted(header.from, accepted.proposal_number);
 }
 
 void ChainReplica::Impl::AdvanceViews(Micros now) {
@@ -253,7 +257,7 @@
   promised_since_.reset();
   greatest_round_ = std::max(greatest_round_, acceptor_.promised().round) + 1;
   const chain::State& latest = state_.latest();
-  proposer_.emplace(chain::Ballot{greatest_round_, options_.self}, Acceptors(),
+  proposer_.emplace(chain::ProposalNumber{greatest_round_, options_.self}, Acceptors(),
                     target_.MostLost(Acceptors()), latest.version, state_.MapAt(latest.version));
   proposer_resend_.Restart();
 }
@@ -270,12 +274,13 @@
   if (IsSynced() && proposer_resend_.Due(now)) {
     for (const ReplicaId& acceptor : proposer_->Unanswered()) {
       if (const chain::Proposal* proposal = proposer_->proposal()) {
-        chain::Accept accept{proposer_->ballot(), *proposal};
+        chain::Accept accept{proposer_->proposal_number(), *proposal};
         const bool own = acceptor == options_.self;
         if (proposer_->HoldsMap(acceptor) && !own) accept.proposal.map = {};
         Send(acceptor.name, std::move(accept));
       } else {
-        Send(acceptor.name, chain::Prepare{proposer_->ballot(), Acceptors(), proposer_->own()});
+        Send(acceptor.name,
+             chain::Prepare{proposer_->proposal_number(), Acceptors(), proposer_->own()});
       }
     }
   }
@@ -301,7 +306,7 @@
 // Another ballot is greater: gives its proposer time, more after each failure.
 void ChainReplica::Impl::AbandonProposal(Micros now) {
   proposer_.reset();
-  failures_ = std::min(failures_ + 1, kMostDoublings);
+  failures_ = std::min(failures_ + 1, kMaxDoublings);
   const Micros most = (kStaggerRetries * options_.retry) << failures_;
   std::uniform_int_distribution<Micros> wait(options_.retry, most);
   quiet_until_ = std::max(quiet_until_, now + wait(random_));
--- a/src/tier/coordination/membership_tick.cpp
+++ b/src/tier/coordination/membership_tick.cpp
@@ -171,7 +171,7 @@
     Send(now, seed, std::move(packet), out);
   }
   next_seed_ = now + seed_pause_ / 2 + Jitter(seed_pause_ / 2);
-  seed_pause_ = std::min(2 * seed_pause_, kLongestSeedPause);
+  seed_pause_ = std::min(2 * seed_pause_, kMaxSeedPause);
 }
 
 // Forgets those that have been dead for long and asks one of the others whether it is back.
--- a/src/tier/coordination/membership_timing.h
+++ b/src/tier/coordination/membership_timing.h
@@ -16,7 +16,7 @@
 constexpr std::size_t kPushReceivers = 2;  // of one push
 
 constexpr Micros kFirstSeedPause = 100'000;
-constexpr Micros kLongestSeedPause = 2'000'000;
+constexpr Micros kMaxSeedPause = 2'000'000;
 
 constexpr Micros kDeadProbePause = 2'000'000;
 
--- a/src/tier/coordination/duty.h
+++ b/src/tier/coordination/singleton_role.h
@@ -6,8 +6,8 @@
 // node that was frozen or cut off still takes itself for the holder.
 //
 // A pure machine: no clock, no transport.
-#ifndef PEARREACH_SRC_TIER_COORDINATION_DUTY_H_
-#define PEARREACH_SRC_TIER_COORDINATION_DUTY_H_
+#ifndef PEARREACH_SRC_TIER_COORDINATION_SINGLETON_ROLE_H_
+#define PEARREACH_SRC_TIER_COORDINATION_SINGLETON_ROLE_H_
 
 #include <cstdint>
 #include <optional>
@@ -18,21 +18,21 @@
 namespace pearreach::coordination {
 
 // The newest committed state of a duty. Epoch 0: nobody has taken it yet.
-struct DutyRecord {
+struct SingletonRoleRecord {
   std::uint64_t epoch = 0;
   std::string holder;
 };
 
-class Duty {
+class SingletonRole {
  public:
   // `self` names the process, not only the node: a restarted one takes the duty anew. `pause`:
   // between two claims of this process.
-  Duty(std::string self, Micros pause);
+  SingletonRole(std::string self, Micros pause);
 
   // Whether this node is the first live one in the agreed order, as far as it knows.
   void SetFirst(bool first) { first_ = first; }
   // What the control state says; an older record than one that is known is passed over.
-  void Observe(const DutyRecord& record);
+  void Observe(const SingletonRoleRecord& record);
 
   // The epoch that a claim must follow, if one is due: the caller sets the duty's key to `self`
   // where its revision is this one, and says how that ended.
@@ -41,16 +41,16 @@
 
   // The epoch under which this process may act; none: it may not.
   std::optional<std::uint64_t> acting() const;
-  const DutyRecord& record() const { return record_; }
+  const SingletonRoleRecord& record() const { return record_; }
 
  private:
   const std::string self_;
   const Micros pause_;
   bool first_ = false, claiming_ = false;
-  DutyRecord record_;
+  SingletonRoleRecord record_;
   Micros next_claim_ = 0;
 };
 
 }  // namespace pearreach::coordination
 
-#endif  // PEARREACH_SRC_TIER_COORDINATION_DUTY_H_
+#endif  // PEARREACH_SRC_TIER_COORDINATION_SINGLETON_ROLE_H_
--- a/src/tier/coordination/view_agreement.cpp
+++ b/src/tier/coordination/view_agreement.cpp
@@ -10,11 +10,11 @@
 
 struct AcceptorRecord {
   std::uint64_t epoch = 0;
-  Ballot promised, accepted_ballot;
+  ProposalNumber promised, accepted_number;
   Proposal accepted;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& epoch& promised& accepted_ballot& accepted;
+    archive& epoch& promised& accepted_number& accepted;
   }
 };
 
@@ -53,33 +53,33 @@
   auto record = codec::Decode<AcceptorRecord>(found->second);
   if (!record.ok() || record->epoch != epoch) return;
   promised_ = std::move(record->promised);
-  accepted_ballot_ = std::move(record->accepted_ballot);
+  accepted_number_ = std::move(record->accepted_number);
   accepted_ = std::move(record->accepted);
 }
 
-bool Acceptor::Promise(const Ballot& ballot) {
-  if (ballot < promised_) return false;
-  promised_ = ballot;
+bool Acceptor::Promise(const ProposalNumber& proposal_number) {
+  if (proposal_number < promised_) return false;
+  promised_ = proposal_number;
   return true;
 }
 
-bool Acceptor::Accept(const Ballot& ballot, const Proposal& proposal) {
-  if (ballot < promised_) return false;
-  promised_ = ballot;
-  accepted_ballot_ = ballot;
+bool Acceptor::Accept(const ProposalNumber& proposal_number, const Proposal& proposal) {
+  if (proposal_number < promised_) return false;
+  promised_ = proposal_number;
+  accepted_number_ = proposal_number;
   accepted_ = proposal;
   return true;
 }
 
 Records Acceptor::Save(const Version& held) const {
-  AcceptorRecord record{epoch_, promised_, accepted_ballot_, accepted_};
+  AcceptorRecord record{epoch_, promised_, accepted_number_, accepted_};
   if (accepted_.base == held) record.accepted.map = {};
   return {{kAcceptorKey, codec::Encode(record)}};
 }
 
-Proposer::Proposer(Ballot ballot, std::vector<ReplicaId> acceptors, int tolerance,
+Proposer::Proposer(ProposalNumber proposal_number, std::vector<ReplicaId> acceptors, int tolerance,
                    const Version& own, std::shared_ptr<const Map> own_map)
-    : ballot_(std::move(ballot)),
+    : proposal_number_(std::move(proposal_number)),
       acceptors_(std::move(acceptors)),
       tolerance_(tolerance),
       own_(own),
@@ -88,10 +88,11 @@
       newest_map_(own_map_) {}
 
 void Proposer::OnPromise(const ReplicaId& from, const Promise& promise) {
-  if (promise.ballot != ballot_ || proposal_ || !Contains(acceptors_, from)) return;
+  if (promise.proposal_number != proposal_number_ || proposal_ || !Contains(acceptors_, from))
+    return;
   if (promise.latest > own_ && !promise.map.map) return;
   Proposal accepted = promise.accepted;
-  if (promise.accepted_ballot.round > 0 && !accepted.map.map) {
+  if (promise.accepted_number.round > 0 && !accepted.map.map) {
     if (accepted.base == own_) accepted.map.map = own_map_;
     if (accepted.base == promise.latest && promise.map.map) accepted.map.map = promise.map.map;
     if (!accepted.map.map) return;
@@ -102,21 +103,21 @@
     newest_ = promise.latest;
     newest_map_ = promise.map.map;
   }
-  if (promise.accepted_ballot > former_ballot_) {
-    former_ballot_ = promise.accepted_ballot;
+  if (promise.accepted_number > former_number_) {
+    former_number_ = promise.accepted_number;
     former_ = std::move(accepted);
   }
 }
 
-void Proposer::OnAbsent(const ReplicaId& from, const Ballot& ballot) {
-  if (ballot != ballot_) return;
+void Proposer::OnAcceptorGone(const ReplicaId& from, const ProposalNumber& proposal_number) {
+  if (proposal_number != proposal_number_) return;
   for (const ReplicaId& acceptor : acceptors_) {
     if (acceptor.name == from.name && acceptor.disk_id != from.disk_id) gone_.insert(acceptor);
   }
 }
 
-void Proposer::OnAccepted(const ReplicaId& from, const Ballot& ballot) {
-  if (ballot != ballot_ || !proposal_ || !Contains(acceptors_, from)) return;
+void Proposer::OnAccepted(const ReplicaId& from, const ProposalNumber& proposal_number) {
+  if (proposal_number != proposal_number_ || !proposal_ || !Contains(acceptors_, from)) return;
   accepted_.insert(from);
 }
 
@@ -129,7 +130,7 @@
 }
 
 void Proposer::Choose(std::uint64_t epoch, std::vector<ReplicaId> members) {
-  if (former_ballot_.round > 0) {
+  if (former_number_.round > 0) {
     proposal_ = former_;
     return;
   }
--- a/src/tier/coordination/view_agreement.h
+++ b/src/tier/coordination/view_agreement.h
@@ -42,19 +42,19 @@
   Acceptor(std::uint64_t epoch, const Records& records);
 
   bool sealed() const { return promised_.round > 0; }
-  const Ballot& promised() const { return promised_; }
-  const Ballot& accepted_ballot() const { return accepted_ballot_; }
+  const ProposalNumber& promised() const { return promised_; }
+  const ProposalNumber& accepted_number() const { return accepted_number_; }
   const Proposal& accepted() const { return accepted_; }
 
   // False: a greater ballot is promised.
-  bool Promise(const Ballot& ballot);
-  bool Accept(const Ballot& ballot, const Proposal& proposal);
+  bool Promise(const ProposalNumber& proposal_number);
+  bool Accept(const ProposalNumber& proposal_number, const Proposal& proposal);
   // `held`: the version whose map this replica holds anyway, so that it is not written again.
   Records Save(const Version& held) const;
 
  private:
   std::uint64_t epoch_;
-  Ballot promised_, accepted_ballot_;
+  ProposalNumber promised_, accepted_number_;
   Proposal accepted_;
 };
 
@@ -62,18 +62,18 @@
 class Proposer {
  public:
   // `own`: the proposer's newest state.
-  Proposer(Ballot ballot, std::vector<ReplicaId> acceptors, int tolerance, const Version& own,
-           std::shared_ptr<const Map> own_map);
+  Proposer(ProposalNumber proposal_number, std::vector<ReplicaId> acceptors, int tolerance,
+           const Version& own, std::shared_ptr<const Map> own_map);
 
-  const Ballot& ballot() const { return ballot_; }
+  const ProposalNumber& proposal_number() const { return proposal_number_; }
   const Version& own() const { return own_; }
   const std::vector<ReplicaId>& acceptors() const { return acceptors_; }
   // Null until the phase of accepting.
   const Proposal* proposal() const { return proposal_ ? &*proposal_ : nullptr; }
 
   void OnPromise(const ReplicaId& from, const Promise& promise);
-  void OnAbsent(const ReplicaId& from, const Ballot& ballot);
-  void OnAccepted(const ReplicaId& from, const Ballot& ballot);
+  void OnAcceptorGone(const ReplicaId& from, const ProposalNumber& proposal_number);
+  void OnAccepted(const ReplicaId& from, const ProposalNumber& proposal_number);
 
   bool MayPropose() const;
   bool IsDecided() const;
@@ -85,7 +85,7 @@
   bool HoldsMap(const ReplicaId& acceptor) const;
 
  private:
-  const Ballot ballot_;
+  const ProposalNumber proposal_number_;
   const std::vector<ReplicaId> acceptors_;
   const int tolerance_;
   const Version own_;
@@ -94,7 +94,7 @@
   std::set<ReplicaId> answered_, accepted_, gone_;
   Version newest_;
   std::shared_ptr<const Map> newest_map_;
-  Ballot former_ballot_;
+  ProposalNumber former_number_;
   Proposal former_;
   std::optional<Proposal> proposal_;
 };
--- a/src/tier/gateway/gateway.cpp
+++ b/src/tier/gateway/gateway.cpp
@@ -3,8 +3,8 @@
 #include <string>
 #include <utility>
 
-#include "tier/gateway/job_builder.h"
-#include "tier/gateway/own_answers.h"
+#include "tier/gateway/local_replies.h"
+#include "tier/gateway/request_builder.h"
 
 namespace pearreach::gateway {
 namespace {
@@ -29,13 +29,13 @@
 
 }  // namespace
 
-bool IsLotCall(std::string_view method, std::string_view target) {
+bool IsBatchJobCall(std::string_view method, std::string_view target) {
   const std::string_view path = PathOf(target);
   if (method == "GET") return NamesOne(path, "/lots/") || NamesOne(path, "/items/");
   return method == "DELETE" && NamesOne(path, "/lots/");
 }
 
-Gateway::Gateway(control::ControlClient* control, proxy::JobRunner* runner, Timers* timers,
+Gateway::Gateway(control::ControlClient* control, proxy::RequestRunner* runner, Timers* timers,
                  bool waits)
     : control_(control),
       context_{runner, timers, std::make_shared<Outcomes>()},
@@ -82,8 +82,8 @@
   Outcomes& outcomes = *context_.outcomes;
   const auto routes = control_->Current()->routes;
   const http::Message& request = exchange->request();
-  if (lot_handler_ && IsLotCall(request.method, request.target)) {
-    ++outcomes.lots;
+  if (lot_handler_ && IsBatchJobCall(request.method, request.target)) {
+    ++outcomes.batch_jobs;
     return lot_handler_(std::move(exchange));
   }
   const routing::Route* const route = routes->Match(HostOf(request), PathOf(request.target));
@@ -111,7 +111,7 @@
     return bulk_handler_(std::move(exchange), route);
   }
   http_server::Exchange& client = *exchange;
-  proxy::JobSpec spec = BuildJob(route, &client.mutable_request(), client.arrived());
+  proxy::RequestSpec spec = BuildRequestSpec(route, &client.mutable_request(), client.arrived());
   std::make_shared<LiveRequest>(context_, std::move(exchange))->Start(std::move(spec));
 }
 
--- a/src/tier/gateway/gateway.h
+++ b/src/tier/gateway/gateway.h
@@ -13,13 +13,13 @@
 #include "tier/gateway/outcomes.h"
 #include "tier/gateway/start_queue.h"
 #include "tier/http_server/exchange.h"
-#include "tier/proxy/job.h"
+#include "tier/proxy/request.h"
 #include "tier/routing/route_table.h"
 
 namespace pearreach::gateway {
 
 // Whether a request is a call for a lot: GET /lots/ID, DELETE /lots/ID or GET /items/ID.
-bool IsLotCall(std::string_view method, std::string_view target);
+bool IsBatchJobCall(std::string_view method, std::string_view target);
 
 class Gateway {
  public:
@@ -30,7 +30,7 @@
 
   // All three must outlive the gateway and its requests. `waits`: requests that come before the
   // first configuration are held for it; else they get 503.
-  Gateway(control::ControlClient* control, proxy::JobRunner* runner, Timers* timers,
+  Gateway(control::ControlClient* control, proxy::RequestRunner* runner, Timers* timers,
           bool waits = true);
   ~Gateway();
   Gateway(const Gateway&) = delete;
--- a/src/tier/gateway/live_request.cpp
+++ b/src/tier/gateway/live_request.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "tier/gateway/header_filter.h"
-#include "tier/gateway/own_answers.h"
+#include "tier/gateway/local_replies.h"
 
 namespace pearreach::gateway {
 namespace {
@@ -19,7 +19,7 @@
 LiveRequest::LiveRequest(LiveContext context, std::shared_ptr<http_server::Exchange> exchange)
     : context_(std::move(context)), exchange_(std::move(exchange)) {}
 
-void LiveRequest::Start(proxy::JobSpec spec) {
+void LiveRequest::Start(proxy::RequestSpec spec) {
   attempt_id_ = spec.attempt_id;
   streamed_ = spec.streamed;
   const Micros due = spec.due;
@@ -60,10 +60,10 @@
     body_.append(bytes);
 }
 
-void LiveRequest::OnEnd(const proxy::JobResult& result) {
+void LiveRequest::OnEnd(const proxy::RequestResult& result) {
   const auto self = shared_from_this();
   if (!End()) return;
-  if (result.end == proxy::JobEnd::kComplete && status_ != 0)
+  if (result.end == proxy::RequestEnd::kComplete && status_ != 0)
     Complete();
   else
     AnswerFailure(result);
@@ -90,24 +90,24 @@
   exchange_->Respond(status_, std::move(headers_), body_);
 }
 
-void LiveRequest::AnswerFailure(const proxy::JobResult& result) {
+void LiveRequest::AnswerFailure(const proxy::RequestResult& result) {
   if (streaming_) {
     ++context_.outcomes->broken;
     exchange_->Abort();
     return;
   }
   switch (result.end) {
-    case proxy::JobEnd::kNotRun:
+    case proxy::RequestEnd::kNotRun:
       ++context_.outcomes->not_run;
       RespondOwn(kUnavailable, RetryHeaders(attempt_id_, result.retry_after));
       return;
-    case proxy::JobEnd::kTimeout:
+    case proxy::RequestEnd::kTimeout:
       ++context_.outcomes->timeout;
       RespondOwn(kGatewayTimeout, OwnHeaders(attempt_id_));
       return;
-    case proxy::JobEnd::kComplete:  // without a head: no answer at all
-    case proxy::JobEnd::kFailed:
-    case proxy::JobEnd::kBroken:
+    case proxy::RequestEnd::kComplete:  // without a head: no answer at all
+    case proxy::RequestEnd::kFailed:
+    case proxy::RequestEnd::kBroken:
       ++context_.outcomes->failed;
       RespondOwn(kBadGateway, OwnHeaders(attempt_id_));
       return;
@@ -130,8 +130,8 @@
   const auto self = shared_from_this();
   if (!End()) return;
   context_.runner->Cancel(job_);
-  proxy::JobResult result;
-  result.end = proxy::JobEnd::kTimeout;
+  proxy::RequestResult result;
+  result.end = proxy::RequestEnd::kTimeout;
   AnswerFailure(result);
   exchange_.reset();
 }
--- a/src/tier/gateway/live_request.h
+++ b/src/tier/gateway/live_request.h
@@ -12,33 +12,34 @@
 #include "common/event_loop/timers.h"
 #include "tier/gateway/outcomes.h"
 #include "tier/http_server/exchange.h"
-#include "tier/proxy/job.h"
+#include "tier/proxy/request.h"
 
 namespace pearreach::gateway {
 
 // What a live request uses; all must outlive it.
 struct LiveContext {
-  proxy::JobRunner* runner = nullptr;
+  proxy::RequestRunner* runner = nullptr;
   Timers* timers = nullptr;
   std::shared_ptr<Outcomes> outcomes;
 };
 
-class LiveRequest final : public proxy::JobSink, public std::enable_shared_from_this<LiveRequest> {
+class LiveRequest final : public proxy::RequestSink,
+                          public std::enable_shared_from_this<LiveRequest> {
  public:
   LiveRequest(LiveContext context, std::shared_ptr<http_server::Exchange> exchange);
 
-  void Start(proxy::JobSpec spec);
+  void Start(proxy::RequestSpec spec);
 
   void OnHead(int status, const std::vector<http::Header>& headers) override;
   void OnBody(std::string_view bytes) override;
-  void OnEnd(const proxy::JobResult& result) override;
+  void OnEnd(const proxy::RequestResult& result) override;
   std::size_t backlog() const override;
 
  private:
   void OnClientGone();
   void OnTimeOver();
   void Complete();
-  void AnswerFailure(const proxy::JobResult& result);
+  void AnswerFailure(const proxy::RequestResult& result);
   void RespondOwn(int status, std::vector<http::Header> headers);
   bool End();  // false: it has ended before
 
--- a/src/tier/gateway/own_answers.cpp
+++ b/src/tier/gateway/local_replies.cpp
@@ -1,4 +1,4 @@
-#include "tier/gateway/own_answers.h"
+#include "tier/gateway/local_replies.h"
 
 #include <fmt/format.h>
 
--- a/src/tier/gateway/own_answers.h
+++ b/src/tier/gateway/local_replies.h
@@ -1,6 +1,6 @@
 // The gateway's own answers to requests: never a success, and the id of the request on each.
-#ifndef PEARREACH_SRC_TIER_GATEWAY_OWN_ANSWERS_H_
-#define PEARREACH_SRC_TIER_GATEWAY_OWN_ANSWERS_H_
+#ifndef PEARREACH_SRC_TIER_GATEWAY_LOCAL_REPLIES_H_
+#define PEARREACH_SRC_TIER_GATEWAY_LOCAL_REPLIES_H_
 
 #include <string>
 #include <string_view>
@@ -30,4 +30,4 @@
 
 }  // namespace pearreach::gateway
 
-#endif  // PEARREACH_SRC_TIER_GATEWAY_OWN_ANSWERS_H_
+#endif  // PEARREACH_SRC_TIER_GATEWAY_LOCAL_REPLIES_H_
--- a/src/tier/gateway/outcomes.h
+++ b/src/tier/gateway/outcomes.h
@@ -7,17 +7,17 @@
 namespace pearreach::gateway {
 
 struct Outcomes {
-  std::uint64_t requests = 0;          // all that came
-  std::uint64_t lots = 0, bulk = 0;    // handed on to the batch part
-  std::uint64_t no_configuration = 0;  // 503
-  std::uint64_t draining = 0;          // 503
-  std::uint64_t no_route = 0;          // 404
-  std::uint64_t no_attempt_id = 0;     // 400
-  std::uint64_t complete = 0;          // a worker's whole answer was passed on
-  std::uint64_t not_run = 0;           // 503 with its promise
-  std::uint64_t failed = 0;            // 502
-  std::uint64_t timeout = 0;           // 504
-  std::uint64_t broken = 0;            // cut off after the head
+  std::uint64_t requests = 0;              // all that came
+  std::uint64_t batch_jobs = 0, bulk = 0;  // handed on to the batch part
+  std::uint64_t no_configuration = 0;      // 503
+  std::uint64_t draining = 0;              // 503
+  std::uint64_t no_route = 0;              // 404
+  std::uint64_t no_attempt_id = 0;         // 400
+  std::uint64_t complete = 0;              // a worker's whole answer was passed on
+  std::uint64_t not_run = 0;               // 503 with its promise
+  std::uint64_t failed = 0;                // 502
+  std::uint64_t timeout = 0;               // 504
+  std::uint64_t broken = 0;                // cut off after the head
   std::uint64_t client_gone = 0;
 };
 
--- a/src/tier/gateway/job_builder.cpp
+++ b/src/tier/gateway/request_builder.cpp
@@ -1,4 +1,4 @@
-#include "tier/gateway/job_builder.h"
+#include "tier/gateway/request_builder.h"
 
 #include <algorithm>
 #include <charconv>
@@ -56,15 +56,16 @@
 
 }  // namespace
 
-proxy::JobSpec BuildJob(const routing::Route& route, http::Message* request, Micros arrived) {
-  proxy::JobSpec spec;
+proxy::RequestSpec BuildRequestSpec(const routing::Route& route, http::Message* request,
+                                    Micros arrived) {
+  proxy::RequestSpec spec;
   spec.attempt_id = ValueOf(*request, "X-Attempt-Id");
   spec.service = routing::RouteTable::Pick(route, PointOf(spec.attempt_id)).service;
   spec.due = arrived + static_cast<Micros>(AllowedMs(route, *request) * kMs);
   spec.target_ms = route.target_ms;
   spec.gap_aim_ms = route.gap_aim_ms;
   spec.rank = route.rank;
-  spec.tries = route.tries;
+  spec.attempts = route.attempts;
   spec.repeatable = route.Repeatable();
   spec.streamed = route.variant == routing::Variant::kStreamed;
   spec.resumable = spec.streamed && route.resumable;
--- /dev/null
+++ b/src/tier/gateway/request_builder.h
@@ -0,0 +1,18 @@
+// From a client's request and its route to the job that runs it.
+#ifndef PEARREACH_SRC_TIER_GATEWAY_REQUEST_BUILDER_H_
+#define PEARREACH_SRC_TIER_GATEWAY_REQUEST_BUILDER_H_
+
+#include "common/event_loop/io.h"
+#include "common/http/http.h"
+#include "tier/proxy/request.h"
+#include "tier/routing/route_table.h"
+
+namespace pearreach::gateway {
+
+// Moves target, headers and body out of `request`, which names an X-Attempt-Id.
+proxy::RequestSpec BuildRequestSpec(const routing::Route& route, http::Message* request,
+                                    Micros arrived);
+
+}  // namespace pearreach::gateway
+
+#endif  // PEARREACH_SRC_TIER_GATEWAY_REQUEST_BUILDER_H_
--- a/src/tier/gateway/start_queue.cpp
+++ b/src/tier/gateway/start_queue.cpp
@@ -14,7 +14,7 @@
 // Kept of a deadline for a refusal and the way back of it.
 constexpr double kPatienceShare = 0.9;
 // Bodies that wait, in all: a small part of the memory of the smallest machine (160 MB).
-constexpr std::size_t kMostBytes = 16 << 20;
+constexpr std::size_t kMaxBytes = 16 << 20;
 
 std::optional<double> DeadlineMs(const http::Message& request) {
   const std::string* text = request.Find("X-Deadline-Ms");
@@ -40,7 +40,7 @@
 
 bool StartQueue::Hold(std::shared_ptr<http_server::Exchange> exchange) {
   const std::size_t bytes = exchange->request().body.size();
-  if (bytes_ + bytes > kMostBytes) return false;
+  if (bytes_ + bytes > kMaxBytes) return false;
   const Micros until = exchange->arrived() + PatienceOf(exchange->request());
   const std::uint64_t number = ++last_;
   Held& held = held_[number];
