--- a/src/tier/proxy/running_job.cpp
+++ b/src/tier/proxy/active_request.cpp
@@ -1,4 +1,4 @@
-#include "tier/proxy/running_job.h"
+#include "tier/proxy/active_request.h"
 
 #include <algorithm>
 #include <utility>
@@ -11,9 +11,9 @@
 using dispatch::Outcome;
 
 constexpr int kMorePromises = 4;  // sends beyond the tries, for workers that did not run it
-constexpr int kMostNotSent = 16;  // placements at workers that had just gone
+constexpr int kMaxNotSent = 16;   // placements at workers that had just gone
 constexpr Micros kUnbounded = 3600 * kSecond;  // for a job without a due time
-constexpr Micros kLeastLeft = 2 * kMs;         // a send with less left serves nobody
+constexpr Micros kMinLeft = 2 * kMs;           // a send with less left serves nobody
 constexpr Micros kDefaultRetryAfter = 200 * kMs;
 
 // A job that has not been offered to a worker by a quarter of its objective is better refused: its
@@ -38,7 +38,7 @@
 
 // Shared parts that are read anew for less time than the search for their worker may cost are not
 // worth it.
-constexpr double kLeastShared = 1000;
+constexpr double kMinShared = 1000;
 constexpr std::size_t kHomes = 2;  // workers that are tried first for the shared parts of a prompt
 constexpr double kHomeFill = 1.0;  // of its slots in use; a worker above it is no home
 
@@ -48,8 +48,8 @@
 
 }  // namespace
 
-RunningJob::RunningJob(std::uint64_t id, JobSpec spec, std::shared_ptr<JobSink> sink,
-                       Timers* timers, ServiceLine* line, JobHost* host)
+ActiveRequest::ActiveRequest(std::uint64_t id, RequestSpec spec, std::shared_ptr<RequestSink> sink,
+                             Timers* timers, ServiceLine* line, ActiveRequestHost* host)
     : id_(id),
       spec_(std::move(spec)),
       body_(std::make_shared<const std::string>(std::exchange(spec_.body, {}))),
@@ -63,9 +63,9 @@
   if (!has_due_) spec_.due = started_ + kUnbounded;
 }
 
-RunningJob::~RunningJob() { Cancel(); }
+ActiveRequest::~ActiveRequest() { Cancel(); }
 
-void RunningJob::Start() {
+void ActiveRequest::Start() {
   due_timer_ = timers_->After(spec_.due - started_, [this] {
     due_timer_ = 0;
     const auto self = shared_from_this();
@@ -74,7 +74,7 @@
   Ask();
 }
 
-void RunningJob::Cancel() {
+void ActiveRequest::Cancel() {
   if (std::exchange(ended_, true)) return;
   timers_->Cancel(&due_timer_);
   timers_->Cancel(&hold_timer_);
@@ -87,7 +87,7 @@
 // ---------------------------------------------------------------- finding a worker
 
 // An item that comes when the room for it is used up by others waits a while, then goes back.
-bool RunningJob::WaitsForRoom() {
+bool ActiveRequest::WaitsForRoom() {
   if (!spec_.bulk || in_gate_ || sends_ > 0 || host_->BulkRoom(spec_.service) > 0) return false;
   if (Now() >= started_ + kBulkHold) {
     EndWithoutAnswer();
@@ -104,12 +104,12 @@
   return true;
 }
 
-void RunningJob::StopWaiting() {
+void ActiveRequest::StopWaiting() {
   if (std::exchange(waits_for_room_, false)) --line_->bulk_waiting;
 }
 
 // A bulk job waits here until its prompt would delay live requests little enough.
-bool RunningJob::PassGate() {
+bool ActiveRequest::PassGate() {
   if (!spec_.bulk || in_gate_) return true;
   in_gate_ = line_->bulk_gate.Enter(id_, [this] {
     const auto self = shared_from_this();
@@ -119,11 +119,11 @@
   return in_gate_;
 }
 
-void RunningJob::LeaveGate() {
+void ActiveRequest::LeaveGate() {
   if (std::exchange(in_gate_, false)) line_->bulk_gate.Leave();
 }
 
-void RunningJob::Ask() {
+void ActiveRequest::Ask() {
   if (WaitsForRoom() || !PassGate()) return;
   Placement placement;
   placement.job_class.rank = spec_.rank;
@@ -146,9 +146,9 @@
 
 // The workers that are likely to keep the shared parts of its prompt, as far as these are worth it
 // and the workers are not loaded.
-std::vector<dispatch::WorkerId> RunningJob::Homes() const {
+std::vector<dispatch::WorkerId> ActiveRequest::Homes() const {
   std::vector<dispatch::WorkerId> homes;
-  const bool worth = spec_.prefix_key != 0 && spec_.shared_tokens >= kLeastShared;
+  const bool worth = spec_.prefix_key != 0 && spec_.shared_tokens >= kMinShared;
   if (!worth || !host_->policy().prefix_homes) return homes;
   const Micros now = Now();
   homes = line_->workers.HomesOf(spec_.prefix_key, kHomes);
@@ -164,10 +164,10 @@
   return homes;
 }
 
-void RunningJob::NoteSent(ServiceWorker* worker) {
+void ActiveRequest::NoteSent(ServiceWorker* worker) {
   reading_ = true;
   unread_ = spec_.own_tokens;
-  if (spec_.prefix_key != 0 && spec_.shared_tokens >= kLeastShared) {
+  if (spec_.prefix_key != 0 && spec_.shared_tokens >= kMinShared) {
     if (!worker->kept.Has(spec_.prefix_key)) unread_ += spec_.shared_tokens;
     worker->kept.Use(spec_.prefix_key, spec_.shared_tokens, spec_.own_tokens,
                      host_->WorkerTokens(spec_.service));
@@ -176,12 +176,12 @@
 }
 
 // Its first event has come, or none will.
-void RunningJob::NoteRead() {
+void ActiveRequest::NoteRead() {
   if (!std::exchange(reading_, false)) return;
   line_->workers.Find(worker_)->unread_tokens -= unread_;
 }
 
-Micros RunningJob::PlaceBy(Micros now) const {
+Micros ActiveRequest::PlaceBy(Micros now) const {
   if (spec_.bulk) return std::min(spec_.due, now + kBulkHold);
   if (runs_ > 0) return std::min(spec_.due, now + kHoldAgain);
   const double share = line_->dispatcher.limit_grows() ? kGrowingHoldShare : kHoldShare;
@@ -193,21 +193,21 @@
 }
 
 // The job itself gives up: at the module only what has missed its objective makes slots dear.
-void RunningJob::OnHeldTooLong() {
+void ActiveRequest::OnHeldTooLong() {
   if (placement_ == 0 || placed_) return;
   retry_after_ = line_->dispatcher.RetryAfter();
   line_->dispatcher.Lapse(std::exchange(placement_, 0));
   EndWithoutAnswer();
 }
 
-void RunningJob::OnRefused(PlacementId, Micros retry_after) {
+void ActiveRequest::OnRefused(PlacementId, Micros retry_after) {
   const auto self = shared_from_this();
   placement_ = 0;
   retry_after_ = retry_after;
   EndWithoutAnswer();
 }
 
-void RunningJob::OnPlaced(PlacementId, dispatch::WorkerId worker) {
+void ActiveRequest::OnPlaced(PlacementId, dispatch::WorkerId worker) {
   const auto self = shared_from_this();
   placed_ = true;
   timers_->Cancel(&hold_timer_);
@@ -215,16 +215,16 @@
   const ServiceWorker& chosen = *line_->workers.Find(worker);
   // Guards drains: the list that the decision rests on may be older than the registry's word.
   const bool ready = chosen.present && host_->IsReady(chosen.record.worker_id);
-  if (ready && Now() < spec_.due - kLeastLeft) return Send(worker);
+  if (ready && Now() < spec_.due - kMinLeft) return Send(worker);
   Settle(Outcome::kMoot);
   if (!ready) host_->RefreshWorkers();
-  if (++not_sent_ > kMostNotSent || Now() >= spec_.due - kLeastLeft) return EndWithoutAnswer();
+  if (++not_sent_ > kMaxNotSent || Now() >= spec_.due - kMinLeft) return EndWithoutAnswer();
   Ask();
 }
 
 // ---------------------------------------------------------------- the attempt
 
-void RunningJob::Send(dispatch::WorkerId worker) {
+void ActiveRequest::Send(dispatch::WorkerId worker) {
   ServiceWorker& chosen = *line_->workers.Find(worker);
   sent_ = Now();
   heard_ = 0;
@@ -248,13 +248,13 @@
   NoteSent(&chosen);
   AttemptListener* const listener = this;
   attempt_ = std::make_shared<Attempt>(timers_, chosen.connections, std::move(request), listener);
-  if (spec_.repeatable && runs_ + 1 < spec_.tries) WatchSilence(SilenceLimit());
+  if (spec_.repeatable && runs_ + 1 < spec_.attempts) WatchSilence(SilenceLimit());
   const auto attempt = attempt_;  // it may end, and another begin, inside the call
   attempt->Start();
 }
 
 // Ends what is under way, whatever it is, without a word to the sink.
-void RunningJob::Leave(Outcome outcome) {
+void ActiveRequest::Leave(Outcome outcome) {
   timers_->Cancel(&silence_timer_);
   if (attempt_ != nullptr) attempt_->Cancel();
   if (placement_ == 0) return;
@@ -263,7 +263,7 @@
 }
 
 // The placement's outcome is known.
-void RunningJob::Settle(Outcome outcome) {
+void ActiveRequest::Settle(Outcome outcome) {
   LeaveGate();
   timers_->Cancel(&silence_timer_);
   NoteRead();
@@ -278,7 +278,7 @@
   load_.reset();
 }
 
-void RunningJob::OnAttemptEnd(AttemptResult result) {
+void ActiveRequest::OnAttemptEnd(AttemptResult result) {
   const auto self = shared_from_this();
   switch (result.end) {
     case AttemptEnd::kNoConnection:
@@ -293,7 +293,7 @@
   }
 }
 
-void RunningJob::OnAnswer(AttemptResult result) {
+void ActiveRequest::OnAnswer(AttemptResult result) {
   ResponseHead& head = result.head;
   worker_status_ = head.status;
   if (result.passed_on) return OnStreamComplete();
@@ -314,14 +314,14 @@
   PassOn(std::move(head), result.body);
 }
 
-bool RunningJob::IsPromise(const ResponseHead& head) const {
+bool ActiveRequest::IsPromise(const ResponseHead& head) const {
   if (head.status == 421) return true;
   const bool may_promise = head.status == 503 || head.status == 429 || head.status == 400;
   return may_promise && head.Find("X-Not-Run") != nullptr;
 }
 
 // What a promise tells of the worker: only a plain 503 says that it is full.
-Outcome RunningJob::NotRunOutcome(const ResponseHead& head) {
+Outcome ActiveRequest::NotRunOutcome(const ResponseHead& head) {
   if (head.status == 421) {
     const bool other_version =
         std::any_of(spec_.headers.begin(), spec_.headers.end(),
@@ -335,45 +335,45 @@
   if (head.status == 400) return Outcome::kMoot;
   const double room = host_->WorkerTokens(spec_.service);
   const bool too_large = room > 0 && spec_.tokens > kLargeShare * room;
-  const bool overdue = Now() >= spec_.due - kLeastLeft;
+  const bool overdue = Now() >= spec_.due - kMinLeft;
   return overdue || too_large ? Outcome::kMoot : Outcome::kFull;
 }
 
 // ---------------------------------------------------------------- going on
 
-bool RunningJob::MayRunAgain() const {
-  return spec_.repeatable && runs_ < spec_.tries && sends_ < spec_.tries + kMorePromises &&
-         (!head_passed_ || spec_.resumable) && Now() < spec_.due - kLeastLeft;
+bool ActiveRequest::MayRunAgain() const {
+  return spec_.repeatable && runs_ < spec_.attempts && sends_ < spec_.attempts + kMorePromises &&
+         (!head_passed_ || spec_.resumable) && Now() < spec_.due - kMinLeft;
 }
 
-void RunningJob::AfterPromise() {
+void ActiveRequest::AfterPromise() {
   const bool stream_lost = head_passed_ && !spec_.resumable;
   const bool again = (runs_ == 0 || MayRunAgain()) && !stream_lost &&
-                     sends_ < spec_.tries + kMorePromises && Now() < spec_.due - kLeastLeft;
+                     sends_ < spec_.attempts + kMorePromises && Now() < spec_.due - kMinLeft;
   if (again) return Ask();
   EndWithoutAnswer();
 }
 
-void RunningJob::AfterRun() {
+void ActiveRequest::AfterRun() {
   if (MayRunAgain()) return Ask();
   EndWithoutAnswer();
 }
 
-void RunningJob::EndWithoutAnswer() {
-  JobResult result;
+void ActiveRequest::EndWithoutAnswer() {
+  RequestResult result;
   result.worker_status = worker_status_;
   if (head_passed_) {
-    result.end = JobEnd::kBroken;
+    result.end = RequestEnd::kBroken;
   } else if (runs_ == 0) {
-    result.end = JobEnd::kNotRun;
+    result.end = RequestEnd::kNotRun;
     result.retry_after = retry_after_ > 0 ? retry_after_ : kDefaultRetryAfter;
   } else {
-    result.end = Now() >= spec_.due ? JobEnd::kTimeout : JobEnd::kFailed;
+    result.end = Now() >= spec_.due ? RequestEnd::kTimeout : RequestEnd::kFailed;
   }
   End(result);
 }
 
-void RunningJob::OnDue() {
+void ActiveRequest::OnDue() {
   const bool out = attempt_ != nullptr && attempt_->written();
   const bool silent = out && !attempt_->heard();
   if (out) ++runs_;
@@ -381,17 +381,17 @@
   EndWithoutAnswer();
 }
 
-void RunningJob::End(JobResult result) {
+void ActiveRequest::End(RequestResult result) {
   if (ended_) return;
   Cancel();
   host_->Forget(id_);
-  const std::shared_ptr<JobSink> sink = std::move(sink_);
+  const std::shared_ptr<RequestSink> sink = std::move(sink_);
   sink->OnEnd(result);
 }
 
 // ---------------------------------------------------------------- silence
 
-Micros RunningJob::SilenceLimit() const {
+Micros ActiveRequest::SilenceLimit() const {
   if (!spec_.streamed) {
     if (host_->policy().learn_silence)
       return line_->silence.Limit(FromMs(spec_.target_ms), spec_.due - sent_);
@@ -402,7 +402,7 @@
   return std::max(between, FromMs(kFirstEventTargets * spec_.target_ms));
 }
 
-void RunningJob::WatchSilence(Micros after) {
+void ActiveRequest::WatchSilence(Micros after) {
   timers_->Cancel(&silence_timer_);
   silence_timer_ = timers_->After(after, [this] {
     silence_timer_ = 0;
@@ -412,7 +412,7 @@
 }
 
 // Leaves a silent worker only where another may be asked, with time for it.
-void RunningJob::OnSilence() {
+void ActiveRequest::OnSilence() {
   const Micros now = Now();
   // This node does not read: the worker is not silent, and other jobs may go there.
   if (paused_) {
--- a/src/tier/proxy/running_job.h
+++ b/src/tier/proxy/active_request.h
@@ -1,8 +1,8 @@
 // A job under way: asks for a worker, sends, relays the answer, and decides after each outcome
 // whether it may go on at another worker. It keeps the promises of its end: kNotRun only if no
 // attempt may have run.
-#ifndef PEARREACH_SRC_TIER_PROXY_RUNNING_JOB_H_
-#define PEARREACH_SRC_TIER_PROXY_RUNNING_JOB_H_
+#ifndef PEARREACH_SRC_TIER_PROXY_ACTIVE_REQUEST_H_
+#define PEARREACH_SRC_TIER_PROXY_ACTIVE_REQUEST_H_
 
 #include <cstdint>
 #include <memory>
@@ -12,16 +12,16 @@
 
 #include "tier/proxy/attempt.h"
 #include "tier/proxy/event_splitter.h"
-#include "tier/proxy/job.h"
+#include "tier/proxy/request.h"
 #include "tier/proxy/service_line.h"
 #include "tier/settings/policy_options.h"
 
 namespace pearreach::proxy {
 
 // What a job needs of its runner.
-class JobHost {
+class ActiveRequestHost {
  public:
-  virtual ~JobHost() = default;
+  virtual ~ActiveRequestHost() = default;
   // By the registry's newest word the worker may be sent to.
   virtual bool IsReady(const std::string& worker_id) const = 0;
   // A worker was chosen by an older word than that: the newest is to be told at once.
@@ -39,13 +39,13 @@
   virtual void Forget(std::uint64_t job) = 0;
 };
 
-class RunningJob : public std::enable_shared_from_this<RunningJob>,
-                   private PlacementClient,
-                   private AttemptListener {
+class ActiveRequest : public std::enable_shared_from_this<ActiveRequest>,
+                      private PlacementClient,
+                      private AttemptListener {
  public:
-  RunningJob(std::uint64_t id, JobSpec spec, std::shared_ptr<JobSink> sink, Timers* timers,
-             ServiceLine* line, JobHost* host);
-  ~RunningJob() override;
+  ActiveRequest(std::uint64_t id, RequestSpec spec, std::shared_ptr<RequestSink> sink,
+                Timers* timers, ServiceLine* line, ActiveRequestHost* host);
+  ~ActiveRequest() override;
 
   void Start();
   // Workers are left at once; the sink hears nothing more.
@@ -92,15 +92,15 @@
   void OnSilence();
   void OnDue();
   void EndWithoutAnswer();
-  void End(JobResult result);
+  void End(RequestResult result);
 
   const std::uint64_t id_;
-  JobSpec spec_;  // without its body
+  RequestSpec spec_;  // without its body
   const std::shared_ptr<const std::string> body_;
-  std::shared_ptr<JobSink> sink_;
+  std::shared_ptr<RequestSink> sink_;
   Timers* timers_;
   ServiceLine* line_;
-  JobHost* host_;
+  ActiveRequestHost* host_;
 
   const Micros started_;
   const bool has_due_;
@@ -133,4 +133,4 @@
 
 }  // namespace pearreach::proxy
 
-#endif  // PEARREACH_SRC_TIER_PROXY_RUNNING_JOB_H_
+#endif  // PEARREACH_SRC_TIER_PROXY_ACTIVE_REQUEST_H_
--- a/src/tier/proxy/running_job_answer.cpp
+++ b/src/tier/proxy/active_request_response.cpp
@@ -1,7 +1,7 @@
 // The part of a running job that passes answers on to its sink.
 #include <utility>
 
-#include "tier/proxy/running_job.h"
+#include "tier/proxy/active_request.h"
 #include "tier/proxy/worker_request.h"
 
 namespace pearreach::proxy {
@@ -11,23 +11,23 @@
 
 constexpr Micros kProgressEvery = 2 * kSecond;  // the decision module hears of a stream this often
 // Bytes that a client may leave untaken before its worker is held up, beside those of one read.
-constexpr std::size_t kMostBacklog = 64 << 10;
+constexpr std::size_t kMaxBacklog = 64 << 10;
 
 }  // namespace
 
-void RunningJob::PassOn(ResponseHead head, const std::string& body) {
+void ActiveRequest::PassOn(ResponseHead head, const std::string& body) {
   const auto self = shared_from_this();
-  const std::shared_ptr<JobSink> sink = sink_;
+  const std::shared_ptr<RequestSink> sink = sink_;
   sink->OnHead(head.status, EndToEnd(std::move(head.headers)));
   if (!ended_ && !body.empty()) sink->OnBody(body);
-  JobResult result;
-  result.end = JobEnd::kComplete;
+  RequestResult result;
+  result.end = RequestEnd::kComplete;
   result.worker_status = worker_status_;
   End(result);
 }
 
 // A stream's head waits for its first event: until then another worker may still give both.
-void RunningJob::OnStreamHead(const ResponseHead& head) {
+void ActiveRequest::OnStreamHead(const ResponseHead& head) {
   // At the first event, so it is as fresh as it can be: told to the module at once.
   if (const auto load = ReadWorkerLoad(head)) {
     line_->workers.Tell(worker_, *load);
@@ -37,50 +37,50 @@
   if (!head_passed_) head_ = head;
 }
 
-void RunningJob::PassHead() {
+void ActiveRequest::PassHead() {
   if (std::exchange(head_passed_, true)) return;
   sink_->OnHead(head_->status, EndToEnd(std::move(head_->headers)));
   head_.reset();
 }
 
-void RunningJob::PassBytes(std::string_view bytes) {
+void ActiveRequest::PassBytes(std::string_view bytes) {
   if (bytes.empty() || ended_) return;
   PassHead();
   if (!ended_) sink_->OnBody(bytes);
 }
 
-void RunningJob::OnStreamBytes(std::string_view bytes) {
+void ActiveRequest::OnStreamBytes(std::string_view bytes) {
   const auto self = shared_from_this();
   events_.Append(bytes);
   if (!PassEvents()) return BreakStream();
-  if (!ended_ && sink_->backlog() > kMostBacklog) Pause();
+  if (!ended_ && sink_->backlog() > kMaxBacklog) Pause();
 }
 
 // Holds up this worker's answer alone: the worker and its other jobs go on.
-void RunningJob::Pause() {
+void ActiveRequest::Pause() {
   if (attempt_ == nullptr || std::exchange(paused_, true)) return;
   attempt_->PauseReading();
   WatchSilence(0);
 }
 
-void RunningJob::Resume() {
+void ActiveRequest::Resume() {
   if (!std::exchange(paused_, false)) return;
   timers_->Cancel(&silence_timer_);
   heard_ = Now();
   TellProgress();
   if (attempt_ == nullptr) return;
-  if (spec_.repeatable && runs_ + 1 < spec_.tries) WatchSilence(SilenceLimit());
+  if (spec_.repeatable && runs_ + 1 < spec_.attempts) WatchSilence(SilenceLimit());
   attempt_->ResumeReading();
 }
 
-void RunningJob::TellProgress() {
+void ActiveRequest::TellProgress() {
   progress_told_ = Now();
   if (placement_ != 0) line_->dispatcher.Progress(placement_);
 }
 
 // Whole events, none twice and without gaps, those that came together in one piece. False: the
 // worker's events do not follow what was passed on.
-bool RunningJob::PassEvents() {
+bool ActiveRequest::PassEvents() {
   std::string_view together;
   StreamEvent event;
   bool follows = true;
@@ -108,21 +108,21 @@
   return follows;
 }
 
-void RunningJob::BreakStream() {
+void ActiveRequest::BreakStream() {
   ++runs_;
   Leave(Outcome::kError);
   AfterRun();
 }
 
-void RunningJob::OnStreamComplete() {
+void ActiveRequest::OnStreamComplete() {
   ++runs_;
   Settle(Outcome::kGood);
-  const std::shared_ptr<JobSink> sink = sink_;
+  const std::shared_ptr<RequestSink> sink = sink_;
   PassHead();
   // A last event without its empty line is part of the worker's whole body all the same.
   if (!ended_) PassBytes(events_.Rest());
-  JobResult result;
-  result.end = JobEnd::kComplete;
+  RequestResult result;
+  result.end = RequestEnd::kComplete;
   result.worker_status = worker_status_;
   End(result);
 }
--- a/src/tier/proxy/attempt.cpp
+++ b/src/tier/proxy/attempt.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr Micros kConnectTimeout = 300 * kMs;  // of a connection that gives no sign
-constexpr int kMostSurplus = 4;                // answers of earlier requests on one connection
-constexpr std::size_t kMostBuffered = 32 << 20;
+constexpr int kMaxSurplus = 4;                 // answers of earlier requests on one connection
+constexpr std::size_t kMaxBuffered = 32 << 20;
 constexpr std::size_t kBodyPiece = 64 << 10;  // a worker that reads slowly leaves no more untaken
 // A worker counts a connection as idle earlier than this node does.
 constexpr Micros kKeepAliveMargin = 500 * kMs;
@@ -142,7 +142,7 @@
     if (status == ResponseReader::Status::kBad) return Fail();
     if (!skipping_) return EndAnswer(bytes);
     skipping_ = false;
-    if (++surplus_ > kMostSurplus) return Fail();
+    if (++surplus_ > kMaxSurplus) return Fail();
     reader_.Start(request_.bodiless);
     if (bytes.empty()) return;
   }
@@ -172,7 +172,7 @@
     listener_->OnStreamBytes(bytes);
     return listener_ != nullptr;
   }
-  if (result_.body.size() + bytes.size() > kMostBuffered) {
+  if (result_.body.size() + bytes.size() > kMaxBuffered) {
     Fail();
     return false;
   }
--- a/src/tier/proxy/kept_prefixes.cpp
+++ b/src/tier/proxy/kept_prefixes.cpp
@@ -11,7 +11,7 @@
   recent_.push_front({key, shared_tokens + own_tokens});
   by_key_[key] = recent_.begin();
   tokens_ += shared_tokens + own_tokens;
-  while (recent_.size() > 1 && (recent_.size() > kMostPrefixes || (room > 0 && tokens_ > room))) {
+  while (recent_.size() > 1 && (recent_.size() > kMaxPrefixes || (room > 0 && tokens_ > room))) {
     tokens_ -= recent_.back().tokens;
     by_key_.erase(recent_.back().key);
     recent_.pop_back();
--- a/src/tier/proxy/kept_prefixes.h
+++ b/src/tier/proxy/kept_prefixes.h
@@ -13,7 +13,7 @@
 class KeptPrefixes {
  public:
   // Bounds the estimate where the worker's memory is not known, too.
-  static constexpr std::size_t kMostPrefixes = 512;
+  static constexpr std::size_t kMaxPrefixes = 512;
 
   bool Has(std::uint64_t key) const { return by_key_.contains(key); }
   // A request with this prefix, and with `own_tokens` besides, goes there. `room`: tokens that the
--- a/src/tier/proxy/pool_dispatcher.cpp
+++ b/src/tier/proxy/pool_dispatcher.cpp
@@ -20,7 +20,7 @@
 constexpr Micros kRetryFirst = 100 * kMs;  // a refused client comes back after this, and more for
 constexpr Micros kRetryEach = 5 * kMs;     // each job that waits here
 constexpr Micros kRetryLast = kSecond;
-constexpr std::size_t kMostClasses = 64;    // then those that no job uses now are dropped
+constexpr std::size_t kMaxClasses = 64;     // then those that no job uses now are dropped
 constexpr Micros kOutFor = 3600 * kSecond;  // an attempt under way is not ended by the module
 
 dispatch::LoadReport ReportOf(const WorkerLoad& load) {
@@ -170,7 +170,7 @@
   events_.clear();
   rebuild_ = false;
   dispatch::Knowledge learned = Learned(now);
-  if (classes_.size() > kMostClasses) {
+  if (classes_.size() > kMaxClasses) {
     DropUnusedClasses();
     learned.classes.clear();  // their numbers are others now
   }
@@ -274,7 +274,7 @@
 
 // ---------------------------------------------------------------- settings
 
-int PoolDispatcher::ClassNumber(const JobClass& job_class) {
+int PoolDispatcher::ClassNumber(const RequestClass& job_class) {
   const auto found = std::find(classes_.begin(), classes_.end(), job_class);
   if (found != classes_.end()) return static_cast<int>(found - classes_.begin());
   classes_.push_back(job_class);
@@ -294,7 +294,7 @@
   dispatch::Settings settings;
   settings.balancers = std::max(share_.nodes, 1);
   settings.self = std::clamp(share_.self, 0, settings.balancers - 1);
-  for (const JobClass& job_class : classes_) {
+  for (const RequestClass& job_class : classes_) {
     dispatch::ClassSettings cls;
     // Each placement is sent once; the job repeats.
     cls.effect = dispatch::Effect::kRepeatable;
--- a/src/tier/proxy/pool_dispatcher.h
+++ b/src/tier/proxy/pool_dispatcher.h
@@ -19,15 +19,15 @@
 using PlacementId = dispatch::RequestId;
 
 // What jobs have in common that compete alike.
-struct JobClass {
+struct RequestClass {
   int rank = 0;
   Micros target = 0;  // objective for the first byte
   bool streamed = false, bulk = false;
-  bool operator==(const JobClass&) const = default;
+  bool operator==(const RequestClass&) const = default;
 };
 
 struct Placement {
-  JobClass job_class;
+  RequestClass job_class;
   Micros due = 0;  // a worker must be found by then
   // Workers that it profits from, the best one first: the first one with a free slot takes it.
   std::vector<dispatch::WorkerId> homes;
@@ -101,7 +101,7 @@
   void Unhold(const Open& open);
   dispatch::Knowledge Learned(Micros now) const;
   void TeachSlots();
-  int ClassNumber(const JobClass& job_class);
+  int ClassNumber(const RequestClass& job_class);
   void DropUnusedClasses();
   dispatch::Settings MakeSettings() const;
 
@@ -111,7 +111,7 @@
   std::uint64_t seed_;
   NodeShare share_;
   std::optional<dispatch::Dispatcher> dispatcher_;
-  std::vector<JobClass> classes_;
+  std::vector<RequestClass> classes_;
   std::unordered_map<PlacementId, Open> open_;
   std::vector<dispatch::Event> events_;
   std::vector<dispatch::Action> actions_;
--- a/src/tier/proxy/prompt_headers.cpp
+++ b/src/tier/proxy/prompt_headers.cpp
@@ -17,7 +17,7 @@
   return hash;
 }
 
-constexpr double kMostOfShared = 0.75;  // a run of leading parts that holds so much is the key
+constexpr double kMaxOfShared = 0.75;  // a run of leading parts that holds so much is the key
 
 double Number(std::string_view text) {
   const std::size_t begin = text.find_first_not_of(' ');
@@ -68,7 +68,7 @@
   std::size_t key_end = 0;
   double read = 0;
   ForEachPart(shared, [&](std::size_t end, double tokens) {
-    if (read < kMostOfShared * shape.shared_tokens) key_end = end;
+    if (read < kMaxOfShared * shape.shared_tokens) key_end = end;
     read += tokens;
   });
   shape.key = HashOn(HashOn(HashOn(kFnvOffset, model), "\n"), shared.substr(0, key_end));
--- a/src/tier/proxy/job.h
+++ b/src/tier/proxy/request.h
@@ -1,7 +1,7 @@
 // A job: one request that must run on a worker of a service. Live requests of clients and items of
 // lots are jobs alike; both pass the same admission (dispatch::Dispatcher, one a service).
-#ifndef PEARREACH_SRC_TIER_PROXY_JOB_H_
-#define PEARREACH_SRC_TIER_PROXY_JOB_H_
+#ifndef PEARREACH_SRC_TIER_PROXY_REQUEST_H_
+#define PEARREACH_SRC_TIER_PROXY_REQUEST_H_
 
 #include <cstdint>
 #include <functional>
@@ -15,7 +15,7 @@
 
 namespace pearreach::proxy {
 
-struct JobSpec {
+struct RequestSpec {
   std::string service;                // the route's target, already picked from a split
   std::string method, target;         // as the worker gets them
   std::vector<http::Header> headers;  // end-to-end ones, X-Attempt-Id and Host among them
@@ -25,7 +25,7 @@
   double target_ms = 0;      // objective for the first byte, from `due`'s start
   double gap_aim_ms = 0;     // streamed: longest pause between events that keeps it in time
   int rank = 0;              // 0 is the most urgent
-  int tries = 1;             // most workers that it may be sent to
+  int attempts = 1;          // most workers that it may be sent to
   bool repeatable = false;   // may run more than once
   bool streamed = false;     // text/event-stream with rising ids
   bool resumable = false;    // streamed and may go on at another worker with Last-Event-Id
@@ -38,7 +38,7 @@
   double tokens = 0;                // of the prompt and most out
 };
 
-enum class JobEnd {
+enum class RequestEnd {
   kComplete,  // the whole answer was passed on
   kNotRun,    // a promise: it has not run and never will; come back after `retry_after`
   kFailed,    // no promise: a worker failed, or may have run it
@@ -46,30 +46,30 @@
   kBroken,    // the answer had begun and cannot be completed
 };
 
-struct JobResult {
-  JobEnd end = JobEnd::kFailed;
+struct RequestResult {
+  RequestEnd end = RequestEnd::kFailed;
   Micros retry_after = 0;
   int worker_status = 0;  // last status that a worker gave, 0: none
 };
 
 // OnHead once at most, then OnBody any number of times, then OnEnd exactly once. For a streamed job
 // OnBody carries whole events, none twice, without gaps, whichever workers they came from.
-class JobSink {
+class RequestSink {
  public:
-  virtual ~JobSink() = default;
+  virtual ~RequestSink() = default;
   virtual void OnHead(int status, const std::vector<http::Header>& headers) = 0;
   virtual void OnBody(std::string_view bytes) = 0;
-  virtual void OnEnd(const JobResult& result) = 0;
+  virtual void OnEnd(const RequestResult& result) = 0;
   // Bytes that the receiver has not taken. Once there are many, the worker's connection is read no
-  // further until JobRunner::Resume.
+  // further until RequestRunner::Resume.
   virtual std::size_t backlog() const { return 0; }
 };
 
-class JobRunner {
+class RequestRunner {
  public:
-  virtual ~JobRunner() = default;
+  virtual ~RequestRunner() = default;
   // Takes the job on; the sink hears its end unless Cancel comes first.
-  virtual std::uint64_t Submit(JobSpec spec, std::shared_ptr<JobSink> sink) = 0;
+  virtual std::uint64_t Submit(RequestSpec spec, std::shared_ptr<RequestSink> sink) = 0;
   // The client is gone or the lot was ended: workers are left at once, the sink hears nothing more.
   virtual void Cancel(std::uint64_t job) = 0;
   // The receiver of this job's answer has taken all that it had left: its worker is read on.
@@ -81,4 +81,4 @@
 
 }  // namespace pearreach::proxy
 
-#endif  // PEARREACH_SRC_TIER_PROXY_JOB_H_
+#endif  // PEARREACH_SRC_TIER_PROXY_REQUEST_H_
--- a/src/tier/proxy/job_runner.cpp
+++ b/src/tier/proxy/request_runner.cpp
@@ -1,12 +1,12 @@
-#include "tier/proxy/job_runner.h"
+#include "tier/proxy/request_runner.h"
 
 #include <algorithm>
 #include <cmath>
 #include <unordered_map>
 #include <utility>
 
+#include "tier/proxy/active_request.h"
 #include "tier/proxy/fleet_start.h"
-#include "tier/proxy/running_job.h"
 #include "tier/proxy/service_line.h"
 
 namespace pearreach::proxy {
@@ -17,24 +17,24 @@
 constexpr Micros kRefreshDelay = 5 * kMs;
 constexpr Micros kRefreshDelayEach = 10;         // a worker
 constexpr Micros kShareEvery = 200 * kMs;        // this node's share is looked at no more often
-constexpr std::size_t kLeastConnections = 2;     // to each worker, however many nodes there are
+constexpr std::size_t kMinConnections = 2;       // to each worker, however many nodes there are
 constexpr std::size_t kDefaultConnections = 16;  // of a service that names no limit
-constexpr double kMostFill = 0.9;  // of all slots, by what workers told; beyond it bulk jobs wait
+constexpr double kMaxFill = 0.9;  // of all slots, by what workers told; beyond it bulk jobs wait
 // Bulk jobs whose prompts are unread, a worker and all nodes together; and those held ready behind.
 constexpr double kUnreadBulk = 1;
 constexpr int kBulkAhead = 4;
 constexpr int kUnpacedBulk = 1 << 16;  // more than a node runs
 
-class Runner final : public JobRunner, private JobHost {
+class Runner final : public RequestRunner, private ActiveRequestHost {
  public:
   Runner(Timers* timers, registry::WorkerSource* workers, control::ControlClient* control,
          RunnerOptions options);
   ~Runner() override;
 
-  std::uint64_t Submit(JobSpec spec, std::shared_ptr<JobSink> sink) override;
+  std::uint64_t Submit(RequestSpec spec, std::shared_ptr<RequestSink> sink) override;
   void Cancel(std::uint64_t job) override;
   void Resume(std::uint64_t job) override;
-  int BulkRoom(const std::string& service) const override;  // of JobHost, too
+  int BulkRoom(const std::string& service) const override;  // of ActiveRequestHost, too
 
  private:
   bool IsReady(const std::string& worker_id) const override;
@@ -65,7 +65,7 @@
   const Micros started_ = Now();
   Timers::Id refresh_ = 0, warm_ = 0;
   std::unordered_map<std::string, std::unique_ptr<ServiceLine>> lines_;
-  std::unordered_map<std::uint64_t, std::shared_ptr<RunningJob>> jobs_;
+  std::unordered_map<std::uint64_t, std::shared_ptr<ActiveRequest>> jobs_;
   std::uint64_t last_job_ = 0;
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
@@ -93,13 +93,13 @@
   for (const auto& [id, job] : std::exchange(jobs_, {})) job->Cancel();
 }
 
-std::uint64_t Runner::Submit(JobSpec spec, std::shared_ptr<JobSink> sink) {
+std::uint64_t Runner::Submit(RequestSpec spec, std::shared_ptr<RequestSink> sink) {
   LookAtShare();
   ServiceLine& line = Line(spec.service);
   const std::uint64_t id = ++last_job_;
-  JobHost* const host = this;
+  ActiveRequestHost* const host = this;
   const auto job =
-      std::make_shared<RunningJob>(id, std::move(spec), std::move(sink), timers_, &line, host);
+      std::make_shared<ActiveRequest>(id, std::move(spec), std::move(sink), timers_, &line, host);
   jobs_.emplace(id, job);
   job->Start();
   return id;
@@ -135,7 +135,7 @@
   bool told = false;
   const double taken = line.workers.SlotsTaken(Now(), &told);
   const double slots = line.workers.ready_slots();
-  if (slots < 1 || (told && taken > kMostFill * slots)) return 0;
+  if (slots < 1 || (told && taken > kMaxFill * slots)) return 0;
   const double usable = options_.policy.bulk_fill * slots / share_.nodes;
   const int held =
       line.dispatcher.held_bulk() + line.bulk_waiting + static_cast<int>(line.bulk_gate.waiting());
@@ -162,7 +162,7 @@
   const routing::Service* found = FindService(service);
   if (found == nullptr || found->max_conns <= 0) return kDefaultConnections;
   const auto part = static_cast<std::size_t>(found->max_conns / share_.nodes);
-  return std::max(part, kLeastConnections);
+  return std::max(part, kMinConnections);
 }
 
 double Runner::WorkerTokens(const std::string& service) const {
@@ -241,8 +241,9 @@
 
 }  // namespace
 
-std::unique_ptr<JobRunner> MakeJobRunner(Timers* timers, registry::WorkerSource* workers,
-                                         control::ControlClient* control, RunnerOptions options) {
+std::unique_ptr<RequestRunner> MakeRequestRunner(Timers* timers, registry::WorkerSource* workers,
+                                                 control::ControlClient* control,
+                                                 RunnerOptions options) {
   return std::make_unique<Runner>(timers, workers, control, std::move(options));
 }
 
--- a/src/tier/proxy/job_runner.h
+++ b/src/tier/proxy/request_runner.h
@@ -1,6 +1,6 @@
 // The runner of all jobs of this node: one admission a service, workers from the registry.
-#ifndef PEARREACH_SRC_TIER_PROXY_JOB_RUNNER_H_
-#define PEARREACH_SRC_TIER_PROXY_JOB_RUNNER_H_
+#ifndef PEARREACH_SRC_TIER_PROXY_REQUEST_RUNNER_H_
+#define PEARREACH_SRC_TIER_PROXY_REQUEST_RUNNER_H_
 
 #include <cstdint>
 #include <memory>
@@ -8,7 +8,7 @@
 
 #include "common/event_loop/timers.h"
 #include "tier/control/control_client.h"
-#include "tier/proxy/job.h"
+#include "tier/proxy/request.h"
 #include "tier/registry/worker_table.h"
 #include "tier/settings/policy_options.h"
 
@@ -25,9 +25,10 @@
 };
 
 // All must outlive the runner; listeners that it adds end with it.
-std::unique_ptr<JobRunner> MakeJobRunner(Timers* timers, registry::WorkerSource* workers,
-                                         control::ControlClient* control, RunnerOptions options);
+std::unique_ptr<RequestRunner> MakeRequestRunner(Timers* timers, registry::WorkerSource* workers,
+                                                 control::ControlClient* control,
+                                                 RunnerOptions options);
 
 }  // namespace pearreach::proxy
 
-#endif  // PEARREACH_SRC_TIER_PROXY_JOB_RUNNER_H_
+#endif  // PEARREACH_SRC_TIER_PROXY_REQUEST_RUNNER_H_
--- a/src/tier/proxy/response_reader.cpp
+++ b/src/tier/proxy/response_reader.cpp
@@ -8,8 +8,8 @@
 namespace pearreach::proxy {
 namespace {
 
-constexpr std::size_t kLongestHead = 64 << 10;  // all lines of a head, or of trailers
-constexpr std::size_t kMostHeaders = 200;
+constexpr std::size_t kMaxHead = 64 << 10;  // all lines of a head, or of trailers
+constexpr std::size_t kMaxHeaders = 200;
 constexpr std::size_t kStatusLineBytes = 12;  // "HTTP/1.1 200"
 constexpr int kFirstFinalStatus = 200;
 constexpr int kSwitchingProtocols = 101;
@@ -122,7 +122,7 @@
   const std::string_view piece = bytes->substr(0, taken);
   bytes->remove_prefix(taken);
   head_bytes_ += taken;
-  if (head_bytes_ > kLongestHead) {
+  if (head_bytes_ > kMaxHead) {
     Bad();
     return false;
   }
@@ -169,7 +169,7 @@
   // A folded line fails here too: its length could be read in two ways.
   if (!std::all_of(name.begin(), name.end(), IsTokenByte)) return Bad();
   if (!std::all_of(value.begin(), value.end(), IsValueByte)) return Bad();
-  if (head_.headers.size() == kMostHeaders) return Bad();
+  if (head_.headers.size() == kMaxHeaders) return Bad();
   head_.headers.push_back({std::string(name), std::string(value)});
 }
 
--- a/src/tier/proxy/silence_watch.cpp
+++ b/src/tier/proxy/silence_watch.cpp
@@ -12,7 +12,7 @@
 // Repeats that a send earns, and how many may be saved up: one worker in five that is silent is
 // borne in full, a service that is slow as a whole gets a fifth more to do at most.
 constexpr double kRepeatsEach = 0.2;
-constexpr double kMostRepeats = 10;
+constexpr double kMaxRepeats = 10;
 // Where too few answers are known.
 constexpr Micros kUnknownLimit = 1500 * kMs;
 constexpr double kUnknownTargets = 5;
@@ -28,7 +28,7 @@
   ++count_;
 }
 
-void SilenceWatch::NoteSend() { budget_ = std::min(budget_ + kRepeatsEach, kMostRepeats); }
+void SilenceWatch::NoteSend() { budget_ = std::min(budget_ + kRepeatsEach, kMaxRepeats); }
 
 bool SilenceWatch::TakeRepeat() {
   if (budget_ < 1) return false;
--- a/src/tier/proxy/worker_connections.cpp
+++ b/src/tier/proxy/worker_connections.cpp
@@ -9,7 +9,7 @@
 // A connection that was idle for longer may be closed by the worker just as a request goes out.
 constexpr Micros kStaleAfter = kSecond;
 // Ids that a connection remembers; a copy of an earlier answer has long come by then.
-constexpr std::size_t kMostCarried = 32;
+constexpr std::size_t kMaxCarried = 32;
 
 }  // namespace
 
@@ -39,7 +39,7 @@
 
 void WorkerConnection::NoteRequest(const std::string& attempt_id) {
   carried_.push_back(std::hash<std::string>()(attempt_id));
-  if (carried_.size() > kMostCarried) carried_.pop_front();
+  if (carried_.size() > kMaxCarried) carried_.pop_front();
 }
 
 bool WorkerConnection::Carried(const std::string& attempt_id) const {
@@ -79,7 +79,7 @@
                                                           const ConnectionWish& wish) {
   std::shared_ptr<WorkerConnection> connection = TakeIdle(wish);
   if (connection == nullptr) {
-    if (!HasRoom(wish)) return nullptr;
+    if (!HasDiskCapacity(wish)) return nullptr;
     connection = std::make_shared<WorkerConnection>();
     if (!connection->Open(address_)) return nullptr;
     ++opened_;
@@ -96,9 +96,9 @@
   for (std::size_t i = idle_.size(); i-- > 0;) {
     const std::shared_ptr<WorkerConnection> connection = idle_[i];
     const bool carried = connection->Carried(wish.attempt_id);
-    if (carried && HasRoom(wish)) continue;
+    if (carried && HasDiskCapacity(wish)) continue;
     const bool stale = now - connection->idle_since_ > kStaleAfter;
-    if (stale && wish.freshness == Freshness::kPreferNew && HasRoom(wish)) return nullptr;
+    if (stale && wish.freshness == Freshness::kPreferNew && HasDiskCapacity(wish)) return nullptr;
     idle_.erase(idle_.begin() + static_cast<std::ptrdiff_t>(i));
     const bool good = now < connection->expires_ && connection->stream_->Quiet();
     if (good && !carried) return connection;
--- a/src/tier/proxy/worker_connections.h
+++ b/src/tier/proxy/worker_connections.h
@@ -91,7 +91,9 @@
 
  private:
   std::shared_ptr<WorkerConnection> TakeIdle(const ConnectionWish& wish);
-  bool HasRoom(const ConnectionWish& wish) const { return in_use_ + idle_.size() < wish.limit; }
+  bool HasDiskCapacity(const ConnectionWish& wish) const {
+    return in_use_ + idle_.size() < wish.limit;
+  }
   void Forget(WorkerConnection* idle);
   void Sweep();
   void ArmSweep();
--- a/src/tier/proxy/worker_request.cpp
+++ b/src/tier/proxy/worker_request.cpp
@@ -37,7 +37,8 @@
 
 }  // namespace
 
-std::string WriteWorkerHead(const JobSpec& job, const SendDetails& send, std::size_t body_size) {
+std::string WriteWorkerHead(const RequestSpec& job, const SendDetails& send,
+                            std::size_t body_size) {
   std::string out;
   out.reserve(kHeadEstimate + job.target.size());
   out.append(job.method).append(" ").append(job.target).append(" HTTP/1.1\r\n");
--- a/src/tier/registry/anti_entropy.cpp
+++ b/src/tier/registry/anti_entropy.cpp
@@ -10,26 +10,26 @@
 
 constexpr Micros kFirstPeriod = 100 * kMs;  // until the first comparison has succeeded
 constexpr Micros kAnswerTimeout = kSecond;  // of one call
-constexpr std::size_t kMostRecords = 1000;  // of one answer
+constexpr std::size_t kMaxRecords = 1000;   // of one answer
 
 }  // namespace
 
-AntiEntropy::AntiEntropy(control::TimeSource* time, rpc::Mesh* mesh, EdgeNodes* nodes,
+AntiEntropy::AntiEntropy(control::TimeSource* time, rpc::Transport* transport, EdgeNodes* nodes,
                          WorkerState* state, Micros period, Take take)
     : time_(time),
-      mesh_(mesh),
+      transport_(transport),
       nodes_(nodes),
       state_(state),
       period_(period),
       take_(std::move(take)) {
-  mesh_->Handle(
+  transport_->Handle(
       rpc::MessageType::kWorkerDigest,
       callbacks_.Bind([this](const std::string&, std::string_view body, rpc::Respond respond) {
         const auto request = codec::Decode<DigestRequest>(body);
         if (!request.ok()) return respond(request.status());
         respond(codec::Encode(OnDigest(*request)));
       }));
-  mesh_->Handle(
+  transport_->Handle(
       rpc::MessageType::kWorkerRepair,
       callbacks_.Bind([this](const std::string&, std::string_view body, rpc::Respond respond) {
         const auto request = codec::Decode<RepairRequest>(body);
@@ -59,17 +59,17 @@
 }
 
 void AntiEntropy::Ask(const std::string& address) {
-  mesh_->Call(address, rpc::MessageType::kWorkerDigest,
-              codec::Encode(DigestRequest{state_->Digest()}), kAnswerTimeout,
-              callbacks_.Bind([this, address](absl::StatusOr<std::string> bytes) {
-                if (!bytes.ok()) return;
-                const auto answer = codec::Decode<DigestAnswer>(*bytes);
-                if (!answer.ok()) return;
-                if (answer->shards.empty())
-                  compared_ = true;
-                else
-                  Repair(address, answer->shards);
-              }));
+  transport_->Call(address, rpc::MessageType::kWorkerDigest,
+                   codec::Encode(DigestRequest{state_->Digest()}), kAnswerTimeout,
+                   callbacks_.Bind([this, address](absl::StatusOr<std::string> bytes) {
+                     if (!bytes.ok()) return;
+                     const auto answer = codec::Decode<DigestResponse>(*bytes);
+                     if (!answer.ok()) return;
+                     if (answer->shards.empty())
+                       compared_ = true;
+                     else
+                       Repair(address, answer->shards);
+                   }));
 }
 
 void AntiEntropy::Repair(const std::string& address, const std::vector<std::uint64_t>& theirs) {
@@ -80,39 +80,39 @@
     if (ours[i] != theirs[i])
       request.shards.push_back({static_cast<std::uint32_t>(i), state_->Entries(i)});
   if (request.shards.empty()) return;  // the same by now
-  mesh_->Call(address, rpc::MessageType::kWorkerRepair, codec::Encode(request), kAnswerTimeout,
-              callbacks_.Bind([this, address](absl::StatusOr<std::string> bytes) {
-                if (!bytes.ok()) return;
-                const auto answer = codec::Decode<RepairAnswer>(*bytes);
-                if (answer.ok()) TakeRepair(address, *answer);
-              }));
+  transport_->Call(address, rpc::MessageType::kWorkerRepair, codec::Encode(request), kAnswerTimeout,
+                   callbacks_.Bind([this, address](absl::StatusOr<std::string> bytes) {
+                     if (!bytes.ok()) return;
+                     const auto answer = codec::Decode<RepairResponse>(*bytes);
+                     if (answer.ok()) TakeRepair(address, *answer);
+                   }));
 }
 
-void AntiEntropy::TakeRepair(const std::string& address, const RepairAnswer& answer) {
+void AntiEntropy::TakeRepair(const std::string& address, const RepairResponse& answer) {
   // Exported before the other's records come in: then both end with the newer of the two.
   WorkerUpdate wanted;
   wanted.items = state_->ExportHashed(time_->Now(), answer.wanted);
-  if (wanted.items.size() > kMostRecords) wanted.items.resize(kMostRecords);
+  if (wanted.items.size() > kMaxRecords) wanted.items.resize(kMaxRecords);
   take_(answer.update);
   if (!wanted.items.empty()) {
     SpreadRequest request;
     request.update = codec::Encode(wanted);
-    mesh_->Call(address, rpc::MessageType::kWorkerSpread, codec::Encode(request), kAnswerTimeout,
-                [](absl::StatusOr<std::string>) {});
+    transport_->Call(address, rpc::MessageType::kWorkerSpread, codec::Encode(request),
+                     kAnswerTimeout, [](absl::StatusOr<std::string>) {});
   }
   if (answer.more) return Ask(address);
   compared_ = true;
 }
 
-DigestAnswer AntiEntropy::OnDigest(const DigestRequest& request) const {
+DigestResponse AntiEntropy::OnDigest(const DigestRequest& request) const {
   if (request.total == state_->Digest()) return {};
   return {state_->ShardDigests()};
 }
 
-RepairAnswer AntiEntropy::OnRepair(const RepairRequest& request) const {
-  RepairAnswer answer;
+RepairResponse AntiEntropy::OnRepair(const RepairRequest& request) const {
+  RepairResponse answer;
   for (const RepairRequest::Shard& shard : request.shards)
-    state_->Compare(time_->Now(), shard, kMostRecords, &answer);
+    state_->Compare(time_->Now(), shard, kMaxRecords, &answer);
   return answer;
 }
 
--- a/src/tier/registry/anti_entropy.h
+++ b/src/tier/registry/anti_entropy.h
@@ -12,7 +12,7 @@
 #include "tier/registry/edge_nodes.h"
 #include "tier/registry/worker_messages.h"
 #include "tier/registry/worker_state.h"
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 
 namespace pearreach::registry {
 
@@ -21,20 +21,20 @@
   using Take = std::function<void(const WorkerUpdate&)>;
 
   // Begins at once and compares every `period`, more often until it has succeeded once.
-  AntiEntropy(control::TimeSource* time, rpc::Mesh* mesh, EdgeNodes* nodes, WorkerState* state,
-              Micros period, Take take);
+  AntiEntropy(control::TimeSource* time, rpc::Transport* transport, EdgeNodes* nodes,
+              WorkerState* state, Micros period, Take take);
 
  private:
   void Tick();
   std::string Partner();  // address; empty: there is none
   void Ask(const std::string& address);
   void Repair(const std::string& address, const std::vector<std::uint64_t>& theirs);
-  void TakeRepair(const std::string& address, const RepairAnswer& answer);
-  DigestAnswer OnDigest(const DigestRequest& request) const;
-  RepairAnswer OnRepair(const RepairRequest& request) const;
+  void TakeRepair(const std::string& address, const RepairResponse& answer);
+  DigestResponse OnDigest(const DigestRequest& request) const;
+  RepairResponse OnRepair(const RepairRequest& request) const;
 
   control::TimeSource* time_;
-  rpc::Mesh* mesh_;
+  rpc::Transport* transport_;
   EdgeNodes* nodes_;
   WorkerState* state_;
   const Micros period_;
--- a/src/tier/registry/spreader.cpp
+++ b/src/tier/registry/spreader.cpp
@@ -9,10 +9,10 @@
 namespace pearreach::registry {
 namespace {
 
-constexpr std::size_t kFanout = 16;         // calls of one node for one spread
-constexpr Micros kTryTimeout = 250 * kMs;   // of one call
-constexpr Micros kTryPause = 60 * kMs;      // before a node is called again
-constexpr Micros kLeastTimeout = 20 * kMs;  // with less left, no call is made
+constexpr std::size_t kFanout = 16;        // calls of one node for one spread
+constexpr Micros kTryTimeout = 250 * kMs;  // of one call
+constexpr Micros kTryPause = 60 * kMs;     // before a node is called again
+constexpr Micros kMinTimeout = 20 * kMs;   // with less left, no call is made
 // A relay answers within this part of its call's time, having called its own nodes.
 constexpr std::int64_t kRelayShare = 4, kRelayWhole = 5;
 
@@ -37,11 +37,12 @@
   }
 };
 
-Spreader::Spreader(control::TimeSource* time, rpc::Mesh* mesh, EdgeNodes* nodes, Take take)
-    : time_(time), mesh_(mesh), nodes_(nodes), take_(std::move(take)) {
-  mesh_->Handle(rpc::MessageType::kWorkerSpread,
-                callbacks_.Bind([this](const std::string&, std::string_view body,
-                                       rpc::Respond respond) { OnSpread(body, respond); }));
+Spreader::Spreader(control::TimeSource* time, rpc::Transport* transport, EdgeNodes* nodes,
+                   Take take)
+    : time_(time), transport_(transport), nodes_(nodes), take_(std::move(take)) {
+  transport_->Handle(rpc::MessageType::kWorkerSpread,
+                     callbacks_.Bind([this](const std::string&, std::string_view body,
+                                            rpc::Respond respond) { OnSpread(body, respond); }));
 }
 
 std::shared_ptr<Spreader::Run> Spreader::Begin(std::string update, Micros budget,
@@ -78,14 +79,14 @@
           ? EdgeList()
           : Between(nodes_->Recent(time_->Now()), request->first, request->last, nodes_->self());
   const std::uint64_t self = HashOf(nodes_->self());
-  if (!request->confirm) respond(codec::Encode(SpreadAnswer()));
-  if (request->confirm && range.empty()) return respond(codec::Encode(SpreadAnswer{{self}}));
+  if (!request->confirm) respond(codec::Encode(SpreadResponse()));
+  if (request->confirm && range.empty()) return respond(codec::Encode(SpreadResponse{{self}}));
   if (range.empty()) return;
   const Micros budget = request->budget_ms * kMs;
   Done done;
   if (request->confirm)
     done = [respond, self](const Reached& reached) {
-      SpreadAnswer answer{reached.nodes};
+      SpreadResponse answer{reached.nodes};
       answer.reached.push_back(self);
       respond(codec::Encode(answer));
     };
@@ -123,7 +124,7 @@
   range.erase(range.begin() + static_cast<std::ptrdiff_t>(chosen));
   const Micros left = run->until - time_->Now();
   const Micros timeout = std::min(left / 2, kTryTimeout);
-  if (timeout < kLeastTimeout) return;  // stays open: not all have it
+  if (timeout < kMinTimeout) return;  // stays open: not all have it
   Send(run, relay, std::move(request), timeout,
        [this, run, relay, range](absl::StatusOr<std::string> answer) {
          RangeAnswered(run, relay, range, answer);
@@ -138,7 +139,7 @@
     return CoverRange(run, std::move(rest));
   }
   if (!run->confirm) return run->Close();
-  const auto told = codec::Decode<SpreadAnswer>(*answer);
+  const auto told = codec::Decode<SpreadResponse>(*answer);
   std::unordered_set<std::uint64_t> reached{relay->id};
   if (told.ok()) reached.insert(told->reached.begin(), told->reached.end());
   run->reached.insert(run->reached.end(), reached.begin(), reached.end());
@@ -152,7 +153,7 @@
 
 void Spreader::CoverOne(const std::shared_ptr<Run>& run, const EdgeRef& node) {
   const Micros timeout = std::min(run->until - time_->Now(), kTryTimeout);
-  if (timeout < kLeastTimeout) return;  // stays open: not all have it
+  if (timeout < kMinTimeout) return;  // stays open: not all have it
   Send(run, node, SpreadRequest(), timeout, [this, run, node](absl::StatusOr<std::string> answer) {
     if (answer.ok()) {
       run->reached.push_back(node->id);
@@ -170,8 +171,8 @@
   // A node that came back may listen elsewhere.
   std::string address = nodes_->AddressOf(to->name);
   if (address.empty()) address = to->address;
-  mesh_->Call(address, rpc::MessageType::kWorkerSpread, codec::Encode(request), timeout,
-              callbacks_.Bind(std::move(done)));
+  transport_->Call(address, rpc::MessageType::kWorkerSpread, codec::Encode(request), timeout,
+                   callbacks_.Bind(std::move(done)));
 }
 
 }  // namespace pearreach::registry
--- a/src/tier/registry/spreader.h
+++ b/src/tier/registry/spreader.h
@@ -15,7 +15,7 @@
 #include "tier/control/time_source.h"
 #include "tier/registry/edge_nodes.h"
 #include "tier/registry/worker_messages.h"
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 
 namespace pearreach::registry {
 
@@ -30,7 +30,7 @@
   using Take = std::function<void(const WorkerUpdate&)>;
 
   // `take` is handed what comes from other nodes.
-  Spreader(control::TimeSource* time, rpc::Mesh* mesh, EdgeNodes* nodes, Take take);
+  Spreader(control::TimeSource* time, rpc::Transport* transport, EdgeNodes* nodes, Take take);
 
   // To all other live edge nodes. Goes on for `budget`; `done` (may be null: unconfirmed) is called
   // once, when all have it or after `answer_within`.
@@ -50,7 +50,7 @@
             Micros timeout, rpc::Done done);
 
   control::TimeSource* time_;
-  rpc::Mesh* mesh_;
+  rpc::Transport* transport_;
   EdgeNodes* nodes_;
   Take take_;
   control::CallbackOwner callbacks_;
--- a/src/tier/registry/worker_messages.h
+++ b/src/tier/registry/worker_messages.h
@@ -43,7 +43,7 @@
   }
 };
 
-struct SpreadAnswer {
+struct SpreadResponse {
   std::vector<std::uint64_t> reached;  // HashOf the names of the nodes that have it
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -70,7 +70,7 @@
   }
 };
 
-struct DigestAnswer {
+struct DigestResponse {
   std::vector<std::uint64_t> shards;  // empty: the same
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -96,7 +96,7 @@
   }
 };
 
-struct RepairAnswer {
+struct RepairResponse {
   WorkerUpdate update;
   std::vector<std::uint64_t> wanted;  // DigestEntry::worker
   bool more = false;                  // the update was cut at its largest size
--- a/src/tier/registry/worker_registry.cpp
+++ b/src/tier/registry/worker_registry.cpp
@@ -17,9 +17,9 @@
 constexpr Micros kContactBound = 200 * kMs;
 // Changes within these spans go together: the spans grow with what one message or one swap costs.
 constexpr Micros kTellPauseEach = 500;  // an edge node
-constexpr Micros kMostTellPause = 100 * kMs;
+constexpr Micros kMaxTellPause = 100 * kMs;
 constexpr Micros kSwapPauseEach = 20;  // a worker
-constexpr Micros kMostSwapPause = 50 * kMs;
+constexpr Micros kMaxSwapPause = 50 * kMs;
 constexpr std::size_t kToldMargin = 1000;  // told_leaving_ may hold so many more than are known
 
 WorkerStateOptions StateOptions(const settings::NodeSettings& settings, const EdgeNodes* nodes) {
@@ -36,15 +36,16 @@
 
 }  // namespace
 
-WorkerRegistry::WorkerRegistry(Timers* timers, rpc::Mesh* mesh, control::ControlClient* control,
+WorkerRegistry::WorkerRegistry(Timers* timers, rpc::Transport* transport,
+                               control::ControlClient* control,
                                const settings::NodeSettings& settings)
-    : WorkerRegistry(control::TimeSourceOf(timers), mesh, control, settings) {}
+    : WorkerRegistry(control::TimeSourceOf(timers), transport, control, settings) {}
 
-WorkerRegistry::WorkerRegistry(std::unique_ptr<control::TimeSource> time, rpc::Mesh* mesh,
+WorkerRegistry::WorkerRegistry(std::unique_ptr<control::TimeSource> time, rpc::Transport* transport,
                                control::ControlClient* control,
                                const settings::NodeSettings& settings)
     : time_(std::move(time)),
-      mesh_(mesh),
+      transport_(transport),
       control_(control),
       nodes_(control, settings.node_name),
       control_port_(settings.bind.control.empty() ? "" : PortOf(settings.bind.control)),
@@ -53,12 +54,13 @@
           std::min<Micros>(kAnswerBound, static_cast<Micros>(settings.bounds.drain_ms * 1000 / 2))),
       spread_bound_(static_cast<Micros>(settings.bounds.drain_ms * 1000) + ack_bound_),
       state_(StateOptions(settings, &nodes_)),
-      spreader_(time_.get(), mesh, &nodes_, [this](const WorkerUpdate& update) { Import(update); }),
-      anti_entropy_(time_.get(), mesh, &nodes_, &state_, period_,
+      spreader_(time_.get(), transport, &nodes_,
+                [this](const WorkerUpdate& update) { Import(update); }),
+      anti_entropy_(time_.get(), transport, &nodes_, &state_, period_,
                     [this](const WorkerUpdate& update) { Import(update); }) {
-  mesh_->Handle(rpc::MessageType::kWorkerPass,
-                callbacks_.Bind([this](const std::string&, std::string_view body,
-                                       rpc::Respond respond) { OnPassed(body, respond); }));
+  transport_->Handle(rpc::MessageType::kWorkerPass,
+                     callbacks_.Bind([this](const std::string&, std::string_view body,
+                                            rpc::Respond respond) { OnPassed(body, respond); }));
   time_->After(period_, callbacks_.Bind([this] { Tick(); }));
 }
 
@@ -158,12 +160,13 @@
   WorkerUpdate update;
   update.items.push_back(
       {record, std::max<Micros>(0, record.warm_at - time_->Now()) / kMs, 0, false});
-  mesh_->Call(nodes_.AddressOf(record.taker), rpc::MessageType::kWorkerPass, codec::Encode(update),
-              kPassTimeout, callbacks_.Bind([this, id](absl::StatusOr<std::string> answer) {
-                if (answer.ok()) return;
-                state_.TakeOver(time_->Now(), id);
-                QueueTelling(id);
-              }));
+  transport_->Call(nodes_.AddressOf(record.taker), rpc::MessageType::kWorkerPass,
+                   codec::Encode(update), kPassTimeout,
+                   callbacks_.Bind([this, id](absl::StatusOr<std::string> answer) {
+                     if (answer.ok()) return;
+                     state_.TakeOver(time_->Now(), id);
+                     QueueTelling(id);
+                   }));
 }
 
 void WorkerRegistry::OnPassed(std::string_view body, const rpc::Respond& respond) {
@@ -210,7 +213,7 @@
   if (telling_ != 0) return;
   const Micros now = time_->Now();
   const auto edges = static_cast<Micros>(nodes_.Recent(now).size());
-  const Micros pause = std::min(edges * kTellPauseEach, kMostTellPause);
+  const Micros pause = std::min(edges * kTellPauseEach, kMaxTellPause);
   telling_ = time_->After(std::max<Micros>(told_at_ + pause - now, 0), callbacks_.Bind([this] {
     telling_ = 0;
     TellQueued();
@@ -244,7 +247,7 @@
   if (swap_ != 0) return;
   const Micros now = time_->Now();
   const auto workers = static_cast<Micros>(state_.size());
-  const Micros pause = std::min(workers * kSwapPauseEach, kMostSwapPause);
+  const Micros pause = std::min(workers * kSwapPauseEach, kMaxSwapPause);
   if (now - swapped_at_ >= pause) return Swap();
   swap_ = time_->After(swapped_at_ + pause - now, callbacks_.Bind([this] {
     swap_ = 0;
--- a/src/tier/registry/worker_registry.h
+++ b/src/tier/registry/worker_registry.h
@@ -20,7 +20,7 @@
 #include "tier/registry/spreader.h"
 #include "tier/registry/worker_state.h"
 #include "tier/registry/worker_table.h"
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 #include "tier/settings/node_settings.h"
 
 namespace pearreach::registry {
@@ -32,9 +32,9 @@
 class WorkerRegistry : public WorkerSource {
  public:
   // All pointers outlive this.
-  WorkerRegistry(Timers* timers, rpc::Mesh* mesh, control::ControlClient* control,
+  WorkerRegistry(Timers* timers, rpc::Transport* transport, control::ControlClient* control,
                  const settings::NodeSettings& settings);
-  WorkerRegistry(std::unique_ptr<control::TimeSource> time, rpc::Mesh* mesh,
+  WorkerRegistry(std::unique_ptr<control::TimeSource> time, rpc::Transport* transport,
                  control::ControlClient* control, const settings::NodeSettings& settings);
 
   void RegisterCalls(control::ApiRouter* router);
@@ -71,7 +71,7 @@
   void Tick();
 
   const std::unique_ptr<control::TimeSource> time_;
-  rpc::Mesh* const mesh_;
+  rpc::Transport* const transport_;
   control::ControlClient* const control_;
   EdgeNodes nodes_;
   const std::string control_port_;  // the same on all machines
--- a/src/tier/registry/worker_state.cpp
+++ b/src/tier/registry/worker_state.cpp
@@ -293,7 +293,7 @@
 }
 
 void WorkerState::Compare(Micros now, const RepairRequest::Shard& other, std::size_t most,
-                          RepairAnswer* answer) const {
+                          RepairResponse* answer) const {
   if (other.index >= shards_.size()) return;
   std::unordered_map<std::uint64_t, std::uint64_t> theirs;
   for (const DigestEntry& entry : other.entries) theirs[entry.worker] = entry.state;
--- a/src/tier/registry/worker_state.h
+++ b/src/tier/registry/worker_state.h
@@ -61,7 +61,7 @@
   std::vector<DigestEntry> Entries(std::size_t shard) const;
   // Adds to `answer` what differs between the other's entries and this shard, up to `most` records.
   void Compare(Micros now, const RepairRequest::Shard& other, std::size_t most,
-               RepairAnswer* answer) const;
+               RepairResponse* answer) const;
   // Records of the workers whose ids hash to these.
   std::vector<WorkerUpdate::Item> ExportHashed(Micros now,
                                                const std::vector<std::uint64_t>& workers) const;
--- a/src/tier/routing/configuration_reader.cpp
+++ b/src/tier/routing/configuration_reader.cpp
@@ -129,8 +129,8 @@
   }
   reader.ReadNumber("token_cap", Need::kOptional, &route.token_cap);
   reader.ReadCount("rank", Need::kOptional, &route.rank);
-  reader.ReadCount("tries", Need::kOptional, &route.tries);
-  route.tries = std::max(route.tries, 1);
+  reader.ReadCount("tries", Need::kOptional, &route.attempts);
+  route.attempts = std::max(route.attempts, 1);
   reader.ReadFlag("pinned", Need::kOptional, &route.pinned);
   reader.ReadFlag("resumable", Need::kOptional, &route.resumable);
   ReadTargets(reader, findings, &route);
--- a/src/tier/routing/findings.h
+++ b/src/tier/routing/findings.h
@@ -16,7 +16,7 @@
  public:
   void Add(std::string_view place, std::string_view text) {
     ++count_;
-    if (lines_.size() < kMostLines) lines_.push_back(std::string(place) + ": " + std::string(text));
+    if (lines_.size() < kMaxLines) lines_.push_back(std::string(place) + ": " + std::string(text));
   }
 
   bool empty() const { return count_ == 0; }
@@ -34,7 +34,7 @@
   }
 
  private:
-  static constexpr std::size_t kMostLines = 100;  // an answer to the sender stays short
+  static constexpr std::size_t kMaxLines = 100;  // an answer to the sender stays short
 
   std::size_t count_ = 0;
   std::vector<std::string> lines_;
--- a/src/tier/routing/object_reader.cpp
+++ b/src/tier/routing/object_reader.cpp
@@ -7,7 +7,7 @@
 namespace pearreach::routing {
 namespace {
 
-constexpr double kLargestWhole = 9007199254740992.0;  // 2^53: above it a double skips whole numbers
+constexpr double kMaxWhole = 9007199254740992.0;  // 2^53: above it a double skips whole numbers
 
 }  // namespace
 
@@ -75,7 +75,7 @@
   }
   const double number = value->GetDouble();
   if (number != std::floor(number)) return Report(field, "not a whole number");
-  if (std::abs(number) > kLargestWhole) return Report(field, "too large");
+  if (std::abs(number) > kMaxWhole) return Report(field, "too large");
   *out = static_cast<std::int64_t>(number);
 }
 
--- a/src/tier/routing/route_table.h
+++ b/src/tier/routing/route_table.h
@@ -29,7 +29,7 @@
   Variant variant = Variant::kEffectful;
   double limit_ms = 0, target_ms = 0, gap_aim_ms = 0;
   double due_ms = 0, retain_s = 0, token_cap = 0;  // bulk only; token_cap 0: no limit
-  int rank = 0, tries = 1;
+  int rank = 0, attempts = 1;
   bool pinned = false, resumable = false;
   std::vector<Target> targets;  // one, or a weighted split; shares sum to more than 0
 
--- a/src/tier/rpc/frame.cpp
+++ b/src/tier/rpc/frame.cpp
@@ -44,7 +44,7 @@
   const char* head = buffer_.data() + read_;
   const auto length = ReadNumber<std::uint32_t>(head);
   const auto kind = static_cast<unsigned char>(head[4]);
-  if (length > kLargestFrame || kind < 1 || kind > 3) return State::kBad;
+  if (length > kMaxFrameBytes || kind < 1 || kind > 3) return State::kBad;
   if (have < kFrameHead + length) return State::kMore;
   frame->kind = static_cast<FrameKind>(kind);
   frame->type = static_cast<std::uint8_t>(head[5]);
--- a/src/tier/rpc/frame.h
+++ b/src/tier/rpc/frame.h
@@ -18,8 +18,8 @@
 };
 
 constexpr std::size_t kFrameHead = 14;
-constexpr std::size_t kLargestFrame = 32u
-                                      << 20;  // bytes of a body; a longer one ends the connection
+constexpr std::size_t kMaxFrameBytes = 32u
+                                       << 20;  // bytes of a body; a longer one ends the connection
 
 void AppendFrame(const Frame& frame, std::string* out);
 
--- a/src/tier/rpc/mesh.cpp
+++ b/src/tier/rpc/transport.cpp
@@ -1,4 +1,4 @@
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -180,13 +180,13 @@
   }
 };
 
-class SocketMesh : public Mesh {
+class SocketTransport : public Transport {
  public:
-  explicit SocketMesh(Timers* timers)
+  explicit SocketTransport(Timers* timers)
       : timers_(timers),
         listener_([this](std::shared_ptr<Stream> stream) { Accept(std::move(stream)); }) {}
 
-  ~SocketMesh() override {
+  ~SocketTransport() override {
     for (const auto& connection : connections_) connection->stream->Close();
   }
 
@@ -263,11 +263,12 @@
 
 }  // namespace
 
-absl::StatusOr<std::unique_ptr<Mesh>> OpenMesh(const std::string& ip, int port, Timers* timers) {
-  auto mesh = std::make_unique<SocketMesh>(timers);
-  const std::string wrong = mesh->Open(ip, port);
+absl::StatusOr<std::unique_ptr<Transport>> OpenTransport(const std::string& ip, int port,
+                                                         Timers* timers) {
+  auto transport = std::make_unique<SocketTransport>(timers);
+  const std::string wrong = transport->Open(ip, port);
   if (!wrong.empty()) return absl::UnavailableError(ip + ":" + std::to_string(port) + ": " + wrong);
-  return mesh;
+  return transport;
 }
 
 }  // namespace pearreach::rpc
--- a/src/tier/rpc/mesh.h
+++ b/src/tier/rpc/transport.h
@@ -1,8 +1,8 @@
 // The transport between the system's own processes: calls with an answer over TCP and datagrams
 // over UDP, both on the first port of the machine's free range. It knows nothing of what the
 // messages say. Single-threaded, on the default main loop.
-#ifndef PEARREACH_SRC_TIER_RPC_MESH_H_
-#define PEARREACH_SRC_TIER_RPC_MESH_H_
+#ifndef PEARREACH_SRC_TIER_RPC_TRANSPORT_H_
+#define PEARREACH_SRC_TIER_RPC_TRANSPORT_H_
 
 #include <absl/status/statusor.h>
 
@@ -23,26 +23,26 @@
   kControlWrite = 3,  // a node passes an operator's or a duty's change on to the head
   kControlRead = 4,   // a strict read of the control state
   // 5 and 6 were a worker's record and a summary of workers.
-  kWorkerSpread = 7,    // worker records on their way to all edge nodes
-  kWorkerPass = 8,      // heartbeats, to the node that should take them
-  kWorkerDigest = 9,    // are the workers the same at both?
-  kWorkerRepair = 10,   // what of them differs
-  kLotCreate = 20,      // edge -> primary store
-  kLotRead = 21,        // edge -> primary store
-  kLotItemBody = 22,    // edge -> primary store
-  kLotCancel = 23,      // edge -> primary store
-  kItemTake = 24,       // edge -> primary store: lease items to run (held until there are some)
-  kItemResult = 25,     // edge -> primary store: result of a leased item
-  kItemRenew = 26,      // edge -> primary store: leases still held
-  kLotOffer = 27,       // edge -> primary store: may this lot be handed in?
-  kReplicate = 30,      // primary store -> backup store
-  kRepairDigest = 31,   // primary store -> backup store: digests over ranges of lots
-  kQuotaReserve = 32,   // primary store -> quota owner
-  kQuotaReport = 33,    // primary store -> quota owner
-  kStoreStatus = 34,    // store or edge -> placement duty
-  kQuotaQuestion = 35,  // edge -> quota owner: would a lot fit?
-  kStorePing = 36,      // placement duty -> store: answered at once
-  kStoreRelay = 37,     // edge -> edge: a call to a store that the sender does not reach
+  kWorkerSpread = 7,     // worker records on their way to all edge nodes
+  kWorkerPass = 8,       // heartbeats, to the node that should take them
+  kWorkerDigest = 9,     // are the workers the same at both?
+  kWorkerRepair = 10,    // what of them differs
+  kBatchJobCreate = 20,  // edge -> primary store
+  kBatchJobRead = 21,    // edge -> primary store
+  kItemBody = 22,        // edge -> primary store
+  kBatchJobCancel = 23,  // edge -> primary store
+  kItemPull = 24,        // edge -> primary store: lease items to run (held until there are some)
+  kItemResult = 25,      // edge -> primary store: result of a leased item
+  kItemRenew = 26,       // edge -> primary store: leases still held
+  kBatchJobOffer = 27,   // edge -> primary store: may this lot be handed in?
+  kReplicate = 30,       // primary store -> backup store
+  kRepairDigest = 31,    // primary store -> backup store: digests over ranges of lots
+  kQuotaReserve = 32,    // primary store -> quota owner
+  kQuotaReport = 33,     // primary store -> quota owner
+  kStoreStatus = 34,     // store or edge -> placement duty
+  kQuotaQuery = 35,      // edge -> quota owner: would a lot fit?
+  kStorePing = 36,       // placement duty -> store: answered at once
+  kStoreRelay = 37,      // edge -> edge: a call to a store that the sender does not reach
 };
 
 using Respond = std::function<void(absl::StatusOr<std::string> answer)>;
@@ -52,9 +52,9 @@
 using DatagramHandler = std::function<void(const std::string& from_ip, std::string_view body)>;
 using Done = std::function<void(absl::StatusOr<std::string> answer)>;
 
-class Mesh {
+class Transport {
  public:
-  virtual ~Mesh() = default;
+  virtual ~Transport() = default;
 
   virtual void Handle(MessageType type, Handler handler) = 0;
   // Calls the node at `address` ("ip:port"). `done` is called exactly once, never from inside Call:
@@ -71,8 +71,9 @@
 };
 
 // Listens on ip:port for both; an error names what is wrong.
-absl::StatusOr<std::unique_ptr<Mesh>> OpenMesh(const std::string& ip, int port, Timers* timers);
+absl::StatusOr<std::unique_ptr<Transport>> OpenTransport(const std::string& ip, int port,
+                                                         Timers* timers);
 
 }  // namespace pearreach::rpc
 
-#endif  // PEARREACH_SRC_TIER_RPC_MESH_H_
+#endif  // PEARREACH_SRC_TIER_RPC_TRANSPORT_H_
--- a/src/tier/server/node.cpp
+++ b/src/tier/server/node.cpp
@@ -7,10 +7,10 @@
 #include <utility>
 
 #include "common/event_loop/timers.h"
+#include "tier/batch/batch_job_api.h"
+#include "tier/batch/batch_job_store.h"
 #include "tier/batch/item_worker.h"
-#include "tier/batch/lot_api.h"
-#include "tier/batch/lot_store.h"
-#include "tier/batch/placement_duty.h"
+#include "tier/batch/placement_controller.h"
 #include "tier/batch/retire_api.h"
 #include "tier/batch/store_client.h"
 #include "tier/control/api_router.h"
@@ -19,9 +19,9 @@
 #include "tier/gateway/gateway.h"
 #include "tier/http_server/http_server.h"
 #include "tier/logging/log.h"
-#include "tier/proxy/job_runner.h"
+#include "tier/proxy/request_runner.h"
 #include "tier/registry/worker_registry.h"
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 #include "tier/storage/table_store.h"
 
 namespace pearreach::server {
@@ -31,7 +31,7 @@
 constexpr double kDiskShare = 0.9;  // of the disk that the tables may fill
 constexpr std::size_t kMegabyte = 1 << 20;
 constexpr int kReservedDescriptors = 300;  // for files, the mesh, control calls and workers
-constexpr std::size_t kLeastConnections = 64;
+constexpr std::size_t kMinConnections = 64;
 constexpr std::size_t kControlConnections = 200;
 constexpr Micros kPlatformNotices = 2500 * kMs;  // two missed readiness questions, one a second
 constexpr Micros kLeaveTime = 300 * kMs;         // for the word of the leaving to go out
@@ -55,7 +55,7 @@
   options.idle = static_cast<Micros>(limits.idle_ms * kMs);
   const int spare = file_limit / 2 - kReservedDescriptors;
   options.max_connections =
-      std::max<std::size_t>(kLeastConnections, spare > 0 ? static_cast<std::size_t>(spare) : 0);
+      std::max<std::size_t>(kMinConnections, spare > 0 ? static_cast<std::size_t>(spare) : 0);
   return options;
 }
 
@@ -96,18 +96,18 @@
   const std::function<void()> finished_;
   const std::uint64_t incarnation_ = WallMilliseconds();
   Timers timers_;
-  std::unique_ptr<rpc::Mesh> mesh_;
+  std::unique_ptr<rpc::Transport> transport_;
   std::unique_ptr<storage::TableStore> disk_;
   std::unique_ptr<control::ControlNode> control_;
   control::ApiRouter router_;
   std::unique_ptr<control::ConfigApi> config_api_;
   std::unique_ptr<registry::WorkerRegistry> registry_;
-  std::unique_ptr<proxy::JobRunner> runner_;
+  std::unique_ptr<proxy::RequestRunner> runner_;
   std::unique_ptr<gateway::Gateway> gateway_;
   std::unique_ptr<batch::StoreClient> store_client_;
-  std::unique_ptr<batch::LotApi> lot_api_;
+  std::unique_ptr<batch::BatchJobApi> lot_api_;
   std::unique_ptr<batch::ItemWorker> item_worker_;
-  std::unique_ptr<batch::PlacementDuty> placement_duty_;
+  std::unique_ptr<batch::PlacementController> placement_duty_;
   std::unique_ptr<batch::RetireApi> retire_api_;
   std::unique_ptr<batch::StoreServer> store_server_;
   std::unique_ptr<http_server::HttpServer> edge_server_, control_server_, readiness_server_;
@@ -131,11 +131,11 @@
 absl::Status Node::Impl::Start() {
   logging::SetNode(settings_.node_name);
   if (const absl::Status status = OpenDisk(); !status.ok()) return status;
-  auto mesh = rpc::OpenMesh(settings_.ip, settings_.peer_port(), &timers_);
-  if (!mesh.ok()) return mesh.status();
-  mesh_ = std::move(*mesh);
-  control_ = std::make_unique<control::ControlNode>(&timers_, mesh_.get(), disk_.get(), settings_,
-                                                    incarnation_);
+  auto transport = rpc::OpenTransport(settings_.ip, settings_.peer_port(), &timers_);
+  if (!transport.ok()) return transport.status();
+  transport_ = std::move(*transport);
+  control_ = std::make_unique<control::ControlNode>(&timers_, transport_.get(), disk_.get(),
+                                                    settings_, incarnation_);
   if (settings_.Serves("storage")) StartStore();
   if (settings_.Serves("edge"))
     if (const absl::Status status = StartEdge(); !status.ok()) return status;
@@ -152,29 +152,29 @@
 
 void Node::Impl::StartStore() {
   store_server_ = std::make_unique<batch::StoreServer>(
-      &timers_, mesh_.get(), disk_.get(), control_.get(),
+      &timers_, transport_.get(), disk_.get(), control_.get(),
       batch::StoreId{settings_.node_name, disk_ == nullptr ? "" : disk_->disk_id()},
       settings_.bounds, settings_.tolerance, settings_.limits.link_mbps);
 }
 
 absl::Status Node::Impl::StartEdge() {
-  registry_ =
-      std::make_unique<registry::WorkerRegistry>(&timers_, mesh_.get(), control_.get(), settings_);
+  registry_ = std::make_unique<registry::WorkerRegistry>(&timers_, transport_.get(), control_.get(),
+                                                         settings_);
   proxy::RunnerOptions options;
   options.node_name = settings_.node_name;
   options.zone = settings_.zone;
   options.seed = WallMilliseconds() ^ std::hash<std::string>()(settings_.node_name);
   options.learn_time = static_cast<Micros>(kLearnBeats * settings_.beat_ms * kMs);
   options.policy = settings_.policy;
-  runner_ = proxy::MakeJobRunner(&timers_, registry_.get(), control_.get(), options);
+  runner_ = proxy::MakeRequestRunner(&timers_, registry_.get(), control_.get(), options);
   gateway_ = std::make_unique<gateway::Gateway>(control_.get(), runner_.get(), &timers_,
                                                 settings_.policy.wait_for_configuration);
   store_client_ = std::make_unique<batch::StoreClient>(
-      &timers_, mesh_.get(), control_.get(),
+      &timers_, transport_.get(), control_.get(),
       settings_.policy.relay_lot_calls ? settings_.node_name : std::string());
-  lot_api_ = std::make_unique<batch::LotApi>(
+  lot_api_ = std::make_unique<batch::BatchJobApi>(
       &timers_, store_client_.get(), control_.get(),
-      batch::LotBounds{settings_.bounds.status_s, settings_.bounds.quota_excess},
+      batch::BatchJobLimits{settings_.bounds.status_s, settings_.bounds.quota_excess},
       settings_.policy.offer_lots);
   item_worker_ =
       std::make_unique<batch::ItemWorker>(&timers_, store_client_.get(), control_.get(),
@@ -212,8 +212,8 @@
   config_api_ = std::make_unique<control::ConfigApi>(control_.get());
   config_api_->Register(&router_);
   if (registry_ != nullptr) registry_->RegisterCalls(&router_);
-  placement_duty_ = std::make_unique<batch::PlacementDuty>(
-      &timers_, mesh_.get(), control_.get(),
+  placement_duty_ = std::make_unique<batch::PlacementController>(
+      &timers_, transport_.get(), control_.get(),
       fmt::format("{}#{}", settings_.node_name, incarnation_),
       batch::PlacementSpread{replicas, static_cast<std::size_t>(std::max(tolerance.zones, 0)) + 1,
                              static_cast<std::size_t>(std::max(tolerance.regions, 0)) + 1,
@@ -262,7 +262,7 @@
   if (std::exchange(stopping_, true)) return;
   stopped_at_ = Now();
   logging::Info(kModule, "stopping", {});
-  control_->PrepareToLeave();
+  control_->PrepareToShutDown();
   if (edge_server_ != nullptr) {
     items_returned_ = false;
     const Micros linger = std::min(kPlatformNotices, Seconds(settings_.bounds.grace_s) / 2);
@@ -283,7 +283,8 @@
     if (since > grace / 2) gateway_->SetDraining(true);
     done = since > notices && items_returned_ && edge_server_->connections() == 0;
   }
-  done = done && control_->MayLeave() && (store_server_ == nullptr || store_server_->MayLeave());
+  done =
+      done && control_->MayShutDown() && (store_server_ == nullptr || store_server_->MayShutDown());
   if (done || since > grace - kExitMargin - kLeaveTime) return Leave();
   timers_.After(kPoll, [this] { AwaitEnd(); });
 }
--- a/src/tier/storage/table_store.cpp
+++ b/src/tier/storage/table_store.cpp
@@ -26,7 +26,7 @@
 constexpr double kPutFraction = 0.8;
 constexpr double kEraseFraction = 0.9;
 // Below it not even the tables themselves and one transaction fit.
-constexpr std::size_t kLeastCapacityBytes = 256 << 10;
+constexpr std::size_t kMinCapacityBytes = 256 << 10;
 
 class LmdbTableStore final : public TableStore {
  public:
@@ -133,7 +133,7 @@
 
 absl::StatusOr<std::unique_ptr<TableStore>> OpenTableStore(const std::string& data_path,
                                                            std::size_t capacity_bytes) {
-  if (capacity_bytes < kLeastCapacityBytes) {
+  if (capacity_bytes < kMinCapacityBytes) {
     return absl::InvalidArgumentError("too little capacity for the tables");
   }
   absl::Status status = MakeFolder(data_path);
--- a/tests/fuzz/tier_calls_fuzz.cpp
+++ b/tests/fuzz/tier_calls_fuzz.cpp
@@ -12,7 +12,7 @@
 
 #include "common/event_loop/timers.h"
 #include "common/http/http.h"
-#include "tier/batch/lot_api.h"
+#include "tier/batch/batch_job_api.h"
 #include "tier/batch/store_client.h"
 #include "tier/control/api_router.h"
 #include "tier/server/batch/edge_fakes.h"
@@ -49,18 +49,19 @@
   return seen;
 }
 
-void CheckAnswered(const FakeExchange& exchange, const FakeMesh& mesh) {
+void CheckAnswered(const FakeExchange& exchange, const FakeMesh& transport) {
   const bool answered = exchange.status != 0;
-  if (answered == !mesh.calls.empty()) std::abort();  // refused here, or asked of a store: not both
+  if (answered == !transport.calls.empty())
+    std::abort();  // refused here, or asked of a store: not both
 }
 
 // The first call that a request leads to, if any, is answered by a store that is not there.
 void LotCalls(const http::Message& message) {
   Timers timers;
-  FakeMesh mesh;
+  FakeMesh transport;
   FakeControl control;
-  batch::StoreClient stores(&timers, &mesh, &control);
-  batch::LotApi api(&timers, &stores, &control, {120, 0.1});
+  batch::StoreClient stores(&timers, &transport, &control);
+  batch::BatchJobApi api(&timers, &stores, &control, {120, 0.1});
   control.AddStore("s0", "d");
   control.SetConfig(kRoutes);
   batch::PlacementTable table;
@@ -69,13 +70,13 @@
   control.SetTable(table);
   auto exchange = std::make_shared<FakeExchange>();
   exchange->message = message;
-  if (batch::LotApi::IsLotCall(message)) {
+  if (batch::BatchJobApi::IsBatchJobCall(message)) {
     api.Handle(exchange);
   } else {
     api.Submit(exchange, *control.snapshot->routes->FindRoute("bulk"));
   }
-  CheckAnswered(*exchange, mesh);
-  for (const auto& call : mesh.calls) {
+  CheckAnswered(*exchange, transport);
+  for (const auto& call : transport.calls) {
     if (call.timeout <= 0 || call.timeout > 60 * kSecond) std::abort();
   }
 }
--- a/tests/fuzz/tier_fuzz.cpp
+++ b/tests/fuzz/tier_fuzz.cpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "tier/batch/lot_json.h"
-#include "tier/batch/lot_state.h"
+#include "tier/batch/batch_job_json.h"
+#include "tier/batch/batch_job_state.h"
 #include "tier/batch/messages.h"
 #include "tier/control/messages.h"
 #include "tier/coordination/chain_messages.h"
@@ -38,7 +38,7 @@
   }
 };
 
-std::string ReadAnswer(const std::vector<std::string_view>& pieces) {
+std::string ReadResponse(const std::vector<std::string_view>& pieces) {
   Collector collector;
   proxy::ResponseReader reader(&collector);
   reader.Start(false);
@@ -52,8 +52,8 @@
 
 void Answer(std::string_view bytes) {
   const std::size_t middle = bytes.size() / 2;
-  const std::string whole = ReadAnswer({bytes});
-  if (ReadAnswer({bytes.substr(0, middle), bytes.substr(middle)}) != whole) std::abort();
+  const std::string whole = ReadResponse({bytes});
+  if (ReadResponse({bytes.substr(0, middle), bytes.substr(middle)}) != whole) std::abort();
 }
 
 std::string ReadEvents(const std::vector<std::string_view>& pieces) {
@@ -124,13 +124,13 @@
     },
     AsMessage<registry::WorkerUpdate>,
     AsMessage<registry::SpreadRequest>,
-    AsMessage<registry::SpreadAnswer>,
-    AsMessage<registry::DigestAnswer>,
+    AsMessage<registry::SpreadResponse>,
+    AsMessage<registry::DigestResponse>,
     AsMessage<registry::RepairRequest>,
-    AsMessage<registry::RepairAnswer>,
+    AsMessage<registry::RepairResponse>,
     AsMessage<batch::PlacementTable>,
-    AsMessage<batch::CreateLot>,
-    AsMessage<batch::TakeItems>,
+    AsMessage<batch::CreateBatchJob>,
+    AsMessage<batch::PullItems>,
     AsMessage<batch::ItemResult>,
 };
 
--- a/tests/fuzz/tier_state_fuzz.cpp
+++ b/tests/fuzz/tier_state_fuzz.cpp
@@ -9,16 +9,16 @@
 #include <utility>
 #include <vector>
 
+#include "tier/batch/batch_job_age.h"
+#include "tier/batch/batch_job_state.h"
 #include "tier/batch/leases.h"
-#include "tier/batch/lot_age.h"
-#include "tier/batch/lot_state.h"
 #include "tier/batch/placement.h"
 #include "tier/codec/archive.h"
-#include "tier/control/config_mark.h"
+#include "tier/control/config_change_id.h"
 #include "tier/control/snapshot_store.h"
 #include "tier/coordination/chain.h"
 #include "tier/coordination/chain_messages.h"
-#include "tier/coordination/change_marks.h"
+#include "tier/coordination/change_history.h"
 #include "tier/registry/worker_state.h"
 #include "tier/server/batch/store_simulation.h"
 
@@ -35,7 +35,7 @@
 std::string RecordValue(FuzzedDataProvider* input) {
   switch (input->ConsumeIntegralInRange<int>(0, 3)) {
     case 0: {
-      batch::LotHeader header;
+      batch::BatchJobHeader header;
       header.retain_s = input->ConsumeFloatingPointInRange<double>(-1, 100);
       header.items.resize(input->ConsumeIntegralInRange<std::size_t>(0, 5));
       return codec::Encode(header);
@@ -67,35 +67,35 @@
   return operation;
 }
 
-void CheckLots(batch::LotTable* lots) {
-  lots->StampNew(1);
-  for (const auto& [id, lot] : lots->lots()) {
-    if (lot.items.size() != lot.header.items.size()) std::abort();
-    (void)lot.WaitingTokens();
-    (void)lot.FindItem("x");
-    (void)batch::RunLeftMs(lot, 5);
+void CheckLots(batch::BatchJobTable* batch_jobs) {
+  batch_jobs->StampNew(1);
+  for (const auto& [id, batch_job] : batch_jobs->batch_jobs()) {
+    if (batch_job.items.size() != batch_job.header.items.size()) std::abort();
+    (void)batch_job.WaitingTokens();
+    (void)batch_job.FindItem("x");
+    (void)batch::RunLeftMs(batch_job, 5);
   }
-  (void)lots->LotDigests({0, 1, 40});
+  (void)batch_jobs->BatchJobDigests({0, 1, 40});
 }
 
 // Changes from another store, a restart from what they left on disk, and whole copies of it.
 void Lots(FuzzedDataProvider* input) {
   batch::MemoryDisk disk;
-  batch::LotTable lots(kPartition);
+  batch::BatchJobTable batch_jobs(kPartition);
   while (input->remaining_bytes() > 0) {
     if (input->ConsumeBool()) {
-      disk.Write(lots.Apply(AnyOperation(input)));
+      disk.Write(batch_jobs.Apply(AnyOperation(input)));
     } else {
       std::string key = batch::PartitionPrefix(kPartition) + input->ConsumeRandomLengthString(12);
       disk.Write({{std::move(key), RecordValue(input), input->ConsumeBool()}});
     }
-    CheckLots(&lots);
+    CheckLots(&batch_jobs);
   }
-  batch::LotTable loaded(kPartition);
+  batch::BatchJobTable loaded(kPartition);
   loaded.Load(disk);
   CheckLots(&loaded);
-  batch::LotTable copy(kPartition);
-  for (const auto& [id, lot] : loaded.lots()) copy.Apply(loaded.Whole(disk, id));
+  batch::BatchJobTable copy(kPartition);
+  for (const auto& [id, batch_job] : loaded.batch_jobs()) copy.Apply(loaded.Whole(disk, id));
   CheckLots(&copy);
 }
 
@@ -147,7 +147,7 @@
   for (int i = input->ConsumeIntegralInRange<int>(0, 3); i > 0; --i)
     shard.entries.push_back(
         {input->ConsumeIntegral<std::uint64_t>(), input->ConsumeIntegral<std::uint64_t>()});
-  registry::RepairAnswer answer;
+  registry::RepairResponse answer;
   state.Compare(now, shard, 2, &answer);
   if (answer.update.items.size() > 2) std::abort();
 }
@@ -206,7 +206,7 @@
   for (std::uint64_t i = number(); i > 0; --i) proposal.view.members.push_back(id());
   proposal.base = {number(), number()};
   proposal.map = map();
-  const Ballot ballot{number(), id()};
+  const ProposalNumber proposal_number{number(), id()};
   switch (input->ConsumeIntegralInRange<int>(0, 15)) {
     case 0:
       return Append{number(), {{Name(input), {"v", number()}}}};
@@ -217,29 +217,29 @@
     case 3:
       return ViewNotice{};
     case 4:
-      return ViewAsk{{{number(), number()}}};
+      return ViewRequest{{{number(), number()}}};
     case 5:
-      return ViewAnswer{proposal, input->ConsumeBool(), {number(), number()}};
+      return ViewResponse{proposal, input->ConsumeBool(), {number(), number()}};
     case 6:
-      return Prepare{ballot, {id(), id()}, {number(), number()}};
+      return Prepare{proposal_number, {id(), id()}, {number(), number()}};
     case 7:
-      return Promise{ballot, {number(), number()}, map(), {number(), id()}, proposal};
+      return Promise{proposal_number, {number(), number()}, map(), {number(), id()}, proposal};
     case 8:
-      return Refuse{ballot};
+      return Reject{proposal_number};
     case 9:
-      return Absent{ballot};
+      return AcceptorGone{proposal_number};
     case 10:
-      return Accept{ballot, proposal};
+      return Accept{proposal_number, proposal};
     case 11:
-      return Accepted{ballot};
+      return Accepted{proposal_number};
     case 12:
-      return ReadAsk{number(), number(), {number(), number()}};
+      return ReadRequest{number(), number(), {number(), number()}};
     case 13:
-      return ConfirmAsk{number()};
+      return ConfirmRequest{number()};
     case 14:
-      return Confirm{number()};
+      return ConfirmResponse{number()};
     default:
-      return ReadAnswer{number(), number(), {number(), number()}, map()};
+      return ReadResponse{number(), number(), {number(), number()}, map()};
   }
 }
 
@@ -305,35 +305,37 @@
 // The record of changes over pages of any bytes, and over its own.
 void Marks(FuzzedDataProvider* input) {
   constexpr char kKey[] = "config";
-  const auto mark = [&](std::uint64_t number) {
-    return coordination::ChangeMark{number, input->ConsumeIntegral<std::uint64_t>(), 0};
+  const auto change_id = [&](std::uint64_t number) {
+    return coordination::ChangeId{number, input->ConsumeIntegral<std::uint64_t>(), 0};
   };
   coordination::Map spoiled;
   spoiled[kKey].revision = input->ConsumeIntegral<std::uint16_t>();
   while (input->remaining_bytes() > 0 && input->ConsumeBool()) {
     const std::uint64_t revision = input->ConsumeIntegralInRange<std::uint64_t>(1, 1 << 16);
-    auto [key, page] = coordination::PageWithMark(spoiled, kKey, revision, mark(revision));
+    auto [key, page] =
+        coordination::ChangeHistoryPageWith(spoiled, kKey, revision, change_id(revision));
     if (input->ConsumeBool()) page.value = input->ConsumeRandomLengthString(80);
     spoiled[key] = page;
-    coordination::FindMark(spoiled, kKey, mark(input->ConsumeIntegral<std::uint16_t>()));
+    coordination::FindInChangeHistory(spoiled, kKey,
+                                      change_id(input->ConsumeIntegral<std::uint16_t>()));
   }
   coordination::Map map;
   std::uint64_t number = 0;
   while (input->remaining_bytes() > 0) {
     number += 1 + input->ConsumeIntegral<std::uint8_t>();
-    const coordination::ChangeMark next = mark(number);
+    const coordination::ChangeId next = change_id(number);
     const std::uint64_t revision = ++map[kKey].revision;
-    auto [key, page] = coordination::PageWithMark(map, kKey, revision, next);
+    auto [key, page] = coordination::ChangeHistoryPageWith(map, kKey, revision, next);
     map[key] = page;
-    const auto standing = coordination::FindMark(map, kKey, next);
-    if (standing != coordination::MarkStanding::kRecorded) std::abort();
+    const auto history_status = coordination::FindInChangeHistory(map, kKey, next);
+    if (history_status != coordination::ChangeHistoryStatus::kRecorded) std::abort();
   }
 }
 
 // Two digests of one text are the same, whatever it is.
 void Digests(FuzzedDataProvider* input) {
   const std::string text = input->ConsumeRemainingBytesAsString();
-  if (control::ConfigMark(1, text) != control::ConfigMark(1, text)) std::abort();
+  if (control::ConfigChangeId(1, text) != control::ConfigChangeId(1, text)) std::abort();
 }
 
 using Machine = void (*)(FuzzedDataProvider*);
--- a/tests/lab/load_test.cpp
+++ b/tests/lab/load_test.cpp
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <fstream>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "lab/emulate/fleet.h"
 #include "lab/load/sender.h"
 #include "lab/world/world.h"
--- a/tests/lab/trial_test.cpp
+++ b/tests/lab/trial_test.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "lab/trial/checkers.h"
 #include "lab/trial/fault.h"
 #include "lab/trial/shrink.h"
--- a/tests/node/admin/door_test.cpp
+++ b/tests/node/admin/door_test.cpp
@@ -176,7 +176,7 @@
   Door door(fake.calls());
   ASSERT_EQ(door.Open("127.0.0.1:0"), "");
   std::vector<std::unique_ptr<Caller>> silent;
-  for (std::size_t i = 0; i < Door::kMostConnections; ++i) {
+  for (std::size_t i = 0; i < Door::kMaxConnections; ++i) {
     silent.push_back(std::make_unique<Caller>(door.port()));
     RunUntil([&] { return door.connections() == i + 1; });
   }
@@ -184,7 +184,7 @@
   RunUntil([&] { return caller.closed; });
   EXPECT_TRUE(caller.got.starts_with("HTTP/1.1 200")) << caller.got;
   EXPECT_NE(caller.got.find("svc.inflight:14|g"), std::string::npos);
-  EXPECT_LE(door.connections(), Door::kMostConnections);
+  EXPECT_LE(door.connections(), Door::kMaxConnections);
   RunUntil([&] { return silent.front()->closed; });
   EXPECT_TRUE(silent.front()->got.starts_with("HTTP/1.1 408"));
 }
--- a/tests/node/config/operator_test.cpp
+++ b/tests/node/config/operator_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 
 namespace pearreach {
 namespace {
--- a/tests/node/job_state/ledger_test.cpp
+++ b/tests/node/job_state/ledger_test.cpp
@@ -210,7 +210,7 @@
   EXPECT_EQ(job.callback_at, 0);
   EXPECT_EQ(job.forget_at, kNow + 10 * kS);
   job.callback_done = false;
-  job.callback_tries = kMostCallbacks;
+  job.callback_tries = kMaxCallbacks;
   PlanAfterEnd(&job, policy, kNow, 0);
   EXPECT_EQ(job.callback_at, 0) << "nobody is there";
   EXPECT_NE(job.forget_at, 0);
--- a/tests/node/knowledge/knowledge_test.cpp
+++ b/tests/node/knowledge/knowledge_test.cpp
@@ -195,8 +195,8 @@
     EXPECT_FALSE(Decode(Encode(m, 1, {}), {}).memory) << bad;
   }
   Memory many = Sample(0);
-  many.workers.resize(kMostWorkers + 5, Sample(1).workers[0]);
-  EXPECT_EQ(Decode(Encode(many, 1, {}), {}).memory->workers.size(), kMostWorkers);
+  many.workers.resize(kMaxWorkers + 5, Sample(1).workers[0]);
+  EXPECT_EQ(Decode(Encode(many, 1, {}), {}).memory->workers.size(), kMaxWorkers);
 }
 
 // ---------------------------------------------------------------- the folder
--- a/tests/node/peer_transport/peers_test.cpp
+++ b/tests/node/peer_transport/peers_test.cpp
@@ -79,9 +79,9 @@
   ASSERT_EQ(d->sections.size(), 2u);
   EXPECT_EQ(d->sections[1].bytes, "known");
   Writer full(1, 5, 1);
-  EXPECT_FALSE(full.Add(Topic::kModule, std::string(kMostBytes - kHeadBytes - 1, 'x')));
-  EXPECT_TRUE(full.Add(Topic::kModule, std::string(kMostBytes - kHeadBytes - 2, 'x')));
-  EXPECT_EQ(full.Take().size(), kMostBytes);
+  EXPECT_FALSE(full.Add(Topic::kModule, std::string(kMaxBytes - kHeadBytes - 1, 'x')));
+  EXPECT_TRUE(full.Add(Topic::kModule, std::string(kMaxBytes - kHeadBytes - 2, 'x')));
+  EXPECT_EQ(full.Take().size(), kMaxBytes);
 }
 
 TEST(Budget, WhatMattersLessWaitsFirst) {
--- a/tests/node/rules/rules_test.cpp
+++ b/tests/node/rules/rules_test.cpp
@@ -12,7 +12,7 @@
 #include <map>
 
 #include "common/diagnostics/log.h"
-#include "dispatch/settings/site.h"
+#include "dispatch/settings/settings_reader.h"
 #include "lab/stats/stats.h"
 #include "lab/trial/rules_checkers.h"
 #include "lab/trial/rules_virtual.h"
--- a/tests/tier/batch/store_room_test.cpp
+++ b/tests/tier/batch/disk_capacity_test.cpp
@@ -1,9 +1,10 @@
 // Room on the disks of stores: by itself, and whole stores in virtual time whose clients hand in
 // more than the disks hold.
+#include "tier/batch/disk_capacity.h"
+
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "store_fleet.h"
-#include "tier/batch/disk_room.h"
 
 namespace pearreach::batch {
 namespace {
@@ -26,7 +27,7 @@
     const StoreId self{"a", "1"}, peer{"b", "1"}, joiner{"c", "1"};
     const Partition table{1, {self, peer}, {joiner}};
     const storage::Space space{0, 16'000};
-    DiskRoom room;
+    DiskCapacity room;
     CPPUNIT_ASSERT(!room.Lacking(table, self, space, 5000).has_value());
     room.NotePeer(joiner, 6000);
     room.Take(table, self, 5000);
@@ -42,7 +43,7 @@
 
   void RoomStaysForTheLossOfAStore() {
     const storage::Space space{0, 16'000};
-    DiskRoom room;
+    DiskCapacity room;
     room.SetStores(3, 2);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{10'000}, room.Own(space));
     room.SetStores(2, 2);  // one is lost
@@ -50,15 +51,15 @@
   }
 
   void ResultsToComeAreCounted() {
-    const LotSpec spec = Spec(0);
-    LotTable table(PartitionOf(spec.lot_id));
+    const BatchJobSpec spec = Spec(0);
+    BatchJobTable table(PartitionOf(spec.batch_job_id));
     table.Apply(MakeCreate(spec, 1));
-    const std::uint64_t owed = OwedBytes(*table.Find(spec.lot_id));
-    CPPUNIT_ASSERT(owed > 10 * 4 * 1000 && owed < LotBytes(spec));
-    table.Apply(MakeResult(spec.lot_id, 0, {3, ItemPhase::kComplete, "text"}));
-    CPPUNIT_ASSERT_EQUAL(owed - owed / 10, OwedBytes(*table.Find(spec.lot_id)));
-    table.Apply(MakeEnd(spec.lot_id));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, OwedBytes(*table.Find(spec.lot_id)));
+    const std::uint64_t owed = OwedBytes(*table.Find(spec.batch_job_id));
+    CPPUNIT_ASSERT(owed > 10 * 4 * 1000 && owed < BatchJobBytes(spec));
+    table.Apply(MakeResult(spec.batch_job_id, 0, {3, ItemPhase::kComplete, "text"}));
+    CPPUNIT_ASSERT_EQUAL(owed - owed / 10, OwedBytes(*table.Find(spec.batch_job_id)));
+    table.Apply(MakeEnd(spec.batch_job_id));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, OwedBytes(*table.Find(spec.batch_job_id)));
   }
 
   // No write ever fails, also while a store that lost its disk is filled; and once lots are old
@@ -85,21 +86,21 @@
   }
 
  private:
-  static LotSpec Spec(int number) {
-    LotSpec lot;
-    lot.lot_id = "lot" + std::to_string(number);
-    lot.route = "route";
-    lot.fingerprint = 7;
-    lot.retain_s = 20;
-    lot.status_s = 60;
+  static BatchJobSpec Spec(int number) {
+    BatchJobSpec batch_job;
+    batch_job.batch_job_id = "lot" + std::to_string(number);
+    batch_job.route = "route";
+    batch_job.fingerprint = 7;
+    batch_job.retain_s = 20;
+    batch_job.status_s = 60;
     for (int i = 0; i < 10; ++i) {
       ItemSpec item;
-      item.item_id = lot.lot_id + "-" + std::to_string(i);
+      item.item_id = batch_job.batch_job_id + "-" + std::to_string(i);
       item.body.assign(3000, 'b');
       item.tokens = 1000;
-      lot.items.push_back(item);
+      batch_job.items.push_back(item);
     }
-    return lot;
+    return batch_job;
   }
 
   static void Turn(Fleet* fleet) {
@@ -110,14 +111,15 @@
   void Submit(Fleet* fleet, int number) {
     VirtualStore* primary = fleet->PrimaryOf("lot" + std::to_string(number));
     CPPUNIT_ASSERT(primary != nullptr);
-    const LotSpec lot = Spec(number);
-    const std::uint64_t epoch = primary->Replica(PartitionOf(lot.lot_id)).epoch();
-    primary->changes().OnCreate({0, epoch, lot}, [this](const absl::StatusOr<std::string>& bytes) {
-      CPPUNIT_ASSERT_MESSAGE(bytes.status().ToString(), bytes.ok());
-      const CreateStatus status = codec::Decode<CreateLotAnswer>(*bytes)->status;
-      CPPUNIT_ASSERT(status != CreateStatus::kOverQuota);
-      ++(status == CreateStatus::kAccepted ? accepted_ : refused_);
-    });
+    const BatchJobSpec batch_job = Spec(number);
+    const std::uint64_t epoch = primary->Replica(PartitionOf(batch_job.batch_job_id)).epoch();
+    primary->changes().OnCreate(
+        {0, epoch, batch_job}, [this](const absl::StatusOr<std::string>& bytes) {
+          CPPUNIT_ASSERT_MESSAGE(bytes.status().ToString(), bytes.ok());
+          const CreateStatus status = codec::Decode<CreateBatchJobResponse>(*bytes)->status;
+          CPPUNIT_ASSERT(status != CreateStatus::kOverQuota);
+          ++(status == CreateStatus::kAccepted ? accepted_ : refused_);
+        });
     Turn(fleet);
   }
 
--- a/tests/tier/batch/edge_lot_api_test.cpp
+++ b/tests/tier/batch/edge_batch_job_api_test.cpp
@@ -3,8 +3,8 @@
 
 #include "common/event_loop/timers.h"
 #include "edge_fakes.h"
-#include "tier/batch/lot_api.h"
-#include "tier/batch/lot_json.h"
+#include "tier/batch/batch_job_api.h"
+#include "tier/batch/batch_job_json.h"
 #include "tier/batch/store_client.h"
 
 namespace pearreach::batch {
@@ -54,8 +54,9 @@
 
   // The stores answer that the lot may come.
   void Admit() {
-    mesh_.Next(MessageType::kQuotaQuestion).Reply(QuotaReserveAnswer{QuotaVerdict::kGranted, 0});
-    mesh_.Next(MessageType::kLotOffer).Reply(OfferLotAnswer{OfferVerdict::kWelcome});
+    transport_.Next(MessageType::kQuotaQuery).Reply(QuotaResponse{QuotaDecision::kGranted, 0});
+    transport_.Next(MessageType::kBatchJobOffer)
+        .Reply(OfferBatchJobResponse{OfferVerdict::kWelcome});
   }
 
   std::shared_ptr<FakeExchange> Handle(const std::string& method, const std::string& target,
@@ -66,10 +67,10 @@
   }
 
   Timers timers_;
-  FakeMesh mesh_;
+  FakeMesh transport_;
   FakeControl control_;
-  StoreClient stores_{&timers_, &mesh_, &control_};
-  LotApi api_{&timers_, &stores_, &control_, {120, 0.1}};
+  StoreClient stores_{&timers_, &transport_, &control_};
+  BatchJobApi api_{&timers_, &stores_, &control_, {120, 0.1}};
 
  public:
   void setUp() override {
@@ -82,21 +83,22 @@
   void HandsALotIn() {
     const auto exchange = Submit(kLot);
     Admit();
-    const FakeCall call = mesh_.Next(MessageType::kLotCreate);
+    const FakeCall call = transport_.Next(MessageType::kBatchJobCreate);
     CPPUNIT_ASSERT_EQUAL(std::string("s0:1"), call.address);
-    const auto create = call.As<CreateLot>();
+    const auto create = call.As<CreateBatchJob>();
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, create.placement_epoch);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, create.partition_epoch);
-    CPPUNIT_ASSERT_EQUAL(std::string("lot"), create.lot.lot_id);
-    CPPUNIT_ASSERT_EQUAL(std::string("bulk"), create.lot.route);
-    CPPUNIT_ASSERT_EQUAL(std::string("h.example"), create.lot.host);
-    CPPUNIT_ASSERT_EQUAL(2, create.lot.tries);
-    CPPUNIT_ASSERT_EQUAL(100.0, create.lot.token_cap);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, create.lot.items.size());
-    CPPUNIT_ASSERT_EQUAL(std::string("\xab\xcd\xef\x12\x34\x56\x78\x90"), create.lot.items[0].body);
-    CPPUNIT_ASSERT_EQUAL(940.0, create.lot.items[0].tokens);
-    CPPUNIT_ASSERT_EQUAL(Fingerprint(kLot), create.lot.fingerprint);
-    call.Reply(CreateLotAnswer{});
+    CPPUNIT_ASSERT_EQUAL(std::string("lot"), create.batch_job.batch_job_id);
+    CPPUNIT_ASSERT_EQUAL(std::string("bulk"), create.batch_job.route);
+    CPPUNIT_ASSERT_EQUAL(std::string("h.example"), create.batch_job.host);
+    CPPUNIT_ASSERT_EQUAL(2, create.batch_job.attempts);
+    CPPUNIT_ASSERT_EQUAL(100.0, create.batch_job.token_cap);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, create.batch_job.items.size());
+    CPPUNIT_ASSERT_EQUAL(std::string("\xab\xcd\xef\x12\x34\x56\x78\x90"),
+                         create.batch_job.items[0].body);
+    CPPUNIT_ASSERT_EQUAL(940.0, create.batch_job.items[0].tokens);
+    CPPUNIT_ASSERT_EQUAL(Fingerprint(kLot), create.batch_job.fingerprint);
+    call.Reply(CreateBatchJobResponse{});
     CPPUNIT_ASSERT_EQUAL(202, exchange->status);
   }
 
@@ -106,15 +108,15 @@
       int status;
     };
     const std::vector<Case> cases = {
-        {codec::Encode(CreateLotAnswer{CreateStatus::kAccepted, 0}), 202},
-        {codec::Encode(CreateLotAnswer{CreateStatus::kOverQuota, 0}), 429},
-        {codec::Encode(CreateLotAnswer{CreateStatus::kNoRoom, 0}), 503},
+        {codec::Encode(CreateBatchJobResponse{CreateStatus::kAccepted, 0}), 202},
+        {codec::Encode(CreateBatchJobResponse{CreateStatus::kOverQuota, 0}), 429},
+        {codec::Encode(CreateBatchJobResponse{CreateStatus::kNoRoom, 0}), 503},
         {absl::InternalError("x"), 504},
     };
     for (const Case& c : cases) {
       const auto exchange = Submit(kLot);
       Admit();
-      mesh_.Next(MessageType::kLotCreate).done(c.answer);
+      transport_.Next(MessageType::kBatchJobCreate).done(c.answer);
       CPPUNIT_ASSERT_EQUAL(c.status, exchange->status);
     }
   }
@@ -145,21 +147,22 @@
     for (const std::string& body : bodies) {
       CPPUNIT_ASSERT_EQUAL_MESSAGE(body, 400, Submit(body)->status);
     }
-    CPPUNIT_ASSERT(mesh_.calls.empty());
+    CPPUNIT_ASSERT(transport_.calls.empty());
   }
 
   void PromisesNothingAfterAnUnclearCreate() {
     const auto exchange = Submit(kLot, "300");
     Admit();
-    mesh_.Next(MessageType::kLotCreate).done(absl::UnavailableError("connection"));
-    mesh_.Next(MessageType::kLotCreate).Reply(CreateLotAnswer{CreateStatus::kOverQuota, 0});
+    transport_.Next(MessageType::kBatchJobCreate).done(absl::UnavailableError("connection"));
+    transport_.Next(MessageType::kBatchJobCreate)
+        .Reply(CreateBatchJobResponse{CreateStatus::kOverQuota, 0});
     CPPUNIT_ASSERT_EQUAL(504, exchange->status);
   }
 
   void RefusesWhatWasNeverSent() {
     const auto exchange = Submit(kLot, "250");
-    mesh_.Next(MessageType::kQuotaQuestion).Reply(QuotaReserveAnswer{QuotaVerdict::kGranted, 0});
-    mesh_.Next(MessageType::kLotOffer).done(absl::FailedPreconditionError("not primary"));
+    transport_.Next(MessageType::kQuotaQuery).Reply(QuotaResponse{QuotaDecision::kGranted, 0});
+    transport_.Next(MessageType::kBatchJobOffer).done(absl::FailedPreconditionError("not primary"));
     control_.member_map["s0"].status = coordination::MemberStatus::kDead;
     CPPUNIT_ASSERT(TurnUntil([&] { return exchange->status != 0; }));
     CPPUNIT_ASSERT_EQUAL(503, exchange->status);
@@ -169,25 +172,26 @@
   void FollowsANewPrimary() {
     const auto exchange = Submit(kLot);
     Admit();
-    mesh_.Next(MessageType::kLotCreate).done(absl::FailedPreconditionError("not primary"));
+    transport_.Next(MessageType::kBatchJobCreate)
+        .done(absl::FailedPreconditionError("not primary"));
     PlacementTable table = TableOf({"s1", "d"}, {"s0", "d"});
     table.epoch = 2;
     control_.SetTable(table);
-    const FakeCall call = mesh_.Next(MessageType::kLotCreate);
+    const FakeCall call = transport_.Next(MessageType::kBatchJobCreate);
     CPPUNIT_ASSERT_EQUAL(std::string("s1:1"), call.address);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, call.As<CreateLot>().placement_epoch);
-    call.Reply(CreateLotAnswer{});
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, call.As<CreateBatchJob>().placement_epoch);
+    call.Reply(CreateBatchJobResponse{});
     CPPUNIT_ASSERT_EQUAL(202, exchange->status);
   }
 
   void ReadsOutputs() {
     const auto exchange = Handle("GET", "/lots/lot?start_after=12", {{"X-Wait-Ms", "1000"}});
-    const FakeCall call = mesh_.Next(MessageType::kLotRead);
-    const auto read = call.As<ReadLot>();
-    CPPUNIT_ASSERT_EQUAL(std::string("lot"), read.lot_id);
+    const FakeCall call = transport_.Next(MessageType::kBatchJobRead);
+    const auto read = call.As<ReadBatchJob>();
+    CPPUNIT_ASSERT_EQUAL(std::string("lot"), read.batch_job_id);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, read.start_after);
     CPPUNIT_ASSERT(read.wait_ms > 800 && read.wait_ms <= 1000);
-    ReadLotAnswer answer;
+    ReadBatchJobResponse answer;
     answer.found = true;
     answer.total = 40;
     answer.outputs = {{"a", ItemPhase::kComplete, "\xc3\xa9\"\\\n\x01"},
@@ -200,13 +204,13 @@
                     "\"phase\":\"abandoned\",\"content\":\"\"}],\"next_token\":14}"),
         exchange->body);
     const auto missing = Handle("GET", "/lots/none");
-    mesh_.Next(MessageType::kLotRead).Reply(ReadLotAnswer{});
+    transport_.Next(MessageType::kBatchJobRead).Reply(ReadBatchJobResponse{});
     CPPUNIT_ASSERT_EQUAL(404, missing->status);
     CPPUNIT_ASSERT_EQUAL(400, Handle("GET", "/lots/lot?start_after=x")->status);
   }
 
   void KeepsAnswersShort() {
-    ReadLotAnswer answer;
+    ReadBatchJobResponse answer;
     answer.total = 4;
     answer.outputs.assign(4, {"a", ItemPhase::kComplete, std::string(400'000, '\n')});
     const std::string one = WriteOutputs(answer, 1);
@@ -219,20 +223,20 @@
 
   void ReadsABody() {
     const auto exchange = Handle("GET", "/items/lot?worker_id=i1");
-    const FakeCall call = mesh_.Next(MessageType::kLotItemBody);
+    const FakeCall call = transport_.Next(MessageType::kItemBody);
     CPPUNIT_ASSERT_EQUAL(std::string("i1"), call.As<ReadItemBody>().item_id);
-    call.Reply(ReadItemBodyAnswer{true, std::string("\0\xff", 2)});
+    call.Reply(ReadItemBodyResponse{true, std::string("\0\xff", 2)});
     CPPUNIT_ASSERT_EQUAL(200, exchange->status);
     CPPUNIT_ASSERT_EQUAL(std::string("\0\xff", 2), exchange->body);
     const auto missing = Handle("GET", "/items/lot?worker_id=i2");
-    mesh_.Next(MessageType::kLotItemBody).Reply(ReadItemBodyAnswer{});
+    transport_.Next(MessageType::kItemBody).Reply(ReadItemBodyResponse{});
     CPPUNIT_ASSERT_EQUAL(404, missing->status);
   }
 
   void EndsALot() {
     for (const bool found : {true, false}) {
       const auto exchange = Handle("DELETE", "/lots/lot");
-      mesh_.Next(MessageType::kLotCancel).Reply(CancelLotAnswer{found});
+      transport_.Next(MessageType::kBatchJobCancel).Reply(CancelBatchJobResponse{found});
       CPPUNIT_ASSERT_EQUAL(found ? 200 : 404, exchange->status);
     }
   }
@@ -242,7 +246,7 @@
     empty->routes = nullptr;
     control_.Set(empty);
     CPPUNIT_ASSERT_EQUAL(503, Handle("GET", "/lots/lot")->status);
-    CPPUNIT_ASSERT(mesh_.calls.empty());
+    CPPUNIT_ASSERT(transport_.calls.empty());
   }
 
   void DropsTheCallOfALeavingClient() {
@@ -250,7 +254,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, stores_.pending());
     exchange->closed();
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, stores_.pending());
-    mesh_.Next(MessageType::kLotRead).Reply(ReadLotAnswer{});
+    transport_.Next(MessageType::kBatchJobRead).Reply(ReadBatchJobResponse{});
     CPPUNIT_ASSERT_EQUAL(0, exchange->status);
   }
 
@@ -265,8 +269,8 @@
         {"GET", "/lots/a/b", false}, {"GET", "/b/lots/a", false},
     };
     for (const Case& c : cases) {
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(c.target, c.is_call,
-                                   LotApi::IsLotCall(Request(c.method, c.target)->message));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(
+          c.target, c.is_call, BatchJobApi::IsBatchJobCall(Request(c.method, c.target)->message));
     }
   }
 };
--- a/tests/tier/batch/edge_hand_in_test.cpp
+++ b/tests/tier/batch/edge_batch_job_submission_test.cpp
@@ -7,7 +7,7 @@
 
 #include "common/event_loop/timers.h"
 #include "edge_fakes.h"
-#include "tier/batch/lot_hand_in.h"
+#include "tier/batch/batch_job_submission.h"
 #include "tier/batch/store_client.h"
 
 namespace pearreach::batch {
@@ -31,29 +31,29 @@
   CPPUNIT_TEST(SendsAtOnceWhereOffersAreOff);
   CPPUNIT_TEST_SUITE_END();
 
-  using Result = std::optional<absl::StatusOr<CreateLotAnswer>>;
+  using Result = std::optional<absl::StatusOr<CreateBatchJobResponse>>;
 
-  std::shared_ptr<LotHandIn> Begin(double cap = 100, Micros unsent = kSecond) {
-    LotSpec lot;
-    lot.lot_id = kLot;
-    lot.route = kRoute;
-    lot.token_cap = cap;
-    lot.items.resize(1);
-    lot.items[0].tokens = 40;
+  std::shared_ptr<BatchJobSubmission> Begin(double cap = 100, Micros unsent = kSecond) {
+    BatchJobSpec batch_job;
+    batch_job.batch_job_id = kLot;
+    batch_job.route = kRoute;
+    batch_job.token_cap = cap;
+    batch_job.items.resize(1);
+    batch_job.items[0].tokens = 40;
     CallTime time;
     time.overall = 2 * kSecond;
     time.unsent = unsent;
-    auto hand_in = std::make_shared<LotHandIn>(
-        &timers_, &stores_, std::move(lot), time, offers_,
-        [this](const absl::StatusOr<CreateLotAnswer>& answer) { result_ = answer; });
+    auto hand_in = std::make_shared<BatchJobSubmission>(
+        &timers_, &stores_, std::move(batch_job), time, offers_,
+        [this](const absl::StatusOr<CreateBatchJobResponse>& answer) { result_ = answer; });
     hand_in->Start();
     return hand_in;
   }
   void AnswerOffer(OfferVerdict verdict) {
-    mesh_.Next(MessageType::kLotOffer).Reply(OfferLotAnswer{verdict});
+    transport_.Next(MessageType::kBatchJobOffer).Reply(OfferBatchJobResponse{verdict});
   }
-  void AnswerQuota(QuotaVerdict verdict) {
-    mesh_.Next(MessageType::kQuotaQuestion).Reply(QuotaReserveAnswer{verdict, 0});
+  void AnswerQuota(QuotaDecision verdict) {
+    transport_.Next(MessageType::kQuotaQuery).Reply(QuotaResponse{verdict, 0});
   }
   bool Ended() {
     return TurnUntil([this] { return result_.has_value(); });
@@ -67,9 +67,9 @@
   }
 
   Timers timers_;
-  FakeMesh mesh_;
+  FakeMesh transport_;
   FakeControl control_;
-  StoreClient stores_{&timers_, &mesh_, &control_};
+  StoreClient stores_{&timers_, &transport_, &control_};
   Result result_;
   bool offers_ = true;
 
@@ -84,29 +84,29 @@
     const struct {
       const char* what;
       OfferVerdict offer;
-      QuotaVerdict quota;
+      QuotaDecision quota;
       std::optional<CreateStatus> status;  // none: the lot is sent
     } kCases[] = {
-        {"fits", OfferVerdict::kWelcome, QuotaVerdict::kGranted, {}},
-        {"quota not known", OfferVerdict::kWelcome, QuotaVerdict::kUnknown, {}},
-        {"over", OfferVerdict::kWelcome, QuotaVerdict::kOver, CreateStatus::kOverQuota},
-        {"no room", OfferVerdict::kNoRoom, QuotaVerdict::kGranted, CreateStatus::kNoRoom},
-        {"known, over by now", OfferVerdict::kKnown, QuotaVerdict::kOver, {}},
+        {"fits", OfferVerdict::kWelcome, QuotaDecision::kGranted, {}},
+        {"quota not known", OfferVerdict::kWelcome, QuotaDecision::kUnknown, {}},
+        {"over", OfferVerdict::kWelcome, QuotaDecision::kOver, CreateStatus::kOverQuota},
+        {"no room", OfferVerdict::kNoRoom, QuotaDecision::kGranted, CreateStatus::kNoRoom},
+        {"known, over by now", OfferVerdict::kKnown, QuotaDecision::kOver, {}},
     };
     for (const auto& c : kCases) {
       result_.reset();
-      mesh_.calls.clear();
+      transport_.calls.clear();
       const auto hand_in = Begin();
       AnswerQuota(c.quota);
       AnswerOffer(c.offer);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(c.what, c.status.has_value(), result_.has_value());
       CPPUNIT_ASSERT_EQUAL_MESSAGE(c.what, !c.status.has_value(),
-                                   mesh_.Has(MessageType::kLotCreate));
+                                   transport_.Has(MessageType::kBatchJobCreate));
       if (c.status.has_value()) {
         CPPUNIT_ASSERT_MESSAGE(c.what, *c.status == Status());
         continue;
       }
-      mesh_.Next(MessageType::kLotCreate).Reply(CreateLotAnswer{});
+      transport_.Next(MessageType::kBatchJobCreate).Reply(CreateBatchJobResponse{});
       CPPUNIT_ASSERT_MESSAGE(c.what, Status() == CreateStatus::kAccepted);
     }
   }
@@ -114,17 +114,17 @@
   // The offer goes again, the lot does not go out, and the refusal is a promise.
   void SendsNothingToAStoreThatDoesNotAnswer() {
     const auto hand_in = Begin(100, 250 * kMs);
-    AnswerQuota(QuotaVerdict::kGranted);
-    mesh_.Next(MessageType::kLotOffer).done(absl::DeadlineExceededError("silence"));
+    AnswerQuota(QuotaDecision::kGranted);
+    transport_.Next(MessageType::kBatchJobOffer).done(absl::DeadlineExceededError("silence"));
     CPPUNIT_ASSERT(Ended());
     CPPUNIT_ASSERT(absl::IsUnavailable(result_->status()));
-    CPPUNIT_ASSERT(mesh_.Has(MessageType::kLotOffer));
-    CPPUNIT_ASSERT(!mesh_.Has(MessageType::kLotCreate));
+    CPPUNIT_ASSERT(transport_.Has(MessageType::kBatchJobOffer));
+    CPPUNIT_ASSERT(!transport_.Has(MessageType::kBatchJobCreate));
   }
 
   void RefusesWhatDoesNotFitThoughItsStoresAreSilent() {
     const auto hand_in = Begin();
-    AnswerQuota(QuotaVerdict::kOver);
+    AnswerQuota(QuotaDecision::kOver);
     CPPUNIT_ASSERT(!result_.has_value());
     CPPUNIT_ASSERT(Ended());
     CPPUNIT_ASSERT(result_->ok() && Status() == CreateStatus::kOverQuota);
@@ -132,32 +132,33 @@
 
   void AsksNoQuotaWithoutACap() {
     const auto hand_in = Begin(0);
-    CPPUNIT_ASSERT(!mesh_.Has(MessageType::kQuotaQuestion));
+    CPPUNIT_ASSERT(!transport_.Has(MessageType::kQuotaQuery));
     AnswerOffer(OfferVerdict::kWelcome);
-    CPPUNIT_ASSERT(mesh_.Has(MessageType::kLotCreate));
+    CPPUNIT_ASSERT(transport_.Has(MessageType::kBatchJobCreate));
   }
 
   void ALaterEpochMakesAnUnclearHandInClear() {
     const auto hand_in = Begin();
-    AnswerQuota(QuotaVerdict::kGranted);
+    AnswerQuota(QuotaDecision::kGranted);
     AnswerOffer(OfferVerdict::kWelcome);
-    const FakeCall lost = mesh_.Next(MessageType::kLotCreate);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, lost.As<CreateLot>().partition_epoch);
+    const FakeCall lost = transport_.Next(MessageType::kBatchJobCreate);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, lost.As<CreateBatchJob>().partition_epoch);
     lost.done(absl::UnavailableError("connection"));
     RaiseEpoch();
-    const FakeCall again = mesh_.Next(MessageType::kLotCreate);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, again.As<CreateLot>().partition_epoch);
-    again.Reply(CreateLotAnswer{CreateStatus::kOverQuota, 0});
+    const FakeCall again = transport_.Next(MessageType::kBatchJobCreate);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, again.As<CreateBatchJob>().partition_epoch);
+    again.Reply(CreateBatchJobResponse{CreateStatus::kOverQuota, 0});
     CPPUNIT_ASSERT(result_.has_value() && result_->ok());
     CPPUNIT_ASSERT(Status() == CreateStatus::kOverQuota);
   }
 
   void TheSameEpochLeavesItUnclear() {
     const auto hand_in = Begin();
-    AnswerQuota(QuotaVerdict::kGranted);
+    AnswerQuota(QuotaDecision::kGranted);
     AnswerOffer(OfferVerdict::kWelcome);
-    mesh_.Next(MessageType::kLotCreate).done(absl::UnavailableError("connection"));
-    mesh_.Next(MessageType::kLotCreate).Reply(CreateLotAnswer{CreateStatus::kOverQuota, 0});
+    transport_.Next(MessageType::kBatchJobCreate).done(absl::UnavailableError("connection"));
+    transport_.Next(MessageType::kBatchJobCreate)
+        .Reply(CreateBatchJobResponse{CreateStatus::kOverQuota, 0});
     CPPUNIT_ASSERT(result_.has_value());
     CPPUNIT_ASSERT(absl::IsDeadlineExceeded(result_->status()));
   }
@@ -173,8 +174,8 @@
   void SendsAtOnceWhereOffersAreOff() {
     offers_ = false;
     const auto hand_in = Begin();
-    CPPUNIT_ASSERT(!mesh_.Has(MessageType::kLotOffer));
-    CPPUNIT_ASSERT(mesh_.Has(MessageType::kLotCreate));
+    CPPUNIT_ASSERT(!transport_.Has(MessageType::kBatchJobOffer));
+    CPPUNIT_ASSERT(transport_.Has(MessageType::kBatchJobCreate));
   }
 };
 
--- a/tests/tier/batch/edge_fakes.h
+++ b/tests/tier/batch/edge_fakes.h
@@ -16,8 +16,8 @@
 #include "tier/batch/messages.h"
 #include "tier/control/control_client.h"
 #include "tier/http_server/exchange.h"
-#include "tier/proxy/job.h"
-#include "tier/rpc/mesh.h"
+#include "tier/proxy/request.h"
+#include "tier/rpc/transport.h"
 
 namespace pearreach::batch::edge_test {
 
@@ -48,7 +48,7 @@
   }
 };
 
-class FakeMesh final : public rpc::Mesh {
+class FakeMesh final : public rpc::Transport {
  public:
   void Handle(rpc::MessageType type, rpc::Handler handler) override {
     handlers[type] = std::move(handler);
@@ -94,8 +94,8 @@
       done(ChangeOther(change.key, change.expected_revision, std::move(change.value)));
       return;
     }
-    fences.push_back(change.fence);
-    if (RevisionOf(change.fence.key) > change.fence.revision) {
+    fences.push_back(change.fencing_token);
+    if (RevisionOf(change.fencing_token.key) > change.fencing_token.revision) {
       done({coordination::ChangeStatus::kFenced, snapshot->stores_revision});
       return;
     }
@@ -129,7 +129,7 @@
     return {coordination::ChangeStatus::kCommitted, revision + 1};
   }
   void StrictRead(Micros, ReadDone done) override { done(snapshot); }
-  bool IsDutyHolder() const override { return is_duty_holder; }
+  bool IsSingletonRoleCandidate() const override { return is_duty_holder; }
   const std::map<std::string, coordination::Member>& members() const override { return member_map; }
 
   void Set(std::shared_ptr<control::ControlSnapshot> next) {
@@ -163,18 +163,18 @@
   std::vector<std::function<void()>> listeners;
   std::map<std::string, coordination::Member> member_map;
   std::vector<std::string> changed_keys;
-  std::vector<coordination::Fence> fences;
+  std::vector<coordination::FencingToken> fences;
   int conflicts = 0;
   bool is_duty_holder = false;
 };
 
-class FakeRunner final : public proxy::JobRunner {
+class FakeRunner final : public proxy::RequestRunner {
  public:
   struct Submitted {
-    proxy::JobSpec spec;
-    std::shared_ptr<proxy::JobSink> sink;
+    proxy::RequestSpec spec;
+    std::shared_ptr<proxy::RequestSink> sink;
   };
-  std::uint64_t Submit(proxy::JobSpec spec, std::shared_ptr<proxy::JobSink> sink) override {
+  std::uint64_t Submit(proxy::RequestSpec spec, std::shared_ptr<proxy::RequestSink> sink) override {
     jobs.push_back({std::move(spec), std::move(sink)});
     return jobs.size();
   }
--- a/tests/tier/batch/edge_item_worker_test.cpp
+++ b/tests/tier/batch/edge_item_worker_test.cpp
@@ -32,7 +32,7 @@
 
   static LeasedItem Leased() {
     LeasedItem leased;
-    leased.lot_id = "lot";
+    leased.batch_job_id = "lot";
     leased.route = "bulk";
     leased.host = "h.example";
     leased.lease = 5;
@@ -49,20 +49,20 @@
   }
 
   void Lease(const LeasedItem& leased = Leased()) {
-    mesh_.Next(MessageType::kItemTake).Reply(TakeItemsAnswer{{leased}});
+    transport_.Next(MessageType::kItemPull).Reply(PullItemsResponse{{leased}});
   }
 
   static void Stream(const FakeRunner::Submitted& job, const std::string& bytes) {
     job.sink->OnHead(200, {});
     job.sink->OnBody(bytes);
-    job.sink->OnEnd({proxy::JobEnd::kComplete, 0, 200});
+    job.sink->OnEnd({proxy::RequestEnd::kComplete, 0, 200});
   }
 
   Timers timers_;
-  FakeMesh mesh_;
+  FakeMesh transport_;
   FakeControl control_;
   FakeRunner runner_;
-  StoreClient stores_{&timers_, &mesh_, &control_};
+  StoreClient stores_{&timers_, &transport_, &control_};
 
  public:
   void setUp() override {
@@ -116,9 +116,9 @@
   void AsksOnlyWithRoom() {
     runner_.room.clear();
     ItemWorker worker(&timers_, &stores_, &control_, &runner_, "edge", 1);
-    CPPUNIT_ASSERT(mesh_.calls.empty());
+    CPPUNIT_ASSERT(transport_.calls.empty());
     runner_.room["s1"] = 3;
-    const auto take = mesh_.Next(MessageType::kItemTake).As<TakeItems>();
+    const auto take = transport_.Next(MessageType::kItemPull).As<PullItems>();
     CPPUNIT_ASSERT_EQUAL(std::string("edge"), take.node);
     CPPUNIT_ASSERT_EQUAL(3, take.room.at("bulk"));
     CPPUNIT_ASSERT(take.wait_ms > 0);
@@ -128,7 +128,7 @@
     ItemWorker worker(&timers_, &stores_, &control_, &runner_, "edge", 1);
     Lease();
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runner_.jobs.size());
-    const proxy::JobSpec& spec = runner_.jobs[0].spec;
+    const proxy::RequestSpec& spec = runner_.jobs[0].spec;
     CPPUNIT_ASSERT_EQUAL(std::string("s1"), spec.service);
     CPPUNIT_ASSERT_EQUAL(std::string("POST"), spec.method);
     CPPUNIT_ASSERT_EQUAL(std::string("/b/1"), spec.target);
@@ -142,7 +142,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, spec.headers.size());
     CPPUNIT_ASSERT_EQUAL(std::string("h.example"), spec.headers[0].value);
     Stream(runner_.jobs[0], "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-    const FakeCall call = mesh_.Next(MessageType::kItemResult);
+    const FakeCall call = transport_.Next(MessageType::kItemResult);
     const auto result = call.As<ItemResult>();
     CPPUNIT_ASSERT(result.outcome == RunOutcome::kComplete);
     CPPUNIT_ASSERT_EQUAL(std::string("a\nb"), result.content);
@@ -152,34 +152,34 @@
   }
 
   void TellsEveryOutcome() {
-    using proxy::JobEnd;
+    using proxy::RequestEnd;
     struct Case {
       int head;
-      JobEnd end;
+      RequestEnd end;
       int worker_status;
       RunOutcome outcome;
     };
     const std::vector<Case> cases = {
-        {500, JobEnd::kComplete, 500, RunOutcome::kFailed},
-        {0, JobEnd::kFailed, 500, RunOutcome::kFailed},
-        {200, JobEnd::kBroken, 500, RunOutcome::kFailed},
-        {422, JobEnd::kComplete, 422, RunOutcome::kImpossible},
-        {0, JobEnd::kFailed, 422, RunOutcome::kImpossible},
-        {200, JobEnd::kBroken, 200, RunOutcome::kReturned},
-        {0, JobEnd::kNotRun, 503, RunOutcome::kReturned},
-        {0, JobEnd::kTimeout, 0, RunOutcome::kReturned},
-        {404, JobEnd::kComplete, 404, RunOutcome::kReturned},
+        {500, RequestEnd::kComplete, 500, RunOutcome::kFailed},
+        {0, RequestEnd::kFailed, 500, RunOutcome::kFailed},
+        {200, RequestEnd::kBroken, 500, RunOutcome::kFailed},
+        {422, RequestEnd::kComplete, 422, RunOutcome::kImpossible},
+        {0, RequestEnd::kFailed, 422, RunOutcome::kImpossible},
+        {200, RequestEnd::kBroken, 200, RunOutcome::kReturned},
+        {0, RequestEnd::kNotRun, 503, RunOutcome::kReturned},
+        {0, RequestEnd::kTimeout, 0, RunOutcome::kReturned},
+        {404, RequestEnd::kComplete, 404, RunOutcome::kReturned},
     };
     for (const Case& c : cases) {
       runner_.jobs.clear();
-      mesh_.calls.clear();
+      transport_.calls.clear();
       ItemWorker worker(&timers_, &stores_, &control_, &runner_, "edge", 1);
       Lease();
       const auto job = runner_.jobs.at(0);
       if (c.head != 0) job.sink->OnHead(c.head, {});
       if (c.head == 200) job.sink->OnBody("data: a\n\n");
       job.sink->OnEnd({c.end, 0, c.worker_status});
-      const auto result = mesh_.Next(MessageType::kItemResult).As<ItemResult>();
+      const auto result = transport_.Next(MessageType::kItemResult).As<ItemResult>();
       CPPUNIT_ASSERT_EQUAL(static_cast<int>(c.outcome), static_cast<int>(result.outcome));
       CPPUNIT_ASSERT(result.content.empty());
     }
@@ -189,12 +189,12 @@
     ItemWorker worker(&timers_, &stores_, &control_, &runner_, "edge", 1);
     Lease();
     Stream(runner_.jobs[0], "data: a\n\n");
-    mesh_.Next(MessageType::kItemResult).done(absl::UnavailableError("connection"));
+    transport_.Next(MessageType::kItemResult).done(absl::UnavailableError("connection"));
     control_.SetTable(TableOf({"s1", "d"}, {"s0", "d"}));
-    FakeCall again = mesh_.Next(MessageType::kItemResult);
+    FakeCall again = transport_.Next(MessageType::kItemResult);
     CPPUNIT_ASSERT_EQUAL(std::string("s1:1"), again.address);
     again.done(absl::InternalError("disk"));
-    again = mesh_.Next(MessageType::kItemResult);
+    again = transport_.Next(MessageType::kItemResult);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), again.As<ItemResult>().content);
     again.done(std::string());
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, worker.held());
@@ -203,12 +203,12 @@
   void StopsWhatTheStoreEnds() {
     ItemWorker worker(&timers_, &stores_, &control_, &runner_, "edge", 1);
     Lease();
-    const FakeCall renew = mesh_.Next(MessageType::kItemRenew);
+    const FakeCall renew = transport_.Next(MessageType::kItemRenew);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, renew.As<RenewLeases>().held.size());
-    renew.Reply(RenewLeasesAnswer{{{"lot", "i1"}}});
+    renew.Reply(RenewLeasesResponse{{{"lot", "i1"}}});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runner_.cancelled.size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, worker.held());
-    CPPUNIT_ASSERT(!mesh_.Has(MessageType::kItemResult));
+    CPPUNIT_ASSERT(!transport_.Has(MessageType::kItemResult));
   }
 
   void ReturnsItemsOfADroppedRoute() {
@@ -218,7 +218,7 @@
     moved.replace(moved.find(R"("target":"s1")"), 13, R"("target":"s2")");
     control_.SetConfig(moved);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runner_.cancelled.size());
-    const auto result = mesh_.Next(MessageType::kItemResult).As<ItemResult>();
+    const auto result = transport_.Next(MessageType::kItemResult).As<ItemResult>();
     CPPUNIT_ASSERT(result.outcome == RunOutcome::kReturned);
   }
 
@@ -231,20 +231,20 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runner_.jobs.size());
     Stream(runner_.jobs[0], "data: a\n\n");
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{9},
-                         mesh_.Next(MessageType::kItemResult).As<ItemResult>().lease);
+                         transport_.Next(MessageType::kItemResult).As<ItemResult>().lease);
   }
 
   // A failure is told under its own lease only; a lease given meanwhile goes back.
   void CountsAFailureOnce() {
     ItemWorker worker(&timers_, &stores_, &control_, &runner_, "edge", 1);
     Lease();
-    runner_.jobs[0].sink->OnEnd({proxy::JobEnd::kFailed, 0, 500});
-    const FakeCall failed = mesh_.Next(MessageType::kItemResult);
+    runner_.jobs[0].sink->OnEnd({proxy::RequestEnd::kFailed, 0, 500});
+    const FakeCall failed = transport_.Next(MessageType::kItemResult);
     LeasedItem again = Leased();
     again.lease = 9;
     Lease(again);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runner_.jobs.size());
-    const auto returned = mesh_.Next(MessageType::kItemResult).As<ItemResult>();
+    const auto returned = transport_.Next(MessageType::kItemResult).As<ItemResult>();
     CPPUNIT_ASSERT(returned.outcome == RunOutcome::kReturned);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, returned.lease);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, failed.As<ItemResult>().lease);
@@ -255,11 +255,11 @@
   void KeepsAResultThatIsNotRenewed() {
     ItemWorker worker(&timers_, &stores_, &control_, &runner_, "edge", 1);
     Lease();
-    const FakeCall renew = mesh_.Next(MessageType::kItemRenew);
+    const FakeCall renew = transport_.Next(MessageType::kItemRenew);
     Stream(runner_.jobs[0], "data: a\n\n");
-    renew.Reply(RenewLeasesAnswer{{{"lot", "i1"}}});
+    renew.Reply(RenewLeasesResponse{{{"lot", "i1"}}});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, worker.held());
-    mesh_.Next(MessageType::kItemResult).done(std::string());
+    transport_.Next(MessageType::kItemResult).done(std::string());
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, worker.held());
   }
 
@@ -269,8 +269,8 @@
     leased.expires_ms = 60'000;
     Lease(leased);
     control_.SetTable(TableOf({"s1", "d"}, {"s0", "d"}));
-    CPPUNIT_ASSERT(mesh_.Has(MessageType::kItemRenew));
-    CPPUNIT_ASSERT_EQUAL(std::string("s1:1"), mesh_.Next(MessageType::kItemRenew).address);
+    CPPUNIT_ASSERT(transport_.Has(MessageType::kItemRenew));
+    CPPUNIT_ASSERT_EQUAL(std::string("s1:1"), transport_.Next(MessageType::kItemRenew).address);
   }
 
   void ReturnsItemsAtItsEnd() {
@@ -278,7 +278,7 @@
     Lease();
     bool idle = false;
     worker.Stop(10 * kMs, [&] { idle = true; });
-    const FakeCall call = mesh_.Next(MessageType::kItemResult);
+    const FakeCall call = transport_.Next(MessageType::kItemResult);
     CPPUNIT_ASSERT(call.As<ItemResult>().outcome == RunOutcome::kReturned);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runner_.cancelled.size());
     CPPUNIT_ASSERT(!idle);
--- a/tests/tier/batch/edge_store_path_test.cpp
+++ b/tests/tier/batch/edge_store_path_test.cpp
@@ -29,17 +29,17 @@
     member.status = coordination::MemberStatus::kAlive;
   }
   void Call(StorePath* path) {
-    path->Call(kStore, MessageType::kLotOffer, "body", kSecond,
+    path->Call(kStore, MessageType::kBatchJobOffer, "body", kSecond,
                [this](const absl::StatusOr<std::string>& answer) { last_ = answer.status(); });
   }
   FakeCall Made() {
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mesh_.calls.size());
-    FakeCall call = std::move(mesh_.calls.front());
-    mesh_.calls.clear();
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, transport_.calls.size());
+    FakeCall call = std::move(transport_.calls.front());
+    transport_.calls.clear();
     return call;
   }
 
-  FakeMesh mesh_;
+  FakeMesh transport_;
   FakeControl control_;
   absl::Status last_;
 
@@ -52,7 +52,7 @@
   }
 
   void GoesRoundASilentWay() {
-    StorePath path(&mesh_, &control_, "self");
+    StorePath path(&transport_, &control_, "self");
     Call(&path);
     const FakeCall direct = Made();
     CPPUNIT_ASSERT_EQUAL(std::string("s0:1"), direct.address);
@@ -72,7 +72,7 @@
   }
 
   void TurnsBackWhereTheOtherWayIsSilentToo() {
-    StorePath path(&mesh_, &control_, "self");
+    StorePath path(&transport_, &control_, "self");
     for (const char* address : {"s0:1", "other:1", "s0:1", "other:1"}) {
       Call(&path);
       const FakeCall call = Made();
@@ -82,7 +82,7 @@
   }
 
   void ARefusalIsNoSilence() {
-    StorePath path(&mesh_, &control_, "self");
+    StorePath path(&transport_, &control_, "self");
     for (int i = 0; i < 2; ++i) {
       Call(&path);
       const FakeCall call = Made();
@@ -92,7 +92,7 @@
   }
 
   void WithoutANameItStaysOnTheDirectWay() {
-    StorePath path(&mesh_, &control_, "");
+    StorePath path(&transport_, &control_, "");
     for (int i = 0; i < 2; ++i) {
       Call(&path);
       const FakeCall call = Made();
@@ -102,21 +102,21 @@
   }
 
   void PassesOnCallsAboutLotsAlone() {
-    StorePath path(&mesh_, &control_, "self");
+    StorePath path(&transport_, &control_, "self");
     const struct {
       StoreId store;
       MessageType type;
       bool passed;
-    } kCases[] = {{kStore, MessageType::kLotCreate, true},
+    } kCases[] = {{kStore, MessageType::kBatchJobCreate, true},
                   {kStore, MessageType::kItemResult, true},
                   {kStore, MessageType::kReplicate, false},
                   {kStore, MessageType::kControlWrite, false},
-                  {{"s0", "another disk"}, MessageType::kLotCreate, false},
-                  {{"none", "d"}, MessageType::kLotCreate, false}};
+                  {{"s0", "another disk"}, MessageType::kBatchJobCreate, false},
+                  {{"none", "d"}, MessageType::kBatchJobCreate, false}};
     for (const auto& c : kCases) {
       absl::StatusOr<std::string> answer = absl::UnknownError("none yet");
       const RelayedCall call{c.store, static_cast<std::uint8_t>(c.type), "body", 100};
-      mesh_.handlers.at(MessageType::kStoreRelay)(
+      transport_.handlers.at(MessageType::kStoreRelay)(
           "ip", codec::Encode(call),
           [&](absl::StatusOr<std::string> given) { answer = std::move(given); });
       CPPUNIT_ASSERT_EQUAL(c.passed, absl::IsUnknown(answer.status()));
--- a/tests/tier/batch/placement_duty_test.cpp
+++ b/tests/tier/batch/placement_controller_test.cpp
@@ -1,5 +1,5 @@
 // The duty that proposes placements, and the operator's calls that empty a storage machine.
-#include "tier/batch/placement_duty.h"
+#include "tier/batch/placement_controller.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -45,21 +45,21 @@
 
   absl::StatusOr<std::string> Send(const StoreStatus& status) {
     absl::StatusOr<std::string> answer;
-    mesh_.handlers.at(rpc::MessageType::kStoreStatus)(
+    transport_.handlers.at(rpc::MessageType::kStoreStatus)(
         "ip", codec::Encode(status),
         [&](absl::StatusOr<std::string> given) { answer = std::move(given); });
     return answer;
   }
 
   Timers timers_;
-  FakeMesh mesh_;
+  FakeMesh transport_;
   FakeControl control_;
 
  public:
   void ProposesTheFirstTable() {
     control_.is_duty_holder = true;
     AddStores(3);
-    PlacementDuty duty(&timers_, &mesh_, &control_, "n1#1", {2}, kSilentAfter);
+    PlacementController duty(&timers_, &transport_, &control_, "n1#1", {2}, kSilentAfter);
     CPPUNIT_ASSERT(TurnUntil([&] { return !control_.snapshot->stores.empty(); }));
     CPPUNIT_ASSERT(IsSettled(control_.Table(), 2));
     CPPUNIT_ASSERT(control_.changed_keys ==
@@ -71,7 +71,7 @@
 
   void ProposesNothingOffDuty() {
     AddStores(3);
-    PlacementDuty duty(&timers_, &mesh_, &control_, "n1#1", {2}, kSilentAfter);
+    PlacementController duty(&timers_, &transport_, &control_, "n1#1", {2}, kSilentAfter);
     duty.Look();
     CPPUNIT_ASSERT(control_.changed_keys.empty());
   }
@@ -80,7 +80,7 @@
   void ProposesNothingAfterAnotherTookTheDuty() {
     control_.is_duty_holder = true;
     AddStores(2);
-    PlacementDuty duty(&timers_, &mesh_, &control_, "n1#1", {2}, kSilentAfter);
+    PlacementController duty(&timers_, &transport_, &control_, "n1#1", {2}, kSilentAfter);
     CPPUNIT_ASSERT(TurnUntil([&] { return !control_.snapshot->stores.empty(); }));
     control_.is_duty_holder = false;
     control_.ChangeOther(kDutyKey, 1, "n2#1");
@@ -94,8 +94,8 @@
     control_.is_duty_holder = true;
     CPPUNIT_ASSERT(TurnUntil([&] { return Send({{"s1", "d"}, {{5, 7}}}).ok(); }));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, control_.RevisionOf(kDutyKey));
-    for (const auto& fence : control_.fences)
-      CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, fence.revision);
+    for (const auto& fencing_token : control_.fences)
+      CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, fencing_token.revision);
     CPPUNIT_ASSERT(IsSettled(control_.Table(), 2));
   }
 
@@ -103,7 +103,7 @@
     control_.is_duty_holder = true;
     AddStores(2);
     control_.ChangeOther(kDutyKey, 0, "n1#0");
-    PlacementDuty duty(&timers_, &mesh_, &control_, "n1#1", {2}, kSilentAfter);
+    PlacementController duty(&timers_, &transport_, &control_, "n1#1", {2}, kSilentAfter);
     CPPUNIT_ASSERT(TurnUntil([&] { return !control_.snapshot->stores.empty(); }));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, control_.RevisionOf(kDutyKey));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, control_.fences.back().revision);
@@ -114,12 +114,12 @@
     control_.is_duty_holder = true;
     AddStores(2);
     control_.SetTable(TableOf({"s0", "d"}, {"s1", "d"}));
-    PlacementDuty duty(&timers_, &mesh_, &control_, "n1#1", {2}, kSilentAfter);
+    PlacementController duty(&timers_, &transport_, &control_, "n1#1", {2}, kSilentAfter);
     StoreStatus status;
     status.silent = {{"s0", "d"}, {"s1", "d"}};
     CPPUNIT_ASSERT(TurnUntil([&] { return Send(status).ok(); }));
-    const FakeCall first = mesh_.Next(rpc::MessageType::kStorePing);
-    const FakeCall second = mesh_.Next(rpc::MessageType::kStorePing);
+    const FakeCall first = transport_.Next(rpc::MessageType::kStorePing);
+    const FakeCall second = transport_.Next(rpc::MessageType::kStorePing);
     CPPUNIT_ASSERT_EQUAL(std::string("s0:1"), first.address);
     CPPUNIT_ASSERT_EQUAL(std::string("s1:1"), second.address);
     second.done(std::string());
@@ -136,14 +136,14 @@
     PlacementTable table = TableOf({"s0", "d"}, {"s1", "d"});
     table.partitions[5] = {7, {{"s0", "d"}}, {{"s1", "d"}}};
     control_.SetTable(table);
-    PlacementDuty duty(&timers_, &mesh_, &control_, "n1#1", {2}, kSilentAfter);
+    PlacementController duty(&timers_, &transport_, &control_, "n1#1", {2}, kSilentAfter);
     CPPUNIT_ASSERT(Send({{"s1", "d"}, {{5, 7}}}).ok());
     CPPUNIT_ASSERT(IsSettled(control_.Table(), 2));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{8}, control_.Table().partitions[5].epoch);
   }
 
   void RefusesReportsOffDuty() {
-    PlacementDuty duty(&timers_, &mesh_, &control_, "n1#1", {2}, kSilentAfter);
+    PlacementController duty(&timers_, &transport_, &control_, "n1#1", {2}, kSilentAfter);
     CPPUNIT_ASSERT(absl::IsFailedPrecondition(Send({{"s1", "d"}, {{5, 7}}}).status()));
   }
 
--- a/tests/tier/batch/store_pacer_test.cpp
+++ b/tests/tier/batch/repair_throttle_test.cpp
@@ -1,12 +1,12 @@
 // The pace of repair over all partitions of a store, in virtual time.
+#include "tier/batch/repair_throttle.h"
+
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <map>
 #include <utility>
 #include <vector>
 
-#include "tier/batch/repair_pacer.h"
-
 namespace pearreach::batch {
 namespace {
 
@@ -27,11 +27,11 @@
     now_ = kSecond;
     sent_.clear();
     events_.clear();
-    pacer_ = std::make_unique<RepairPacer>(
-        RepairPacer::Surroundings{[this] { return now_; },
-                                  [this](Micros delay, std::function<void()> callback) {
-                                    events_.emplace(now_ + delay, std::move(callback));
-                                  }});
+    pacer_ = std::make_unique<RepairThrottle>(
+        RepairThrottle::Surroundings{[this] { return now_; },
+                                     [this](Micros delay, std::function<void()> callback) {
+                                       events_.emplace(now_ + delay, std::move(callback));
+                                     }});
     pacer_->SetRate(kRate);
   }
 
@@ -44,9 +44,9 @@
   }
 
   void KeepsFewCallsInFlight() {
-    std::vector<RepairPacer::Slot> held;
+    std::vector<RepairThrottle::Slot> held;
     for (int i = 0; i < 20; ++i) {
-      pacer_->Ask(false, [&](RepairPacer::Slot slot) {
+      pacer_->Ask(false, [&](RepairThrottle::Slot slot) {
         held.push_back(std::move(slot));
         return kPart;
       });
@@ -88,8 +88,8 @@
   }
 
  private:
-  RepairPacer::Send Part() {
-    return [this](const RepairPacer::Slot&) {
+  RepairThrottle::Send Part() {
+    return [this](const RepairThrottle::Slot&) {
       sent_.push_back(now_);
       return kPart;
     };
@@ -106,7 +106,7 @@
   Micros now_ = 0;
   std::vector<Micros> sent_;
   std::multimap<Micros, std::function<void()>> events_;
-  std::unique_ptr<RepairPacer> pacer_;
+  std::unique_ptr<RepairThrottle> pacer_;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(StorePacerTest);
--- a/tests/tier/batch/replication_run.h
+++ b/tests/tier/batch/replication_run.h
@@ -16,14 +16,14 @@
 
 namespace pearreach::batch::replication_test {
 
-inline LotSpec Spec(const std::string& lot_id, int items) {
-  LotSpec spec;
-  spec.lot_id = lot_id;
+inline BatchJobSpec Spec(const std::string& batch_job_id, int items) {
+  BatchJobSpec spec;
+  spec.batch_job_id = batch_job_id;
   spec.route = "r";
-  spec.fingerprint = std::hash<std::string>()(lot_id);
+  spec.fingerprint = std::hash<std::string>()(batch_job_id);
   for (int i = 0; i < items; ++i) {
     ItemSpec item;
-    item.item_id = lot_id + "-" + std::to_string(i);
+    item.item_id = batch_job_id + "-" + std::to_string(i);
     item.body = "body of " + item.item_id;
     item.tokens = 10;
     spec.items.push_back(item);
@@ -50,39 +50,42 @@
   void Create() {
     SimulatedStore* store = simulation.Active();
     if (store == nullptr) return;
-    const std::string lot_id = "lot" + std::to_string(next_lot_++);
-    tried_.push_back(lot_id);
-    store->replica()->Submit(MakeCreate(Spec(lot_id, 6), 1), [this, lot_id](absl::Status status) {
-      if (status.ok()) accepted.emplace(lot_id, simulation.now);
-    });
+    const std::string batch_job_id = "lot" + std::to_string(next_batch_job_++);
+    tried_.push_back(batch_job_id);
+    store->replica()->Submit(MakeCreate(Spec(batch_job_id, 6), 1),
+                             [this, batch_job_id](absl::Status status) {
+                               if (status.ok()) accepted.emplace(batch_job_id, simulation.now);
+                             });
   }
 
   void Append() {
     SimulatedStore* store = simulation.Active();
     if (store == nullptr || tried_.empty()) return;
-    const std::string lot_id = Pick();
-    const Lot* lot = store->replica()->lots().Find(lot_id);
-    if (lot == nullptr || !lot->accepted || !lot->Open()) return;
+    const std::string batch_job_id = Pick();
+    const BatchJob* batch_job = store->replica()->batch_jobs().Find(batch_job_id);
+    if (batch_job == nullptr || !batch_job->accepted || !batch_job->Open()) return;
     ResultRecord result;
     result.item = static_cast<std::uint32_t>(simulation.Between(0, 5));
-    if (lot->items[result.item].done) return;
+    if (batch_job->items[result.item].done) return;
     result.content = "result " + std::to_string(next_result_++);
-    const std::uint32_t position = lot->results;
-    Operation operation{lot_id, false, {}};
-    if (simulation.Chance(0.3)) AddFailure(*lot, result.item, simulation.random(), &operation);
+    const std::uint32_t position = batch_job->results;
+    Operation operation{batch_job_id, false, {}};
+    if (simulation.Chance(0.3))
+      AddFailure(*batch_job, result.item, simulation.random(), &operation);
     AddResult(position, result, &operation);
-    store->replica()->Submit(operation, [this, lot_id, position, result](absl::Status status) {
-      if (status.ok()) results[{lot_id, position}] = {result.content, simulation.now};
-    });
+    store->replica()->Submit(
+        operation, [this, batch_job_id, position, result](absl::Status status) {
+          if (status.ok()) results[{batch_job_id, position}] = {result.content, simulation.now};
+        });
   }
 
   void End() {
     SimulatedStore* store = simulation.Active();
     if (store == nullptr || tried_.empty()) return;
-    const std::string lot_id = Pick();
-    if (store->replica()->lots().Find(lot_id) == nullptr) return;
-    store->replica()->Submit(MakeEnd(lot_id), [this, lot_id](absl::Status status) {
-      if (status.ok()) ended.insert(lot_id);
+    const std::string batch_job_id = Pick();
+    if (store->replica()->batch_jobs().Find(batch_job_id) == nullptr) return;
+    store->replica()->Submit(MakeEnd(batch_job_id), [this, batch_job_id](absl::Status status) {
+      if (status.ok()) ended.insert(batch_job_id);
     });
   }
 
@@ -103,17 +106,19 @@
   // What was told by `since`, before the confirmation at the earliest, must be there.
   void CheckRead(SimulatedStore* store, Micros since) {
     ++reads;
-    for (const auto& [lot_id, told] : accepted) {
+    for (const auto& [batch_job_id, told] : accepted) {
       if (told > since) continue;
-      CPPUNIT_ASSERT_MESSAGE("accepted " + lot_id, store->replica()->lots().Find(lot_id));
+      CPPUNIT_ASSERT_MESSAGE("accepted " + batch_job_id,
+                             store->replica()->batch_jobs().Find(batch_job_id));
     }
     for (const auto& [position, told] : results) {
       if (told.at <= since) CPPUNIT_ASSERT_EQUAL(told.content, ContentOf(store, position));
     }
-    for (const auto& [lot_id, lot] : store->replica()->lots().lots()) {
-      for (std::uint32_t i = 0; i < lot.visible_results; ++i) {
-        const std::string content = ContentOf(store, {lot_id, i});
-        const auto [at, fresh] = results.try_emplace({lot_id, i}, Told{content, simulation.now});
+    for (const auto& [batch_job_id, batch_job] : store->replica()->batch_jobs().batch_jobs()) {
+      for (std::uint32_t i = 0; i < batch_job.visible_results; ++i) {
+        const std::string content = ContentOf(store, {batch_job_id, i});
+        const auto [at, fresh] =
+            results.try_emplace({batch_job_id, i}, Told{content, simulation.now});
         CPPUNIT_ASSERT_EQUAL(at->second.content, content);
       }
     }
@@ -128,31 +133,33 @@
   }
 
   void CheckEnd(SimulatedStore* store) {
-    for (const auto& [lot_id, told] : accepted) {
-      CPPUNIT_ASSERT_MESSAGE("accepted " + lot_id, store->replica()->lots().Find(lot_id));
+    for (const auto& [batch_job_id, told] : accepted) {
+      CPPUNIT_ASSERT_MESSAGE("accepted " + batch_job_id,
+                             store->replica()->batch_jobs().Find(batch_job_id));
     }
-    for (const std::string& lot_id : ended) {
-      CPPUNIT_ASSERT(store->replica()->lots().Find(lot_id)->ended);
+    for (const std::string& batch_job_id : ended) {
+      CPPUNIT_ASSERT(store->replica()->batch_jobs().Find(batch_job_id)->ended);
     }
     for (const auto& [position, told] : results) {
       CPPUNIT_ASSERT_EQUAL(told.content, ContentOf(store, position));
     }
-    for (const auto& [lot_id, lot] : store->replica()->lots().lots())
-      CheckItems(store, lot_id, lot);
+    for (const auto& [batch_job_id, batch_job] : store->replica()->batch_jobs().batch_jobs())
+      CheckItems(store, batch_job_id, batch_job);
   }
 
   // No item stands twice; what is not listed has its body.
-  static void CheckItems(SimulatedStore* store, const std::string& lot_id, const Lot& lot) {
+  static void CheckItems(SimulatedStore* store, const std::string& batch_job_id,
+                         const BatchJob& batch_job) {
     std::set<std::uint32_t> listed;
-    for (std::uint32_t i = 0; i < lot.results; ++i) {
+    for (std::uint32_t i = 0; i < batch_job.results; ++i) {
       const auto record =
-          store->memory().Get(RecordKey(kSimulatedPartition, lot_id, RecordKind::kResult, i));
+          store->memory().Get(RecordKey(kSimulatedPartition, batch_job_id, RecordKind::kResult, i));
       CPPUNIT_ASSERT(record.ok());
       CPPUNIT_ASSERT(listed.insert(UnpackResult(*record)->item).second);
     }
-    for (std::uint32_t i = 0; i < lot.items.size(); ++i) {
+    for (std::uint32_t i = 0; i < batch_job.items.size(); ++i) {
       const auto body =
-          store->memory().Get(RecordKey(kSimulatedPartition, lot_id, RecordKind::kItem, i));
+          store->memory().Get(RecordKey(kSimulatedPartition, batch_job_id, RecordKind::kItem, i));
       CPPUNIT_ASSERT_EQUAL(!listed.contains(i), body.ok());
     }
   }
@@ -171,14 +178,14 @@
 
  private:
   std::vector<std::string> tried_;
-  int next_lot_ = 0, next_result_ = 0;
+  int next_batch_job_ = 0, next_result_ = 0;
 };
 
 // The placement duty, much simplified: removes replicas that are down as long as a running one
 // stays, fills up with joining ones, makes those count that hold everything.
-class Duty {
+class SingletonRole {
  public:
-  explicit Duty(Simulation* simulation) : simulation_(simulation) {}
+  explicit SingletonRole(Simulation* simulation) : simulation_(simulation) {}
 
   void Look() {
     Partition next = simulation_->table;
--- a/tests/tier/batch/leave_check_test.cpp
+++ b/tests/tier/batch/shutdown_check_test.cpp
@@ -1,4 +1,4 @@
-#include "tier/batch/leave_check.h"
+#include "tier/batch/shutdown_check.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/tier/batch/store_fleet.h
+++ b/tests/tier/batch/store_fleet.h
@@ -14,14 +14,14 @@
 #include <vector>
 
 #include "store_simulation.h"
-#include "tier/batch/disk_room.h"
-#include "tier/batch/lot_store_changes.h"
-#include "tier/batch/lot_store_context.h"
-#include "tier/batch/lot_store_items.h"
-#include "tier/batch/lot_store_quota.h"
-#include "tier/batch/lot_store_reads.h"
+#include "tier/batch/batch_job_changes.h"
+#include "tier/batch/batch_job_items.h"
+#include "tier/batch/batch_job_reads.h"
+#include "tier/batch/disk_capacity.h"
 #include "tier/batch/placement.h"
-#include "tier/batch/repair_pacer.h"
+#include "tier/batch/repair_throttle.h"
+#include "tier/batch/store_context.h"
+#include "tier/batch/store_quota.h"
 
 namespace pearreach::batch::fleet_test {
 
@@ -36,8 +36,8 @@
   void Adopt(const PlacementTable& table);
   void Receive(rpc::MessageType type, const std::string& body, const rpc::Respond& respond);
   void Tick();
-  LotChanges& changes() { return changes_; }
-  LotItems& items() { return items_; }
+  BatchJobChanges& changes() { return changes_; }
+  BatchJobItems& items() { return items_; }
 
   Micros Now() const override;
   std::uint64_t Random() override;
@@ -57,15 +57,15 @@
   void NoteRoom(const StoreId& store, std::uint64_t bytes) override {
     room_.NotePeer(store, bytes);
   }
-  bool HasRoom(const Partition& table, std::uint64_t bytes) override {
+  bool HasDiskCapacity(const Partition& table, std::uint64_t bytes) override {
     return !room_.Lacking(table, id_, disk_->space(), bytes).has_value();
   }
-  bool TakeRoom(const Partition& table, std::uint64_t bytes) override {
-    if (!HasRoom(table, bytes)) return false;
+  bool ReserveDiskCapacity(const Partition& table, std::uint64_t bytes) override {
+    if (!HasDiskCapacity(table, bytes)) return false;
     room_.Take(table, id_, bytes);
     return true;
   }
-  void PaceRepair(bool urgent, RepairPacer::Send send) override {
+  void PaceRepair(bool urgent, RepairThrottle::Send send) override {
     pacer_.Ask(urgent, std::move(send));
   }
   const StoreId& Self() const override { return id_; }
@@ -83,12 +83,12 @@
   std::set<Timers::Id> timers_;
   Micros disk_free_ = 0;
   int ticks_ = 0;
-  DiskRoom room_;
-  RepairPacer pacer_;
-  LotReads reads_;
+  DiskCapacity room_;
+  RepairThrottle pacer_;
+  BatchJobReads reads_;
   QuotaService quota_;
-  LotItems items_;
-  LotChanges changes_;
+  BatchJobItems items_;
+  BatchJobChanges changes_;
   std::vector<std::unique_ptr<PartitionReplica>> replicas_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
@@ -203,8 +203,8 @@
       reads_(this),
       quota_(this),
       items_(
-          this, [this](const std::string& lot_id) { reads_.OnVisible(lot_id); },
-          [this](const std::string& lot_id) { quota_.Update(lot_id); }),
+          this, [this](const std::string& batch_job_id) { reads_.OnVisible(batch_job_id); },
+          [this](const std::string& batch_job_id) { quota_.Update(batch_job_id); }),
       changes_(this, &items_, &reads_, &quota_) {
   ReplicationEnvironment* const environment = this;
   for (std::uint32_t i = 0; i < kPartitions; ++i) {
@@ -230,7 +230,8 @@
   std::uint64_t owed = 0;
   std::set<std::string> stores;
   for (const auto& replica : replicas_) {
-    for (const auto& [lot_id, lot] : replica->lots().lots()) owed += OwedBytes(lot);
+    for (const auto& [batch_job_id, batch_job] : replica->batch_jobs().batch_jobs())
+      owed += OwedBytes(batch_job);
     for (const StoreId& store : replica->table().replicas) stores.insert(store.name);
   }
   room_.SetOwed(owed);
@@ -300,7 +301,7 @@
     const auto message = *codec::Decode<RepairDigest>(body);
     if (!is_muted(message.scope)) Replica(message.scope.partition).OnRepairDigest(message, respond);
   } else if (type == rpc::MessageType::kQuotaReserve) {
-    quota_.OnReserve(*codec::Decode<QuotaReserve>(body), respond);
+    quota_.OnReserve(*codec::Decode<QuotaReserveRequest>(body), respond);
   } else {
     quota_.OnReport(*codec::Decode<QuotaReport>(body), respond);
   }
--- a/tests/tier/batch/store_leases_test.cpp
+++ b/tests/tier/batch/store_leases_test.cpp
@@ -26,20 +26,20 @@
  public:
   void EarliestDueGoesFirst() {
     LeaseTable table(1);
-    table.AddLot("late", "r", 200, 2, {0, 1}, 0);
-    table.AddLot("early", "r", 100, 2, {0, 1}, 0);
+    table.AddBatchJob("late", "r", 200, 2, {0, 1}, 0);
+    table.AddBatchJob("early", "r", 100, 2, {0, 1}, 0);
     const auto taken = table.Take("n", {{"r", 3}}, 8, 0);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, taken.size());
-    CPPUNIT_ASSERT_EQUAL(std::string("early"), taken[0].lot_id);
-    CPPUNIT_ASSERT_EQUAL(std::string("early"), taken[1].lot_id);
-    CPPUNIT_ASSERT_EQUAL(std::string("late"), taken[2].lot_id);
+    CPPUNIT_ASSERT_EQUAL(std::string("early"), taken[0].batch_job_id);
+    CPPUNIT_ASSERT_EQUAL(std::string("early"), taken[1].batch_job_id);
+    CPPUNIT_ASSERT_EQUAL(std::string("late"), taken[2].batch_job_id);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.Waiting("r"));
   }
 
   void RoomIsByRoute() {
     LeaseTable table(1);
-    table.AddLot("a", "one", 1, 3, {0, 1, 2}, 0);
-    table.AddLot("b", "two", 2, 3, {0, 1, 2}, 0);
+    table.AddBatchJob("a", "one", 1, 3, {0, 1, 2}, 0);
+    table.AddBatchJob("b", "two", 2, 3, {0, 1, 2}, 0);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, table.Take("n", {{"one", 1}, {"two", 2}}, 8, 0).size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, table.Waiting("one"));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.Take("n", {{"one", 5}}, 1, 0).size());
@@ -47,7 +47,7 @@
 
   void LeasesExpireUnlessRenewed() {
     LeaseTable table(1);
-    table.AddLot("a", "r", 1, 2, {0, 1}, 0);
+    table.AddBatchJob("a", "r", 1, 2, {0, 1}, 0);
     table.Take("n", {{"r", 2}}, 8, 0);
     CPPUNIT_ASSERT(table.Renew("n", "a", 0, kSecond));
     CPPUNIT_ASSERT(!table.Renew("other", "a", 0, kSecond));
@@ -59,7 +59,7 @@
 
   void OnlyTheLeaseReturnsItsItem() {
     LeaseTable table(1);
-    table.AddLot("a", "r", 1, 1, {0}, 0);
+    table.AddBatchJob("a", "r", 1, 1, {0}, 0);
     const auto taken = table.Take("n", {{"r", 1}}, 8, 0);
     CPPUNIT_ASSERT(!table.Return("a", 0, taken[0].lease + 1));
     CPPUNIT_ASSERT(table.Return("a", 0, taken[0].lease));
@@ -69,7 +69,7 @@
 
   void ALaterProcessVoidsLeases() {
     LeaseTable table(1);
-    table.AddLot("a", "r", 1, 1, {0}, 0);
+    table.AddBatchJob("a", "r", 1, 1, {0}, 0);
     CPPUNIT_ASSERT(table.Hello("n", 5));
     table.Take("n", {{"r", 1}}, 8, 0);
     CPPUNIT_ASSERT(!table.Hello("n", 4));
@@ -80,7 +80,7 @@
 
   void HeldBackItemsGoToWhoRenews() {
     LeaseTable table(1);
-    table.AddLot("a", "r", 1, 3, {0, 2}, kSecond);
+    table.AddBatchJob("a", "r", 1, 3, {0, 2}, kSecond);
     CPPUNIT_ASSERT(table.Take("n", {{"r", 3}}, 8, 0).empty());
     CPPUNIT_ASSERT(table.Renew("n", "a", 2, 1));
     CPPUNIT_ASSERT(!table.Renew("n", "a", 1, 1));
@@ -100,10 +100,10 @@
     std::map<std::pair<std::string, std::uint32_t>, std::pair<std::string, Micros>> held;
     std::size_t finished = 0, items = 0;
     Micros now = 0;
-    for (int lot = 0; lot < 5; ++lot) {
-      const std::string route = lot % 2 == 0 ? "even" : "odd";
-      table.AddLot("l" + std::to_string(lot), route, static_cast<std::int64_t>(random() % 10), 4,
-                   {0, 1, 2, 3}, 0);
+    for (int batch_job = 0; batch_job < 5; ++batch_job) {
+      const std::string route = batch_job % 2 == 0 ? "even" : "odd";
+      table.AddBatchJob("l" + std::to_string(batch_job), route,
+                        static_cast<std::int64_t>(random() % 10), 4, {0, 1, 2, 3}, 0);
       items += 4;
     }
     for (int step = 0; step < 4000 && finished < items; ++step) {
@@ -111,7 +111,7 @@
       table.Expire(now);
       const std::string node = "n" + std::to_string(random() % 3);
       for (const auto& taken : table.Take(node, {{"even", 1}, {"odd", 1}}, 2, now)) {
-        auto& holder = held[{taken.lot_id, taken.item}];
+        auto& holder = held[{taken.batch_job_id, taken.item}];
         CPPUNIT_ASSERT(holder.first.empty() || holder.second <= now);
         holder = {node, now + kLeaseSpan};
       }
@@ -135,18 +135,19 @@
 };
 
 // Ids of lots in different partitions.
-QuotaReport ReportOfAll(std::uint64_t sequence, std::vector<LotTokens> lots) {
+QuotaReport ReportOfAll(std::uint64_t sequence, std::vector<BatchJobTokens> batch_jobs) {
   QuotaReport report;
   report.route = "r";
   report.process = 9;
   report.sequence = sequence;
   for (std::uint32_t i = 0; i < kPartitions; ++i) report.partitions.emplace_back(i, 1);
-  report.lots = std::move(lots);
+  report.batch_jobs = std::move(batch_jobs);
   return report;
 }
 
-QuotaReserve Ask(const std::string& lot, double tokens, double cap, std::uint64_t sequence) {
-  return {lot, {"r", tokens, 1, 9, sequence}, cap};
+QuotaReserveRequest Ask(const std::string& batch_job, double tokens, double cap,
+                        std::uint64_t sequence) {
+  return {batch_job, {"r", tokens, 1, 9, sequence}, cap};
 }
 
 class StoreQuotaTest : public CppUnit::TestFixture {
@@ -161,42 +162,42 @@
  public:
   // Before any report what was granted counts in full, and nothing goes beyond it.
   void ANewOwnerCountsAllThatWasGranted() {
-    QuotaLedger ledger({{"a", Ask("a", 6, 10, 1).reservation}}, 0);
-    CPPUNIT_ASSERT(!ledger.IsFresh());
-    CPPUNIT_ASSERT(ledger.Reserve(Ask("b", 5, 10, 2), 0) == QuotaVerdict::kOver);
-    ledger.Report(ReportOfAll(2, {{"a", 5}}), 0);
-    CPPUNIT_ASSERT(ledger.IsFresh());
-    CPPUNIT_ASSERT(ledger.Reserve(Ask("b", 5, 10, 3), 0) == QuotaVerdict::kGranted);
+    QuotaTracker tracker({{"a", Ask("a", 6, 10, 1).reservation}}, 0);
+    CPPUNIT_ASSERT(!tracker.IsFresh());
+    CPPUNIT_ASSERT(tracker.Reserve(Ask("b", 5, 10, 2), 0) == QuotaDecision::kOver);
+    tracker.Report(ReportOfAll(2, {{"a", 5}}), 0);
+    CPPUNIT_ASSERT(tracker.IsFresh());
+    CPPUNIT_ASSERT(tracker.Reserve(Ask("b", 5, 10, 3), 0) == QuotaDecision::kGranted);
   }
 
   void GrantsUpToTheCap() {
-    QuotaLedger ledger;
-    ledger.Report(ReportOfAll(1, {{"known", 4}}), 0);
-    CPPUNIT_ASSERT(ledger.Reserve(Ask("a", 6, 10, 2), 0) == QuotaVerdict::kGranted);
-    CPPUNIT_ASSERT(ledger.Reserve(Ask("a", 6, 10, 3), 0) == QuotaVerdict::kGranted);
-    CPPUNIT_ASSERT(ledger.Reserve(Ask("b", 1, 10, 4), 0) == QuotaVerdict::kOver);
-    CPPUNIT_ASSERT_EQUAL(10.0, ledger.Sum());
+    QuotaTracker tracker;
+    tracker.Report(ReportOfAll(1, {{"known", 4}}), 0);
+    CPPUNIT_ASSERT(tracker.Reserve(Ask("a", 6, 10, 2), 0) == QuotaDecision::kGranted);
+    CPPUNIT_ASSERT(tracker.Reserve(Ask("a", 6, 10, 3), 0) == QuotaDecision::kGranted);
+    CPPUNIT_ASSERT(tracker.Reserve(Ask("b", 1, 10, 4), 0) == QuotaDecision::kOver);
+    CPPUNIT_ASSERT_EQUAL(10.0, tracker.Sum());
   }
 
   void AReservationLastsUntilItsReport() {
-    QuotaLedger ledger;
-    ledger.Report(ReportOfAll(1, {}), 0);
-    ledger.Reserve(Ask("a", 6, 10, 2), 0);
-    ledger.Report(ReportOfAll(2, {}), 1);  // too early to tell
-    CPPUNIT_ASSERT_EQUAL(6.0, ledger.Sum());
-    ledger.Report(ReportOfAll(3, {{"a", 5}}), 2);
-    CPPUNIT_ASSERT_EQUAL(5.0, ledger.Sum());
-    ledger.Reserve(Ask("b", 5, 10, 4), 2);
-    CPPUNIT_ASSERT(ledger.WantsReports(2 + kReportSpan));
-    ledger.Report(ReportOfAll(5, {{"a", 5}}), 2 + kReportSpan);
-    CPPUNIT_ASSERT_EQUAL(5.0, ledger.Sum());
+    QuotaTracker tracker;
+    tracker.Report(ReportOfAll(1, {}), 0);
+    tracker.Reserve(Ask("a", 6, 10, 2), 0);
+    tracker.Report(ReportOfAll(2, {}), 1);  // too early to tell
+    CPPUNIT_ASSERT_EQUAL(6.0, tracker.Sum());
+    tracker.Report(ReportOfAll(3, {{"a", 5}}), 2);
+    CPPUNIT_ASSERT_EQUAL(5.0, tracker.Sum());
+    tracker.Reserve(Ask("b", 5, 10, 4), 2);
+    CPPUNIT_ASSERT(tracker.WantsReports(2 + kReportSpan));
+    tracker.Report(ReportOfAll(5, {{"a", 5}}), 2 + kReportSpan);
+    CPPUNIT_ASSERT_EQUAL(5.0, tracker.Sum());
   }
 
   void ALateReportIsPassedOver() {
-    QuotaLedger ledger;
-    ledger.Report(ReportOfAll(5, {{"a", 7}}), 0);
-    ledger.Report(ReportOfAll(4, {{"a", 9}}), 1);
-    CPPUNIT_ASSERT_EQUAL(7.0, ledger.Sum());
+    QuotaTracker tracker;
+    tracker.Report(ReportOfAll(5, {{"a", 7}}), 0);
+    tracker.Report(ReportOfAll(4, {{"a", 9}}), 1);
+    CPPUNIT_ASSERT_EQUAL(7.0, tracker.Sum());
   }
 
   // Lots come, are reported late (some reports very late) and shrink; what really waits never
@@ -205,19 +206,20 @@
     int granted = 0, refused = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       std::mt19937_64 random(seed);
-      QuotaLedger ledger;
-      ledger.Report(ReportOfAll(1, {}), 0);
+      QuotaTracker tracker;
+      tracker.Report(ReportOfAll(1, {}), 0);
       std::map<std::string, double> real;
       std::deque<QuotaReport> on_its_way;
       std::uint64_t sequence = 1;
       Micros now = 0;
       for (int step = 0; step < 2000; ++step) {
         now += static_cast<Micros>(random() % (100 * kMs));
-        const std::string lot = "l" + std::to_string(step);
+        const std::string batch_job = "l" + std::to_string(step);
         const double tokens = static_cast<double>(1 + random() % 30);
-        if (ledger.Reserve(Ask(lot, tokens, 100, ++sequence), now) == QuotaVerdict::kGranted) {
+        if (tracker.Reserve(Ask(batch_job, tokens, 100, ++sequence), now) ==
+            QuotaDecision::kGranted) {
           ++granted;
-          if (random() % 4 != 0) real[lot] = tokens;  // else its creation fails
+          if (random() % 4 != 0) real[batch_job] = tokens;  // else its creation fails
         } else {
           ++refused;
         }
@@ -226,11 +228,11 @@
         for (const auto& [id, waiting] : real) sum += waiting;
         CPPUNIT_ASSERT(sum <= 100);
         if (random() % 3 != 0) continue;
-        std::vector<LotTokens> lots;
-        for (const auto& [id, waiting] : real) lots.push_back({id, waiting});
-        on_its_way.push_back(ReportOfAll(++sequence, lots));
+        std::vector<BatchJobTokens> batch_jobs;
+        for (const auto& [id, waiting] : real) batch_jobs.push_back({id, waiting});
+        on_its_way.push_back(ReportOfAll(++sequence, batch_jobs));
         while (on_its_way.size() > random() % 4) {
-          ledger.Report(on_its_way.front(), now);
+          tracker.Report(on_its_way.front(), now);
           on_its_way.pop_front();
         }
       }
--- a/tests/tier/batch/store_presence_test.cpp
+++ b/tests/tier/batch/store_liveness_test.cpp
@@ -1,5 +1,5 @@
 // When a store counts as gone for the placement of partitions.
-#include "tier/batch/store_presence.h"
+#include "tier/batch/store_liveness.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -34,7 +34,7 @@
   CPPUNIT_TEST(ANewDiskIsNotTheSilentOne);
   CPPUNIT_TEST_SUITE_END();
 
-  StorePresence presence_{kSilentAfter};
+  StoreLiveness presence_{kSilentAfter};
   StoreCondition At(Micros time, MemberStatus status) {
     return presence_.Look(kStart + time, One(status)).at("s0").condition;
   }
@@ -81,17 +81,17 @@
 
   void AStoreThatDoesNotAnswerIsGoneUntilItDoes() {
     At(0, MemberStatus::kAlive);
-    presence_.MarkSilent(kStart, {"s0", "d"});
+    presence_.MarkUnresponsive(kStart, {"s0", "d"});
     CPPUNIT_ASSERT(At(kMs, MemberStatus::kAlive) == StoreCondition::kGone);
     CPPUNIT_ASSERT(presence_.AwaitsReturn(kStart + kMs, kReturn));
-    presence_.MarkHeard(kStart + 2 * kMs, {"s0", "d"});
+    presence_.MarkResponsive(kStart + 2 * kMs, {"s0", "d"});
     CPPUNIT_ASSERT(At(3 * kMs, MemberStatus::kAlive) == StoreCondition::kLive);
     CPPUNIT_ASSERT(!presence_.AwaitsReturn(kStart + 3 * kMs, kReturn));
   }
 
   void ANewDiskIsNotTheSilentOne() {
     At(0, MemberStatus::kAlive);
-    presence_.MarkSilent(kStart, {"s0", "d"});
+    presence_.MarkUnresponsive(kStart, {"s0", "d"});
     const auto stores = presence_.Look(kStart + kMs, One(MemberStatus::kAlive, "new"));
     CPPUNIT_ASSERT(stores.at("s0").condition == StoreCondition::kLive);
     CPPUNIT_ASSERT(presence_.silent().empty());
--- a/tests/tier/batch/store_quota_test.cpp
+++ b/tests/tier/batch/store_quota_test.cpp
@@ -21,96 +21,100 @@
   explicit Clients(Fleet* fleet) : fleet_(fleet) {}
 
   void Submit() {
-    LotSpec lot;
-    lot.lot_id = "lot" + std::to_string(next_++);
-    lot.route = kRoute;
-    lot.fingerprint = 7;
-    lot.token_cap = kCap;
-    lot.tries = 2;
-    lot.status_s = 120;
+    BatchJobSpec batch_job;
+    batch_job.batch_job_id = "lot" + std::to_string(next_++);
+    batch_job.route = kRoute;
+    batch_job.fingerprint = 7;
+    batch_job.token_cap = kCap;
+    batch_job.attempts = 2;
+    batch_job.status_s = 120;
     const Micros items = fleet_->Between(1, 8);
     for (Micros i = 0; i < items; ++i) {
       ItemSpec item;
-      item.item_id = lot.lot_id + "-" + std::to_string(i);
+      item.item_id = batch_job.batch_job_id + "-" + std::to_string(i);
       item.tokens = kItemTokens;
-      lot.items.push_back(item);
+      batch_job.items.push_back(item);
     }
-    Try(lot, 4);
+    Try(batch_job, 4);
   }
 
   // A worker finishes an item; its result reaches the lot's primary some time later, or again.
   void Finish() {
     if (open_.empty()) return;
-    auto lot = open_.begin();
-    std::advance(lot, fleet_->Between(0, static_cast<Micros>(open_.size()) - 1));
-    const std::string item = *lot->second.begin();
-    const ItemResult result{lot->first, item, 1, RunOutcome::kComplete, "text"};
-    lot->second.erase(lot->second.begin());
-    if (lot->second.empty()) open_.erase(lot);
+    auto batch_job = open_.begin();
+    std::advance(batch_job, fleet_->Between(0, static_cast<Micros>(open_.size()) - 1));
+    const std::string item = *batch_job->second.begin();
+    const ItemResult result{batch_job->first, item, 1, RunOutcome::kComplete, "text"};
+    batch_job->second.erase(batch_job->second.begin());
+    if (batch_job->second.empty()) open_.erase(batch_job);
     Tell(result);
   }
 
   void End() {
     if (open_.empty()) return;
-    const std::string lot_id = open_.begin()->first;
+    const std::string batch_job_id = open_.begin()->first;
     open_.erase(open_.begin());
-    fleet_->At(2 * kMs, [this, lot_id] {
-      VirtualStore* primary = fleet_->PrimaryOf(lot_id);
-      if (primary != nullptr) primary->changes().OnCancel({0, lot_id}, [](const auto&) {});
+    fleet_->At(2 * kMs, [this, batch_job_id] {
+      VirtualStore* primary = fleet_->PrimaryOf(batch_job_id);
+      if (primary != nullptr) primary->changes().OnCancel({0, batch_job_id}, [](const auto&) {});
     });
   }
 
   double Waiting() const {
     double tokens = 0;
-    for (const auto& [lot, items] : open_)
+    for (const auto& [batch_job, items] : open_)
       tokens += kItemTokens * static_cast<double>(items.size());
     return tokens;
   }
   bool AnyOpenIn(std::uint32_t partition) const {
-    return std::any_of(open_.begin(), open_.end(),
-                       [&](const auto& lot) { return PartitionOf(lot.first) == partition; });
+    return std::any_of(open_.begin(), open_.end(), [&](const auto& batch_job) {
+      return PartitionOf(batch_job.first) == partition;
+    });
   }
 
   int accepted = 0, over = 0;
   double most = 0;
 
  private:
-  void Try(const LotSpec& lot, int tries) {
-    if (tries == 0) return;
+  void Try(const BatchJobSpec& batch_job, int attempts) {
+    if (attempts == 0) return;
     auto open = std::make_shared<bool>(true);
-    fleet_->At(2 * kSecond, [this, lot, tries, open] {
-      if (std::exchange(*open, false)) Try(lot, tries - 1);
+    fleet_->At(2 * kSecond, [this, batch_job, attempts, open] {
+      if (std::exchange(*open, false)) Try(batch_job, attempts - 1);
     });
-    VirtualStore* primary = fleet_->PrimaryOf(lot.lot_id);
+    VirtualStore* primary = fleet_->PrimaryOf(batch_job.batch_job_id);
     if (primary == nullptr) return;
-    const std::uint64_t epoch = primary->Replica(PartitionOf(lot.lot_id)).epoch();
-    primary->changes().OnCreate({0, epoch, lot}, [this, lot, tries, open](const auto& bytes) {
-      fleet_->At(1 * kMs, [this, lot, tries, open, bytes] { OnAnswer(lot, tries, open, bytes); });
-    });
+    const std::uint64_t epoch = primary->Replica(PartitionOf(batch_job.batch_job_id)).epoch();
+    primary->changes().OnCreate({0, epoch, batch_job},
+                                [this, batch_job, attempts, open](const auto& bytes) {
+                                  fleet_->At(1 * kMs, [this, batch_job, attempts, open, bytes] {
+                                    OnAnswer(batch_job, attempts, open, bytes);
+                                  });
+                                });
   }
 
-  void OnAnswer(const LotSpec& lot, int tries, const std::shared_ptr<bool>& open,
+  void OnAnswer(const BatchJobSpec& batch_job, int attempts, const std::shared_ptr<bool>& open,
                 const absl::StatusOr<std::string>& bytes) {
     if (!*open) return;
     if (!bytes.ok()) {
-      fleet_->At(100 * kMs, [this, lot, tries, open] {
-        if (std::exchange(*open, false)) Try(lot, tries - 1);
+      fleet_->At(100 * kMs, [this, batch_job, attempts, open] {
+        if (std::exchange(*open, false)) Try(batch_job, attempts - 1);
       });
       return;
     }
     *open = false;
-    if (codec::Decode<CreateLotAnswer>(*bytes)->status == CreateStatus::kOverQuota) {
+    if (codec::Decode<CreateBatchJobResponse>(*bytes)->status == CreateStatus::kOverQuota) {
       ++over;
       return;
     }
     ++accepted;
-    for (const ItemSpec& item : lot.items) open_[lot.lot_id].insert(item.item_id);
+    for (const ItemSpec& item : batch_job.items) open_[batch_job.batch_job_id].insert(item.item_id);
     most = std::max(most, Waiting());
   }
 
   void Tell(const ItemResult& result) {
     fleet_->At(fleet_->Between(1 * kMs, 100 * kMs), [this, result] {
-      VirtualStore* primary = fleet_->PrimaryOf(result.lot_id);
+      VirtualStore* primary = fleet_->PrimaryOf(result.batch_job_id);
       auto told = std::make_shared<bool>(false);
       fleet_->At(1 * kSecond, [this, result, told] {
         if (!*told) Tell(result);
@@ -136,38 +140,38 @@
 
  public:
   void ALotWithAReservationIsGrantedAgain() {
-    QuotaLedger ledger({}, 0);
-    CPPUNIT_ASSERT(QuotaVerdict::kGranted == ledger.Reserve(Reserve("a", 60, 5), 0));
-    CPPUNIT_ASSERT(QuotaVerdict::kOver == ledger.Reserve(Reserve("b", 60, 6), 0));
-    CPPUNIT_ASSERT(QuotaVerdict::kGranted == ledger.Reserve(Reserve("a", 60, 7), 0));
-    CPPUNIT_ASSERT_EQUAL(60.0, ledger.Sum());
+    QuotaTracker tracker({}, 0);
+    CPPUNIT_ASSERT(QuotaDecision::kGranted == tracker.Reserve(Reserve("a", 60, 5), 0));
+    CPPUNIT_ASSERT(QuotaDecision::kOver == tracker.Reserve(Reserve("b", 60, 6), 0));
+    CPPUNIT_ASSERT(QuotaDecision::kGranted == tracker.Reserve(Reserve("a", 60, 7), 0));
+    CPPUNIT_ASSERT_EQUAL(60.0, tracker.Sum());
   }
 
   void AReservationEndsWithALaterReportOnly() {
-    QuotaLedger ledger({}, 0);
-    ledger.Reserve(Reserve("a", 60, 5), 0);
-    CPPUNIT_ASSERT(ledger.Report(Report(1, 1, 4), 1).empty());
+    QuotaTracker tracker({}, 0);
+    tracker.Reserve(Reserve("a", 60, 5), 0);
+    CPPUNIT_ASSERT(tracker.Report(Report(1, 1, 4), 1).empty());
     QuotaReport asked = Report(1, 1, 6);
     asked.asked = {"a"};
-    CPPUNIT_ASSERT(ledger.Report(asked, 2).empty());
-    CPPUNIT_ASSERT_EQUAL(60.0, ledger.Sum());
+    CPPUNIT_ASSERT(tracker.Report(asked, 2).empty());
+    CPPUNIT_ASSERT_EQUAL(60.0, tracker.Sum());
     QuotaReport taken = Report(1, 1, 7);
-    taken.lots = {{"a", 20}};
-    ledger.Report(taken, 3);
-    CPPUNIT_ASSERT_EQUAL(20.0, ledger.Sum());
-    CPPUNIT_ASSERT(ledger.Report(Report(1, 1, 6), 4).empty());  // a late one
-    CPPUNIT_ASSERT_EQUAL(20.0, ledger.Sum());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, ledger.Report(Report(1, 1, 8), 5).size());
-    CPPUNIT_ASSERT_EQUAL(0.0, ledger.Sum());
+    taken.batch_jobs = {{"a", 20}};
+    tracker.Report(taken, 3);
+    CPPUNIT_ASSERT_EQUAL(20.0, tracker.Sum());
+    CPPUNIT_ASSERT(tracker.Report(Report(1, 1, 6), 4).empty());  // a late one
+    CPPUNIT_ASSERT_EQUAL(20.0, tracker.Sum());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, tracker.Report(Report(1, 1, 8), 5).size());
+    CPPUNIT_ASSERT_EQUAL(0.0, tracker.Sum());
   }
 
   void AnotherPrimarysReportEndsIt() {
-    QuotaLedger ledger({{"a", Reserve("a", 60, 5).reservation}}, 0);
-    CPPUNIT_ASSERT(!ledger.IsFresh());
-    CPPUNIT_ASSERT_EQUAL(60.0, ledger.Sum());
-    CPPUNIT_ASSERT(ledger.Report(Report(1, 2, 1), 1).empty());  // it may still be on its way
-    CPPUNIT_ASSERT(ledger.IsFresh());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, ledger.Report(Report(2, 1, 1), 2).size());
+    QuotaTracker tracker({{"a", Reserve("a", 60, 5).reservation}}, 0);
+    CPPUNIT_ASSERT(!tracker.IsFresh());
+    CPPUNIT_ASSERT_EQUAL(60.0, tracker.Sum());
+    CPPUNIT_ASSERT(tracker.Report(Report(1, 2, 1), 1).empty());  // it may still be on its way
+    CPPUNIT_ASSERT(tracker.IsFresh());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, tracker.Report(Report(2, 1, 1), 2).size());
   }
 
   // One partition cannot report, and the route's owner is lost: what it was granted stays counted,
@@ -209,8 +213,9 @@
   }
 
  private:
-  static QuotaReserve Reserve(const std::string& lot, double tokens, std::uint64_t sequence) {
-    return {lot, {kRoute, tokens, 1, 1, sequence}, 100};
+  static QuotaReserveRequest Reserve(const std::string& batch_job, double tokens,
+                                     std::uint64_t sequence) {
+    return {batch_job, {kRoute, tokens, 1, 1, sequence}, 100};
   }
   static QuotaReport Report(std::uint64_t epoch, std::uint64_t process, std::uint64_t sequence) {
     QuotaReport report;
--- a/tests/tier/batch/store_replication_test.cpp
+++ b/tests/tier/batch/store_replication_test.cpp
@@ -7,9 +7,9 @@
 namespace pearreach::batch {
 namespace {
 
-using replication_test::Duty;
 using replication_test::IsWhole;
 using replication_test::Run;
+using replication_test::SingletonRole;
 
 constexpr int kSeeds = 12;
 
@@ -68,7 +68,7 @@
 
   void AWipedReplicaIsFilledAgain() {
     Run run(4, 2);
-    Duty duty(&run.simulation);
+    SingletonRole duty(&run.simulation);
     run.simulation.RunUntil(3 * kSecond);
     for (int i = 0; i < 40; ++i) run.Create();
     run.simulation.RunUntil(4 * kSecond);
@@ -174,7 +174,7 @@
 
   static void PlayOnce(std::uint64_t seed, Run* run) {
     Simulation& simulation = run->simulation;
-    Duty duty(&simulation);
+    SingletonRole duty(&simulation);
     SimulatedStore* down = nullptr;
     Micros restart = 0, look = 0;
     simulation.RunUntil(2 * kSecond);
--- a/tests/tier/batch/store_server_test.cpp
+++ b/tests/tier/batch/store_server_test.cpp
@@ -6,7 +6,7 @@
 
 #include "edge_fakes.h"
 #include "store_simulation.h"
-#include "tier/batch/lot_store.h"
+#include "tier/batch/batch_job_store.h"
 #include "tier/storage/rig.h"
 
 namespace pearreach::batch {
@@ -16,7 +16,7 @@
 using edge_test::TurnUntil;
 
 // Calls between the stores of a test by address, answered on a later turn of the loop.
-class LocalMesh final : public rpc::Mesh {
+class LocalMesh final : public rpc::Transport {
  public:
   LocalMesh(Timers* timers, std::map<std::string, LocalMesh*>* peers)
       : timers_(timers), peers_(peers) {}
@@ -72,7 +72,7 @@
 };
 
 struct TestStore {
-  std::unique_ptr<LocalMesh> mesh;
+  std::unique_ptr<LocalMesh> transport;
   std::unique_ptr<storage::Folder> folder;
   std::unique_ptr<storage::TableStore> disk;
   std::unique_ptr<StoreServer> server;
@@ -89,20 +89,20 @@
   void AddStore(const std::string& name) {
     control_.AddStore(name, "d" + name);
     TestStore& store = stores_[name];
-    store.mesh = std::make_unique<LocalMesh>(&timers_, &peers_);
+    store.transport = std::make_unique<LocalMesh>(&timers_, &peers_);
     if (capacity_ == 0) {
       store.disk = std::make_unique<LoopDisk>(&timers_);
     } else {
       store.folder = std::make_unique<storage::Folder>();
       store.disk = storage::Open(*store.folder, capacity_);
     }
-    peers_[name + ":1"] = store.mesh.get();
+    peers_[name + ":1"] = store.transport.get();
     Start(name);
   }
   void Start(const std::string& name) {
     TestStore& store = stores_[name];
     store.server.reset();
-    store.server = std::make_unique<StoreServer>(&timers_, store.mesh.get(), store.disk.get(),
+    store.server = std::make_unique<StoreServer>(&timers_, store.transport.get(), store.disk.get(),
                                                  &control_, StoreId{name, "d" + name},
                                                  settings::Bounds{}, settings::Tolerance{});
   }
@@ -154,20 +154,20 @@
   std::uint64_t epoch_ = 0;
 };
 
-LotSpec Spec(const std::string& lot_id, int items, double cap = 0) {
-  LotSpec spec;
-  spec.lot_id = lot_id;
+BatchJobSpec Spec(const std::string& batch_job_id, int items, double cap = 0) {
+  BatchJobSpec spec;
+  spec.batch_job_id = batch_job_id;
   spec.route = "route";
   spec.host = "host.example";
   spec.fingerprint = 7;
   spec.token_cap = cap;
-  spec.tries = 2;
+  spec.attempts = 2;
   spec.due_ms = 5000;
   spec.retain_s = 60;
   spec.status_s = 120;
   for (int i = 0; i < items; ++i) {
     ItemSpec item;
-    item.item_id = lot_id + "-" + std::to_string(i);
+    item.item_id = batch_job_id + "-" + std::to_string(i);
     item.path = "/p/" + std::to_string(i);
     item.body = std::string("bytes\0of ", 9) + item.item_id;
     item.tokens = 10;
@@ -214,17 +214,17 @@
     Create(&fleet, Spec("lot", 4));
     const auto taken = Take(&fleet, "n", 1, 0);
     for (int i = 0; i < 2; ++i) {
-      const auto ended =
-          fleet.Ask<CancelLotAnswer>(rpc::MessageType::kLotCancel, CancelLot{0, "lot"});
+      const auto ended = fleet.Ask<CancelBatchJobResponse>(rpc::MessageType::kBatchJobCancel,
+                                                           CancelBatchJob{0, "lot"});
       CPPUNIT_ASSERT(ended.ok() && ended->found);
     }
     CPPUNIT_ASSERT(Take(&fleet, "n", 4, 0).empty());
-    const auto renewed = fleet.Ask<RenewLeasesAnswer>(
+    const auto renewed = fleet.Ask<RenewLeasesResponse>(
         rpc::MessageType::kItemRenew, RenewLeases{"n", 1, {{"lot", taken[0].item.item_id}}});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, renewed->stop.size());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, Read(&fleet, "lot", 0).total);
-    const auto unknown =
-        fleet.Ask<CancelLotAnswer>(rpc::MessageType::kLotCancel, CancelLot{0, "none"});
+    const auto unknown = fleet.Ask<CancelBatchJobResponse>(rpc::MessageType::kBatchJobCancel,
+                                                           CancelBatchJob{0, "none"});
     CPPUNIT_ASSERT(unknown.ok() && !unknown->found);
   }
 
@@ -282,10 +282,10 @@
   void AFullDiskRefusesLotsAndWritesAgainOnceItHasRoom() {
     Fleet fleet(2, 1 << 20);
     fleet.Place({"s0", "s1"});
-    int lots = 0;
-    while (Create(&fleet, Large(lots)) == CreateStatus::kAccepted) ++lots;
-    CPPUNIT_ASSERT(Create(&fleet, Large(lots)) == CreateStatus::kNoRoom);
-    CPPUNIT_ASSERT(lots > 3);
+    int batch_jobs = 0;
+    while (Create(&fleet, Large(batch_jobs)) == CreateStatus::kAccepted) ++batch_jobs;
+    CPPUNIT_ASSERT(Create(&fleet, Large(batch_jobs)) == CreateStatus::kNoRoom);
+    CPPUNIT_ASSERT(batch_jobs > 3);
     // The rest of the backup's file is taken otherwise: now writes do fail.
     storage::TableStore* backup = fleet.Disk("s1");
     int fillers = 0;
@@ -294,48 +294,49 @@
       ++fillers;
     }
     const LeasedItem taken = Take(&fleet, "n", 1, 0).at(0);
-    const ItemResult result{taken.lot_id, taken.item.item_id, taken.lease, RunOutcome::kComplete,
-                            std::string(30'000, 'r')};
+    const ItemResult result{taken.batch_job_id, taken.item.item_id, taken.lease,
+                            RunOutcome::kComplete, std::string(30'000, 'r')};
     const auto told = fleet.Send(rpc::MessageType::kItemResult, result);
     const auto failed = storage::CommitAndWait(backup, {{"y", std::string(30'000, 'f'), false}});
     CPPUNIT_ASSERT(absl::IsResourceExhausted(failed));
-    const auto unsure = fleet.Ask<ReadLotAnswer>(rpc::MessageType::kLotRead,
-                                                 ReadLot{0, taken.lot_id, 0, 0, 1'000'000});
+    const auto unsure = fleet.Ask<ReadBatchJobResponse>(
+        rpc::MessageType::kBatchJobRead, ReadBatchJob{0, taken.batch_job_id, 0, 0, 1'000'000});
     CPPUNIT_ASSERT(!unsure.ok() || unsure->outputs.empty());
     for (int i = 0; i < fillers; ++i) {
       CPPUNIT_ASSERT(storage::CommitAndWait(backup, {{"x" + std::to_string(i), "", true}}).ok());
     }
     CPPUNIT_ASSERT(TurnUntil([&] { return told->ok(); }));
-    CPPUNIT_ASSERT_EQUAL(result.content, Read(&fleet, taken.lot_id, 0).outputs.at(0).content);
+    CPPUNIT_ASSERT_EQUAL(result.content, Read(&fleet, taken.batch_job_id, 0).outputs.at(0).content);
   }
 
  private:
-  static LotSpec Large(int number) {
-    LotSpec spec = Spec("lot" + std::to_string(number), 3);
+  static BatchJobSpec Large(int number) {
+    BatchJobSpec spec = Spec("lot" + std::to_string(number), 3);
     for (ItemSpec& item : spec.items) item.body.assign(10'000, 'b');
     return spec;
   }
-  static CreateStatus Create(Fleet* fleet, const LotSpec& spec) {
-    const auto answer = fleet->Ask<CreateLotAnswer>(rpc::MessageType::kLotCreate,
-                                                    CreateLot{0, fleet->epoch(), spec});
+  static CreateStatus Create(Fleet* fleet, const BatchJobSpec& spec) {
+    const auto answer = fleet->Ask<CreateBatchJobResponse>(rpc::MessageType::kBatchJobCreate,
+                                                           CreateBatchJob{0, fleet->epoch(), spec});
     CPPUNIT_ASSERT_MESSAGE(answer.status().ToString(), answer.ok());
     return answer->status;
   }
   static std::vector<LeasedItem> Take(Fleet* fleet, const std::string& node, int room,
                                       std::int64_t wait_ms) {
-    const auto answer = fleet->Ask<TakeItemsAnswer>(
-        rpc::MessageType::kItemTake, TakeItems{node, 1, 0, {{"route", room}}, wait_ms});
+    const auto answer = fleet->Ask<PullItemsResponse>(
+        rpc::MessageType::kItemPull, PullItems{node, 1, 0, {{"route", room}}, wait_ms});
     CPPUNIT_ASSERT(answer.ok());
     return answer->items;
   }
   static void Tell(Fleet* fleet, const LeasedItem& item, RunOutcome outcome,
                    const std::string& content) {
-    const ItemResult result{item.lot_id, item.item.item_id, item.lease, outcome, content};
+    const ItemResult result{item.batch_job_id, item.item.item_id, item.lease, outcome, content};
     CPPUNIT_ASSERT(fleet->AskBytes(rpc::MessageType::kItemResult, result).ok());
   }
-  static ReadLotAnswer Read(Fleet* fleet, const std::string& lot_id, std::uint64_t start) {
-    const auto answer = fleet->Ask<ReadLotAnswer>(rpc::MessageType::kLotRead,
-                                                  ReadLot{0, lot_id, start, 0, 1'000'000});
+  static ReadBatchJobResponse Read(Fleet* fleet, const std::string& batch_job_id,
+                                   std::uint64_t start) {
+    const auto answer = fleet->Ask<ReadBatchJobResponse>(
+        rpc::MessageType::kBatchJobRead, ReadBatchJob{0, batch_job_id, start, 0, 1'000'000});
     CPPUNIT_ASSERT_MESSAGE(answer.status().ToString(), answer.ok());
     return *answer;
   }
@@ -344,11 +345,11 @@
     Fleet fleet(2);
     fleet.Place(replicas);
     CPPUNIT_ASSERT(!Read(&fleet, "lot", 0).found);
-    const LotSpec spec = Spec("lot", 3);
+    const BatchJobSpec spec = Spec("lot", 3);
     CPPUNIT_ASSERT(CreateStatus::kAccepted == Create(&fleet, spec));
     CPPUNIT_ASSERT(CreateStatus::kAccepted == Create(&fleet, spec));
-    const auto body = fleet.Ask<ReadItemBodyAnswer>(rpc::MessageType::kLotItemBody,
-                                                    ReadItemBody{0, "lot", "lot-1"});
+    const auto body = fleet.Ask<ReadItemBodyResponse>(rpc::MessageType::kItemBody,
+                                                      ReadItemBody{0, "lot", "lot-1"});
     CPPUNIT_ASSERT_EQUAL(spec.items[1].body, body->body);
     const auto taken = Take(&fleet, "n", 8, 100);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, taken.size());
--- a/tests/tier/control/config_api_test.cpp
+++ b/tests/tier/control/config_api_test.cpp
@@ -4,7 +4,7 @@
 
 #include <optional>
 
-#include "tier/control/config_mark.h"
+#include "tier/control/config_change_id.h"
 #include "tier/control/fake_exchange.h"
 #include "tier/control/sample_config.h"
 #include "tier/control/snapshot_store.h"
@@ -30,8 +30,8 @@
   void Commit(const std::string& json) {
     const std::uint64_t revision = map_[kConfigKey].revision + 1;
     const auto version = (*routing::RouteTable::Parse(json))->version();
-    auto [key, page] =
-        coordination::PageWithMark(map_, kConfigKey, revision, ConfigMark(version, json));
+    auto [key, page] = coordination::ChangeHistoryPageWith(map_, kConfigKey, revision,
+                                                           ConfigChangeId(version, json));
     map_[key] = page;
     map_[kConfigKey] = {json, revision};
     ++version_.sequence;
@@ -45,7 +45,7 @@
   void OnChange(std::function<void()> listener) override { seen_.OnChange(std::move(listener)); }
   void Change(ControlChange change, Micros, ChangeDone done) override {
     CPPUNIT_ASSERT_EQUAL(std::string(kConfigKey), change.key);
-    CPPUNIT_ASSERT(change.mark.has_value());
+    CPPUNIT_ASSERT(change.change_id.has_value());
     const std::string& value = change.value;
     ++changes;
     if (fate == ChangeFate::kRacedByOther) Commit(SampleConfig(8, "b"));
@@ -68,17 +68,20 @@
     See();
     done(seen_.current());
   }
-  void ReadMark(const coordination::ChangeMark& mark, Micros timeout, MarkDone done) override {
+  void ReadWithHistory(const coordination::ChangeId& change_id, Micros timeout,
+                       HistoryReadDone done) override {
     StrictRead(timeout, [&](const auto& snapshot) {
       if (!snapshot.ok()) return done(snapshot.status());
-      done(MarkReading{*snapshot, coordination::FindMark(map_, kConfigKey, mark)});
+      done(ChangeHistoryRead{*snapshot,
+                             coordination::FindInChangeHistory(map_, kConfigKey, change_id)});
     });
   }
   // Of an earlier build, which kept no record, and of a record that has gone on without these.
   void ForgetMarks() {
-    std::erase_if(map_, [](const auto& entry) { return coordination::IsMarkKey(entry.first); });
+    std::erase_if(map_,
+                  [](const auto& entry) { return coordination::IsChangeHistoryKey(entry.first); });
   }
-  bool IsDutyHolder() const override { return false; }
+  bool IsSingletonRoleCandidate() const override { return false; }
   const std::map<std::string, coordination::Member>& members() const override { return members_; }
 
   ChangeFate fate = ChangeFate::kOrdinary;
@@ -205,7 +208,7 @@
         {"not JSON", "{", "0", 400},
         {"no body", "", "0", 400},
         {"unknown service", SampleConfig(1, "nobody"), "0", 400},
-        {"too large", std::string(kMostConfigBytes + 1, ' '), "0", 413},
+        {"too large", std::string(kMaxConfigBytes + 1, ' '), "0", 413},
     };
     for (const Case& c : cases) {
       World world;
--- a/tests/tier/control/config_mark_test.cpp
+++ b/tests/tier/control/config_change_id_test.cpp
@@ -1,4 +1,4 @@
-#include "tier/control/config_mark.h"
+#include "tier/control/config_change_id.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -26,9 +26,11 @@
         {R"({"a":{"x":null,"y":true}})", R"({"a":{"y":true,"x":null}})"},
     };
     for (const auto& test : cases) {
-      CPPUNIT_ASSERT_MESSAGE(test.left, ConfigMark(3, test.left) == ConfigMark(3, test.right));
+      CPPUNIT_ASSERT_MESSAGE(test.left,
+                             ConfigChangeId(3, test.left) == ConfigChangeId(3, test.right));
     }
-    CPPUNIT_ASSERT(ConfigMark(4, SampleConfig(4)) == ConfigMark(4, SampleConfig(4) + "\r\n "));
+    CPPUNIT_ASSERT(ConfigChangeId(4, SampleConfig(4)) ==
+                   ConfigChangeId(4, SampleConfig(4) + "\r\n "));
   }
 
   void TestOtherJsonHasAnother() {
@@ -44,9 +46,9 @@
     for (const std::string& left : different) {
       for (const std::string& right : different) {
         CPPUNIT_ASSERT_EQUAL_MESSAGE(left + " " + right, &left == &right,
-                                     ConfigMark(3, left) == ConfigMark(3, right));
+                                     ConfigChangeId(3, left) == ConfigChangeId(3, right));
       }
-      CPPUNIT_ASSERT(ConfigMark(3, left) != ConfigMark(4, left));
+      CPPUNIT_ASSERT(ConfigChangeId(3, left) != ConfigChangeId(4, left));
     }
   }
 };
--- a/tests/tier/control/control_faults_test.cpp
+++ b/tests/tier/control/control_faults_test.cpp
@@ -298,20 +298,20 @@
     for (const int count : {1, 2, 3}) {
       ControlFleet fleet({.members = count, .plain = 1, .tolerance = count - 1});
       fleet.RunFor(5 * kSecond);
-      for (const std::size_t member : fleet.Members()) fleet.node(member).PrepareToLeave();
+      for (const std::size_t member : fleet.Members()) fleet.node(member).PrepareToShutDown();
       fleet.RunFor(2 * kSecond);
       for (const std::size_t member : fleet.Members()) {
-        CPPUNIT_ASSERT(fleet.node(member).MayLeave());
+        CPPUNIT_ASSERT(fleet.node(member).MayShutDown());
       }
-      CPPUNIT_ASSERT(fleet.node(count).MayLeave());  // it holds nothing
+      CPPUNIT_ASSERT(fleet.node(count).MayShutDown());  // it holds nothing
     }
     // One of three leaves: the others go on without it, and it is needed until they do.
     ControlFleet fleet({});
     fleet.RunFor(5 * kSecond);
     const std::size_t head = *fleet.Head();
-    fleet.node(head).PrepareToLeave();
-    CPPUNIT_ASSERT(!fleet.node(head).MayLeave());
-    CPPUNIT_ASSERT(fleet.RunUntil(kSecond, [&] { return fleet.node(head).MayLeave(); }));
+    fleet.node(head).PrepareToShutDown();
+    CPPUNIT_ASSERT(!fleet.node(head).MayShutDown());
+    CPPUNIT_ASSERT(fleet.RunUntil(kSecond, [&] { return fleet.node(head).MayShutDown(); }));
     CPPUNIT_ASSERT(fleet.Head().has_value() && *fleet.Head() != head);
     CPPUNIT_ASSERT(fleet.TakesAnother(kSecond));
   }
--- a/tests/tier/control/control_fleet.cpp
+++ b/tests/tier/control/control_fleet.cpp
@@ -125,10 +125,10 @@
   Machine& machine = *machines_[number];
   if (machine.node != nullptr || machine.gone) return;
   machine.floor = book_.newest();
-  machine.mesh = std::make_unique<VirtualMesh>(&network_, AddressOf(number));
-  machine.node =
-      std::make_unique<ControlNode>(std::make_unique<VirtualTimeSource>(&time_), machine.mesh.get(),
-                                    machine.disk.get(), SettingsOf(machine), ++incarnation_);
+  machine.transport = std::make_unique<VirtualMesh>(&network_, AddressOf(number));
+  machine.node = std::make_unique<ControlNode>(std::make_unique<VirtualTimeSource>(&time_),
+                                               machine.transport.get(), machine.disk.get(),
+                                               SettingsOf(machine), ++incarnation_);
   machine.bootstrap = false;
   machine.api = std::make_unique<ConfigApi>(machine.node.get(), [this] { return time_.now(); });
   machine.router = std::make_unique<ApiRouter>();
@@ -169,7 +169,7 @@
   machine.router.reset();
   machine.api.reset();
   machine.node.reset();
-  machine.mesh.reset();
+  machine.transport.reset();
 }
 
 void ControlFleet::LosePower(std::size_t number) {
@@ -208,8 +208,8 @@
 Micros ControlFleet::LeaveForGood(std::size_t number, Micros grace) {
   constexpr Micros kLeaveTime = 300 * kMs;  // for the word of it to go out
   const Micros begin = time_.now();
-  node(number).PrepareToLeave();
-  RunUntil(grace - kLeaveTime, [&] { return node(number).MayLeave(); });
+  node(number).PrepareToShutDown();
+  RunUntil(grace - kLeaveTime, [&] { return node(number).MayShutDown(); });
   node(number).Leave();
   RunFor(kLeaveTime);
   Stop(number);
@@ -288,7 +288,7 @@
 
 std::optional<std::size_t> ControlFleet::Head() const {
   for (std::size_t i = 0; i < machines_.size(); ++i) {
-    if (machines_[i]->node != nullptr && machines_[i]->node->IsDutyHolder()) return i;
+    if (machines_[i]->node != nullptr && machines_[i]->node->IsSingletonRoleCandidate()) return i;
   }
   return std::nullopt;
 }
--- a/tests/tier/control/control_node_test.cpp
+++ b/tests/tier/control/control_node_test.cpp
@@ -68,7 +68,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("disk0"), self.disk_id);
     CPPUNIT_ASSERT(self.Is(coordination::MemberInfo::kQuorumMember));
     CPPUNIT_ASSERT(!DescribeSelf(quorum, nullptr, 9).Is(coordination::MemberInfo::kQuorumMember));
-    CPPUNIT_ASSERT_EQUAL(AddressOf(1), MeshSeeds(quorum)[1]);
+    CPPUNIT_ASSERT_EQUAL(AddressOf(1), SeedAddresses(quorum)[1]);
   }
 
   void TestChangeReachesAll() {
@@ -100,10 +100,10 @@
     const int head = Head();
     network_->Isolate(AddressOf(head));
     time_->RunFor(1500 * kMs);
-    CPPUNIT_ASSERT(!Node(head).IsDutyHolder());
+    CPPUNIT_ASSERT(!Node(head).IsSingletonRoleCandidate());
     time_->RunFor(15 * kSecond);
     CPPUNIT_ASSERT_EQUAL(1, DutyHolders());
-    CPPUNIT_ASSERT(!Node(head).IsDutyHolder());
+    CPPUNIT_ASSERT(!Node(head).IsSingletonRoleCandidate());
   }
 
   void TestAllRestart() {
@@ -233,9 +233,9 @@
  private:
   Micros TimeToReplace(int lost, int parent, const std::string& json) {
     const Micros begin = time_->now();
-    for (int tries = 0, to = 0; tries < 20; ++to) {
+    for (int attempts = 0, to = 0; attempts < 20; ++to) {
       if (to % kNodes == lost) continue;
-      ++tries;
+      ++attempts;
       ConfigApi api(&Node(to % kNodes), [this] { return time_->now(); });
       ApiRouter router;
       api.Register(&router);
@@ -269,12 +269,12 @@
   }
   int DutyHolders() {
     int holders = 0;
-    for (int i = 0; i < kNodes; ++i) holders += Node(i).IsDutyHolder() ? 1 : 0;
+    for (int i = 0; i < kNodes; ++i) holders += Node(i).IsSingletonRoleCandidate() ? 1 : 0;
     return holders;
   }
   int Head() {
     for (int i = 0; i < kNodes; ++i) {
-      if (Node(i).IsDutyHolder()) return i;
+      if (Node(i).IsSingletonRoleCandidate()) return i;
     }
     CPPUNIT_FAIL("no head");
     return -1;
@@ -288,7 +288,7 @@
   }
   // As the operator does: repeats an unclear change.
   ChangeStatus ChangeUntil(int index, std::uint64_t expected, const std::string& json) {
-    for (int tries = 0; tries < 10; ++tries) {
+    for (int attempts = 0; attempts < 10; ++attempts) {
       const auto outcome = Change(index, expected, json);
       if (outcome->status != ChangeStatus::kUnavailable) return outcome->status;
     }
--- a/tests/tier/control/control_shapes_test.cpp
+++ b/tests/tier/control/control_shapes_test.cpp
@@ -215,7 +215,7 @@
     bounds.contact_ms = 60'000;  // an acknowledgement is due long before
     CPPUNIT_ASSERT_EQUAL(Micros{kSecond}, TimingOf(bounds).suspicion);
     bounds.contact_ms = 1;
-    CPPUNIT_ASSERT(TimingOf(bounds).sign_period >= 50 * kMs);
+    CPPUNIT_ASSERT(TimingOf(bounds).heartbeat_period >= 50 * kMs);
   }
 };
 
--- a/tests/tier/control/operators.cpp
+++ b/tests/tier/control/operators.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Micros kPatience = kSecond;  // for an answer
-constexpr int kMostTries = 25;
+constexpr int kMaxTries = 25;
 
 std::int64_t VersionIn(const std::string& body) {
   rapidjson::Document document;
@@ -54,14 +54,14 @@
     const auto step = static_cast<std::int64_t>(1 + 3 * Share());
     const std::int64_t version = who->known + step;
     who->order = fleet_->book().Add(version, who->known, fleet_->NewBody(version));
-    who->tries = 0;
+    who->attempts = 0;
     return Send(who);
   }
   Pause(who, static_cast<Micros>((50 + 300 * Share()) * kMs));
 }
 
 void Operators::Send(Operator* who) {
-  if (++who->tries > kMostTries) {
+  if (++who->attempts > kMaxTries) {
     who->order = nullptr;
     return Pause(who, kSecond);
   }
@@ -73,10 +73,10 @@
           if (*working) Answered(who, order, status, body);
         });
   }
-  fleet_->time().After(kPatience,
-                       [this, working = working_, who, order = who->order, tries = who->tries] {
-                         if (*working && who->order == order && who->tries == tries) Send(who);
-                       });
+  fleet_->time().After(
+      kPatience, [this, working = working_, who, order = who->order, attempts = who->attempts] {
+        if (*working && who->order == order && who->attempts == attempts) Send(who);
+      });
 }
 
 void Operators::Answered(Operator* who, Order* order, int status, const std::string& body) {
--- a/tests/tier/control/operators.h
+++ b/tests/tier/control/operators.h
@@ -24,7 +24,7 @@
   struct Operator {
     std::int64_t known = 0;  // version that its next order builds on
     Order* order = nullptr;  // under way
-    int tries = 0;
+    int attempts = 0;
   };
   void Pause(Operator* who, Micros span);
   void Act(Operator* who);
