--- a/tests/tier/control/state_poller_test.cpp
+++ b/tests/tier/control/state_poller_test.cpp
@@ -22,9 +22,9 @@
 // A node that only answers polls.
 struct Server {
   Server(VirtualTime* time, VirtualNetwork* network, const std::string& name)
-      : source(time), mesh(network, AddressOf(name)), polls(&source, &mesh, &snapshots) {}
+      : source(time), transport(network, AddressOf(name)), polls(&source, &transport, &snapshots) {}
   VirtualTimeSource source;
-  VirtualMesh mesh;
+  VirtualMesh transport;
   SnapshotStore snapshots;
   PollServer polls;
 };
@@ -61,8 +61,8 @@
     const auto empty = std::make_shared<const coordination::Map>();
     snapshots_.ApplyConfirmed({1, 0}, empty);
     for (auto& server : servers_) server->snapshots.ApplyConfirmed({1, 0}, empty);
-    poller_ = std::make_unique<StatePoller>(&source_, &mesh_, &snapshots_, &directory_);
-    fetch_ = std::make_unique<AnnouncedFetch>(&source_, &mesh_, &snapshots_, &directory_);
+    poller_ = std::make_unique<StatePoller>(&source_, &transport_, &snapshots_, &directory_);
+    fetch_ = std::make_unique<AnnouncedFetch>(&source_, &transport_, &snapshots_, &directory_);
   }
   void tearDown() override {
     poller_.reset();
@@ -77,7 +77,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), HeldTogether());
     time_.RunFor(5 * kPollHold);
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), HeldTogether());
-    CPPUNIT_ASSERT_EQUAL(std::size_t(12), mesh_.calls.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(12), transport_.calls.size());
     for (auto& server : servers_) CPPUNIT_ASSERT(server->polls.held() <= 1);
     for (auto& server : servers_) server->snapshots.Apply({1, 1}, MapWith(4));
     time_.RunFor(2 * VirtualNetwork::kDelay);
@@ -125,10 +125,10 @@
     // Refused calls are not repeated without a pause.
     network_.Heal();
     servers_.clear();
-    mesh_.calls.clear();
+    transport_.calls.clear();
     time_.RunFor(10 * kSecond);
-    CPPUNIT_ASSERT(mesh_.calls.size() > 10);
-    CPPUNIT_ASSERT(mesh_.calls.size() < 150);
+    CPPUNIT_ASSERT(transport_.calls.size() > 10);
+    CPPUNIT_ASSERT(transport_.calls.size() < 150);
   }
 
   void TestNeverGoesBack() {
@@ -165,21 +165,22 @@
     for (const bool hold : {false, true}) {
       const PollRequest request{{}, {}, hold};
       std::optional<StateUpdate> answer;
-      mesh_.Call(AddressOf("n1"), rpc::MessageType::kControlPoll, codec::Encode(request), kSecond,
-                 [&](const auto& bytes) { answer = *codec::Decode<StateUpdate>(*bytes); });
+      transport_.Call(AddressOf("n1"), rpc::MessageType::kControlPoll, codec::Encode(request),
+                      kSecond,
+                      [&](const auto& bytes) { answer = *codec::Decode<StateUpdate>(*bytes); });
       time_.RunFor(10 * kMs);
       CPPUNIT_ASSERT(answer.has_value());
       CPPUNIT_ASSERT(!answer->present);
     }
     // A node that knows nothing has no poll open either, and takes nothing that was announced.
     SnapshotStore ignorant;
-    AnnouncedFetch fetch(&source_, &mesh_, &ignorant, &directory_);
+    AnnouncedFetch fetch(&source_, &transport_, &ignorant, &directory_);
     KnowAll();
     members_["n1"].versions[kAnnouncedName] = Packed({1, 1});
-    mesh_.calls.clear();
+    transport_.calls.clear();
     fetch.MembersChanged({"n1"});
     time_.RunFor(5 * kSecond);
-    CPPUNIT_ASSERT(mesh_.calls.empty());
+    CPPUNIT_ASSERT(transport_.calls.empty());
     CPPUNIT_ASSERT(!ignorant.known());
   }
 
@@ -223,11 +224,11 @@
     members_["n3"].versions[kAnnouncedName] = Packed({1, 7});
     fetch_->MembersChanged({"n3"});
     time_.RunFor(90 * kMs);
-    CPPUNIT_ASSERT(mesh_.calls.empty());
+    CPPUNIT_ASSERT(transport_.calls.empty());
     time_.RunFor(20 * kMs);
     CPPUNIT_ASSERT_EQUAL(std::int64_t(7), snapshots_.current()->routes->version());
     time_.RunFor(10 * kSecond);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), mesh_.calls.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), transport_.calls.size());
   }
 
   void TestFetchesNothingThatCameInTime() {
@@ -237,7 +238,7 @@
     time_.RunFor(50 * kMs);
     snapshots_.Apply({1, 7}, MapWith(7));
     time_.RunFor(10 * kSecond);
-    CPPUNIT_ASSERT(mesh_.calls.empty());
+    CPPUNIT_ASSERT(transport_.calls.empty());
   }
 
  private:
@@ -260,7 +261,7 @@
   VirtualTime time_;
   VirtualNetwork network_{&time_};
   VirtualTimeSource source_{&time_};
-  VirtualMesh mesh_{&network_, AddressOf("n9")};
+  VirtualMesh transport_{&network_, AddressOf("n9")};
   SnapshotStore snapshots_;
   MemberMap members_;
   MemberDirectory directory_{&members_, "n9", {AddressOf("n1"), AddressOf("n2")}};
--- a/tests/tier/control/virtual_world.h
+++ b/tests/tier/control/virtual_world.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "tier/control/time_source.h"
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 #include "tier/storage/table_store.h"
 
 namespace pearreach::control {
@@ -75,7 +75,7 @@
 
 class VirtualNetwork;
 
-class VirtualMesh : public rpc::Mesh {
+class VirtualMesh : public rpc::Transport {
  public:
   struct CallRecord {
     std::string to;
@@ -107,9 +107,9 @@
 
   explicit VirtualNetwork(VirtualTime* time) : time_(time) {}
   VirtualTime* time() const { return time_; }
-  void Join(const std::string& address, VirtualMesh* mesh) { nodes_[address] = mesh; }
-  void Part(const std::string& address, VirtualMesh* mesh) {
-    if (Find(address) == mesh) nodes_.erase(address);
+  void Join(const std::string& address, VirtualMesh* transport) { nodes_[address] = transport; }
+  void Part(const std::string& address, VirtualMesh* transport) {
+    if (Find(address) == transport) nodes_.erase(address);
   }
   VirtualMesh* Find(const std::string& address) const {
     const auto found = nodes_.find(address);
--- a/tests/tier/coordination/chain_cluster.cpp
+++ b/tests/tier/coordination/chain_cluster.cpp
@@ -59,11 +59,11 @@
 
 ChainCluster::ChainCluster(const ClusterOptions& options)
     : options_(options), random_(options.seed) {
-  constexpr std::size_t kMostFounders = 3;
+  constexpr std::size_t kMaxFounders = 3;
   for (int i = 0; i < options.machines; ++i) {
     const std::string name = Add();
     machine(name).bootstrap = true;
-    if (founders_.size() < kMostFounders) founders_.push_back({name, machine(name).disk_id});
+    if (founders_.size() < kMaxFounders) founders_.push_back({name, machine(name).disk_id});
   }
 }
 
--- a/tests/tier/coordination/chain_messages_test.cpp
+++ b/tests/tier/coordination/chain_messages_test.cpp
@@ -17,20 +17,20 @@
   const Proposal proposal{{4, {id, {"n2", "d2"}}}, {3, 9}, SomeMap()};
   return {Append{7, {{"config", {"value", 2}}}},
           CommitNotice{7},
-          Probe{},
+          ViewProbe{},
           ViewNotice{},
-          ViewAsk{{{1, 2}, {3, 4}}},
-          ViewAnswer{proposal, true, {4, 1}},
+          ViewRequest{{{1, 2}, {3, 4}}},
+          ViewResponse{proposal, true, {4, 1}},
           Prepare{{5, id}, {id}, {3, 2}},
           Promise{{5, id}, {3, 3}, SomeMap(), {4, id}, proposal},
-          Refuse{{6, id}},
-          Absent{{5, id}},
+          Reject{{6, id}},
+          AcceptorGone{{5, id}},
           Accept{{5, id}, proposal},
           Accepted{{5, id}},
-          ReadAsk{1, 2, {3, 4}},
-          ConfirmAsk{11},
-          Confirm{11},
-          ReadAnswer{1, 2, {3, 4}, SomeMap()}};
+          ReadRequest{1, 2, {3, 4}},
+          ConfirmRequest{11},
+          ConfirmResponse{11},
+          ReadResponse{1, 2, {3, 4}, SomeMap()}};
 }
 
 class ChainMessagesTest : public CppUnit::TestFixture {
@@ -70,9 +70,9 @@
   }
 
   void AMapMayBeLeftOut() {
-    const auto read = DecodeEnvelope(EncodeEnvelope({{}, ReadAnswer{1, 2, {3, 4}, {}}}));
+    const auto read = DecodeEnvelope(EncodeEnvelope({{}, ReadResponse{1, 2, {3, 4}, {}}}));
     CPPUNIT_ASSERT(read.ok());
-    CPPUNIT_ASSERT(!std::get<ReadAnswer>(read->body).map.map);
+    CPPUNIT_ASSERT(!std::get<ReadResponse>(read->body).map.map);
   }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(ChainMessagesTest);
--- a/tests/tier/coordination/chain_rules_test.cpp
+++ b/tests/tier/coordination/chain_rules_test.cpp
@@ -25,7 +25,7 @@
     const Proposal start{{kEpoch, {Id("a1"), Id("b1"), Id("c1")}},
                          {},
                          {std::make_shared<const Map>(Map{{"config", {"old", 1}}})}};
-    Tell("a1", kEpoch, ViewAnswer{start, false, {kEpoch, 0}});
+    Tell("a1", kEpoch, ViewResponse{start, false, {kEpoch, 0}});
     Tell("a1", kEpoch, Append{0, {}});
     Tell("c1", kEpoch, CommitNotice{0});
   }
@@ -64,7 +64,7 @@
 
  public:
   void AnswersByTheTable() {
-    const Ballot ballot{9, Id("a1")}, lower{1, Id("a1")};
+    const ProposalNumber proposal_number{9, Id("a1")}, lower{1, Id("a1")};
     const std::vector<ReplicaId> members = {Id("a1"), Id("b1"), Id("c1")};
     const std::vector<ReplicaId> other = {Id("a1"), Id("b0"), Id("c1")};
     const Append change{1, {{"config", {"new", 2}}}};
@@ -87,45 +87,49 @@
         {"change after a gap", false, "a1", kEpoch, Append{2, change.changes}, ""},
         {"change that is committed", false, "a1", kEpoch, Append{0, {}}, "a:CommitNotice"},
         {"commit of nothing pending", false, "c1", kEpoch, CommitNotice{1}, ""},
-        {"probe", false, "c1", kEpoch, Probe{}, "c:CommitNotice"},
-        {"probe of the predecessor", false, "a1", kEpoch, Probe{}, ""},
-        {"probe when sealed", true, "c1", kEpoch, Probe{}, ""},
+        {"probe", false, "c1", kEpoch, ViewProbe{}, "c:CommitNotice"},
+        {"probe of the predecessor", false, "a1", kEpoch, ViewProbe{}, ""},
+        {"probe when sealed", true, "c1", kEpoch, ViewProbe{}, ""},
         {"notice", false, "c1", kEpoch + 1, ViewNotice{}, "c:ViewAsk"},
         {"notice of the same", false, "c1", kEpoch, ViewNotice{}, ""},
         {"notice of an older", false, "c1", kEpoch - 1, ViewNotice{}, ""},
-        {"ask", false, "z9", 0, ViewAsk{}, "z:ViewAnswer"},
-        {"ask of the same", false, "c1", kEpoch, ViewAsk{}, ""},
-        {"prepare", false, "a1", kEpoch, Prepare{ballot, members, {}}, "a:Promise"},
-        {"prepare again", true, "a1", kEpoch, Prepare{ballot, members, {}}, "a:Promise"},
+        {"ask", false, "z9", 0, ViewRequest{}, "z:ViewAnswer"},
+        {"ask of the same", false, "c1", kEpoch, ViewRequest{}, ""},
+        {"prepare", false, "a1", kEpoch, Prepare{proposal_number, members, {}}, "a:Promise"},
+        {"prepare again", true, "a1", kEpoch, Prepare{proposal_number, members, {}}, "a:Promise"},
         {"prepare of a lower ballot", true, "a1", kEpoch, Prepare{lower, members, {}}, "a:Refuse"},
-        {"prepare of another view", false, "a1", kEpoch - 1, Prepare{ballot, members, {}},
+        {"prepare of another view", false, "a1", kEpoch - 1, Prepare{proposal_number, members, {}},
          "a:ViewNotice"},
-        {"prepare naming an old disk", false, "a1", kEpoch, Prepare{ballot, other, {}}, "a:Absent"},
-        {"accept", true, "a1", kEpoch, Accept{ballot, next}, "a:Accepted"},
-        {"accept without a prepare", false, "a1", kEpoch, Accept{ballot, next}, "a:Accepted"},
+        {"prepare naming an old disk", false, "a1", kEpoch, Prepare{proposal_number, other, {}},
+         "a:Absent"},
+        {"accept", true, "a1", kEpoch, Accept{proposal_number, next}, "a:Accepted"},
+        {"accept without a prepare", false, "a1", kEpoch, Accept{proposal_number, next},
+         "a:Accepted"},
         {"accept of a lower ballot", true, "a1", kEpoch, Accept{lower, next}, "a:Refuse"},
-        {"accept of a map not held", true, "a1", kEpoch, Accept{ballot, unknown}, ""},
-        {"read elsewhere than the tail", false, "a1", kEpoch, ReadAsk{1, 1, {}}, ""},
-        {"question of the tail", false, "c1", kEpoch, ConfirmAsk{3}, "c:Confirm"},
-        {"question when sealed", true, "c1", kEpoch, ConfirmAsk{3}, ""},
-        {"question of another", false, "a1", kEpoch, ConfirmAsk{3}, ""},
-        {"question of an older view", false, "c1", kEpoch - 1, ConfirmAsk{3}, "c:ViewNotice"},
-        {"promise not asked for", false, "c1", kEpoch, Promise{ballot, {}, {}, {}, {}}, ""},
-        {"accepted not asked for", false, "c1", kEpoch, Accepted{ballot}, ""},
+        {"accept of a map not held", true, "a1", kEpoch, Accept{proposal_number, unknown}, ""},
+        {"read elsewhere than the tail", false, "a1", kEpoch, ReadRequest{1, 1, {}}, ""},
+        {"question of the tail", false, "c1", kEpoch, ConfirmRequest{3}, "c:Confirm"},
+        {"question when sealed", true, "c1", kEpoch, ConfirmRequest{3}, ""},
+        {"question of another", false, "a1", kEpoch, ConfirmRequest{3}, ""},
+        {"question of an older view", false, "c1", kEpoch - 1, ConfirmRequest{3}, "c:ViewNotice"},
+        {"promise not asked for", false, "c1", kEpoch, Promise{proposal_number, {}, {}, {}, {}},
+         ""},
+        {"accepted not asked for", false, "c1", kEpoch, Accepted{proposal_number}, ""},
     };
     for (const auto& test : cases) {
       MiddleMember member;
-      if (test.sealed) member.Tell("a1", kEpoch, Prepare{ballot, members, {}});
+      if (test.sealed) member.Tell("a1", kEpoch, Prepare{proposal_number, members, {}});
       CPPUNIT_ASSERT_EQUAL_MESSAGE(test.what, std::string(test.answers),
                                    member.Tell(test.from, test.epoch, test.body));
     }
     MiddleMember wiped("b2");  // no member, though of a member's name
-    for (const Body& body : {Body{change}, Body{CommitNotice{0}}, Body{Accept{ballot, next}},
-                             Body{ConfirmAsk{3}}, Body{Probe{}}}) {
+    for (const Body& body :
+         {Body{change}, Body{CommitNotice{0}}, Body{Accept{proposal_number, next}},
+          Body{ConfirmRequest{3}}, Body{ViewProbe{}}}) {
       CPPUNIT_ASSERT_EQUAL(std::string(), wiped.Tell("c1", kEpoch, body));
     }
     CPPUNIT_ASSERT_EQUAL(std::string("a:Absent"),
-                         wiped.Tell("a1", kEpoch, Prepare{ballot, members, {}}));
+                         wiped.Tell("a1", kEpoch, Prepare{proposal_number, members, {}}));
   }
 
   void NothingIsToldBeforeItIsSynced() {
--- a/tests/tier/coordination/chain_views_test.cpp
+++ b/tests/tier/coordination/chain_views_test.cpp
@@ -76,7 +76,7 @@
   }
 
   void AnAcceptorKeepsToTheGreatestBallot() {
-    const Ballot low{1, {"a", "1"}}, middle{1, {"b", "1"}}, high{2, {"a", "1"}};
+    const ProposalNumber low{1, {"a", "1"}}, middle{1, {"b", "1"}}, high{2, {"a", "1"}};
     const Proposal proposal{{6, Ids("a1 b1")}, {5, 3}, {std::make_shared<const Map>()}};
     Acceptor acceptor(5, {});
     CPPUNIT_ASSERT(!acceptor.sealed());
@@ -90,28 +90,28 @@
     const Records records = acceptor.Save({5, 3});
     const Acceptor restarted(5, records);
     CPPUNIT_ASSERT(restarted.promised() == high);
-    CPPUNIT_ASSERT(restarted.accepted_ballot() == middle);
+    CPPUNIT_ASSERT(restarted.accepted_number() == middle);
     CPPUNIT_ASSERT_EQUAL(std::string("a1 b1"), Text(restarted.accepted().view.members));
     CPPUNIT_ASSERT(!Acceptor(6, records).sealed());
   }
 
   void AProposerTakesUpWhatWasAccepted() {
     const auto map = std::make_shared<const Map>();
-    const Ballot ballot{3, {"a", "1"}};
+    const ProposalNumber proposal_number{3, {"a", "1"}};
     const Proposal former{{6, Ids("c1")}, {5, 1}, {map}};
-    Proposer proposer(ballot, Ids("a1 b1 c1"), 1, {5, 2}, map);
-    proposer.OnPromise({"a", "2"}, {ballot, {5, 2}, {}, {}, {}});
-    proposer.OnPromise({"a", "1"}, {ballot, {5, 2}, {}, {}, {}});
+    Proposer proposer(proposal_number, Ids("a1 b1 c1"), 1, {5, 2}, map);
+    proposer.OnPromise({"a", "2"}, {proposal_number, {5, 2}, {}, {}, {}});
+    proposer.OnPromise({"a", "1"}, {proposal_number, {5, 2}, {}, {}, {}});
     CPPUNIT_ASSERT(!proposer.MayPropose());
-    proposer.OnPromise({"c", "1"}, {ballot, {5, 1}, {}, {2, {"c", "1"}}, former});
+    proposer.OnPromise({"c", "1"}, {proposal_number, {5, 1}, {}, {2, {"c", "1"}}, former});
     CPPUNIT_ASSERT(proposer.MayPropose());
     proposer.Choose(6, Ids("a1 b1"));
     CPPUNIT_ASSERT_EQUAL(std::string("c1"), Text(proposer.proposal()->view.members));
-    proposer.OnAccepted({"a", "1"}, ballot);
-    proposer.OnAccepted({"b", "2"}, ballot);
+    proposer.OnAccepted({"a", "1"}, proposal_number);
+    proposer.OnAccepted({"b", "2"}, proposal_number);
     proposer.OnAccepted({"b", "1"}, {2, {"a", "1"}});
     CPPUNIT_ASSERT(!proposer.IsDecided());
-    proposer.OnAccepted({"b", "1"}, ballot);
+    proposer.OnAccepted({"b", "1"}, proposal_number);
     CPPUNIT_ASSERT(proposer.IsDecided());
   }
 };
--- a/tests/tier/coordination/change_marks_test.cpp
+++ b/tests/tier/coordination/change_history_test.cpp
@@ -1,5 +1,5 @@
 // The record of a key's changes: what it says of a mark, how much it keeps, and what it costs.
-#include "tier/coordination/change_marks.h"
+#include "tier/coordination/change_history.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -12,25 +12,25 @@
 
 constexpr char kKey[] = "config";
 
-ChangeMark Mark(std::uint64_t number, std::uint64_t digest = 7) { return {number, digest, digest}; }
+ChangeId Mark(std::uint64_t number, std::uint64_t digest = 7) { return {number, digest, digest}; }
 
 // Sets the key with a mark, as a head does.
-void Commit(Map* map, const ChangeMark& mark) {
+void Commit(Map* map, const ChangeId& change_id) {
   const std::uint64_t revision = (*map)[kKey].revision + 1;
-  auto [page_key, page] = PageWithMark(*map, kKey, revision, mark);
+  auto [page_key, page] = ChangeHistoryPageWith(*map, kKey, revision, change_id);
   (*map)[page_key] = page;
   (*map)[kKey].revision = revision;
 }
 
-std::string Text(MarkStanding standing) {
-  switch (standing) {
-    case MarkStanding::kNew:
+std::string Text(ChangeHistoryStatus history_status) {
+  switch (history_status) {
+    case ChangeHistoryStatus::kNew:
       return "new";
-    case MarkStanding::kRecorded:
+    case ChangeHistoryStatus::kRecorded:
       return "recorded";
-    case MarkStanding::kOther:
+    case ChangeHistoryStatus::kOther:
       return "other";
-    case MarkStanding::kForgotten:
+    case ChangeHistoryStatus::kForgotten:
       return "forgotten";
   }
   return "";
@@ -39,7 +39,7 @@
 std::size_t BytesOf(const Map& map) {
   return std::accumulate(
       map.begin(), map.end(), std::size_t{0}, [](std::size_t sum, const auto& e) {
-        return IsMarkKey(e.first) ? sum + e.first.size() + e.second.value.size() : sum;
+        return IsChangeHistoryKey(e.first) ? sum + e.first.size() + e.second.value.size() : sum;
       });
 }
 
@@ -55,11 +55,11 @@
  public:
   void SaysWhatHasBeenRecorded() {
     Map map;
-    CPPUNIT_ASSERT_EQUAL(std::string("new"), Text(FindMark(map, kKey, Mark(5))));
+    CPPUNIT_ASSERT_EQUAL(std::string("new"), Text(FindInChangeHistory(map, kKey, Mark(5))));
     for (const std::uint64_t number : {5, 7, 20}) Commit(&map, Mark(number));
     const struct {
-      ChangeMark mark;
-      std::string standing;
+      ChangeId change_id;
+      std::string history_status;
     } cases[] = {
         {Mark(5), "recorded"}, {Mark(7), "recorded"},  {Mark(20), "recorded"},
         {Mark(7, 8), "other"}, {Mark(20, 8), "other"}, {Mark(6), "other"},
@@ -67,11 +67,11 @@
         {{7, 8, 7}, "other"},
     };
     for (const auto& test : cases) {
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(std::to_string(test.mark.number), test.standing,
-                                   Text(FindMark(map, kKey, test.mark)));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(std::to_string(test.change_id.number), test.history_status,
+                                   Text(FindInChangeHistory(map, kKey, test.change_id)));
     }
-    CPPUNIT_ASSERT(IsMarkKey(map.rbegin()->first));
-    CPPUNIT_ASSERT(!IsMarkKey(kKey));
+    CPPUNIT_ASSERT(IsChangeHistoryKey(map.rbegin()->first));
+    CPPUNIT_ASSERT(!IsChangeHistoryKey(kKey));
   }
 
   // Uneven numbers, three times around: of each state all that must be kept is, and no more.
@@ -79,37 +79,41 @@
     Map map;
     std::vector<std::uint64_t> numbers;
     std::size_t most = 0;
-    for (std::size_t i = 1; i <= 3 * kMostMarks; ++i) {
+    for (std::size_t i = 1; i <= 3 * kMaxRecordedChanges; ++i) {
       numbers.push_back(3 * i + i % 2);
       Commit(&map, Mark(numbers.back()));
       if (i % 1009 != 0) continue;
       most = std::max(most, BytesOf(map));
-      const std::size_t sure = std::min(i, kMostMarks - kMarksPerPage + 1);
+      const std::size_t sure = std::min(i, kMaxRecordedChanges - kChangesPerHistoryPage + 1);
       for (const std::size_t back : {std::size_t{1}, sure / 2 + 1, sure}) {
         const std::uint64_t number = numbers[i - back];
-        CPPUNIT_ASSERT_EQUAL(std::string("recorded"), Text(FindMark(map, kKey, Mark(number))));
-        CPPUNIT_ASSERT_EQUAL(std::string("other"), Text(FindMark(map, kKey, Mark(number, 1))));
-        const std::string between = Text(FindMark(map, kKey, Mark(number - 1)));
+        CPPUNIT_ASSERT_EQUAL(std::string("recorded"),
+                             Text(FindInChangeHistory(map, kKey, Mark(number))));
+        CPPUNIT_ASSERT_EQUAL(std::string("other"),
+                             Text(FindInChangeHistory(map, kKey, Mark(number, 1))));
+        const std::string between = Text(FindInChangeHistory(map, kKey, Mark(number - 1)));
         CPPUNIT_ASSERT(between == "other" || (back == sure && between == "forgotten"));
       }
-      if (i <= kMostMarks) continue;
-      CPPUNIT_ASSERT_EQUAL(std::string("forgotten"),
-                           Text(FindMark(map, kKey, Mark(numbers[i - kMostMarks - 1]))));
-      CPPUNIT_ASSERT_EQUAL(std::string("new"), Text(FindMark(map, kKey, Mark(numbers[i - 1] + 1))));
+      if (i <= kMaxRecordedChanges) continue;
+      CPPUNIT_ASSERT_EQUAL(
+          std::string("forgotten"),
+          Text(FindInChangeHistory(map, kKey, Mark(numbers[i - kMaxRecordedChanges - 1]))));
+      CPPUNIT_ASSERT_EQUAL(std::string("new"),
+                           Text(FindInChangeHistory(map, kKey, Mark(numbers[i - 1] + 1))));
     }
-    CPPUNIT_ASSERT_EQUAL(kMarkPages + 1, map.size());
-    CPPUNIT_ASSERT(most < kMostMarks * 25);
+    CPPUNIT_ASSERT_EQUAL(kChangeHistoryPages + 1, map.size());
+    CPPUNIT_ASSERT(most < kMaxRecordedChanges * 25);
   }
 
   void GoesOnAfterAnUnmarkedChange() {
     Map map;
     for (const std::uint64_t number : {1, 2, 3}) Commit(&map, Mark(number));
     ++map[kKey].revision;
-    CPPUNIT_ASSERT_EQUAL(std::string("forgotten"), Text(FindMark(map, kKey, Mark(2))));
+    CPPUNIT_ASSERT_EQUAL(std::string("forgotten"), Text(FindInChangeHistory(map, kKey, Mark(2))));
     Commit(&map, Mark(9));
-    CPPUNIT_ASSERT_EQUAL(std::string("recorded"), Text(FindMark(map, kKey, Mark(9))));
-    CPPUNIT_ASSERT_EQUAL(std::string("forgotten"), Text(FindMark(map, kKey, Mark(2))));
-    CPPUNIT_ASSERT_EQUAL(std::string("new"), Text(FindMark(map, kKey, Mark(10))));
+    CPPUNIT_ASSERT_EQUAL(std::string("recorded"), Text(FindInChangeHistory(map, kKey, Mark(9))));
+    CPPUNIT_ASSERT_EQUAL(std::string("forgotten"), Text(FindInChangeHistory(map, kKey, Mark(2))));
+    CPPUNIT_ASSERT_EQUAL(std::string("new"), Text(FindInChangeHistory(map, kKey, Mark(10))));
   }
 
   // Whoever has the change has its mark, whatever is lost in between.
@@ -146,8 +150,9 @@
         if (entry == map->end()) continue;
         const std::string& value = entry->second.value;
         const std::uint64_t turn = std::stoull(value.substr(value.find('.') + 1));
-        CPPUNIT_ASSERT_EQUAL(std::string("recorded"),
-                             Text(FindMark(*map, kKey, Mark(entry->second.revision, turn))));
+        CPPUNIT_ASSERT_EQUAL(
+            std::string("recorded"),
+            Text(FindInChangeHistory(*map, kKey, Mark(entry->second.revision, turn))));
         ++checked;
       }
       CPPUNIT_ASSERT(checked > 5);
@@ -176,7 +181,7 @@
       const auto map = cluster.machine(name).replica->committed();
       for (std::uint64_t revision = 0; revision < 200; ++revision) {
         CPPUNIT_ASSERT_EQUAL(std::string("recorded"),
-                             Text(FindMark(*map, kKey, Mark(revision + 1, revision))));
+                             Text(FindInChangeHistory(*map, kKey, Mark(revision + 1, revision))));
       }
     }
   }
--- a/tests/tier/coordination/duty_test.cpp
+++ b/tests/tier/coordination/singleton_role_test.cpp
@@ -1,7 +1,7 @@
 // A duty under an epoch: the rules of a holder alone, and days on which nodes are wrong about who
 // is the first live one, frozen, cut off or killed. Checked: an epoch has one doer, and none acts
 // below the greatest epoch that the control state has seen.
-#include "tier/coordination/duty.h"
+#include "tier/coordination/singleton_role.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -38,7 +38,7 @@
 
   // The holder by the newest map that anybody has: node, or nothing.
   std::string Holder() const {
-    const DutyRecord record = Newest();
+    const SingletonRoleRecord record = Newest();
     return record.holder.substr(0, record.holder.find('#'));
   }
   std::uint64_t Epoch() const { return Newest().epoch; }
@@ -79,11 +79,11 @@
     return options;
   }
 
-  DutyRecord Newest() const {
+  SingletonRoleRecord Newest() const {
     if (cluster_.maps().empty()) return {};
     return RecordOf(*cluster_.maps().rbegin()->second);
   }
-  static DutyRecord RecordOf(const Map& map) {
+  static SingletonRoleRecord RecordOf(const Map& map) {
     const auto found = map.find(kDutyKey);
     if (found == map.end()) return {};
     const std::string& value = found->second.value;  // "HOLDER CLAIM"
@@ -114,12 +114,12 @@
     return node;
   }
 
-  Duty& DutyOf(const std::string& node) {
+  SingletonRole& DutyOf(const std::string& node) {
     const std::uint64_t life = cluster_.machine(node).life;
     auto& [known, duty] = duties_[node];
     if (duty == nullptr || known != life) {
       known = life;
-      duty = std::make_unique<Duty>(node + "#" + std::to_string(life), kPause);
+      duty = std::make_unique<SingletonRole>(node + "#" + std::to_string(life), kPause);
     }
     return *duty;
   }
@@ -129,7 +129,7 @@
     cluster_.At(cluster_.now() + Between(20, 60) * kMillisecond, [this, node] { Turn(node); });
     ChainCluster::Machine& machine = cluster_.machine(node);
     if (!machine.up() || machine.frozen || machine.gone) return;
-    Duty& duty = DutyOf(node);
+    SingletonRole& duty = DutyOf(node);
     const auto map = machine.replica->committed();
     if (map) duty.Observe(RecordOf(*map));
     duty.SetFirst(first(node) == node);
@@ -179,7 +179,7 @@
   }
 
   ChainCluster cluster_;
-  std::map<std::string, std::pair<std::uint64_t, std::unique_ptr<Duty>>> duties_;
+  std::map<std::string, std::pair<std::uint64_t, std::unique_ptr<SingletonRole>>> duties_;
   std::uint64_t actions_ = 0, claims_ = 0;
 };
 
@@ -205,7 +205,7 @@
 
  public:
   void TakesADutyThatNobodyHolds() {
-    Duty duty("a#1", kPause);
+    SingletonRole duty("a#1", kPause);
     CPPUNIT_ASSERT(!duty.NextClaim(0));
     duty.SetFirst(true);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, duty.NextClaim(0).value());
@@ -216,7 +216,7 @@
   }
 
   void ActsOnlyWhileFirstAndNewest() {
-    Duty duty("a#2", kPause);
+    SingletonRole duty("a#2", kPause);
     duty.SetFirst(true);
     duty.Observe({4, "a#1"});  // an earlier process of this node
     CPPUNIT_ASSERT(!duty.acting());
@@ -234,7 +234,7 @@
   }
 
   void AnUnclearClaimShowsInTheRecord() {
-    Duty duty("a#1", kPause);
+    SingletonRole duty("a#1", kPause);
     duty.SetFirst(true);
     duty.NextClaim(0);
     duty.ClaimEnded(ChangeStatus::kUnavailable, 0);
@@ -244,7 +244,7 @@
   }
 
   void ClaimsAreSpaced() {
-    Duty duty("a#1", kPause);
+    SingletonRole duty("a#1", kPause);
     duty.SetFirst(true);
     CPPUNIT_ASSERT(duty.NextClaim(0));
     CPPUNIT_ASSERT(!duty.NextClaim(kPause));  // still under way
--- a/tests/tier/gateway/doubles.h
+++ b/tests/tier/gateway/doubles.h
@@ -15,7 +15,7 @@
 #include "common/event_loop/io.h"
 #include "tier/control/control_client.h"
 #include "tier/http_server/exchange.h"
-#include "tier/proxy/job.h"
+#include "tier/proxy/request.h"
 #include "tier/routing/route_table.h"
 
 namespace pearreach::gateway {
@@ -86,9 +86,9 @@
   std::function<void()> closed_, drained_;
 };
 
-class HeldRunner final : public proxy::JobRunner {
+class HeldRunner final : public proxy::RequestRunner {
  public:
-  std::uint64_t Submit(proxy::JobSpec spec, std::shared_ptr<proxy::JobSink> sink) override {
+  std::uint64_t Submit(proxy::RequestSpec spec, std::shared_ptr<proxy::RequestSink> sink) override {
     specs.push_back(std::move(spec));
     if (at_once) {
       at_once(*sink);
@@ -104,20 +104,20 @@
   void Resume(std::uint64_t job) override { resumed.push_back(job); }
   int BulkRoom(const std::string&) const override { return 0; }
 
-  std::shared_ptr<proxy::JobSink> sink() const { return sinks.at(specs.size()); }
-  void End(proxy::JobEnd end, Micros retry_after = 0) {
+  std::shared_ptr<proxy::RequestSink> sink() const { return sinks.at(specs.size()); }
+  void End(proxy::RequestEnd end, Micros retry_after = 0) {
     const auto ended = sink();
     sinks.erase(specs.size());
-    proxy::JobResult result;
+    proxy::RequestResult result;
     result.end = end;
     result.retry_after = retry_after;
     ended->OnEnd(result);
   }
 
-  std::vector<proxy::JobSpec> specs;
-  std::map<std::uint64_t, std::shared_ptr<proxy::JobSink>> sinks;
+  std::vector<proxy::RequestSpec> specs;
+  std::map<std::uint64_t, std::shared_ptr<proxy::RequestSink>> sinks;
   std::vector<std::uint64_t> cancelled, resumed;
-  std::function<void(proxy::JobSink&)> at_once;
+  std::function<void(proxy::RequestSink&)> at_once;
 };
 
 class FixedControl final : public control::ControlClient {
@@ -139,7 +139,7 @@
   }
   void Change(control::ControlChange, Micros, ChangeDone) override {}
   void StrictRead(Micros, ReadDone) override {}
-  bool IsDutyHolder() const override { return false; }
+  bool IsSingletonRoleCandidate() const override { return false; }
   const std::map<std::string, coordination::Member>& members() const override { return members_; }
 
  private:
--- a/tests/tier/gateway/gateway_test.cpp
+++ b/tests/tier/gateway/gateway_test.cpp
@@ -171,7 +171,7 @@
   void LotCallsByTable() {
     const struct {
       const char *method, *target;
-      bool lot;
+      bool batch_job;
     } kCases[] = {
         {"GET", "/lots/1?start_after=3", true},
         {"DELETE", "/lots/1", true},
@@ -185,24 +185,24 @@
         {"GET", "/lots?/lots/1", false},
     };
     for (const auto& c : kCases)
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(c.target, c.lot, IsLotCall(c.method, c.target));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(c.target, c.batch_job, IsBatchJobCall(c.method, c.target));
   }
 
   void MapsEndsBeforeTheHead() {
     const struct {
-      proxy::JobEnd end;
+      proxy::RequestEnd end;
       Micros retry_after;
       int status;
       const char* retry;
     } kCases[] = {
-        {proxy::JobEnd::kNotRun, 350 * kMs, 503, "0.35"},
-        {proxy::JobEnd::kNotRun, 1 * kMs, 503, "0.01"},
-        {proxy::JobEnd::kNotRun, 2070 * kMs, 503, "2.07"},
-        {proxy::JobEnd::kNotRun, 0, 503, "0.25"},
-        {proxy::JobEnd::kTimeout, 0, 504, ""},
-        {proxy::JobEnd::kFailed, 0, 502, ""},
-        {proxy::JobEnd::kBroken, 0, 502, ""},
-        {proxy::JobEnd::kComplete, 0, 502, ""},
+        {proxy::RequestEnd::kNotRun, 350 * kMs, 503, "0.35"},
+        {proxy::RequestEnd::kNotRun, 1 * kMs, 503, "0.01"},
+        {proxy::RequestEnd::kNotRun, 2070 * kMs, 503, "2.07"},
+        {proxy::RequestEnd::kNotRun, 0, 503, "0.25"},
+        {proxy::RequestEnd::kTimeout, 0, 504, ""},
+        {proxy::RequestEnd::kFailed, 0, 502, ""},
+        {proxy::RequestEnd::kBroken, 0, 502, ""},
+        {proxy::RequestEnd::kComplete, 0, 502, ""},
     };
     for (const char* target : {"/p/x", "/e/x"}) {
       for (const auto& c : kCases) {
@@ -220,18 +220,18 @@
   void MapsEndsAfterTheHead() {
     const struct {
       const char* target;
-      proxy::JobEnd end;
+      proxy::RequestEnd end;
       int status;
       bool aborted;
     } kCases[] = {
-        {"/p/x", proxy::JobEnd::kComplete, 200, false},
-        {"/p/x", proxy::JobEnd::kBroken, 502, false},
-        {"/p/x", proxy::JobEnd::kFailed, 502, false},
-        {"/p/x", proxy::JobEnd::kTimeout, 504, false},
-        {"/e/x", proxy::JobEnd::kComplete, 200, false},
-        {"/e/x", proxy::JobEnd::kBroken, 200, true},
-        {"/e/x", proxy::JobEnd::kFailed, 200, true},
-        {"/e/x", proxy::JobEnd::kTimeout, 200, true},
+        {"/p/x", proxy::RequestEnd::kComplete, 200, false},
+        {"/p/x", proxy::RequestEnd::kBroken, 502, false},
+        {"/p/x", proxy::RequestEnd::kFailed, 502, false},
+        {"/p/x", proxy::RequestEnd::kTimeout, 504, false},
+        {"/e/x", proxy::RequestEnd::kComplete, 200, false},
+        {"/e/x", proxy::RequestEnd::kBroken, 200, true},
+        {"/e/x", proxy::RequestEnd::kFailed, 200, true},
+        {"/e/x", proxy::RequestEnd::kTimeout, 200, true},
     };
     for (const auto& c : kCases) {
       const auto exchange = Handle(Request("POST", c.target));
@@ -256,7 +256,7 @@
       runner_->sink()->OnHead(c.worker, {{"X-Attempt-Id", "77aa"}, {"Retry-After", "1"}});
       runner_->sink()->OnBody("bytes");
       CPPUNIT_ASSERT(!exchange->done);
-      runner_->End(proxy::JobEnd::kComplete);
+      runner_->End(proxy::RequestEnd::kComplete);
       CPPUNIT_ASSERT_EQUAL(c.client, exchange->status);
       CPPUNIT_ASSERT_EQUAL(c.worker == c.client, exchange->body == "bytes");
       CPPUNIT_ASSERT_EQUAL(std::string("77aa"), exchange->Header("X-Attempt-Id"));
@@ -276,7 +276,7 @@
     exchange->Drain();
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runner_->resumed.size());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{runner_->specs.size()}, runner_->resumed.back());
-    runner_->End(proxy::JobEnd::kComplete);
+    runner_->End(proxy::RequestEnd::kComplete);
     CPPUNIT_ASSERT(exchange->finished);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, sink->backlog());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, gateway_->outcomes().complete);
@@ -287,16 +287,16 @@
     runner_->sink()->OnHead(500, {});
     runner_->sink()->OnBody("why");
     CPPUNIT_ASSERT_EQUAL(0, exchange->status);
-    runner_->End(proxy::JobEnd::kComplete);
+    runner_->End(proxy::RequestEnd::kComplete);
     CPPUNIT_ASSERT_EQUAL(500, exchange->status);
     CPPUNIT_ASSERT_EQUAL(std::string("why"), exchange->body);
     CPPUNIT_ASSERT(!exchange->streaming);
   }
 
   void EndsInsideSubmit() {
-    runner_->at_once = [](proxy::JobSink& sink) {
-      proxy::JobResult result;
-      result.end = proxy::JobEnd::kNotRun;
+    runner_->at_once = [](proxy::RequestSink& sink) {
+      proxy::RequestResult result;
+      result.end = proxy::RequestEnd::kNotRun;
       sink.OnEnd(result);
     };
     const auto exchange = Handle(Request("POST", "/p/x"));
@@ -354,7 +354,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("lot"), handed_);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runner_->specs.size());
     runner_->sink()->OnHead(200, {});
-    runner_->End(proxy::JobEnd::kComplete);
+    runner_->End(proxy::RequestEnd::kComplete);
     CPPUNIT_ASSERT_EQUAL(200, before->status);
   }
 
--- a/tests/tier/golden/golden_test.cpp
+++ b/tests/tier/golden/golden_test.cpp
@@ -7,9 +7,9 @@
 #include <iterator>
 
 #include "golden_file.h"
-#include "tier/batch/lot_state.h"
+#include "tier/batch/batch_job_state.h"
 #include "tier/batch/store_simulation.h"
-#include "tier/coordination/change_marks.h"
+#include "tier/coordination/change_history.h"
 #include "tier/coordination/view_agreement.h"
 
 namespace pearreach::golden {
@@ -135,16 +135,16 @@
     const auto records = RecordsIn(ReadRows(kRecords), "marks.2");
     coordination::Map map{{"config", {"{}", 2}}};
     for (const auto& [key, value] : records) {
-      CPPUNIT_ASSERT(coordination::IsMarkKey(key));
+      CPPUNIT_ASSERT(coordination::IsChangeHistoryKey(key));
       map[key] = {value, 2};
     }
-    const auto standing = [&](const coordination::ChangeMark& mark) {
-      return coordination::FindMark(map, "config", mark);
+    const auto history_status = [&](const coordination::ChangeId& change_id) {
+      return coordination::FindInChangeHistory(map, "config", change_id);
     };
-    CPPUNIT_ASSERT(standing({101, 201, 301}) == coordination::MarkStanding::kRecorded);
-    CPPUNIT_ASSERT(standing({102, 202, 302}) == coordination::MarkStanding::kRecorded);
-    CPPUNIT_ASSERT(standing({102, 302, 202}) == coordination::MarkStanding::kOther);
-    CPPUNIT_ASSERT(standing({103, 203, 303}) == coordination::MarkStanding::kNew);
+    CPPUNIT_ASSERT(history_status({101, 201, 301}) == coordination::ChangeHistoryStatus::kRecorded);
+    CPPUNIT_ASSERT(history_status({102, 202, 302}) == coordination::ChangeHistoryStatus::kRecorded);
+    CPPUNIT_ASSERT(history_status({102, 302, 202}) == coordination::ChangeHistoryStatus::kOther);
+    CPPUNIT_ASSERT(history_status({103, 203, 303}) == coordination::ChangeHistoryStatus::kNew);
   }
 
   void ALotsRecordsAreRead() {
@@ -159,7 +159,7 @@
                     {rows.at(prefix + ".1.key"), rows.at(prefix + ".1.value"), false}});
       }
     }
-    batch::LotTable table(batch::PartitionOf("lot-1"));
+    batch::BatchJobTable table(batch::PartitionOf("lot-1"));
     table.Load(disk);
     CPPUNIT_ASSERT(table.Find("lot-1") != nullptr);
     CheckHeader(table.Find("lot-1")->header);
@@ -176,19 +176,19 @@
   }
 
   static void CheckAcceptor(const chain::Acceptor& acceptor) {
-    CPPUNIT_ASSERT((acceptor.promised() == chain::Ballot{12, {"n2", "d2"}}));
-    CPPUNIT_ASSERT((acceptor.accepted_ballot() == chain::Ballot{11, {"n1", "d1"}}));
+    CPPUNIT_ASSERT((acceptor.promised() == chain::ProposalNumber{12, {"n2", "d2"}}));
+    CPPUNIT_ASSERT((acceptor.accepted_number() == chain::ProposalNumber{11, {"n1", "d1"}}));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{42}, acceptor.accepted().view.epoch);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, acceptor.accepted().view.members.size());
     CPPUNIT_ASSERT((acceptor.accepted().base == coordination::Version{41, 5}));
   }
 
-  static void CheckHeader(const batch::LotHeader& header) {
+  static void CheckHeader(const batch::BatchJobHeader& header) {
     CPPUNIT_ASSERT_EQUAL(std::string("route"), header.route);
     CPPUNIT_ASSERT_EQUAL(std::string("host.example"), header.host);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{101}, header.fingerprint);
     CPPUNIT_ASSERT_EQUAL(102.5, header.token_cap);
-    CPPUNIT_ASSERT_EQUAL(4, header.tries);
+    CPPUNIT_ASSERT_EQUAL(4, header.attempts);
     CPPUNIT_ASSERT_EQUAL(105.5, header.due_ms);
     CPPUNIT_ASSERT_EQUAL(106.75, header.retain_s);
     CPPUNIT_ASSERT_EQUAL(107.125, header.status_s);
@@ -198,12 +198,12 @@
     CPPUNIT_ASSERT_EQUAL(3.5, header.items[2].tokens);
   }
 
-  static void CheckProgress(const batch::Lot& lot) {
-    CPPUNIT_ASSERT(lot.ended);
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, lot.results);
-    CPPUNIT_ASSERT(!lot.items[0].done && lot.items[1].done && !lot.items[2].done);
+  static void CheckProgress(const batch::BatchJob& batch_job) {
+    CPPUNIT_ASSERT(batch_job.ended);
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, batch_job.results);
+    CPPUNIT_ASSERT(!batch_job.items[0].done && batch_job.items[1].done && !batch_job.items[2].done);
     const std::vector<std::uint64_t> leases{0x1112131415161718, 0x2122232425262728};
-    CPPUNIT_ASSERT(lot.items[2].failed_leases == leases);
+    CPPUNIT_ASSERT(batch_job.items[2].failed_leases == leases);
   }
 
   static void CheckReservation(const batch::QuotaReservation& reservation) {
--- a/tests/tier/golden/samples_batch.cpp
+++ b/tests/tier/golden/samples_batch.cpp
@@ -16,7 +16,7 @@
       id, "/path/" + id, {{"x-head", "1"}, {"x-tail", "2"}}, std::string("a\0b", 3) + id, tokens};
 }
 
-LotSpec SomeLot() {
+BatchJobSpec SomeLot() {
   return {"lot",
           "route",
           "host",
@@ -55,31 +55,31 @@
       Coded("batch.placement_table", SomePlacement()),
       Coded("batch.item_spec", SomeItem("i1", 1.5)),
       Coded("batch.lot_spec", SomeLot()),
-      Coded("batch.create_lot", CreateLot{1, 2, SomeLot()}),
-      Coded("batch.create_lot_answer", CreateLotAnswer{CreateStatus::kOverQuota, 3}),
-      Coded("batch.offer_lot", OfferLot{4, "lot", 5}),
-      Coded("batch.offer_lot_answer", OfferLotAnswer{OfferVerdict::kNoRoom}),
+      Coded("batch.create_lot", CreateBatchJob{1, 2, SomeLot()}),
+      Coded("batch.create_lot_answer", CreateBatchJobResponse{CreateStatus::kOverQuota, 3}),
+      Coded("batch.offer_lot", OfferBatchJob{4, "lot", 5}),
+      Coded("batch.offer_lot_answer", OfferBatchJobResponse{OfferVerdict::kNoRoom}),
       Coded("batch.item_output", ItemOutput{"i1", ItemPhase::kAbandoned, "content"}),
-      Coded("batch.read_lot", ReadLot{6, "lot", 7, 8, 9}),
+      Coded("batch.read_lot", ReadBatchJob{6, "lot", 7, 8, 9}),
       Coded(
           "batch.read_lot_answer",
-          ReadLotAnswer{
+          ReadBatchJobResponse{
               true, 10, {{"i1", ItemPhase::kAbandoned, "c1"}, {"i2", ItemPhase::kComplete, "c"}}}),
       Coded("batch.read_item_body", ReadItemBody{11, "lot", "i1"}),
-      Coded("batch.read_item_body_answer", ReadItemBodyAnswer{true, std::string("b\0dy", 4)}),
-      Coded("batch.cancel_lot", CancelLot{12, "lot"}),
-      Coded("batch.cancel_lot_answer", CancelLotAnswer{true}),
+      Coded("batch.read_item_body_answer", ReadItemBodyResponse{true, std::string("b\0dy", 4)}),
+      Coded("batch.cancel_lot", CancelBatchJob{12, "lot"}),
+      Coded("batch.cancel_lot_answer", CancelBatchJobResponse{true}),
   };
 }
 
 Samples LeaseSamples() {
   return {
-      Coded("batch.take_items", TakeItems{"node", 13, 14, {{"r1", 15}, {"r2", 16}}, 17}),
+      Coded("batch.take_items", PullItems{"node", 13, 14, {{"r1", 15}, {"r2", 16}}, 17}),
       Coded("batch.leased_item", SomeLeased()),
-      Coded("batch.take_items_answer", TakeItemsAnswer{{SomeLeased()}}),
+      Coded("batch.take_items_answer", PullItemsResponse{{SomeLeased()}}),
       Coded("batch.item_result", ItemResult{"lot", "i1", 18, RunOutcome::kImpossible, "content"}),
       Coded("batch.renew_leases", RenewLeases{"node", 19, {{"lot", "i1"}, {"lot2", "i2"}}}),
-      Coded("batch.renew_leases_answer", RenewLeasesAnswer{{{"lot", "i1"}}}),
+      Coded("batch.renew_leases_answer", RenewLeasesResponse{{{"lot", "i1"}}}),
       Coded("batch.store_status",
             StoreStatus{{"s1", "d1"}, {{20, 21}, {22, 23}}, {{"s2", "d2"}, {"s3", "d3"}}}),
       Coded("batch.relayed_call", RelayedCall{{"s1", "d1"}, 24, "body", 25}),
@@ -98,10 +98,10 @@
   QuotaReport report{"route", 85, 86, true, {{87, 88}, {89, 90}}, {{"lot", 91.5}}, {"asked"}};
   return {
       Coded("quota.reservation", SomeReservation()),
-      Coded("quota.reserve", QuotaReserve{"lot", SomeReservation(), 92.5}),
-      Coded("quota.question", QuotaQuestion{"route", "lot", 93.5, 94.5}),
-      Coded("quota.reserve_answer", QuotaReserveAnswer{QuotaVerdict::kOver, 95}),
-      Coded("quota.lot_tokens", LotTokens{"lot", 96.5}),
+      Coded("quota.reserve", QuotaReserveRequest{"lot", SomeReservation(), 92.5}),
+      Coded("quota.question", QuotaQuery{"route", "lot", 93.5, 94.5}),
+      Coded("quota.reserve_answer", QuotaResponse{QuotaDecision::kOver, 95}),
+      Coded("quota.lot_tokens", BatchJobTokens{"lot", 96.5}),
       Coded("quota.report", report),
   };
 }
@@ -112,11 +112,11 @@
       Coded("replication.operation", SomeOperation()),
       Coded("replication.replicate", Replicate{SomeScope(), 77, true, false, {SomeOperation()}}),
       Coded("replication.replicate.begin", Replicate{SomeScope(), 78, false, true, {}}),
-      Coded("replication.replicate_answer", ReplicateAnswer{ReplicaVerdict::kStale, 79}),
+      Coded("replication.replicate_answer", ReplicateResponse{ReplicaVerdict::kStale, 79}),
       Coded("replication.repair_digest",
             RepairDigest{SomeScope(), {1, 2}, {3, 4}, {{"lot", 5}, {"lot2", 6}}}),
       Coded("replication.repair_digest_answer",
-            RepairDigestAnswer{ReplicaVerdict::kBehind, {7, 8}, {"wanted"}, {"surplus", "more"}}),
+            RepairDigestResponse{ReplicaVerdict::kBehind, {7, 8}, {"wanted"}, {"surplus", "more"}}),
   };
 }
 
--- a/tests/tier/golden/samples_control.cpp
+++ b/tests/tier/golden/samples_control.cpp
@@ -9,8 +9,8 @@
 using control::DiskUse;
 
 control::WriteRequest SomeWrite() {
-  const coordination::ChangeMark mark{31, 32, 33};
-  return {{"config", 34, "new value", {"fence-key", 35}, mark}, 36, 37};
+  const coordination::ChangeId change_id{31, 32, 33};
+  return {{"config", 34, "new value", {"fence-key", 35}, change_id}, 36, 37};
 }
 
 registry::WorkerUpdate SomeUpdate() {
@@ -33,27 +33,29 @@
 Samples ControlSamples() {
   using namespace control;
   const Revisions revisions{{"config", 5}, {"stores", 6}};
-  const coordination::ChangeMark mark{7, 8, 9};
+  const coordination::ChangeId change_id{7, 8, 9};
   return {
       Coded("control.poll_request", PollRequest{{3, 4}, revisions, false}),
-      Coded("control.read_request", ReadRequest{revisions, 1500, mark, true}),
+      Coded("control.read_request", ReadRequest{revisions, 1500, change_id, true}),
       Coded("control.read_request.no_mark", ReadRequest{revisions, 1500, std::nullopt, true}),
       Coded("control.state_entry", StateEntry{"key", "value", 18}),
       Coded("control.state_update", StateUpdate{true,
                                                 {10, 11},
                                                 {{"config", "{}", 12}, {"stores", "s", 13}},
-                                                coordination::MarkStanding::kOther}),
+                                                coordination::ChangeHistoryStatus::kOther}),
       Coded("control.write_request", SomeWrite()),
-      Coded("control.write_answer", WriteAnswer{4, 14, "hint"}),
+      Coded("control.write_answer", WriteResponse{4, 14, "hint"}),
       // Of two flags side by side one is set at a time, so that they cannot change places.
       Coded("control.chain_envelope.sign",
             ChainEnvelope{"from", "bytes", true, false, "disk", DiskUse{15, 16, 17}}),
       Coded("control.chain_envelope.leaving",
             ChainEnvelope{"from", "bytes", false, true, "disk", DiskUse{15, 16, 17}}),
       Coded("control.sign_answer.leaving",
-            SignAnswer{"name", {"a", "b"}, true, 19, false, "disk", {20, 21, 22}, {23, 24, 25}}),
+            HeartbeatResponse{
+                "name", {"a", "b"}, true, 19, false, "disk", {20, 21, 22}, {23, 24, 25}}),
       Coded("control.sign_answer.agreeing",
-            SignAnswer{"name", {"a", "b"}, false, 19, true, "disk", {20, 21, 22}, {23, 24, 25}}),
+            HeartbeatResponse{
+                "name", {"a", "b"}, false, 19, true, "disk", {20, 21, 22}, {23, 24, 25}}),
   };
 }
 
@@ -65,12 +67,12 @@
       Coded("registry.worker_record", SomeUpdate().items[0].record),
       Coded("registry.worker_update", SomeUpdate()),
       Coded("registry.spread_request", SpreadRequest{"first", "last", 250, true, "update"}),
-      Coded("registry.spread_answer", SpreadAnswer{{11, 12}}),
+      Coded("registry.spread_answer", SpreadResponse{{11, 12}}),
       Coded("registry.digest_entry", DigestEntry{13, 14}),
       Coded("registry.digest_request", DigestRequest{15}),
-      Coded("registry.digest_answer", DigestAnswer{{16, 17}}),
+      Coded("registry.digest_answer", DigestResponse{{16, 17}}),
       Coded("registry.repair_request", repair),
-      Coded("registry.repair_answer", RepairAnswer{SomeUpdate(), {18, 19}, true}),
+      Coded("registry.repair_answer", RepairResponse{SomeUpdate(), {18, 19}, true}),
   };
 }
 
--- a/tests/tier/golden/samples_coordination.cpp
+++ b/tests/tier/golden/samples_coordination.cpp
@@ -35,20 +35,20 @@
   return {{
       {"append", chain::Append{7, {{"config", {"value", 2}}, {"stores", {"other", 5}}}}},
       {"commit_notice", chain::CommitNotice{8}},
-      {"probe", chain::Probe{}},
+      {"probe", chain::ViewProbe{}},
       {"view_notice", chain::ViewNotice{}},
-      {"view_ask", chain::ViewAsk{{{1, 2}, {3, 4}}}},
-      {"view_answer", chain::ViewAnswer{SomeProposal(), true, {41, 6}}},
+      {"view_ask", chain::ViewRequest{{{1, 2}, {3, 4}}}},
+      {"view_answer", chain::ViewResponse{SomeProposal(), true, {41, 6}}},
       {"prepare", chain::Prepare{{5, first}, {first, second}, {3, 2}}},
       {"promise", chain::Promise{{6, first}, {3, 9}, SomeMap(), {4, second}, SomeProposal()}},
-      {"refuse", chain::Refuse{{10, second}}},
-      {"absent", chain::Absent{{11, first}}},
+      {"refuse", chain::Reject{{10, second}}},
+      {"absent", chain::AcceptorGone{{11, first}}},
       {"accept", chain::Accept{{12, second}, SomeProposal()}},
       {"accepted", chain::Accepted{{13, first}}},
-      {"read_ask", chain::ReadAsk{14, 15, {16, 17}}},
-      {"confirm_ask", chain::ConfirmAsk{18}},
-      {"confirm", chain::Confirm{19}},
-      {"read_answer", chain::ReadAnswer{20, 21, {22, 23}, SomeMap()}},
+      {"read_ask", chain::ReadRequest{14, 15, {16, 17}}},
+      {"confirm_ask", chain::ConfirmRequest{18}},
+      {"confirm", chain::ConfirmResponse{19}},
+      {"read_answer", chain::ReadResponse{20, 21, {22, 23}, SomeMap()}},
   }};
 }
 
@@ -116,7 +116,7 @@
     samples.push_back(
         {std::string("chain.") + named.name, chain::EncodeEnvelope(envelope), RewriteEnvelope});
   }
-  const chain::Envelope bare{{{"from", "disk-f"}, 42}, chain::ReadAnswer{20, 21, {22, 23}, {}}};
+  const chain::Envelope bare{{{"from", "disk-f"}, 42}, chain::ReadResponse{20, 21, {22, 23}, {}}};
   samples.push_back({"chain.without_map", chain::EncodeEnvelope(bare), RewriteEnvelope});
   return samples;
 }
--- a/tests/tier/golden/samples_records.cpp
+++ b/tests/tier/golden/samples_records.cpp
@@ -1,10 +1,10 @@
 // What goes to disk: keys and values as the writers of the state hand them to the tables.
 #include "samples.h"
-#include "tier/batch/lot_state.h"
-#include "tier/control/config_mark.h"
+#include "tier/batch/batch_job_state.h"
+#include "tier/control/config_change_id.h"
 #include "tier/control/disk_use.h"
 #include "tier/control/snapshot_store.h"
-#include "tier/coordination/change_marks.h"
+#include "tier/coordination/change_history.h"
 #include "tier/coordination/view_agreement.h"
 #include "tier/registry/worker_state.h"
 
@@ -33,9 +33,9 @@
   return records;
 }
 
-batch::LotSpec SomeLot() {
-  batch::LotSpec spec{"lot-1", "route", "host.example", 101,     102.5, 103.25,
-                      4,       105.5,   106.75,         107.125, {}};
+batch::BatchJobSpec SomeLot() {
+  batch::BatchJobSpec spec{"lot-1", "route", "host.example", 101,     102.5, 103.25,
+                           4,       105.5,   106.75,         107.125, {}};
   for (int i = 0; i < 3; ++i) {
     spec.items.push_back({"item-" + std::to_string(i),
                           "/path/" + std::to_string(i),
@@ -55,11 +55,11 @@
 std::vector<NamedOperation> LotOperations() {
   const batch::ResultRecord complete{1, batch::ItemPhase::kComplete, std::string("out\0put", 7)};
   const batch::ResultRecord abandoned{0x01020304, batch::ItemPhase::kAbandoned, "none"};
-  batch::Lot lot;
-  lot.items.resize(3);
-  lot.items[2].failed_leases = {0x1112131415161718};
+  batch::BatchJob batch_job;
+  batch_job.items.resize(3);
+  batch_job.items[2].failed_leases = {0x1112131415161718};
   batch::Operation failure{"lot-1", false, {}};
-  batch::AddFailure(lot, 2, 0x2122232425262728, &failure);
+  batch::AddFailure(batch_job, 2, 0x2122232425262728, &failure);
   return {{"create", batch::MakeCreate(SomeLot(), 1700000000123)},
           {"reservation", batch::MakeReservation("lot-1", {"route", 81.5, 82, 83, 84})},
           {"result", batch::MakeResult("lot-1", 0, complete)},
@@ -133,20 +133,20 @@
   Samples samples;
   Map map{{"config", {"{}", 2}}};
   for (const std::uint64_t revision : {1, 2}) {
-    const coordination::ChangeMark mark{100 + revision, 200 + revision, 300 + revision};
-    const auto page = coordination::PageWithMark(map, "config", revision, mark);
+    const coordination::ChangeId change_id{100 + revision, 200 + revision, 300 + revision};
+    const auto page = coordination::ChangeHistoryPageWith(map, "config", revision, change_id);
     map[page.first] = page.second;
     Join(RecordRows("marks." + std::to_string(revision), {{page.first, page.second.value}}),
          &samples);
   }
-  samples.push_back(Coded("mark", coordination::ChangeMark{1, 2, 3}));
+  samples.push_back(Coded("mark", coordination::ChangeId{1, 2, 3}));
   samples.push_back(Coded("disk_use", control::DiskUse{4, 5, 6}));
   return samples;
 }
 
 Samples LotRecords() {
   Samples samples;
-  batch::LotTable table(batch::PartitionOf("lot-1"));
+  batch::BatchJobTable table(batch::PartitionOf("lot-1"));
   for (const NamedOperation& named : LotOperations()) {
     Join(WriteRows(std::string("lot.") + named.name, table.Apply(named.operation)), &samples);
   }
@@ -154,7 +154,7 @@
 }
 
 Samples HashValues() {
-  batch::LotTable table(3);
+  batch::BatchJobTable table(3);
   std::vector<std::uint32_t> buckets;
   for (std::uint32_t i = 0; i < batch::kDigestBuckets; ++i) buckets.push_back(i);
   const auto operations = LotOperations();
@@ -166,11 +166,11 @@
        codec::Encode(std::vector<std::uint32_t>{batch::PartitionOf("lot-1"),
                                                 batch::PartitionOf("lot-2"), batch::kPartitions})},
       {"hash.lot_buckets", codec::Encode(table.BucketDigests())},
-      {"hash.lots", codec::Encode(table.LotDigests(buckets))},
+      {"hash.lots", codec::Encode(table.BatchJobDigests(buckets))},
       {"hash.worker_shards", codec::Encode(workers.ShardDigests())},
       {"hash.workers",
        codec::Encode(std::vector<std::uint64_t>{workers.Digest(), registry::HashOf("w1")})},
-      {"hash.config_mark", codec::Encode(control::ConfigMark(5, json))},
+      {"hash.config_mark", codec::Encode(control::ConfigChangeId(5, json))},
       {"hash.packed_version", codec::Encode(control::Packed({3, 9}))},
   };
 }
--- a/tests/tier/golden/samples_values.cpp
+++ b/tests/tier/golden/samples_values.cpp
@@ -1,14 +1,14 @@
 // Frames of the mesh, and the numbers that stand for names on the wire and on disk.
 #include "samples.h"
-#include "tier/batch/lot_state.h"
+#include "tier/batch/batch_job_state.h"
 #include "tier/batch/quota.h"
 #include "tier/batch/replication_messages.h"
 #include "tier/control/control_client.h"
-#include "tier/coordination/change_marks.h"
+#include "tier/coordination/change_history.h"
 #include "tier/coordination/membership.h"
 #include "tier/registry/worker_table.h"
 #include "tier/rpc/frame.h"
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 
 namespace pearreach::golden {
 namespace {
@@ -47,21 +47,21 @@
       return "worker_digest";
     case MessageType::kWorkerRepair:
       return "worker_repair";
-    case MessageType::kLotCreate:
+    case MessageType::kBatchJobCreate:
       return "lot_create";
-    case MessageType::kLotRead:
+    case MessageType::kBatchJobRead:
       return "lot_read";
-    case MessageType::kLotItemBody:
+    case MessageType::kItemBody:
       return "lot_item_body";
-    case MessageType::kLotCancel:
+    case MessageType::kBatchJobCancel:
       return "lot_cancel";
-    case MessageType::kItemTake:
+    case MessageType::kItemPull:
       return "item_take";
     case MessageType::kItemResult:
       return "item_result";
     case MessageType::kItemRenew:
       return "item_renew";
-    case MessageType::kLotOffer:
+    case MessageType::kBatchJobOffer:
       return "lot_offer";
     case MessageType::kReplicate:
       return "replicate";
@@ -73,7 +73,7 @@
       return "quota_report";
     case MessageType::kStoreStatus:
       return "store_status";
-    case MessageType::kQuotaQuestion:
+    case MessageType::kQuotaQuery:
       return "quota_question";
     case MessageType::kStorePing:
       return "store_ping";
@@ -113,12 +113,12 @@
                            {"not_head", ChangeStatus::kNotHead},
                            {"fenced", ChangeStatus::kFenced}},
                           samples);
-  AddValues<MarkStanding>("mark_standing",
-                          {{"new", MarkStanding::kNew},
-                           {"recorded", MarkStanding::kRecorded},
-                           {"other", MarkStanding::kOther},
-                           {"forgotten", MarkStanding::kForgotten}},
-                          samples);
+  AddValues<ChangeHistoryStatus>("mark_standing",
+                                 {{"new", ChangeHistoryStatus::kNew},
+                                  {"recorded", ChangeHistoryStatus::kRecorded},
+                                  {"other", ChangeHistoryStatus::kOther},
+                                  {"forgotten", ChangeHistoryStatus::kForgotten}},
+                                 samples);
 }
 
 void AddLotValues(Samples* samples) {
@@ -161,11 +161,11 @@
                              {"superseded", ReplicaVerdict::kSuperseded},
                              {"behind", ReplicaVerdict::kBehind}},
                             samples);
-  AddValues<QuotaVerdict>("quota_verdict",
-                          {{"granted", QuotaVerdict::kGranted},
-                           {"over", QuotaVerdict::kOver},
-                           {"unknown", QuotaVerdict::kUnknown}},
-                          samples);
+  AddValues<QuotaDecision>("quota_verdict",
+                           {{"granted", QuotaDecision::kGranted},
+                            {"over", QuotaDecision::kOver},
+                            {"unknown", QuotaDecision::kUnknown}},
+                           samples);
 }
 
 }  // namespace
--- a/tests/tier/golden/store_rig.cpp
+++ b/tests/tier/golden/store_rig.cpp
@@ -39,12 +39,13 @@
 }
 
 void ChainRig::Change(const std::string& key, const std::string& value,
-                      const std::optional<coordination::ChangeMark>& mark) {
+                      const std::optional<coordination::ChangeId>& change_id) {
   const auto found = replica_.committed()->find(key);
   const bool known = found != replica_.committed()->end();
   coordination::Effects effects;
   results_.clear();
-  replica_.Change(now_, {7, key, known ? found->second.revision : 0, value, {}, mark}, &effects);
+  replica_.Change(now_, {7, key, known ? found->second.revision : 0, value, {}, change_id},
+                  &effects);
   CarryOut(std::move(effects));
   TickUntil([this] { return !results_.empty(); });
   CPPUNIT_ASSERT(results_[0].status == coordination::ChangeStatus::kCommitted);
@@ -76,7 +77,7 @@
 
 StoreRig::StoreRig(storage::TableStore* disk, const batch::PlacementTable& table) : disk_(disk) {
   control_.AddStore(kNode, disk->disk_id());
-  server_ = std::make_unique<batch::StoreServer>(&timers_, &mesh_, disk, &control_,
+  server_ = std::make_unique<batch::StoreServer>(&timers_, &transport_, disk, &control_,
                                                  batch::StoreId{kNode, disk->disk_id()},
                                                  settings::Bounds{}, settings::Tolerance{});
   control_.SetTable(table);
@@ -91,7 +92,7 @@
 std::string StoreRig::AskBytes(rpc::MessageType type, const std::string& message) {
   const auto answer =
       std::make_shared<absl::StatusOr<std::string>>(absl::UnknownError("no answer"));
-  mesh_.handlers.at(type)(
+  transport_.handlers.at(type)(
       kNode, message, [answer](absl::StatusOr<std::string> bytes) { *answer = std::move(bytes); });
   batch::edge_test::TurnUntil([answer] { return !absl::IsUnknown(answer->status()); });
   CPPUNIT_ASSERT_MESSAGE(answer->status().ToString(), answer->ok());
--- a/tests/tier/golden/store_rig.h
+++ b/tests/tier/golden/store_rig.h
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
+#include "tier/batch/batch_job_store.h"
 #include "tier/batch/edge_fakes.h"
-#include "tier/batch/lot_store.h"
 #include "tier/control/record_writer.h"
 #include "tier/coordination/chain.h"
 #include "tier/storage/rig.h"
@@ -33,7 +33,7 @@
   // Founds the chain where the disk has none, then ticks until there is a committed map.
   void Begin();
   void Change(const std::string& key, const std::string& value,
-              const std::optional<coordination::ChangeMark>& mark);
+              const std::optional<coordination::ChangeId>& change_id);
   const coordination::ChainReplica& replica() const { return replica_; }
   const control::RecordWriter& writer() const { return writer_; }
 
@@ -68,7 +68,7 @@
 
  private:
   Timers timers_;
-  batch::edge_test::FakeMesh mesh_;
+  batch::edge_test::FakeMesh transport_;
   batch::edge_test::FakeControl control_;
   storage::TableStore* const disk_;
   std::unique_ptr<batch::StoreServer> server_;
--- a/tests/tier/golden/store_test.cpp
+++ b/tests/tier/golden/store_test.cpp
@@ -6,8 +6,8 @@
 
 #include "golden_file.h"
 #include "store_rig.h"
-#include "tier/batch/lot_state.h"
-#include "tier/control/config_mark.h"
+#include "tier/batch/batch_job_state.h"
+#include "tier/control/config_change_id.h"
 #include "tier/control/sample_config.h"
 #include "tier/control/snapshot_store.h"
 #include "tier/coordination/chain_state.h"
@@ -16,17 +16,17 @@
 namespace {
 
 using namespace batch;
-using coordination::MarkStanding;
+using coordination::ChangeHistoryStatus;
 using rpc::MessageType;
 
 constexpr char kStoreFolder[] = "store";
 constexpr std::size_t kLargestFolder = 300'000;
 constexpr double kCap = 1000;
 
-LotSpec Lot(const std::string& lot_id, int items, double cap) {
-  LotSpec spec{lot_id, "route", "host.example", 7, cap, 0, 2, 5000, 3600, 7200, {}};
+BatchJobSpec BatchJob(const std::string& batch_job_id, int items, double cap) {
+  BatchJobSpec spec{batch_job_id, "route", "host.example", 7, cap, 0, 2, 5000, 3600, 7200, {}};
   for (int i = 0; i < items; ++i) {
-    spec.items.push_back({lot_id + "-" + std::to_string(i),
+    spec.items.push_back({batch_job_id + "-" + std::to_string(i),
                           "/path/" + std::to_string(i),
                           {{"x-number", std::to_string(i)}},
                           std::string("body\0of ", 8) + std::to_string(i),
@@ -43,25 +43,28 @@
   return table;
 }
 
-void Create(StoreRig* store, const LotSpec& spec) {
-  const auto answer = store->Ask<CreateLotAnswer>(MessageType::kLotCreate, CreateLot{3, 2, spec});
+void Create(StoreRig* store, const BatchJobSpec& spec) {
+  const auto answer =
+      store->Ask<CreateBatchJobResponse>(MessageType::kBatchJobCreate, CreateBatchJob{3, 2, spec});
   CPPUNIT_ASSERT(answer.status == CreateStatus::kAccepted);
 }
 
 std::vector<LeasedItem> Take(StoreRig* store, int room) {
   return store
-      ->Ask<TakeItemsAnswer>(MessageType::kItemTake, TakeItems{"edge", 1, 3, {{"route", room}}, 0})
+      ->Ask<PullItemsResponse>(MessageType::kItemPull,
+                               PullItems{"edge", 1, 3, {{"route", room}}, 0})
       .items;
 }
 
 void Tell(StoreRig* store, const LeasedItem& item, RunOutcome outcome) {
-  const ItemResult result{item.lot_id, item.item.item_id, item.lease, outcome,
+  const ItemResult result{item.batch_job_id, item.item.item_id, item.lease, outcome,
                           "output of " + item.item.item_id};
   store->AskBytes(MessageType::kItemResult, codec::Encode(result));
 }
 
-ReadLotAnswer Read(StoreRig* store, const std::string& lot_id) {
-  return store->Ask<ReadLotAnswer>(MessageType::kLotRead, ReadLot{3, lot_id, 0, 0, 1'000'000});
+ReadBatchJobResponse Read(StoreRig* store, const std::string& batch_job_id) {
+  return store->Ask<ReadBatchJobResponse>(MessageType::kBatchJobRead,
+                                          ReadBatchJob{3, batch_job_id, 0, 0, 1'000'000});
 }
 
 void WriteControl(storage::TableStore* disk) {
@@ -69,7 +72,7 @@
   chain.Begin();
   for (const int version : {1, 2}) {
     const std::string json = control::SampleConfig(version);
-    chain.Change(control::kConfigKey, json, control::ConfigMark(version, json));
+    chain.Change(control::kConfigKey, json, control::ConfigChangeId(version, json));
   }
   chain.Change(control::kStoresKey, codec::Encode(OneStore(disk->disk_id())), std::nullopt);
 }
@@ -78,11 +81,11 @@
 // has failed once, and the third was never run.
 void WriteLots(storage::TableStore* disk) {
   StoreRig store(disk, OneStore(disk->disk_id()));
-  Create(&store, Lot("finished", 2, 0));
+  Create(&store, BatchJob("finished", 2, 0));
   for (const LeasedItem& item : Take(&store, 2)) Tell(&store, item, RunOutcome::kComplete);
-  Create(&store, Lot("ended", 1, 0));
-  store.Ask<CancelLotAnswer>(MessageType::kLotCancel, CancelLot{3, "ended"});
-  Create(&store, Lot("unfinished", 3, kCap));
+  Create(&store, BatchJob("ended", 1, 0));
+  store.Ask<CancelBatchJobResponse>(MessageType::kBatchJobCancel, CancelBatchJob{3, "ended"});
+  Create(&store, BatchJob("unfinished", 3, kCap));
   const std::vector<LeasedItem> first = Take(&store, 1);
   Tell(&store, first.at(0), RunOutcome::kComplete);
   const std::vector<LeasedItem> second = Take(&store, 1);
@@ -115,10 +118,10 @@
   std::unique_ptr<storage::TableStore> disk_;
 };
 
-LotTable TableWith(const std::string& lot_id, const storage::TableStore& disk) {
-  LotTable table(PartitionOf(lot_id));
+BatchJobTable TableWith(const std::string& batch_job_id, const storage::TableStore& disk) {
+  BatchJobTable table(PartitionOf(batch_job_id));
   table.Load(disk);
-  CPPUNIT_ASSERT_MESSAGE("no lot " + lot_id, table.Find(lot_id) != nullptr);
+  CPPUNIT_ASSERT_MESSAGE("no lot " + batch_job_id, table.Find(batch_job_id) != nullptr);
   return table;
 }
 
@@ -151,17 +154,17 @@
 
   void EveryRecordHasAKnownKey() {
     Copy copy;
-    int chain = 0, lots = 0;
+    int chain = 0, batch_jobs = 0;
     copy.disk()->ForEach("", [&](std::string_view key, std::string_view) {
       const bool is_chain = key.starts_with("chain/"), is_lot = key.starts_with("lot/");
       CPPUNIT_ASSERT_MESSAGE(std::string(key), is_chain || is_lot);
-      (is_chain ? chain : lots)++;
+      (is_chain ? chain : batch_jobs)++;
     });
     // View, index, acceptor, founders and use; slots of the configuration, its marks and the
     // stores.
     CPPUNIT_ASSERT_EQUAL(10, chain);
     // Headers, two results, an end and its item; a result, two items, a failure, a reservation.
-    CPPUNIT_ASSERT_EQUAL(3 + 2 + 2 + 5, lots);
+    CPPUNIT_ASSERT_EQUAL(3 + 2 + 2 + 5, batch_jobs);
   }
 
   void TheControlStateIsRead() {
@@ -188,7 +191,7 @@
     CPPUNIT_ASSERT(chain.replica().view().epoch > 0);
     chain.Begin();
     const std::string json = control::SampleConfig(3);
-    chain.Change(control::kConfigKey, json, control::ConfigMark(3, json));
+    chain.Change(control::kConfigKey, json, control::ConfigChangeId(3, json));
     const coordination::Map& map = *chain.replica().committed();
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, map.at(control::kConfigKey).revision);
     CheckMarks(map);
@@ -205,16 +208,16 @@
 
   void LotsAreLoaded() {
     Copy copy;
-    LotTable finished_table = TableWith("finished", *copy.disk());
-    const batch::Lot& finished = *finished_table.Find("finished");
+    BatchJobTable finished_table = TableWith("finished", *copy.disk());
+    const batch::BatchJob& finished = *finished_table.Find("finished");
     CheckHeader(finished.header, "finished", 2, 0);
     CPPUNIT_ASSERT(finished.AllDone() && !finished.ended);
-    LotTable ended_table = TableWith("ended", *copy.disk());
-    const batch::Lot& ended = *ended_table.Find("ended");
+    BatchJobTable ended_table = TableWith("ended", *copy.disk());
+    const batch::BatchJob& ended = *ended_table.Find("ended");
     CheckHeader(ended.header, "ended", 1, 0);
     CPPUNIT_ASSERT(ended.ended && !ended.AllDone());
-    LotTable unfinished_table = TableWith("unfinished", *copy.disk());
-    const batch::Lot& unfinished = *unfinished_table.Find("unfinished");
+    BatchJobTable unfinished_table = TableWith("unfinished", *copy.disk());
+    const batch::BatchJob& unfinished = *unfinished_table.Find("unfinished");
     CheckHeader(unfinished.header, "unfinished", 3, kCap);
     CPPUNIT_ASSERT(unfinished.Open());
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, unfinished.results);
@@ -225,8 +228,8 @@
 
   void ItemsAreRead() {
     Copy copy;
-    const LotTable table = TableWith("unfinished", *copy.disk());
-    const LotSpec expected = Lot("unfinished", 3, kCap);
+    const BatchJobTable table = TableWith("unfinished", *copy.disk());
+    const BatchJobSpec expected = BatchJob("unfinished", 3, kCap);
     int items = 0;
     for (const Record& record : table.Whole(*copy.disk(), "unfinished").records) {
       if (record.kind != static_cast<char>(RecordKind::kItem)) continue;
@@ -240,7 +243,7 @@
 
   void AReservationIsRead() {
     Copy copy;
-    LotTable table(PartitionOf("route"));
+    BatchJobTable table(PartitionOf("route"));
     table.Load(*copy.disk());
     const QuotaReservation reservation = table.Reservations().at("unfinished");
     CPPUNIT_ASSERT_EQUAL(std::string("route"), reservation.route);
@@ -252,28 +255,29 @@
   void AStoreServesTheLots() {
     Copy copy;
     StoreRig store(copy.disk(), OneStore(copy.disk()->disk_id()));
-    const ReadLotAnswer finished = Read(&store, "finished");
+    const ReadBatchJobResponse finished = Read(&store, "finished");
     CPPUNIT_ASSERT(finished.found);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, finished.total);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, finished.outputs.size());
     for (const ItemOutput& output : finished.outputs) CheckOutput(output);
-    const ReadLotAnswer unfinished = Read(&store, "unfinished");
+    const ReadBatchJobResponse unfinished = Read(&store, "unfinished");
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, unfinished.total);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, unfinished.outputs.size());
     CheckOutput(unfinished.outputs[0]);
-    const auto body = store.Ask<ReadItemBodyAnswer>(MessageType::kLotItemBody,
-                                                    ReadItemBody{3, "unfinished", "unfinished-2"});
+    const auto body = store.Ask<ReadItemBodyResponse>(
+        MessageType::kItemBody, ReadItemBody{3, "unfinished", "unfinished-2"});
     CPPUNIT_ASSERT(body.found);
-    CPPUNIT_ASSERT_EQUAL(Lot("unfinished", 3, kCap).items[2].body, body.body);
+    CPPUNIT_ASSERT_EQUAL(BatchJob("unfinished", 3, kCap).items[2].body, body.body);
     CPPUNIT_ASSERT(!Read(&store, "never").found);
   }
 
  private:
   static void CheckMarks(const coordination::Map& map) {
     for (const int version : {1, 2}) {
-      const auto mark = control::ConfigMark(version, control::SampleConfig(version));
-      const auto standing = coordination::FindMark(map, control::kConfigKey, mark);
-      CPPUNIT_ASSERT(standing == MarkStanding::kRecorded);
+      const auto change_id = control::ConfigChangeId(version, control::SampleConfig(version));
+      const auto history_status =
+          coordination::FindInChangeHistory(map, control::kConfigKey, change_id);
+      CPPUNIT_ASSERT(history_status == ChangeHistoryStatus::kRecorded);
     }
   }
 
@@ -288,14 +292,14 @@
     CPPUNIT_ASSERT(table->retired == std::vector<std::string>{"old"});
   }
 
-  static void CheckHeader(const LotHeader& header, const std::string& lot_id, int items,
+  static void CheckHeader(const BatchJobHeader& header, const std::string& batch_job_id, int items,
                           double cap) {
-    const LotSpec expected = Lot(lot_id, items, cap);
+    const BatchJobSpec expected = BatchJob(batch_job_id, items, cap);
     CPPUNIT_ASSERT_EQUAL(expected.route, header.route);
     CPPUNIT_ASSERT_EQUAL(expected.host, header.host);
     CPPUNIT_ASSERT_EQUAL(expected.fingerprint, header.fingerprint);
     CPPUNIT_ASSERT_EQUAL(expected.token_cap, header.token_cap);
-    CPPUNIT_ASSERT_EQUAL(expected.tries, header.tries);
+    CPPUNIT_ASSERT_EQUAL(expected.attempts, header.attempts);
     CPPUNIT_ASSERT_EQUAL(expected.due_ms, header.due_ms);
     CPPUNIT_ASSERT_EQUAL(expected.retain_s, header.retain_s);
     CPPUNIT_ASSERT_EQUAL(expected.status_s, header.status_s);
--- a/tests/tier/proxy/attempt_test.cpp
+++ b/tests/tier/proxy/attempt_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t kBody = 20 << 20;  // more than the system buffers
-constexpr std::size_t kMostHeld = (64 << 10) + 100;
+constexpr std::size_t kMaxHeld = (64 << 10) + 100;
 
 class NotingListener final : public AttemptListener {
  public:
@@ -78,12 +78,12 @@
  public:
   void BodyGoesInPiecesAsTheWorkerReads() {
     SlowWorker slow;
-    CPPUNIT_ASSERT(slow.attempt->unsent() <= kMostHeld);
+    CPPUNIT_ASSERT(slow.attempt->unsent() <= kMaxHeld);
     CPPUNIT_ASSERT(slow.got.empty());
     slow.peer->ResumeReading();
     CPPUNIT_ASSERT(RunUntil([&] { return slow.got.size() == slow.whole.size(); }));
     CPPUNIT_ASSERT(slow.got == slow.whole);
-    CPPUNIT_ASSERT(slow.most_held <= kMostHeld);
+    CPPUNIT_ASSERT(slow.most_held <= kMaxHeld);
     slow.peer->Write(AnswerText("a1", 200, "X-Seal: s\r\n", "ok"));
     CPPUNIT_ASSERT(RunUntil([&] { return slow.noted.ends == 1; }));
     CPPUNIT_ASSERT(slow.noted.end == AttemptEnd::kAnswered);
--- a/tests/tier/proxy/forwarding_faults_test.cpp
+++ b/tests/tier/proxy/forwarding_faults_test.cpp
@@ -136,8 +136,8 @@
   if (!good) wrong_.push_back("UNASKED: " + request.method + " " + request.target);
 }
 
-JobSpec JobOf(const std::string& id, bool repeatable) {
-  JobSpec spec = repeatable ? RepeatableJob(3) : PlainJob();
+RequestSpec RequestOf(const std::string& id, bool repeatable) {
+  RequestSpec spec = repeatable ? RepeatableJob(3) : PlainJob();
   spec.headers = {{"Host", "h.example"}, {"X-Attempt-Id", id}};
   spec.target = "/p/" + id;
   spec.body = "request " + id;
@@ -188,10 +188,10 @@
         call.stream->Write(AnswerText(IdOf(call), 200, "X-Seal: s\r\n", "ran"));
       };
       ScriptedWorker& worker = rig.Add({refuse, late_copy});
-      const auto sink = rig.Run(JobOf("a1", repeatable));
+      const auto sink = rig.Run(RequestOf("a1", repeatable));
       CPPUNIT_ASSERT_EQUAL(std::size_t{2}, worker.calls().size());
       CPPUNIT_ASSERT_EQUAL(1, runs);
-      CPPUNIT_ASSERT(sink->result.end == JobEnd::kComplete);
+      CPPUNIT_ASSERT(sink->result.end == RequestEnd::kComplete);
       CPPUNIT_ASSERT_EQUAL(std::string("ran"), sink->body);
       CPPUNIT_ASSERT_EQUAL(1, worker.calls()[1].connection);
     }
@@ -205,7 +205,7 @@
     std::map<std::string, std::shared_ptr<NotingSink>> sinks;
     for (int i = 0; i < kJobs; ++i) {
       const std::string id = fmt::format("j{}-{}", seed, i);
-      sinks[id] = rig.Submit(JobOf(id, i % 2 == 0));
+      sinks[id] = rig.Submit(RequestOf(id, i % 2 == 0));
     }
     CPPUNIT_ASSERT(RunUntil([&] {
       return std::all_of(sinks.begin(), sinks.end(),
@@ -220,11 +220,11 @@
     const int runs = workers.RunsOf(id);
     const bool repeatable = (id.back() - '0') % 2 == 0;
     if (!repeatable) CPPUNIT_ASSERT_MESSAGE("TWICE: " + id, runs <= 1);
-    if (sink.result.end == JobEnd::kNotRun) {
+    if (sink.result.end == RequestEnd::kNotRun) {
       ++tally->refused;
       CPPUNIT_ASSERT_EQUAL_MESSAGE("REFUSED: " + id, 0, runs);
     }
-    if (sink.result.end != JobEnd::kComplete) return;
+    if (sink.result.end != RequestEnd::kComplete) return;
     ++tally->complete;
     CPPUNIT_ASSERT_EQUAL_MESSAGE("MIXED: " + id, FaultyWorkers::BodyOf(id), sink.body);
   }
--- a/tests/tier/proxy/prompt_test.cpp
+++ b/tests/tier/proxy/prompt_test.cpp
@@ -96,9 +96,9 @@
 
   void BoundsWhatItKeeps() {
     KeptPrefixes kept;
-    for (std::uint64_t key = 1; key <= 3 * KeptPrefixes::kMostPrefixes; ++key)
+    for (std::uint64_t key = 1; key <= 3 * KeptPrefixes::kMaxPrefixes; ++key)
       kept.Use(key, 1e6, 0, 0);
-    CPPUNIT_ASSERT_EQUAL(KeptPrefixes::kMostPrefixes, kept.size());
+    CPPUNIT_ASSERT_EQUAL(KeptPrefixes::kMaxPrefixes, kept.size());
   }
 
   void NodesAgreeOnHomes() {
--- a/tests/tier/proxy/proxy_rig.h
+++ b/tests/tier/proxy/proxy_rig.h
@@ -1,4 +1,4 @@
-// Doubles around a JobRunner: workers that follow a script on 127.0.0.1, a worker table and a
+// Doubles around a RequestRunner: workers that follow a script on 127.0.0.1, a worker table and a
 // control state in memory, and a sink that notes what it hears. All run in the default main loop.
 #ifndef PEARREACH_TESTS_TIER_PROXY_PROXY_RIG_H_
 #define PEARREACH_TESTS_TIER_PROXY_PROXY_RIG_H_
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "common/event_loop/timers.h"
-#include "tier/proxy/job_runner.h"
+#include "tier/proxy/request_runner.h"
 
 namespace pearreach::proxy {
 
@@ -205,7 +205,7 @@
   void OnChange(std::function<void()>) override {}
   void Change(control::ControlChange, Micros, ChangeDone) override {}
   void StrictRead(Micros, ReadDone) override {}
-  bool IsDutyHolder() const override { return false; }
+  bool IsSingletonRoleCandidate() const override { return false; }
   const std::map<std::string, coordination::Member>& members() const override { return members_; }
 
   std::map<std::string, coordination::Member> members_;
@@ -215,7 +215,7 @@
       std::make_shared<control::ControlSnapshot>();
 };
 
-class NotingSink final : public JobSink {
+class NotingSink final : public RequestSink {
  public:
   void OnHead(int status, const std::vector<http::Header>& headers) override {
     ++heads;
@@ -226,7 +226,7 @@
     body.append(bytes);
     if (on_body) on_body();
   }
-  void OnEnd(const JobResult& result) override {
+  void OnEnd(const RequestResult& result) override {
     ++ends;
     this->result = result;
   }
@@ -237,14 +237,14 @@
   std::size_t untaken = 0;
   std::vector<http::Header> headers;
   std::string body;
-  JobResult result;
+  RequestResult result;
   std::function<void()> on_body;
 };
 
 struct Rig {
   // `settle`: see RunnerOptions.
   explicit Rig(Micros settle = 0) {
-    runner = MakeJobRunner(&timers, &workers, &control, {"me", "here", 7, settle, 0});
+    runner = MakeRequestRunner(&timers, &workers, &control, {"me", "here", 7, settle, 0});
   }
 
   // Workers answer by their scripts; the least numbered ones are not preferred.
@@ -254,12 +254,12 @@
     workers.Put(scripted.back()->Record());
     return *scripted.back();
   }
-  std::shared_ptr<NotingSink> Submit(JobSpec spec) {
+  std::shared_ptr<NotingSink> Submit(RequestSpec spec) {
     auto sink = std::make_shared<NotingSink>();
     last_job = runner->Submit(std::move(spec), sink);
     return sink;
   }
-  std::shared_ptr<NotingSink> Run(JobSpec spec) {
+  std::shared_ptr<NotingSink> Run(RequestSpec spec) {
     auto sink = Submit(std::move(spec));
     RunUntil([&] { return sink->ends > 0; });
     return sink;
@@ -274,12 +274,12 @@
   FakeWorkers workers;
   FakeControl control;
   std::vector<std::unique_ptr<ScriptedWorker>> scripted;
-  std::unique_ptr<JobRunner> runner;
+  std::unique_ptr<RequestRunner> runner;
   std::uint64_t last_job = 0;
 };
 
-inline JobSpec PlainJob(const std::string& id = "a1") {
-  JobSpec spec;
+inline RequestSpec PlainJob(const std::string& id = "a1") {
+  RequestSpec spec;
   spec.service = "svc";
   spec.method = "POST";
   spec.target = "/p/1?q=2";
@@ -290,17 +290,17 @@
   spec.target_ms = 200;
   return spec;
 }
-inline JobSpec RepeatableJob(int tries = 2) {
-  JobSpec spec = PlainJob();
+inline RequestSpec RepeatableJob(int attempts = 2) {
+  RequestSpec spec = PlainJob();
   spec.repeatable = true;
-  spec.tries = tries;
+  spec.attempts = attempts;
   return spec;
 }
-inline JobSpec StreamJob(bool resumable, int tries = 2) {
-  JobSpec spec = PlainJob();
+inline RequestSpec StreamJob(bool resumable, int attempts = 2) {
+  RequestSpec spec = PlainJob();
   spec.streamed = true;
   spec.repeatable = spec.resumable = resumable;
-  spec.tries = tries;
+  spec.attempts = attempts;
   spec.gap_aim_ms = 50;
   return spec;
 }
--- a/tests/tier/proxy/job_runner_test.cpp
+++ b/tests/tier/proxy/request_runner_test.cpp
@@ -13,12 +13,12 @@
   const char* name;
   std::vector<ScriptedWorker::Step> steps;  // of one worker
   bool repeatable;
-  JobEnd end;
+  RequestEnd end;
   int status;  // passed on, 0: none
   std::size_t calls;
 };
 
-std::string NameOf(JobEnd end) {
+std::string NameOf(RequestEnd end) {
   return std::string(1, static_cast<char>('0' + static_cast<int>(end)));
 }
 
@@ -60,13 +60,13 @@
     Rig rig;
     ScriptedWorker& worker =
         rig.Add({Answer(200, "X-Seal: s1\r\nX-Other: o\r\nKeep-Alive: timeout=5\r\n", "bytes")});
-    JobSpec spec = PlainJob();
+    RequestSpec spec = PlainJob();
     spec.headers.push_back({"X-Deadline-Ms", "99999"});
     const auto sink = rig.Run(spec);
     CPPUNIT_ASSERT_EQUAL(1, sink->heads);
     CPPUNIT_ASSERT_EQUAL(200, sink->status);
     CPPUNIT_ASSERT_EQUAL(std::string("bytes"), sink->body);
-    CPPUNIT_ASSERT(sink->result.end == JobEnd::kComplete);
+    CPPUNIT_ASSERT(sink->result.end == RequestEnd::kComplete);
     const auto has = [&](const char* name) {
       return std::any_of(sink->headers.begin(), sink->headers.end(),
                          [&](const http::Header& h) { return http::SameName(h.name, name); });
@@ -85,36 +85,36 @@
   void EndsAsTheWorkerSays() {
     const std::string id = "a1";
     const std::vector<EndCase> cases = {
-        {"own failure", {Answer(500, "", "why")}, false, JobEnd::kComplete, 500, 1},
-        {"404", {Answer(404, "", "no")}, false, JobEnd::kComplete, 404, 1},
-        {"no stamp", {Answer(200, "", "x")}, false, JobEnd::kFailed, 0, 1},
-        {"503 without promise", {Answer(503, "", "")}, false, JobEnd::kFailed, 0, 1},
-        {"429 without promise", {Answer(429, "", "")}, false, JobEnd::kFailed, 0, 1},
-        {"408", {Answer(408, "", "")}, false, JobEnd::kFailed, 0, 1},
-        {"cut", {Close()}, false, JobEnd::kFailed, 0, 1},
+        {"own failure", {Answer(500, "", "why")}, false, RequestEnd::kComplete, 500, 1},
+        {"404", {Answer(404, "", "no")}, false, RequestEnd::kComplete, 404, 1},
+        {"no stamp", {Answer(200, "", "x")}, false, RequestEnd::kFailed, 0, 1},
+        {"503 without promise", {Answer(503, "", "")}, false, RequestEnd::kFailed, 0, 1},
+        {"429 without promise", {Answer(429, "", "")}, false, RequestEnd::kFailed, 0, 1},
+        {"408", {Answer(408, "", "")}, false, RequestEnd::kFailed, 0, 1},
+        {"cut", {Close()}, false, RequestEnd::kFailed, 0, 1},
         {"truncated",
          {Bytes("HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\nab",
                 true)},
          false,
-         JobEnd::kFailed,
+         RequestEnd::kFailed,
          0,
          1},
-        {"garbage", {Bytes("\x01\x02 nothing\r\n\r\n", false)}, false, JobEnd::kFailed, 0, 1},
-        {"failure repeated", {Answer(500, "", "why")}, true, JobEnd::kComplete, 500, 2},
+        {"garbage", {Bytes("\x01\x02 nothing\r\n\r\n", false)}, false, RequestEnd::kFailed, 0, 1},
+        {"failure repeated", {Answer(500, "", "why")}, true, RequestEnd::kComplete, 500, 2},
         {"failure, then good",
          {Answer(500, "", "why"), Good("ok")},
          true,
-         JobEnd::kComplete,
+         RequestEnd::kComplete,
          200,
          2},
-        {"cut, then good", {Close(), Good("ok")}, true, JobEnd::kComplete, 200, 2},
-        {"cut twice", {Close()}, true, JobEnd::kFailed, 0, 2},
-        {"full after a run", {Close(), NotRun(503)}, true, JobEnd::kFailed, 0, 0},
+        {"cut, then good", {Close(), Good("ok")}, true, RequestEnd::kComplete, 200, 2},
+        {"cut twice", {Close()}, true, RequestEnd::kFailed, 0, 2},
+        {"full after a run", {Close(), NotRun(503)}, true, RequestEnd::kFailed, 0, 0},
     };
     for (const EndCase& c : cases) {
       Rig rig;
       rig.Add(c.steps);
-      JobSpec spec = c.repeatable ? RepeatableJob() : PlainJob();
+      RequestSpec spec = c.repeatable ? RepeatableJob() : PlainJob();
       const auto sink = rig.Run(spec);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(c.name, 1, sink->ends);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(c.name, NameOf(c.end), NameOf(sink->result.end));
@@ -129,7 +129,7 @@
       rig.Add({NotRun(status)});
       rig.Add({NotRun(status)});
       const auto refused = rig.Run(PlainJob());
-      CPPUNIT_ASSERT_EQUAL(NameOf(JobEnd::kNotRun), NameOf(refused->result.end));
+      CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kNotRun), NameOf(refused->result.end));
       CPPUNIT_ASSERT(refused->result.retry_after > 0);
       CPPUNIT_ASSERT(rig.Calls() >= 1 && rig.Calls() <= 5);
     }
@@ -138,7 +138,7 @@
     ScriptedWorker& good = rig.Add({Good("ok")});
     for (int i = 0; i < 8; ++i) {
       const auto sink = rig.Run(PlainJob());
-      CPPUNIT_ASSERT_EQUAL(NameOf(JobEnd::kComplete), NameOf(sink->result.end));
+      CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kComplete), NameOf(sink->result.end));
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{8}, good.calls().size());
     CPPUNIT_ASSERT(full.calls().size() < 8);
@@ -160,17 +160,17 @@
     rig.runner->Submit(PlainJob(), sink);
     CPPUNIT_ASSERT_EQUAL(0, sink->ends);  // never from inside Submit
     CPPUNIT_ASSERT(RunUntil([&] { return sink->ends > 0; }, kSecond));
-    CPPUNIT_ASSERT_EQUAL(NameOf(JobEnd::kNotRun), NameOf(sink->result.end));
+    CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kNotRun), NameOf(sink->result.end));
     CPPUNIT_ASSERT(sink->result.retry_after > 0);
   }
 
   void RefusesWhatCannotBeInTime() {
     Rig rig;
     rig.Add({Good("ok")});
-    JobSpec spec = PlainJob();
+    RequestSpec spec = PlainJob();
     spec.due = Now() + kMs;
     const auto sink = rig.Run(spec);
-    CPPUNIT_ASSERT_EQUAL(NameOf(JobEnd::kNotRun), NameOf(sink->result.end));
+    CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kNotRun), NameOf(sink->result.end));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, rig.Calls());
   }
 
@@ -183,7 +183,7 @@
     }
     rig.workers.Put(nobody);
     const auto sink = rig.Run(PlainJob());
-    CPPUNIT_ASSERT_EQUAL(NameOf(JobEnd::kNotRun), NameOf(sink->result.end));
+    CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kNotRun), NameOf(sink->result.end));
     rig.Add({Good("ok")});
     const auto served = rig.Run(PlainJob());
     CPPUNIT_ASSERT_EQUAL(200, served->status);
@@ -192,10 +192,10 @@
   void TimesOut() {
     Rig rig;
     ScriptedWorker& worker = rig.Add({Silence()});
-    JobSpec spec = RepeatableJob();
+    RequestSpec spec = RepeatableJob();
     spec.due = Now() + 100 * kMs;
     const auto sink = rig.Run(spec);
-    CPPUNIT_ASSERT_EQUAL(NameOf(JobEnd::kTimeout), NameOf(sink->result.end));
+    CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kTimeout), NameOf(sink->result.end));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, rig.Calls());
     CPPUNIT_ASSERT(RunUntil([&] { return worker.closed_by_peer() == 1; }));
   }
@@ -280,8 +280,8 @@
   void AnotherWorkerAtTheAddressIsDropped() {
     Rig rig;
     ScriptedWorker& other = rig.Add({Answer(421, "", ""), Good("ok")});
-    CPPUNIT_ASSERT_EQUAL(NameOf(JobEnd::kNotRun), NameOf(rig.Run(PlainJob())->result.end));
-    CPPUNIT_ASSERT_EQUAL(NameOf(JobEnd::kNotRun), NameOf(rig.Run(PlainJob())->result.end));
+    CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kNotRun), NameOf(rig.Run(PlainJob())->result.end));
+    CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kNotRun), NameOf(rig.Run(PlainJob())->result.end));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, other.calls().size());
     registry::WorkerRecord record = other.Record();
     record.call_seq = 2;  // it was heard of anew
@@ -296,7 +296,7 @@
     rig.Add({[&](ScriptedWorker::Call& call) { waiting.push_back(call); }});
     std::vector<std::shared_ptr<NotingSink>> sinks;
     for (int i = 0; i < 4; ++i) {
-      JobSpec spec = PlainJob("id" + std::to_string(i));
+      RequestSpec spec = PlainJob("id" + std::to_string(i));
       spec.rank = i;  // a class of its own each
       sinks.push_back(rig.Submit(spec));
       CPPUNIT_ASSERT(RunUntil([&] { return waiting.size() == static_cast<std::size_t>(i) + 1; }));
@@ -315,7 +315,7 @@
     rig.Add({Silence()});
     CPPUNIT_ASSERT_EQUAL(1, rig.runner->BulkRoom("svc"));  // not used yet
     rig.Add({Silence()});
-    JobSpec spec = PlainJob();
+    RequestSpec spec = PlainJob();
     spec.bulk = true;
     rig.Submit(spec);
     CPPUNIT_ASSERT(RunUntil([&] { return rig.Calls() == 1; }));
@@ -329,7 +329,7 @@
   void BulkGoesOneByOneAfterAStart() {
     Rig rig(10 * kSecond);
     for (int i = 0; i < 2; ++i) rig.Add({Silence()});
-    JobSpec spec = PlainJob();
+    RequestSpec spec = PlainJob();
     spec.bulk = true;
     rig.Submit(spec);
     CPPUNIT_ASSERT(RunUntil([&] { return rig.Calls() == 1; }));
@@ -358,10 +358,10 @@
     rig.Add({Silence()});
     for (int i = 0; i < 3; ++i) rig.Submit(PlainJob());  // 0.85 of 4 slots
     CPPUNIT_ASSERT(RunUntil([&] { return rig.Calls() == 3; }));
-    JobSpec item = PlainJob();
+    RequestSpec item = PlainJob();
     item.bulk = true;
     const auto sink = rig.Run(item);
-    CPPUNIT_ASSERT_EQUAL(NameOf(JobEnd::kNotRun), NameOf(sink->result.end));
+    CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kNotRun), NameOf(sink->result.end));
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, rig.Calls());
   }
 
@@ -371,7 +371,7 @@
     rig.Add({[&](ScriptedWorker::Call& call) { waiting.push_back(call); }});
     for (int i = 0; i < 3; ++i) rig.Submit(PlainJob());
     CPPUNIT_ASSERT(RunUntil([&] { return waiting.size() == 3; }));
-    JobSpec item = PlainJob("item");
+    RequestSpec item = PlainJob("item");
     item.bulk = true;
     rig.Submit(item);
     Good("ok")(waiting.front());
@@ -387,7 +387,7 @@
     };
     rig.Add({first_silent});
     rig.Add({first_silent});
-    JobSpec spec = RepeatableJob();
+    RequestSpec spec = RepeatableJob();
     const auto sink = rig.Run(spec);
     CPPUNIT_ASSERT_EQUAL(200, sink->status);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, calls);
@@ -396,7 +396,7 @@
   void SharedPromptsGoToOneWorkerWhileThereIsRoom() {
     Rig rig;
     for (int i = 0; i < 4; ++i) rig.Add({Silence()});
-    JobSpec spec = PlainJob();
+    RequestSpec spec = PlainJob();
     spec.prefix_key = 77;
     spec.shared_tokens = 5000;
     std::vector<std::shared_ptr<NotingSink>> sinks;
@@ -408,7 +408,7 @@
   void LargeSharedPromptsMeetAtOneWorker() {
     Rig rig;
     for (int i = 0; i < 6; ++i) rig.Add({Good("ok")});
-    JobSpec spec = PlainJob();
+    RequestSpec spec = PlainJob();
     spec.prefix_key = 77;
     spec.shared_tokens = 5000;
     spec.own_tokens = 100;
--- a/tests/tier/proxy/stream_test.cpp
+++ b/tests/tier/proxy/stream_test.cpp
@@ -11,7 +11,7 @@
   std::vector<ScriptedWorker::Step> steps;
   bool resumable;
   std::uint64_t from;  // the request's Last-Event-Id
-  JobEnd end;
+  RequestEnd end;
   std::string body;
   std::vector<std::string> asked;  // Last-Event-Id of each send, empty: none
 };
@@ -33,83 +33,95 @@
                          "0\r\n\r\n");
     };
     const std::vector<StreamCase> cases = {
-        {"whole", {Events(1, 4, After::kEnd)}, true, 0, JobEnd::kComplete, EventRun(1, 4), {""}},
+        {"whole",
+         {Events(1, 4, After::kEnd)},
+         true,
+         0,
+         RequestEnd::kComplete,
+         EventRun(1, 4),
+         {""}},
         {"not resumable, whole",
          {Events(1, 4, After::kEnd)},
          false,
          0,
-         JobEnd::kComplete,
+         RequestEnd::kComplete,
          EventRun(1, 4),
          {""}},
-        {"version", {versions}, true, 0, JobEnd::kComplete, "versions:3\nid: 1\ndata: x\n\n", {""}},
+        {"version",
+         {versions},
+         true,
+         0,
+         RequestEnd::kComplete,
+         "versions:3\nid: 1\ndata: x\n\n",
+         {""}},
         {"cut and resumed",
          {Events(1, 2, After::kCut, "id: 3\nda"), Events(3, 5, After::kEnd)},
          true,
          0,
-         JobEnd::kComplete,
+         RequestEnd::kComplete,
          EventRun(1, 5),
          {"", "2"}},
         {"overlap dropped",
          {Events(1, 2, After::kCut), Events(1, 4, After::kEnd)},
          true,
          0,
-         JobEnd::kComplete,
+         RequestEnd::kComplete,
          EventRun(1, 4),
          {"", "2"}},
         {"gap is broken",
          {Events(1, 2, After::kCut), Events(4, 6, After::kEnd)},
          true,
          0,
-         JobEnd::kBroken,
+         RequestEnd::kBroken,
          EventRun(1, 2),
          {"", "2"}},
         {"taken up by the client",
          {Events(8, 9, After::kCut), Events(10, 11, After::kEnd)},
          true,
          7,
-         JobEnd::kComplete,
+         RequestEnd::kComplete,
          EventRun(8, 11),
          {"7", "9"}},
         {"full in between",
          {Events(1, 1, After::kCut), NotRun(503), Events(2, 2, After::kEnd)},
          true,
          0,
-         JobEnd::kComplete,
+         RequestEnd::kComplete,
          EventRun(1, 2),
          {"", "1", "1"}},
         {"tries used up",
          {Events(1, 1, After::kCut), Events(2, 2, After::kCut)},
          true,
          0,
-         JobEnd::kBroken,
+         RequestEnd::kBroken,
          EventRun(1, 2),
          {"", "1"}},
         {"not resumable, cut",
          {Events(1, 2, After::kCut, "id: 3\n")},
          false,
          0,
-         JobEnd::kBroken,
+         RequestEnd::kBroken,
          EventRun(1, 2),
          {""}},
         {"not resumable, cut before an event",
          {Events(1, 0, After::kCut)},
          false,
          0,
-         JobEnd::kFailed,
+         RequestEnd::kFailed,
          "",
          {""}},
         {"cut before an event",
          {Events(1, 0, After::kCut), Events(1, 1, After::kEnd)},
          true,
          0,
-         JobEnd::kComplete,
+         RequestEnd::kComplete,
          EventRun(1, 1),
          {"", ""}},
         {"failure, then good",
          {Answer(500, "", "x"), Events(1, 1, After::kEnd)},
          true,
          0,
-         JobEnd::kComplete,
+         RequestEnd::kComplete,
          EventRun(1, 1),
          {"", ""}},
     };
@@ -138,7 +150,7 @@
     Rig rig;
     ScriptedWorker& worker = rig.Add({Events(1, 2, After::kSilence), Events(3, 3, After::kEnd)});
     const auto sink = rig.Run(StreamJob(true));
-    CPPUNIT_ASSERT(sink->result.end == JobEnd::kComplete);
+    CPPUNIT_ASSERT(sink->result.end == RequestEnd::kComplete);
     CPPUNIT_ASSERT_EQUAL(EventRun(1, 3), sink->body);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, worker.calls().size());
   }
@@ -155,10 +167,10 @@
   void DeadlineBreaks() {
     Rig rig;
     rig.Add({Events(1, 2, After::kSilence)});
-    JobSpec spec = StreamJob(true);
+    RequestSpec spec = StreamJob(true);
     spec.due = Now() + 100 * kMs;
     const auto sink = rig.Run(spec);
-    CPPUNIT_ASSERT(sink->result.end == JobEnd::kBroken);
+    CPPUNIT_ASSERT(sink->result.end == RequestEnd::kBroken);
     CPPUNIT_ASSERT_EQUAL(EventRun(1, 2), sink->body);
   }
 
@@ -166,7 +178,7 @@
   // stream stands still is no silence of the worker.
   void SlowClientHoldsItsWorkerUp() {
     constexpr int kLargeEvents = 3000;  // with these, more than the system buffers
-    constexpr std::size_t kMostPassed = 256 << 10;
+    constexpr std::size_t kMaxPassed = 256 << 10;
     std::string events, answer = StreamHeadText("a1");
     for (int i = 1; i <= kLargeEvents; ++i) {
       const std::string event =
@@ -186,15 +198,15 @@
     slow->untaken = 1 << 20;
     CPPUNIT_ASSERT(RunUntil([&] { return !slow->body.empty(); }));
     const std::size_t passed = slow->body.size();
-    CPPUNIT_ASSERT(passed <= kMostPassed);
-    CPPUNIT_ASSERT(rig.Run(PlainJob("a2"))->result.end == JobEnd::kComplete);
+    CPPUNIT_ASSERT(passed <= kMaxPassed);
+    CPPUNIT_ASSERT(rig.Run(PlainJob("a2"))->result.end == RequestEnd::kComplete);
     RunFor(1200 * kMs);  // longer than a worker may be silent
     CPPUNIT_ASSERT_EQUAL(passed, slow->body.size());
     CPPUNIT_ASSERT(held->unsent() > 0);
     slow->untaken = 0;
     rig.runner->Resume(job);
     CPPUNIT_ASSERT(RunUntil([&] { return slow->ends == 1; }));
-    CPPUNIT_ASSERT(slow->result.end == JobEnd::kComplete);
+    CPPUNIT_ASSERT(slow->result.end == RequestEnd::kComplete);
     CPPUNIT_ASSERT(slow->body == events);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, worker.calls().size());
   }
@@ -203,7 +215,7 @@
   static void Check(const StreamCase& c) {
     Rig rig;
     ScriptedWorker& worker = rig.Add(c.steps);
-    JobSpec spec = StreamJob(c.resumable);
+    RequestSpec spec = StreamJob(c.resumable);
     spec.last_event_id = c.from;
     const auto sink = rig.Run(spec);
     CPPUNIT_ASSERT_EQUAL_MESSAGE(c.name, static_cast<int>(c.end),
--- a/tests/tier/registry/registry_cluster.cpp
+++ b/tests/tier/registry/registry_cluster.cpp
@@ -72,7 +72,7 @@
       member.info.roles |= MemberInfo::kQuorumMember;
   }
   node.members.in_touch = [this, &node] { return ReachesMajority(node); };
-  node.mesh = std::make_unique<control::VirtualMesh>(&network, node.address);
+  node.transport = std::make_unique<control::VirtualMesh>(&network, node.address);
   settings::NodeSettings settings;
   settings.node_name = node.name;
   settings.beat_ms = static_cast<double>(kBeat) / kMs;
@@ -81,7 +81,7 @@
   settings.bind.control = "10.0.0.0" + std::string(kControlPort);
   node.registry =
       std::make_unique<WorkerRegistry>(std::make_unique<control::VirtualTimeSource>(&time),
-                                       node.mesh.get(), &node.members, settings);
+                                       node.transport.get(), &node.members, settings);
 }
 
 void RegistryCluster::SetStatus(std::size_t of, MemberStatus status) {
@@ -118,7 +118,7 @@
 void RegistryCluster::Kill(std::size_t index) {
   Node& node = *nodes[index];
   node.registry.reset();
-  node.mesh.reset();
+  node.transport.reset();
   time.After(kDetect, [this, index] {
     if (!nodes[index]->up()) SetStatus(index, MemberStatus::kDead);
   });
--- a/tests/tier/registry/registry_cluster.h
+++ b/tests/tier/registry/registry_cluster.h
@@ -25,7 +25,7 @@
     if (!in_touch()) return done(absl::UnavailableError("no majority in reach"));
     done(snapshot_);
   }
-  bool IsDutyHolder() const override { return false; }
+  bool IsSingletonRoleCandidate() const override { return false; }
   const std::map<std::string, coordination::Member>& members() const override { return known; }
 
   std::map<std::string, coordination::Member> known;
@@ -51,7 +51,7 @@
 
   struct Node {
     std::string name, address;
-    std::unique_ptr<control::VirtualMesh> mesh;
+    std::unique_ptr<control::VirtualMesh> transport;
     FakeMembers members;
     std::unique_ptr<WorkerRegistry> registry;
     int beats = 0;  // heartbeats that came here
--- a/tests/tier/registry/registry_cluster_test.cpp
+++ b/tests/tier/registry/registry_cluster_test.cpp
@@ -14,7 +14,7 @@
 
 std::size_t Calls(const RegistryCluster& cluster) {
   std::size_t calls = 0;
-  for (const auto& node : cluster.nodes) calls += node->up() ? node->mesh->calls.size() : 0;
+  for (const auto& node : cluster.nodes) calls += node->up() ? node->transport->calls.size() : 0;
   return calls;
 }
 
--- a/tests/tier/registry/worker_state_test.cpp
+++ b/tests/tier/registry/worker_state_test.cpp
@@ -252,7 +252,7 @@
   }
   // As two nodes do it: `asker` shows its entries, both take over what the other has newer.
   static void Exchange(WorkerState* asker, WorkerState* asked) {
-    RepairAnswer answer;
+    RepairResponse answer;
     for (std::size_t i = 0; i < WorkerTable::kShards; ++i)
       asked->Compare(kStart, {static_cast<std::uint32_t>(i), asker->Entries(i)}, 1000, &answer);
     const auto wanted = asker->ExportHashed(kStart, answer.wanted);
--- a/tests/tier/routing/route_table_test.cpp
+++ b/tests/tier/routing/route_table_test.cpp
@@ -76,7 +76,7 @@
     CPPUNIT_ASSERT(split != nullptr);
     CPPUNIT_ASSERT(split->variant == Variant::kStreamed);
     CPPUNIT_ASSERT(split->pinned && split->resumable);
-    CPPUNIT_ASSERT_EQUAL(2, split->tries);
+    CPPUNIT_ASSERT_EQUAL(2, split->attempts);
     CPPUNIT_ASSERT_EQUAL(250.0, split->gap_aim_ms);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, split->targets.size());
     CPPUNIT_ASSERT_EQUAL(std::string("wuno96b"), split->targets[1].service);
@@ -110,7 +110,7 @@
     CPPUNIT_ASSERT_MESSAGE(std::string(table.status().message()), table.ok());
     const Route& route = (*table)->routes().front();
     CPPUNIT_ASSERT(route.variant == Variant::kEffectful);
-    CPPUNIT_ASSERT_EQUAL(1, route.tries);
+    CPPUNIT_ASSERT_EQUAL(1, route.attempts);
     CPPUNIT_ASSERT_EQUAL(HttpLimits().max_body_bytes, (*table)->limits().max_body_bytes);
     CPPUNIT_ASSERT(RouteTable::Parse(R"({"version_no":1,"services":[],"routes":[]})").ok());
   }
--- a/tests/tier/rpc/mesh_test.cpp
+++ b/tests/tier/rpc/transport_test.cpp
@@ -1,5 +1,5 @@
 // Calls and datagrams between two meshes on loopback, and frames that are cut anywhere or are bad.
-#include "tier/rpc/mesh.h"
+#include "tier/rpc/transport.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -8,12 +8,12 @@
 namespace pearreach::rpc {
 namespace {
 
-constexpr int kMostTurns = 2000;
+constexpr int kMaxTurns = 2000;
 
 // Runs the main loop until `done` or a bounded number of turns is over.
 template <class Done>
 bool RunUntil(Done done) {
-  for (int i = 0; i < kMostTurns && !done(); ++i) g_main_context_iteration(nullptr, TRUE);
+  for (int i = 0; i < kMaxTurns && !done(); ++i) g_main_context_iteration(nullptr, TRUE);
   return done();
 }
 
@@ -68,13 +68,13 @@
  public:
   void setUp() override {
     for (port_ = 23100; port_ < 23900; ++port_) {
-      auto opened = OpenMesh("127.0.0.1", port_, &timers_);
+      auto opened = OpenTransport("127.0.0.1", port_, &timers_);
       if (!opened.ok()) continue;
       server_ = std::move(*opened);
       break;
     }
     for (int port = port_ + 1; port < 24000; ++port) {
-      auto opened = OpenMesh("127.0.0.1", port, &timers_);
+      auto opened = OpenTransport("127.0.0.1", port, &timers_);
       if (!opened.ok()) continue;
       client_ = std::move(*opened);
       break;
@@ -101,17 +101,17 @@
   }
 
   void AnErrorComesBackWithItsCode() {
-    server_->Handle(MessageType::kLotRead,
+    server_->Handle(MessageType::kBatchJobRead,
                     [](const std::string&, std::string_view, Respond respond) {
                       respond(absl::FailedPreconditionError("not the primary"));
                     });
     absl::Status status;
-    client_->Call(address_, MessageType::kLotRead, "", kSecond,
+    client_->Call(address_, MessageType::kBatchJobRead, "", kSecond,
                   [&](absl::StatusOr<std::string> answer) { status = answer.status(); });
     CPPUNIT_ASSERT(RunUntil([&] { return !status.ok(); }));
     CPPUNIT_ASSERT(absl::IsFailedPrecondition(status));
     status = absl::OkStatus();
-    client_->Call(address_, MessageType::kItemTake, "", kSecond,
+    client_->Call(address_, MessageType::kItemPull, "", kSecond,
                   [&](absl::StatusOr<std::string> answer) { status = answer.status(); });
     CPPUNIT_ASSERT(RunUntil([&] { return !status.ok(); }));
     CPPUNIT_ASSERT(absl::IsUnimplemented(status));
@@ -151,7 +151,7 @@
   Timers timers_;
   int port_ = 0;
   std::string address_;
-  std::unique_ptr<Mesh> server_, client_;
+  std::unique_ptr<Transport> server_, client_;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(FrameTest);
--- a/tests/tier/storage/rig.h
+++ b/tests/tier/storage/rig.h
@@ -57,13 +57,13 @@
 // Runs the main loop until `ready`; fails after five seconds.
 template <class Ready>
 void RunUntil(const Ready& ready) {
-  constexpr guint kLongestMs = 5000;
+  constexpr guint kMaxMs = 5000;
   bool late = false;
   const auto ring = [](gpointer flag) -> gboolean {
     *static_cast<bool*>(flag) = true;
     return G_SOURCE_CONTINUE;
   };
-  const guint timer = g_timeout_add(kLongestMs, ring, &late);
+  const guint timer = g_timeout_add(kMaxMs, ring, &late);
   while (!ready() && !late) g_main_context_iteration(nullptr, TRUE);
   g_source_remove(timer);
   CPPUNIT_ASSERT_MESSAGE("the store does not answer", !late);
