--- a/src/common/diagnostics/log.cpp
+++ b/src/common/diagnostics/log.cpp
@@ -52,7 +52,8 @@
   };
   json.StartObject();
   json.Key("time");
-  json.Double(static_cast<double>(g_get_real_time() / 1000) / 1000);
+  const std::int64_t milliseconds = g_get_real_time() / 1000;
+  json.Double(static_cast<double>(milliseconds) / 1000);
   put("node", node);
   put("event", event);
   for (const LogField& f : fields) put(f.name, f.value);
--- a/src/common/event_loop/io.cpp
+++ b/src/common/event_loop/io.cpp
@@ -75,7 +75,7 @@
     g_object_unref(to);
     return nullptr;
   }
-  const auto stream = Adopt(socket);
+  auto stream = Adopt(socket);
   stream->handlers_ = std::move(handlers);
   stream->connecting_ = true;
   GError* error = nullptr;
@@ -289,7 +289,7 @@
     if (g_socket_bind(socket_, at, reuse, &error)) g_socket_listen(socket_, &error);
   }
   g_object_unref(at);
-  const std::string wrong = error == nullptr ? "" : error->message;
+  std::string wrong = error == nullptr ? "" : error->message;
   g_clear_error(&error);
   if (wrong.empty())
     Resume();
@@ -301,7 +301,7 @@
 std::string Listener::Take(int descriptor) {
   GError* error = nullptr;
   socket_ = g_socket_new_from_fd(descriptor, &error);
-  const std::string wrong = error == nullptr ? "" : error->message;
+  std::string wrong = error == nullptr ? "" : error->message;
   g_clear_error(&error);
   if (socket_ != nullptr) g_socket_set_blocking(socket_, FALSE);
   return wrong;
--- a/src/node/capture/edit.cpp
+++ b/src/node/capture/edit.cpp
@@ -190,7 +190,8 @@
     const std::uint64_t zero = Mix(0);
     std::vector<std::pair<std::uint64_t, std::uint64_t>> by_rank;
     std::set<std::uint64_t> places;
-    for (const std::uint64_t i : identities) by_rank.push_back({Mix(i ^ zero), i});
+    by_rank.reserve(identities.size());
+    for (const std::uint64_t i : identities) by_rank.emplace_back(Mix(i ^ zero), i);
     for (std::uint64_t i = 0; places.size() < identities.size(); ++i)
       places.insert(masks.Number("identity", std::to_string(i)));
     std::sort(by_rank.begin(), by_rank.end());
--- a/src/node/capture/explain.cpp
+++ b/src/node/capture/explain.cpp
@@ -169,7 +169,7 @@
       for (const auto& entry : list->entries) {
         if (entry.worker != *worker_) continue;
         part.entries.push_back(entry);
-        const std::string text = Words(part, turn.notes[i], segment_->site(), segment_->workers());
+        std::string text = Words(part, turn.notes[i], segment_->site(), segment_->workers());
         if (entry.ready_at <= 0) return text;
         return text + " started " + Seconds(turn.now - entry.ready_at) + " ago";
       }
--- a/src/node/capture/record.cpp
+++ b/src/node/capture/record.cpp
@@ -339,7 +339,7 @@
       k.silent = w.silent();
       if (w.has_died_ago()) k.died_at = Ago(w.died_ago());
       for (const wire::ColdSend& s : w.cold_sends())
-        k.cold_sends.push_back({Ago(s.ago()), Real(s.work())});
+        k.cold_sends.emplace_back(Ago(s.ago()), Real(s.work()));
       e.workers.push_back(std::move(k));
     }
     for (const wire::Figure& f : in.classes()) e.classes.push_back({f.index(), Real(f.value())});
--- a/src/node/capture/recorder.cpp
+++ b/src/node/capture/recorder.cpp
@@ -45,7 +45,7 @@
       std::error_code gone;
       const std::uint64_t size = it->file_size(gone);
       total += gone ? 0 : size;
-      all.push_back({number, it->path()});
+      all.emplace_back(number, it->path());
     }
     if (error) return settings_.folder + ": " + error.message();
     std::sort(all.begin(), all.end());
@@ -79,7 +79,7 @@
       const ssize_t n = write_(fd_, bytes.data() + done, bytes.size() - done);
       if (n < 0 && errno == EINTR) continue;
       if (n <= 0) {
-        const std::string why = n < 0 ? std::strerror(errno) : "nothing was written";
+        std::string why = n < 0 ? std::strerror(errno) : "nothing was written";
         if (::ftruncate(fd_, static_cast<off_t>(size_)) != 0) return why + ", nor cut back";
         return why;
       }
--- a/src/node/capture/replay.cpp
+++ b/src/node/capture/replay.cpp
@@ -44,11 +44,11 @@
     std::snprintf(text, sizeof text, "pool %s: %.2f slots busy under a limit of %.2f",
                   site.kinds[k].c_str(), dispatcher.PoolBusy(static_cast<int>(k)),
                   dispatcher.PoolLimit(static_cast<int>(k)));
-    lines.push_back(text);
+    lines.emplace_back(text);
   }
   std::snprintf(text, sizeof text, "%zu jobs open, %zu workers on the list",
                 dispatcher.OpenRequests(), dispatcher.KnownWorkers());
-  lines.push_back(text);
+  lines.emplace_back(text);
   return lines;
 }
 
--- a/src/node/cli/fleet_setup.cpp
+++ b/src/node/cli/fleet_setup.cpp
@@ -130,6 +130,7 @@
   fleet->RecallOrders(orders);
   fleet->OnOrders([path, fleet](const std::vector<zones::Order>& held) {
     std::vector<admin::ZoneOrder> kept;
+    kept.reserve(held.size());
     for (const zones::Order& o : held)
       kept.push_back({fleet->zones()->name(o.target), o.number, NameOf(o.what), o.by, o.at / 1000});
     admin::SaveZoneOrders(path, kept);
--- a/src/node/cli/rules.cpp
+++ b/src/node/cli/rules.cpp
@@ -30,7 +30,7 @@
 
 std::string Escape(const std::string& text) {
   char* escaped = g_uri_escape_string(text.c_str(), nullptr, FALSE);
-  const std::string all = escaped;
+  std::string all = escaped;
   g_free(escaped);
   return all;
 }
--- a/src/node/cli/takeover.cpp
+++ b/src/node/cli/takeover.cpp
@@ -47,7 +47,7 @@
   for (const Micros until = Now() + kAskAgainFor;; g_usleep(kAskEvery)) {
     std::string why;
     if (auto taken = over_->Ask(kAskFor, &why)) return Use(std::move(*taken));
-    const std::string wrong = front_->Open(config_.listen);
+    std::string wrong = front_->Open(config_.listen);
     if (!wrong.empty() && Now() < until) continue;
     if (!why.empty()) Log("not_handed_over", {{"why", why}}, "no hand-over: " + why);
     return wrong;
--- a/src/node/config/xml.cpp
+++ b/src/node/config/xml.cpp
@@ -89,7 +89,7 @@
 std::string Text(const xmlNode* node, const char* attribute) {
   xmlChar* value =
       xmlGetNoNsProp(const_cast<xmlNode*>(node), reinterpret_cast<const xmlChar*>(attribute));
-  const std::string text = value == nullptr ? "" : reinterpret_cast<const char*>(value);
+  std::string text = value == nullptr ? "" : reinterpret_cast<const char*>(value);
   xmlFree(value);
   return text;
 }
--- a/src/node/durable_jobs/callback.cpp
+++ b/src/node/durable_jobs/callback.cpp
@@ -77,7 +77,7 @@
       continue;
     }
     if (call.stream != nullptr) call.stream->Close();
-    told.push_back({std::move(call.done), call.over && call.good});
+    told.emplace_back(std::move(call.done), call.over && call.good);
     it = calls_.erase(it);
   }
   if (!calls_.empty()) sweep_.Set(calls_.front()->until);
--- a/src/node/durable_jobs/keeper.cpp
+++ b/src/node/durable_jobs/keeper.cpp
@@ -118,7 +118,7 @@
 void Keeper::SaveWhole(Record& r) {
   std::vector<job_store::Change> changes = {job_store::PutJob{r.job}};
   for (const job_state::Attempt& a : r.job.attempts)
-    changes.push_back(job_store::PutAttempt{r.job.seq, a});
+    changes.emplace_back(job_store::PutAttempt{r.job.seq, a});
   r.unsaved = false;
   Write(r, std::move(changes), [this, seq = r.job.seq](bool good) {
     if (good) AfterEnd(records_.at(seq));
--- a/src/node/durable_jobs/keeper_attempts.cpp
+++ b/src/node/durable_jobs/keeper_attempts.cpp
@@ -86,7 +86,7 @@
 
 // A word about a job that the node does not have: of one that ended, or that is in doubt.
 void Keeper::Orphan(const News& news, Heard heard) {
-  const auto hear = [heard](bool good) {
+  const auto hear = [heard = std::move(heard)](bool good) {
     if (heard) heard(good);
   };
   Bring(job_store::ByRequest{news.job}, [this, news, hear](Record* r) {
@@ -97,7 +97,7 @@
     // Its end is not on the disk yet: said again until it is.
     if (job_state::IsEnd(r->job.state) && r->unsaved) SaveWhole(*r);
     if (job_state::IsEnd(r->job.state) && r->writes > 0) {
-      r->heard.push_back(hear);
+      r->heard.emplace_back(hear);
       return;
     }
     const job_state::Word word = news.state == News::State::kDone       ? job_state::Word::kDone
@@ -157,7 +157,7 @@
   }
   std::vector<job_store::Change> changes = {job_store::PutJob{r.job}};
   if (!r.job.attempts.empty())
-    changes.push_back(job_store::PutAttempt{r.job.seq, r.job.attempts.back()});
+    changes.emplace_back(job_store::PutAttempt{r.job.seq, r.job.attempts.back()});
   Write(r, std::move(changes), [this, seq = r.job.seq, done = std::move(done)](bool good) {
     if (done) done(good);
     if (good) AfterEnd(records_.at(seq));
--- a/src/node/durable_jobs/keeper_callbacks.cpp
+++ b/src/node/durable_jobs/keeper_callbacks.cpp
@@ -26,7 +26,7 @@
 void Keeper::FillCallbacks() {
   if (!more_calls_ || filling_calls_ || !calls_due_.empty()) return;
   filling_calls_ = true;
-  store_->Ask({job_store::WantCallback{}, [this, alive = alive_](job_store::Found found) {
+  store_->Ask({job_store::WantCallback{}, [this, alive = alive_](const job_store::Found& found) {
                  if (!*alive) return;
                  filling_calls_ = false;
                  if (!found.error.empty()) return CountFault("store_failed", found.error);
--- a/src/node/durable_jobs/keeper_recovery.cpp
+++ b/src/node/durable_jobs/keeper_recovery.cpp
@@ -105,7 +105,7 @@
   for (job_state::Attempt& a : job.attempts) {
     if (a.ran == Ran::kNever) continue;
     a.ran = Ran::kFenced;
-    changes.push_back(job_store::PutAttempt{job.seq, a});
+    changes.emplace_back(job_store::PutAttempt{job.seq, a});
   }
   job.state = State::kQueued;
   job.reason.clear();
--- a/src/node/engine/core.h
+++ b/src/node/engine/core.h
@@ -8,6 +8,7 @@
 #include <functional>
 #include <optional>
 #include <string>
+#include <utility>
 
 #include "common/event_loop/io.h"
 #include "node/config/config.h"
@@ -90,13 +91,22 @@
   // Durable jobs; a core that keeps none refuses them.
   virtual bool keeps() const { return false; }
   // Takes a job on durably; `taken` is told once that is so, or at once that it is not.
-  virtual void Take(Job, Taken taken) { taken({}); }
+  virtual void Take(Job, Taken taken) {
+    const Taken done = std::move(taken);
+    done({});
+  }
   // Tells how a durable job stands: at once, or once it has ended and that is durable, `wait` from
   // now at the latest. Nothing: there is no such job.
-  virtual void Look(const std::string&, Micros /*wait*/, Seen seen) { seen(std::nullopt); }
+  virtual void Look(const std::string&, Micros /*wait*/, Seen seen) {
+    const Seen done = std::move(seen);
+    done(std::nullopt);
+  }
   // Those who wait in Look are told how their jobs stand, now; nobody waits from then on.
   virtual void EndWaits() {}
-  virtual void GiveUp(const std::string&, Seen seen) { seen(std::nullopt); }
+  virtual void GiveUp(const std::string&, Seen seen) {
+    const Seen done = std::move(seen);
+    done(std::nullopt);
+  }
 };
 
 }  // namespace pearreach
--- a/src/node/engine/node.cpp
+++ b/src/node/engine/node.cpp
@@ -85,7 +85,7 @@
   last_turn_ = now;
   bool rang = false;
   for (; !timers_.empty() && timers_.top() <= now; rang = true) timers_.pop();
-  if (rang) events_.push_back(dispatch::TimerFired{});
+  if (rang) events_.emplace_back(dispatch::TimerFired{});
   RunDeadlines(now);
   Deny();
   const std::vector<dispatch::Event> events = std::exchange(events_, {});
--- a/src/node/engine/node_jobs.cpp
+++ b/src/node/engine/node_jobs.cpp
@@ -45,7 +45,7 @@
   ++open_;
   deadlines_.insert({r.due, ticket});
   if (admission.refused) {
-    denied_.push_back({ticket, admission.retry_after});
+    denied_.emplace_back(ticket, admission.retry_after);
     ArmTurn();
     return ticket;
   }
--- a/src/node/engine/workers.cpp
+++ b/src/node/engine/workers.cpp
@@ -291,7 +291,7 @@
 }
 
 void Workers::FinishLater(AttemptKey key, Outcome outcome) {
-  later_.push_back({key, outcome});
+  later_.emplace_back(key, outcome);
   tell_.Set(Now());
 }
 
--- a/src/node/fleet/fleet_zones.cpp
+++ b/src/node/fleet/fleet_zones.cpp
@@ -171,7 +171,7 @@
     char* text = g_date_time_format(time, "%F %T");
     char ms[16];
     std::snprintf(ms, sizeof ms, ".%03d", static_cast<int>(moment / 1000 % 1000));
-    const std::string all = text == nullptr ? "?" : std::string(text) + ms;
+    std::string all = text == nullptr ? "?" : std::string(text) + ms;
     g_free(text);
     g_date_time_unref(time);
     return all;
--- a/src/node/fleet/rules_file.cpp
+++ b/src/node/fleet/rules_file.cpp
@@ -51,14 +51,14 @@
     const ssize_t n = disk_->Write(fd, bytes.data() + done, bytes.size() - done);
     if (n < 0 && errno == EINTR) continue;
     if (n <= 0) {
-      const std::string text = wrong("write");
+      std::string text = wrong("write");
       disk_->Close(fd);
       return text;
     }
     done += static_cast<std::size_t>(n);
   }
   if (disk_->Sync(fd) != 0) {
-    const std::string text = wrong("sync");
+    std::string text = wrong("sync");
     disk_->Close(fd);
     return text;
   }
--- a/src/node/fleet/rules_part.cpp
+++ b/src/node/fleet/rules_part.cpp
@@ -167,7 +167,7 @@
   GDateTime* time = g_date_time_new_from_unix_utc(unix_ms / 1000);
   if (time == nullptr) return "?";
   char* text = g_date_time_format(time, "%F %T UTC");
-  const std::string all = text == nullptr ? "?" : text;
+  std::string all = text == nullptr ? "?" : text;
   g_free(text);
   g_date_time_unref(time);
   return all;
--- a/src/node/hot_restart/handover.cpp
+++ b/src/node/hot_restart/handover.cpp
@@ -25,7 +25,7 @@
 std::optional<std::size_t> LengthOf(std::string_view head) {
   std::size_t n = 0;
   for (int i = 3; i >= 0; --i)
-    n = n << 8 | static_cast<unsigned char>(head[static_cast<std::size_t>(1 + i)]);
+    n = n << 8 | static_cast<unsigned char>(head[1 + static_cast<std::size_t>(i)]);
   if (n > kMaxFrame) return std::nullopt;
   return n;
 }
@@ -121,7 +121,7 @@
     before_.stream->Write(Frame(kReady, ""));
     return "";  // the path is this one's when that one says so
   }
-  const std::string wrong = Open();
+  std::string wrong = Open();
   if (events_.alone) events_.alone();
   return wrong;
 }
@@ -173,11 +173,11 @@
     const char type = link->in[0];
     std::string payload = link->in.substr(kHead, *length);
     link->in.erase(0, kHead + *length);
-    OnFrame(link, type, std::move(payload));
+    OnFrame(link, type, payload);
   }
 }
 
-void HandOver::OnFrame(Link* link, char type, std::string payload) {
+void HandOver::OnFrame(Link* link, char type, const std::string& payload) {
   const bool from_next = link == &next_;
   if (type == kNews) return events_.news(payload);
   if (!from_next && type == kConnection) {
--- a/src/node/hot_restart/handover.h
+++ b/src/node/hot_restart/handover.h
@@ -69,7 +69,7 @@
   std::string Open();
   void OnNext(std::shared_ptr<Stream> stream);
   void OnData(Link* link, std::string_view bytes);
-  void OnFrame(Link* link, char type, std::string payload);
+  void OnFrame(Link* link, char type, const std::string& payload);
   void OnClosed(Link* link);
   void Drop(Link* link);
 
--- a/src/node/http_frontend/front.cpp
+++ b/src/node/http_frontend/front.cpp
@@ -424,11 +424,11 @@
 void Front::Refuse(Connection* c, bool keep_alive, Micros retry_after) {
   std::vector<http::Header> headers;
   if (retry_after > 0) headers.push_back({"Retry-After", SecondsOf(retry_after)});
-  Respond(c, 503, "refused\n", keep_alive, std::move(headers));
+  Respond(c, 503, "refused\n", keep_alive, headers);
 }
 
 void Front::Respond(Connection* c, int status, std::string_view body, bool keep_alive,
-                    std::vector<http::Header> headers) {
+                    const std::vector<http::Header>& headers) {
   // Near the budget a connection goes with its answer, which no request can cross.
   if (!c->is_worker && (refusing_ || connections_.size() > budget_ / 4 * 3)) keep_alive = false;
   c->answered = true;
--- a/src/node/http_frontend/front.h
+++ b/src/node/http_frontend/front.h
@@ -78,7 +78,7 @@
   void AwaitEnd(std::uint64_t promise, const std::string& id, Micros wait, bool keep_alive);
   void HandleLook(Connection* c, const http::Message& message, const std::string& id);
   void Respond(Connection* c, int status, std::string_view body, bool keep_alive,
-               std::vector<http::Header> headers = {});
+               const std::vector<http::Header>& headers = {});
   void Refuse(Connection* c, bool keep_alive, Micros retry_after);
   void MarkQuiet(Connection* c);
   void Destroy(Connection* c);
--- a/src/node/job_state/ledger.cpp
+++ b/src/node/job_state/ledger.cpp
@@ -153,7 +153,7 @@
       return "0123456789abcdef"[of >> (60 - 4 * i) & 15];
     };
     id[static_cast<std::size_t>(i)] = digit(seq);
-    id[static_cast<std::size_t>(16 + i)] = digit(chance);
+    id[16 + static_cast<std::size_t>(i)] = digit(chance);
   }
   return id;
 }
--- a/src/node/knowledge/file.cpp
+++ b/src/node/knowledge/file.cpp
@@ -87,7 +87,7 @@
     k.died_at = c.Time(w.died_ago());
     c.good = c.good && w.cold_sends_size() <= static_cast<int>(kMaxColdSends);
     for (const wire::ColdSend& s : w.cold_sends())
-      k.cold_sends.push_back({c.Time(s.ago()), c.Figure(s.work(), 0, kMaxFigure)});
+      k.cold_sends.emplace_back(c.Time(s.ago()), c.Figure(s.work(), 0, kMaxFigure));
     m->workers.push_back({w.id(), w.started_ms(), std::move(k)});
   }
   for (const wire::Class& k : in.classes())
@@ -253,7 +253,7 @@
     const ssize_t n = disk_->Write(fd, bytes.data() + at, bytes.size() - at);
     if (n < 0 && errno == EINTR) continue;
     if (n <= 0) {
-      const std::string line = wrong(aside);
+      std::string line = wrong(aside);
       disk_->Close(fd);
       return line;
     }
@@ -261,7 +261,7 @@
   }
   // Its bytes are on the disk before its name is: after a power cut a name never leads to less.
   if (disk_->Sync(fd) != 0) {
-    const std::string line = wrong(aside);
+    std::string line = wrong(aside);
     disk_->Close(fd);
     return line;
   }
--- a/src/node/membership/members.cpp
+++ b/src/node/membership/members.cpp
@@ -496,7 +496,7 @@
   const int often = 4 * static_cast<int>(std::ceil(std::log10(options_.nodes + 1.0)));
   std::vector<std::pair<int, int>> news;
   for (int n = 0; n < options_.nodes; ++n)
-    if (At(n).sent < often) news.push_back({At(n).sent, n});
+    if (At(n).sent < often) news.emplace_back(At(n).sent, n);
   std::sort(news.begin(), news.end());
   bool fits = true;
   for (const auto& [sent, n] : news)
@@ -505,7 +505,8 @@
   if (fits && receiver.differs) {
     receiver.differs = false;
     std::vector<std::pair<Micros, int>> latest;
-    for (int n = 0; n < options_.nodes; ++n) latest.push_back({-At(n).changed, n});
+    latest.reserve(options_.nodes);
+    for (int n = 0; n < options_.nodes; ++n) latest.emplace_back(-At(n).changed, n);
     const std::size_t some = std::min(kLatest, latest.size());
     std::partial_sort(latest.begin(), latest.begin() + static_cast<std::ptrdiff_t>(some),
                       latest.end());
--- a/src/node/peer_transport/peers.cpp
+++ b/src/node/peer_transport/peers.cpp
@@ -137,7 +137,7 @@
   // The others in their order of priority, as long as there is room.
   std::vector<std::pair<int, Topic>> order;
   for (const auto& [other, source] : sources_)
-    if (other != topic && source.add) order.push_back({source.priority, other});
+    if (other != topic && source.add) order.emplace_back(source.priority, other);
   std::sort(order.begin(), order.end());
   for (const auto& [priority, other] : order) {
     bool more = false;
--- a/src/node/shared_state/budgets.cpp
+++ b/src/node/shared_state/budgets.cpp
@@ -51,9 +51,8 @@
   return Thousandths(whole(now, budget)) / parts_;
 }
 std::int64_t Budgets::floor(int budget) const {
-  return static_cast<std::int64_t>(
-      options_.floor *
-      static_cast<double>(Thousandths(options_.wholes[static_cast<std::size_t>(budget)]) / parts_));
+  const std::int64_t even = Thousandths(options_.wholes[static_cast<std::size_t>(budget)]) / parts_;
+  return static_cast<std::int64_t>(options_.floor * static_cast<double>(even));
 }
 
 // A floor saves up one whole amount at least: where nodes are many a part is less than one a
--- a/src/node/zones/evidence.cpp
+++ b/src/node/zones/evidence.cpp
@@ -1,5 +1,6 @@
 // Evidence of zones: this node's own reports, and what all reports together say of a target.
 #include <algorithm>
+#include <cmath>
 #include <iterator>
 #include <utility>
 
@@ -11,7 +12,7 @@
 constexpr int kMinJobs = 8;  // that a zone's share of failures and its time rest on
 
 std::uint8_t Part(double share) {
-  return static_cast<std::uint8_t>(std::clamp(share, 0.0, 1.0) * 255 + 0.5);
+  return static_cast<std::uint8_t>(std::lround(std::clamp(share, 0.0, 1.0) * 255));
 }
 
 }  // namespace
--- a/src/tier/batch/item_puller.cpp
+++ b/src/tier/batch/item_puller.cpp
@@ -29,7 +29,7 @@
   int room = 0;
   for (const routing::Target& target : route.targets) {
     if (target.share <= 0 || !services.insert(target.service).second) continue;
-    room += std::max(runner.BulkRoom(target.service), 0);
+    room += std::max(runner.BulkCapacity(target.service), 0);
   }
   return std::min(room, kMaxAtOnce);
 }
--- a/src/tier/batch/item_worker.cpp
+++ b/src/tier/batch/item_worker.cpp
@@ -113,9 +113,9 @@
 const routing::Target& ItemWorker::PickTarget(const routing::Route& route) {
   std::uniform_real_distribution<double> point(0, 1);
   const routing::Target& picked = routing::RouteTable::Pick(route, point(random_));
-  if (runner_->BulkRoom(picked.service) > 0) return picked;
+  if (runner_->BulkCapacity(picked.service) > 0) return picked;
   for (const routing::Target& target : route.targets) {
-    if (target.share > 0 && runner_->BulkRoom(target.service) > 0) return target;
+    if (target.share > 0 && runner_->BulkCapacity(target.service) > 0) return target;
   }
   return picked;
 }
--- a/src/tier/gateway/gateway.cpp
+++ b/src/tier/gateway/gateway.cpp
@@ -66,7 +66,7 @@
   });
 }
 
-void Gateway::HoldUntilConfigured(std::shared_ptr<http_server::Exchange> exchange) {
+void Gateway::HoldUntilConfigured(const std::shared_ptr<http_server::Exchange>& exchange) {
   if (waits_ && !draining_ && start_queue_.Hold(exchange)) return;
   ++context_.outcomes->no_configuration;
   Refuse(exchange.get(), kUnavailable);
@@ -74,7 +74,7 @@
 
 void Gateway::Handle(std::shared_ptr<http_server::Exchange> exchange) {
   ++context_.outcomes->requests;
-  if (control_->Current()->routes == nullptr) return HoldUntilConfigured(std::move(exchange));
+  if (control_->Current()->routes == nullptr) return HoldUntilConfigured(exchange);
   Dispatch(std::move(exchange));
 }
 
@@ -82,9 +82,9 @@
   Outcomes& outcomes = *context_.outcomes;
   const auto routes = control_->Current()->routes;
   const http::Message& request = exchange->request();
-  if (lot_handler_ && IsBatchJobCall(request.method, request.target)) {
+  if (batch_job_handler_ && IsBatchJobCall(request.method, request.target)) {
     ++outcomes.batch_jobs;
-    return lot_handler_(std::move(exchange));
+    return batch_job_handler_(std::move(exchange));
   }
   const routing::Route* const route = routes->Match(HostOf(request), PathOf(request.target));
   if (route == nullptr) {
--- a/src/tier/gateway/gateway.h
+++ b/src/tier/gateway/gateway.h
@@ -26,7 +26,7 @@
   // The route stands for the time of the call only.
   using BulkHandler =
       std::function<void(std::shared_ptr<http_server::Exchange>, const routing::Route&)>;
-  using LotHandler = std::function<void(std::shared_ptr<http_server::Exchange>)>;
+  using BatchJobHandler = std::function<void(std::shared_ptr<http_server::Exchange>)>;
 
   // All three must outlive the gateway and its requests. `waits`: requests that come before the
   // first configuration are held for it; else they get 503.
@@ -38,7 +38,7 @@
 
   void Handle(std::shared_ptr<http_server::Exchange> exchange);
   void SetBulkHandler(BulkHandler handler) { bulk_handler_ = std::move(handler); }
-  void SetLotHandler(LotHandler handler) { lot_handler_ = std::move(handler); }
+  void SetBatchJobHandler(BatchJobHandler handler) { batch_job_handler_ = std::move(handler); }
   // While draining, new requests that would need a worker get 503: for the end of a drain, when
   // what begins now could not be finished. Requests under way go on.
   void SetDraining(bool draining);
@@ -49,14 +49,14 @@
   void OnControlChange();
   // A configuration is known.
   void Dispatch(std::shared_ptr<http_server::Exchange> exchange);
-  void HoldUntilConfigured(std::shared_ptr<http_server::Exchange> exchange);
+  void HoldUntilConfigured(const std::shared_ptr<http_server::Exchange>& exchange);
   void HandleRouted(std::shared_ptr<http_server::Exchange> exchange, const routing::Route& route);
   void Refuse(http_server::Exchange* exchange, int status);
 
   control::ControlClient* control_;
   LiveContext context_;
   BulkHandler bulk_handler_;
-  LotHandler lot_handler_;
+  BatchJobHandler batch_job_handler_;
   const bool waits_;
   StartQueue start_queue_;
   bool draining_ = false;
--- a/src/tier/gateway/live_request.cpp
+++ b/src/tier/gateway/live_request.cpp
@@ -81,7 +81,7 @@
     return;
   }
   // A worker's own refusal promises something of that worker only.
-  if (IsPromise(status_)) {
+  if (GuaranteesNotRun(status_)) {
     ++context_.outcomes->failed;
     RespondOwn(kBadGateway, OwnHeaders(attempt_id_));
     return;
--- a/src/tier/gateway/local_replies.cpp
+++ b/src/tier/gateway/local_replies.cpp
@@ -26,7 +26,7 @@
   return headers;
 }
 
-bool IsPromise(int status) {
+bool GuaranteesNotRun(int status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
--- a/src/tier/gateway/local_replies.h
+++ b/src/tier/gateway/local_replies.h
@@ -26,7 +26,7 @@
 std::vector<http::Header> RetryHeaders(std::string_view attempt_id, Micros retry_after);
 
 // Whether a status promises that the request has not run and never will.
-bool IsPromise(int status);
+bool GuaranteesNotRun(int status);
 
 }  // namespace pearreach::gateway
 
--- a/src/tier/http_server/answer_writer.cpp
+++ b/src/tier/http_server/answer_writer.cpp
@@ -7,7 +7,7 @@
 namespace pearreach::http_server {
 namespace {
 
-constexpr std::size_t kHeadRoom = 256;  // status line and own headers
+constexpr std::size_t kHeadReserveBytes = 256;  // status line and own headers
 
 bool IsFraming(std::string_view name) {
   switch (name.size()) {
@@ -39,7 +39,7 @@
 
 std::string WriteHead(int status, const std::vector<http::Header>& headers, Framing framing,
                       std::size_t length, const ConnectionNotice& notice) {
-  std::size_t size = kHeadRoom;
+  std::size_t size = kHeadReserveBytes;
   for (const http::Header& header : headers) size += header.name.size() + header.value.size() + 4;
   std::string out;
   out.reserve(size + (framing == Framing::kLength ? length : 0));
--- a/src/tier/http_server/client_exchange.cpp
+++ b/src/tier/http_server/client_exchange.cpp
@@ -17,7 +17,7 @@
 void ClientExchange::Respond(int status, std::vector<http::Header> headers, std::string_view body) {
   if (!open() || streaming_) return;
   const auto closed = std::exchange(closed_, nullptr);  // dropped last: it may own much
-  connection_->SendWhole(status, headers, body);
+  connection_->SendComplete(status, headers, body);
 }
 
 void ClientExchange::BeginStream(int status, std::vector<http::Header> headers) {
--- a/src/tier/http_server/connection.cpp
+++ b/src/tier/http_server/connection.cpp
@@ -60,11 +60,11 @@
   parser_.Feed(bytes);
   if (phase_ != Phase::kBusy)
     Pump();
-  else if (parser_.Buffered() > MostBuffered())
+  else if (parser_.Buffered() > MaxBuffered())
     Drop();
 }
 
-std::size_t Connection::MostBuffered() const {
+std::size_t Connection::MaxBuffered() const {
   return server_->options.max_header_bytes + server_->options.max_body_bytes + kReadAhead;
 }
 
@@ -149,8 +149,8 @@
   return notice;
 }
 
-void Connection::SendWhole(int status, const std::vector<http::Header>& headers,
-                           std::string_view body) {
+void Connection::SendComplete(int status, const std::vector<http::Header>& headers,
+                              std::string_view body) {
   const ConnectionNotice notice = Notice();
   keep_alive_ = !notice.close;
   std::string out = WriteHead(status, headers, Framing::kLength, body.size(), notice);
--- a/src/tier/http_server/connection.h
+++ b/src/tier/http_server/connection.h
@@ -34,7 +34,7 @@
 
   // For the exchange that was handed out.
   bool Awaits(const ClientExchange* exchange) const;
-  void SendWhole(int status, const std::vector<http::Header>& headers, std::string_view body);
+  void SendComplete(int status, const std::vector<http::Header>& headers, std::string_view body);
   void BeginChunks(int status, const std::vector<http::Header>& headers);
   void SendChunk(std::string_view piece);
   void EndChunks();
@@ -57,7 +57,7 @@
   void HandOut();
   void RefuseMalformed();
   void RenewParser();
-  std::size_t MostBuffered() const;
+  std::size_t MaxBuffered() const;
 
   // Writing.
   bool Send(std::string_view bytes);  // false: the connection is broken
--- a/src/tier/http_server/http_server.cpp
+++ b/src/tier/http_server/http_server.cpp
@@ -37,9 +37,9 @@
     listener_ = std::make_unique<Listener>(
         [this](std::shared_ptr<Stream> stream) { Accept(std::move(stream)); });
     listener_->OnAcceptFailed([this] { OnAcceptFailed(); });
-    const std::string wrong = listener_->Open(address);
-    if (!wrong.empty()) listener_.reset();
-    return wrong;
+    std::string error = listener_->Open(address);
+    if (!error.empty()) listener_.reset();
+    return error;
   }
 
   int port() const { return listener_ == nullptr ? 0 : listener_->port(); }
@@ -74,18 +74,19 @@
     const auto connection = std::make_shared<Connection>(state_, std::move(stream));
     state_->connections.emplace(connection.get(), connection);
     connection->Start();
-    if (state_->connections.size() >= state_->options.max_connections && !MakeRoom()) Pause();
+    if (state_->connections.size() >= state_->options.max_connections && !EvictIdleConnection())
+      Pause();
   }
 
   void OnAcceptFailed() {
     logging::Warning("front", "no connection can be accepted",
                      {logging::F("connections", state_->connections.size())});
-    MakeRoom();
+    EvictIdleConnection();
     Pause();
   }
 
   // Closes the connection that has been idle longest, if long enough.
-  bool MakeRoom() {
+  bool EvictIdleConnection() {
     if (state_->waiting.empty() || !state_->waiting.front()->IdleFor(kSafelyIdle)) return false;
     state_->waiting.front()->Drop();
     return true;
@@ -103,7 +104,7 @@
 
   void Resume() {
     if (listener_ == nullptr) return;
-    if (state_->connections.size() < state_->options.max_connections || MakeRoom())
+    if (state_->connections.size() < state_->options.max_connections || EvictIdleConnection())
       listener_->Resume();
     else
       Pause();
--- a/src/tier/proxy/active_request_response.cpp
+++ b/src/tier/proxy/active_request_response.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void ActiveRequest::PassOn(ResponseHead head, const std::string& body) {
+void ActiveRequest::ForwardResponse(ResponseHead head, const std::string& body) {
   const auto self = shared_from_this();
   const std::shared_ptr<RequestSink> sink = sink_;
   sink->OnHead(head.status, EndToEnd(std::move(head.headers)));
@@ -30,63 +30,63 @@
 void ActiveRequest::OnStreamHead(const ResponseHead& head) {
   // At the first event, so it is as fresh as it can be: told to the module at once.
   if (const auto load = ReadWorkerLoad(head)) {
-    line_->workers.Tell(worker_, *load);
-    if (host_->policy().told_load) line_->dispatcher.Told(worker_, *load);
+    pool_->workers.RecordLoad(worker_, *load);
+    if (host_->policy().told_load) pool_->dispatcher.OnLoadReport(worker_, *load);
   }
   worker_status_ = head.status;
-  if (!head_passed_) head_ = head;
+  if (!head_forwarded_) head_ = head;
 }
 
-void ActiveRequest::PassHead() {
-  if (std::exchange(head_passed_, true)) return;
+void ActiveRequest::ForwardHead() {
+  if (std::exchange(head_forwarded_, true)) return;
   sink_->OnHead(head_->status, EndToEnd(std::move(head_->headers)));
   head_.reset();
 }
 
-void ActiveRequest::PassBytes(std::string_view bytes) {
+void ActiveRequest::ForwardBytes(std::string_view bytes) {
   if (bytes.empty() || ended_) return;
-  PassHead();
+  ForwardHead();
   if (!ended_) sink_->OnBody(bytes);
 }
 
 void ActiveRequest::OnStreamBytes(std::string_view bytes) {
   const auto self = shared_from_this();
   events_.Append(bytes);
-  if (!PassEvents()) return BreakStream();
-  if (!ended_ && sink_->backlog() > kMaxBacklog) Pause();
+  if (!ForwardEvents()) return BreakStream();
+  if (!ended_ && sink_->backlog() > kMaxBacklog) PauseReading();
 }
 
 // Holds up this worker's answer alone: the worker and its other jobs go on.
-void ActiveRequest::Pause() {
+void ActiveRequest::PauseReading() {
   if (attempt_ == nullptr || std::exchange(paused_, true)) return;
   attempt_->PauseReading();
-  WatchSilence(0);
+  ArmTimeout(0);
 }
 
 void ActiveRequest::Resume() {
   if (!std::exchange(paused_, false)) return;
-  timers_->Cancel(&silence_timer_);
-  heard_ = Now();
-  TellProgress();
+  timers_->Cancel(&timeout_timer_);
+  last_event_at_ = Now();
+  ReportProgress();
   if (attempt_ == nullptr) return;
-  if (spec_.repeatable && runs_ + 1 < spec_.attempts) WatchSilence(SilenceLimit());
+  if (spec_.idempotent && runs_ + 1 < spec_.attempts) ArmTimeout(NextEventTimeout());
   attempt_->ResumeReading();
 }
 
-void ActiveRequest::TellProgress() {
-  progress_told_ = Now();
-  if (placement_ != 0) line_->dispatcher.Progress(placement_);
+void ActiveRequest::ReportProgress() {
+  progress_reported_ = Now();
+  if (placement_ != 0) pool_->dispatcher.OnProgress(placement_);
 }
 
 // Whole events, none twice and without gaps, those that came together in one piece. False: the
 // worker's events do not follow what was passed on.
-bool ActiveRequest::PassEvents() {
+bool ActiveRequest::ForwardEvents() {
   std::string_view together;
   StreamEvent event;
   bool follows = true;
   while (events_.Next(&event)) {
-    const bool heard = event.id.has_value() || !spec_.resumable;
-    if (heard) heard_ = Now();
+    const bool counts_as_progress = event.id.has_value() || !spec_.resumable;
+    if (counts_as_progress) last_event_at_ = Now();
     if (event.id && spec_.resumable) {
       if (*event.id <= last_event_id_) continue;
       follows = last_event_id_ == 0 || *event.id == last_event_id_ + 1;
@@ -94,33 +94,33 @@
     }
     if (event.id) last_event_id_ = *event.id;
     const bool joins = !together.empty() && together.data() + together.size() == event.bytes.data();
-    if (!joins) PassBytes(together);
+    if (!joins) ForwardBytes(together);
     together = joins ? std::string_view(together.data(), together.size() + event.bytes.size())
                      : event.bytes;
   }
-  if (heard_ != 0) LeaveGate();  // its prompt has been read
-  if (heard_ != 0) NoteRead();
-  if (heard_ != 0 && placement_ != 0) {
-    line_->dispatcher.Began(placement_);
-    if (heard_ - progress_told_ >= kProgressEvery) TellProgress();
+  if (last_event_at_ != 0) ReleaseBulkGate();  // its prompt has been read
+  if (last_event_at_ != 0) EndPrefill();
+  if (last_event_at_ != 0 && placement_ != 0) {
+    pool_->dispatcher.OnResponseBegun(placement_);
+    if (last_event_at_ - progress_reported_ >= kProgressEvery) ReportProgress();
   }
-  PassBytes(together);
+  ForwardBytes(together);
   return follows;
 }
 
 void ActiveRequest::BreakStream() {
   ++runs_;
-  Leave(Outcome::kError);
-  AfterRun();
+  AbandonAttempt(Outcome::kError);
+  RetryAfterRun();
 }
 
 void ActiveRequest::OnStreamComplete() {
   ++runs_;
-  Settle(Outcome::kGood);
+  EndPlacement(Outcome::kGood);
   const std::shared_ptr<RequestSink> sink = sink_;
-  PassHead();
+  ForwardHead();
   // A last event without its empty line is part of the worker's whole body all the same.
-  if (!ended_) PassBytes(events_.Rest());
+  if (!ended_) ForwardBytes(events_.Rest());
   RequestResult result;
   result.end = RequestEnd::kComplete;
   result.worker_status = worker_status_;
--- a/src/tier/proxy/attempt.cpp
+++ b/src/tier/proxy/attempt.cpp
@@ -10,7 +10,8 @@
 constexpr Micros kConnectTimeout = 300 * kMs;  // of a connection that gives no sign
 constexpr int kMaxSurplus = 4;                 // answers of earlier requests on one connection
 constexpr std::size_t kMaxBuffered = 32 << 20;
-constexpr std::size_t kBodyPiece = 64 << 10;  // a worker that reads slowly leaves no more untaken
+constexpr std::size_t kBodyChunkBytes = 64
+                                        << 10;  // a worker that reads slowly leaves no more untaken
 // A worker counts a connection as idle earlier than this node does.
 constexpr Micros kKeepAliveMargin = 500 * kMs;
 
@@ -26,12 +27,12 @@
 // How long the worker keeps the connection, a margin taken off.
 Micros KeepFor(const ResponseHead& head) {
   if (!head.keep_alive) return 0;
-  const std::string* told = head.Find("Keep-Alive");
-  const std::size_t at = told == nullptr ? std::string::npos : told->find("timeout=");
+  const std::string* keep_alive = head.Find("Keep-Alive");
+  const std::size_t at = keep_alive == nullptr ? std::string::npos : keep_alive->find("timeout=");
   if (at == std::string::npos) return kKeepIdle;
-  const char* begin = told->data() + at + std::string_view("timeout=").size();
+  const char* begin = keep_alive->data() + at + std::string_view("timeout=").size();
   Micros seconds = 0;
-  const auto read = std::from_chars(begin, told->data() + told->size(), seconds);
+  const auto read = std::from_chars(begin, keep_alive->data() + keep_alive->size(), seconds);
   if (read.ec != std::errc()) return kKeepIdle;
   return std::clamp<Micros>(seconds, 0, kKeepIdle / kSecond + 1) * kSecond - kKeepAliveMargin;
 }
@@ -48,7 +49,7 @@
 
 Attempt::~Attempt() { Cancel(); }
 
-void Attempt::Start() { Connect(request_.repeatable ? Freshness::kAny : Freshness::kPreferNew); }
+void Attempt::Start() { Connect(request_.idempotent ? Freshness::kAny : Freshness::kPreferNew); }
 
 void Attempt::Cancel() {
   listener_ = nullptr;
@@ -80,7 +81,7 @@
   reader_.Start(request_.bodiless);
   body_sent_ = 0;
   std::string first = request_.head;
-  first.append(NextPiece());
+  first.append(NextChunk());
   connection_->NoteRequest(request_.attempt_id);
   if (connection_->stream().Write(first)) {
     written_ = true;
@@ -96,22 +97,23 @@
   Connect(Freshness::kPreferNew);
 }
 
-std::string_view Attempt::NextPiece() {
+std::string_view Attempt::NextChunk() {
   if (request_.body == nullptr) return {};
-  const std::string_view piece = std::string_view(*request_.body).substr(body_sent_, kBodyPiece);
+  const std::string_view piece =
+      std::string_view(*request_.body).substr(body_sent_, kBodyChunkBytes);
   body_sent_ += piece.size();
   return piece;
 }
 
-bool Attempt::SentWhole() const {
+bool Attempt::IsCompletelySent() const {
   return request_.body == nullptr || body_sent_ == request_.body->size();
 }
 
 // Gives the connection as much of the body as the worker takes at once, and one piece more. False:
 // the connection has broken.
 bool Attempt::SendBody() {
-  while (!SentWhole() && connection_->stream().unsent() == 0)
-    if (!connection_->stream().Write(NextPiece())) return false;
+  while (!IsCompletelySent() && connection_->stream().unsent() == 0)
+    if (!connection_->stream().Write(NextChunk())) return false;
   return true;
 }
 
@@ -134,7 +136,7 @@
 
 void Attempt::OnConnectionData(std::string_view bytes) {
   const auto self = shared_from_this();
-  heard_ = true;
+  response_begun_ = true;
   for (;;) {
     const ResponseReader::Status status = reader_.Feed(&bytes);
     if (status == ResponseReader::Status::kMore || status == ResponseReader::Status::kStopped)
@@ -160,15 +162,15 @@
   skipping_ = id == nullptr || *id != request_.attempt_id;
   if (skipping_) return true;
   const bool good = head.status / 100 == 2 && head.Find("X-Seal") != nullptr;
-  result_.passed_on = request_.streamed && good && IsEventStream(head);
+  result_.forwarded = request_.streamed && good && IsEventStream(head);
   result_.head = std::move(head);
-  if (result_.passed_on) listener_->OnStreamHead(result_.head);
+  if (result_.forwarded) listener_->OnStreamHead(result_.head);
   return listener_ != nullptr;
 }
 
 bool Attempt::OnResponseBody(std::string_view bytes) {
   if (skipping_) return true;
-  if (result_.passed_on) {
+  if (result_.forwarded) {
     listener_->OnStreamBytes(bytes);
     return listener_ != nullptr;
   }
@@ -184,20 +186,20 @@
 void Attempt::EndAnswer(std::string_view rest) {
   // A request that the worker has not read whole would run into the next one.
   const bool trusted = rest.empty() && surplus_ == 0 && connection_->stream().open() &&
-                       SentWhole() && connection_->stream().unsent() == 0;
+                       IsCompletelySent() && connection_->stream().unsent() == 0;
   const Micros keep_for = trusted ? KeepFor(result_.head) : 0;
   connection_->stream().ResumeReading();
-  connections_->GiveBack(std::exchange(connection_, nullptr), keep_for);
+  connections_->Release(std::exchange(connection_, nullptr), keep_for);
   result_.end = AttemptEnd::kAnswered;
   End(std::move(result_));
 }
 
 void Attempt::Fail() {
-  const bool passed_on = result_.passed_on;
+  const bool forwarded = result_.forwarded;
   AttemptResult result;
   result.end = written_ ? AttemptEnd::kLost : AttemptEnd::kNoConnection;
   result.connections_used_up = result_.connections_used_up;
-  result.passed_on = passed_on;
+  result.forwarded = forwarded;
   DropConnection();
   End(std::move(result));
 }
--- a/src/tier/proxy/attempt.h
+++ b/src/tier/proxy/attempt.h
@@ -25,7 +25,7 @@
   bool connections_used_up = false;  // kNoConnection: this node's part of them is in use
   ResponseHead head;                 // kAnswered
   std::string body;                  // kAnswered, what was not passed on as it came
-  bool passed_on = false;            // the body went to OnStreamBytes
+  bool forwarded = false;            // the body went to OnStreamBytes
 };
 
 // The owner of an attempt; it may cancel or drop it from inside any call.
@@ -44,7 +44,7 @@
   std::string attempt_id;                   // what its answer must repeat
   bool bodiless = false;                    // HEAD
   bool streamed = false;                    // a stream of events is passed on as it comes
-  bool repeatable = false;  // if not, no connection that was idle for long, where that can be had
+  bool idempotent = false;  // if not, no connection that was idle for long, where that can be had
   std::size_t connection_limit = 1;
 };
 
@@ -67,7 +67,7 @@
   // Something of the request may have reached the worker.
   bool written() const { return written_; }
   // Something of the worker's answer has come.
-  bool heard() const { return heard_; }
+  bool response_begun() const { return response_begun_; }
 
  private:
   void OnConnected() override;
@@ -80,8 +80,8 @@
   void Connect(Freshness freshness);
   void Send();
   bool SendBody();
-  std::string_view NextPiece();
-  bool SentWhole() const;
+  std::string_view NextChunk();
+  bool IsCompletelySent() const;
   void EndAnswer(std::string_view rest);
   void Fail();
   void End(AttemptResult result);
@@ -95,7 +95,7 @@
   ResponseReader reader_;
   Timers::Id connect_timer_ = 0;
   AttemptResult result_;
-  bool written_ = false, heard_ = false;
+  bool written_ = false, response_begun_ = false;
   bool skipping_ = false;  // the answer in hand is a surplus one
   int surplus_ = 0;
   std::size_t body_sent_ = 0;  // bytes of the body that were given to the connection
--- a/src/tier/proxy/bulk_gate.cpp
+++ b/src/tier/proxy/bulk_gate.cpp
@@ -9,29 +9,29 @@
   Admit();
 }
 
-bool BulkGate::Enter(std::uint64_t job, std::function<void()> admitted) {
-  if (held_ < allowance_ && waiting_.empty()) {
-    ++held_;
+bool BulkGate::Enter(std::uint64_t request, std::function<void()> admitted) {
+  if (in_use_ < allowance_ && waiting_.empty()) {
+    ++in_use_;
     return true;
   }
-  waiting_.emplace_back(job, std::move(admitted));
+  waiting_.emplace_back(request, std::move(admitted));
   return false;
 }
 
-void BulkGate::Leave() {
-  --held_;
+void BulkGate::Release() {
+  --in_use_;
   Admit();
 }
 
-void BulkGate::Withdraw(std::uint64_t job) {
-  std::erase_if(waiting_, [job](const auto& each) { return each.first == job; });
+void BulkGate::Withdraw(std::uint64_t request) {
+  std::erase_if(waiting_, [request](const auto& each) { return each.first == request; });
 }
 
 void BulkGate::Admit() {
-  while (held_ < allowance_ && !waiting_.empty()) {
+  while (in_use_ < allowance_ && !waiting_.empty()) {
     const std::function<void()> admitted = std::move(waiting_.front().second);
     waiting_.pop_front();
-    ++held_;
+    ++in_use_;
     admitted();
   }
 }
--- a/src/tier/proxy/bulk_gate.h
+++ b/src/tier/proxy/bulk_gate.h
@@ -18,16 +18,16 @@
   void SetAllowance(int allowance);
   int allowance() const { return allowance_; }
   // True: `job` holds a place now. False: `admitted` is called once it does.
-  bool Enter(std::uint64_t job, std::function<void()> admitted);
-  void Leave();                      // the holder of a place gives it up
-  void Withdraw(std::uint64_t job);  // one that waits does so no more
+  bool Enter(std::uint64_t request, std::function<void()> admitted);
+  void Release();                        // the holder of a place gives it up
+  void Withdraw(std::uint64_t request);  // one that waits does so no more
   std::size_t waiting() const { return waiting_.size(); }
 
  private:
   void Admit();
 
   int allowance_ = 1;
-  int held_ = 0;
+  int in_use_ = 0;
   std::deque<std::pair<std::uint64_t, std::function<void()>>> waiting_;
 };
 
--- a/src/tier/proxy/event_splitter.cpp
+++ b/src/tier/proxy/event_splitter.cpp
@@ -42,8 +42,8 @@
   if (line.starts_with(' ')) line.remove_prefix(1);
   std::uint64_t value = 0;
   const auto read = std::from_chars(line.data(), line.data() + line.size(), value);
-  const bool whole = read.ec == std::errc() && read.ptr == line.data() + line.size();
-  if (whole) id_ = value;
+  const bool complete = read.ec == std::errc() && read.ptr == line.data() + line.size();
+  if (complete) id_ = value;
 }
 
 void EventSplitter::Clear() {
--- a/src/tier/proxy/fleet_start.cpp
+++ b/src/tier/proxy/fleet_warm_up.cpp
@@ -1,4 +1,4 @@
-#include "tier/proxy/fleet_start.h"
+#include "tier/proxy/fleet_warm_up.h"
 
 namespace pearreach::proxy {
 namespace {
@@ -8,19 +8,19 @@
 
 }  // namespace
 
-FleetStart::FleetStart(const control::ControlClient* control, std::string node_name, Micros began,
-                       Micros learn_time)
+FleetWarmUp::FleetWarmUp(const control::ControlClient* control, std::string node_name, Micros began,
+                         Micros learn_time)
     : control_(control),
       node_name_(std::move(node_name)),
       until_(began + learn_time),
       learn_time_(learn_time) {}
 
-Micros FleetStart::LearnsUntil(Micros now) const {
+Micros FleetWarmUp::WarmUpDeadline(Micros now) const {
   return now < until_ && !HasOlderNode() ? until_ : 0;
 }
 
 // Incarnations are the starts of processes, in milliseconds of the time of day.
-bool FleetStart::HasOlderNode() const {
+bool FleetWarmUp::HasOlderNode() const {
   const auto& members = control_->members();
   const auto self = members.find(node_name_);
   if (self == members.end()) return false;
--- a/src/tier/proxy/fleet_start.h
+++ b/src/tier/proxy/fleet_warm_up.h
@@ -1,7 +1,7 @@
 // Tells whether all edge nodes have just started, so that none of them knows all workers yet: these
 // call again within a heartbeat period. Where an older node is alive, it knows them.
-#ifndef PEARREACH_SRC_TIER_PROXY_FLEET_START_H_
-#define PEARREACH_SRC_TIER_PROXY_FLEET_START_H_
+#ifndef PEARREACH_SRC_TIER_PROXY_FLEET_WARM_UP_H_
+#define PEARREACH_SRC_TIER_PROXY_FLEET_WARM_UP_H_
 
 #include <string>
 #include <utility>
@@ -11,14 +11,14 @@
 
 namespace pearreach::proxy {
 
-class FleetStart {
+class FleetWarmUp {
  public:
   // `learn_time`: from this process's start, `began`, until all workers have called; 0: not
   // awaited.
-  FleetStart(const control::ControlClient* control, std::string node_name, Micros began,
-             Micros learn_time);
+  FleetWarmUp(const control::ControlClient* control, std::string node_name, Micros began,
+              Micros learn_time);
   // Until when jobs had better wait for workers than be refused; 0: no longer.
-  Micros LearnsUntil(Micros now) const;
+  Micros WarmUpDeadline(Micros now) const;
 
  private:
   bool HasOlderNode() const;
@@ -31,4 +31,4 @@
 
 }  // namespace pearreach::proxy
 
-#endif  // PEARREACH_SRC_TIER_PROXY_FLEET_START_H_
+#endif  // PEARREACH_SRC_TIER_PROXY_FLEET_WARM_UP_H_
--- a/src/tier/proxy/pool_dispatcher.cpp
+++ b/src/tier/proxy/pool_dispatcher.cpp
@@ -12,11 +12,11 @@
 
 constexpr char kModule[] = "proxy";
 constexpr double kRankFalls = 0.5;    // worth of a rank beside the next more urgent one
-constexpr double kBulkWorth = 0.001;  // less than that of any live rank
+constexpr double kBulkValue = 0.001;  // less than that of any live rank
 constexpr double kLateValue = 0.4;    // share of the worth of an answer after its objective
-constexpr Micros kBulkAim = 2 * kSecond;
-constexpr double kConnectPrice = 0.01;           // open connections are preferred
-constexpr Micros kSilentProgress = 2 * kSecond;  // streams under way are told of this often
+constexpr Micros kBulkTarget = 2 * kSecond;
+constexpr double kConnectPrice = 0.01;              // open connections are preferred
+constexpr Micros kNoProgressTimeout = 2 * kSecond;  // streams under way are told of this often
 constexpr Micros kRetryFirst = 100 * kMs;  // a refused client comes back after this, and more for
 constexpr Micros kRetryEach = 5 * kMs;     // each job that waits here
 constexpr Micros kRetryLast = kSecond;
@@ -41,9 +41,9 @@
   timers_->Cancel(&timer_);
 }
 
-void PoolDispatcher::SetShare(NodeShare share) {
-  if (share == share_) return;
-  share_ = share;
+void PoolDispatcher::SetFleetPosition(FleetPosition share) {
+  if (share == position_) return;
+  position_ = share;
   rebuild_ = true;
   ArmTurn();
 }
@@ -58,13 +58,13 @@
 
 // ---------------------------------------------------------------- placements
 
-PlacementId PoolDispatcher::Arrive(const Placement& placement, PlacementClient* client) {
+PlacementId PoolDispatcher::Enqueue(const Placement& placement, PlacementClient* client) {
   const PlacementId id = ++last_;
   Open& open = open_[id];
   open.placement = placement;
   open.client = client;
-  open.number = ClassNumber(placement.job_class);
-  ++(placement.job_class.bulk ? held_bulk_ : held_live_);
+  open.number = ClassNumber(placement.traffic_class);
+  ++(placement.traffic_class.bulk ? queued_bulk_ : queued_live_);
   if (rebuild_)
     ArmTurn();
   else
@@ -77,38 +77,38 @@
   arrived.request = id;
   arrived.cls = open.number;
   arrived.due = open.placement.due;
-  arrived.preferred = open.placement.homes;
+  arrived.preferred = open.placement.preferred;
   Post(std::move(arrived));
 }
 
-void PoolDispatcher::Lapse(PlacementId id) {
+void PoolDispatcher::Withdraw(PlacementId id) {
   const auto found = open_.find(id);
   if (found == open_.end()) return;
   if (!rebuild_) Post(dispatch::RequestLapsed{id});
-  Unhold(found->second);
+  RemoveQueued(found->second);
   open_.erase(found);
 }
 
-void PoolDispatcher::Began(PlacementId id) {
+void PoolDispatcher::OnResponseBegun(PlacementId id) {
   const auto found = open_.find(id);
   if (found == open_.end() || std::exchange(found->second.began, true)) return;
   Post(dispatch::StreamBegan{id, 0, found->second.worker});
 }
 
-void PoolDispatcher::Progress(PlacementId id) {
+void PoolDispatcher::OnProgress(PlacementId id) {
   const auto found = open_.find(id);
   if (found == open_.end()) return;
   Post(dispatch::AttemptProgress{id, 0, found->second.worker, 0});
 }
 
 // The module weighs what a worker told of others' jobs only as a probe's word.
-void PoolDispatcher::Told(dispatch::WorkerId worker, const WorkerLoad& load) {
+void PoolDispatcher::OnLoadReport(dispatch::WorkerId worker, const WorkerLoad& load) {
   Post(dispatch::ProbeEnded{worker, true, ReportOf(load)});
 }
 
 // A placement is over with its one attempt; the job places itself anew if it goes on.
-void PoolDispatcher::Ended(PlacementId id, dispatch::Outcome outcome, Micros latency,
-                           const std::optional<WorkerLoad>& load) {
+void PoolDispatcher::OnEnded(PlacementId id, dispatch::Outcome outcome, Micros latency,
+                             const std::optional<WorkerLoad>& load) {
   const auto found = open_.find(id);
   if (found == open_.end()) return;
   dispatch::AttemptEnded ended;
@@ -120,13 +120,13 @@
   if (load) ended.load = ReportOf(*load);
   if (!rebuild_) {
     Post(ended);
-    if (load) Told(ended.worker, *load);
+    if (load) OnLoadReport(ended.worker, *load);
   }
   open_.erase(found);
 }
 
-void PoolDispatcher::Unhold(const Open& open) {
-  if (!open.out) --(open.placement.job_class.bulk ? held_bulk_ : held_live_);
+void PoolDispatcher::RemoveQueued(const Open& open) {
+  if (!open.out) --(open.placement.traffic_class.bulk ? queued_bulk_ : queued_live_);
 }
 
 // ---------------------------------------------------------------- turns
@@ -161,7 +161,7 @@
   actions_.clear();
   dispatcher_->Handle(now, events, &actions_);
   const std::vector<dispatch::Action> actions = std::exchange(actions_, {});
-  for (const dispatch::Action& action : actions) Carry(action);
+  for (const dispatch::Action& action : actions) Apply(action);
 }
 
 // A new module takes over: it is told of all workers, what the old one has learned, what waits and
@@ -179,18 +179,18 @@
   dispatch::WorkerList list;
   list.form = dispatch::WorkerList::Form::kComplete;
   list.entries = workers_->Everything();
-  events_.push_back(std::move(list));
-  if (!learned.pools.empty()) events_.push_back(std::move(learned));
-  slots_told_ = 0;
+  events_.emplace_back(std::move(list));
+  if (!learned.pools.empty()) events_.emplace_back(std::move(learned));
+  reported_slots_ = 0;
   TeachSlots();
   for (auto& [id, open] : open_) {
     PostArrival(id, open);
     if (!open.out) continue;
     std::get<dispatch::RequestArrived>(events_.back()).due =
         std::max(now, open.placement.due) + kOutFor;
-    events_.push_back(dispatch::AttemptAdopted{id, open.worker, open.sent, true,
-                                               dispatch::AttemptAdopted::Was::kOut});
-    if (open.began) events_.push_back(dispatch::StreamBegan{id, 0, open.worker});
+    events_.emplace_back(dispatch::AttemptAdopted{id, open.worker, open.sent, true,
+                                                  dispatch::AttemptAdopted::Was::kOut});
+    if (open.began) events_.emplace_back(dispatch::StreamBegan{id, 0, open.worker});
   }
 }
 
@@ -206,14 +206,14 @@
 
 // The module counts slots by what workers tell; the registry knows them before any has answered.
 void PoolDispatcher::TeachSlots() {
-  if (!workers_->largest() || workers_->largest_capacity() <= slots_told_) return;
-  slots_told_ = workers_->largest_capacity();
-  dispatch::ProbeEnded told{*workers_->largest(), true, {}};
-  told.load.free_slots = slots_told_;
-  events_.push_back(told);
+  if (!workers_->largest() || workers_->largest_capacity() <= reported_slots_) return;
+  reported_slots_ = workers_->largest_capacity();
+  dispatch::ProbeEnded load_report{*workers_->largest(), true, {}};
+  load_report.load.free_slots = reported_slots_;
+  events_.emplace_back(load_report);
 }
 
-void PoolDispatcher::Carry(const dispatch::Action& action) {
+void PoolDispatcher::Apply(const dispatch::Action& action) {
   if (const auto* send = std::get_if<dispatch::Send>(&action)) {
     Place(*send);
   } else if (const auto* refuse = std::get_if<dispatch::Refuse>(&action)) {
@@ -232,7 +232,7 @@
   const auto found = open_.find(send.request);
   if (found == open_.end() || found->second.out) return;
   Open& open = found->second;
-  Unhold(open);
+  RemoveQueued(open);
   open.out = true;
   open.worker = send.worker;
   open.sent = Now();
@@ -243,14 +243,14 @@
   const auto found = open_.find(refuse.request);
   if (found == open_.end() || found->second.out) return;
   PlacementClient* client = found->second.client;
-  Unhold(found->second);
+  RemoveQueued(found->second);
   open_.erase(found);
   client->OnRefused(refuse.request, refuse.retry_after > 0 ? refuse.retry_after : RetryAfter());
 }
 
 bool PoolDispatcher::limit_grows() const {
   if (limit_cut_ || !dispatcher_) return !limit_cut_;
-  return dispatcher_->PoolLimit(0) < workers_->ready_slots() / share_.nodes;
+  return dispatcher_->PoolLimit(0) < workers_->ready_slots() / position_.nodes;
 }
 
 void PoolDispatcher::LogDecision(const dispatch::LogLine& line) {
@@ -265,19 +265,19 @@
   } else if (line.what == What::kWorkerSilent || line.what == What::kWorkerBack) {
     const ServiceWorker* worker = workers_->Find(line.worker);
     if (worker == nullptr) return;
-    const bool silent = line.what == What::kWorkerSilent;
+    const bool no_progress = line.what == What::kWorkerSilent;
     logging::Info(
-        kModule, silent ? "worker silent" : "worker back",
+        kModule, no_progress ? "worker silent" : "worker back",
         {logging::F("service", service_), logging::F("worker", worker->record.worker_id)});
   }
 }
 
 // ---------------------------------------------------------------- settings
 
-int PoolDispatcher::ClassNumber(const RequestClass& job_class) {
-  const auto found = std::find(classes_.begin(), classes_.end(), job_class);
+int PoolDispatcher::ClassNumber(const TrafficClass& traffic_class) {
+  const auto found = std::find(classes_.begin(), classes_.end(), traffic_class);
   if (found != classes_.end()) return static_cast<int>(found - classes_.begin());
-  classes_.push_back(job_class);
+  classes_.push_back(traffic_class);
   rebuild_ = true;
   ArmTurn();
   return static_cast<int>(classes_.size()) - 1;
@@ -286,23 +286,23 @@
 // Configurations come and go, and each may bring classes of its own.
 void PoolDispatcher::DropUnusedClasses() {
   classes_.clear();
-  for (auto& [id, open] : open_) open.number = ClassNumber(open.placement.job_class);
+  for (auto& [id, open] : open_) open.number = ClassNumber(open.placement.traffic_class);
   rebuild_ = false;  // this is the new module's making
 }
 
 dispatch::Settings PoolDispatcher::MakeSettings() const {
   dispatch::Settings settings;
-  settings.balancers = std::max(share_.nodes, 1);
-  settings.self = std::clamp(share_.self, 0, settings.balancers - 1);
-  for (const RequestClass& job_class : classes_) {
+  settings.balancers = std::max(position_.nodes, 1);
+  settings.self = std::clamp(position_.self, 0, settings.balancers - 1);
+  for (const TrafficClass& traffic_class : classes_) {
     dispatch::ClassSettings cls;
     // Each placement is sent once; the job repeats.
     cls.effect = dispatch::Effect::kRepeatable;
-    cls.aim = job_class.bulk ? kBulkAim : std::max<Micros>(job_class.target, kMs);
+    cls.aim = traffic_class.bulk ? kBulkTarget : std::max<Micros>(traffic_class.target, kMs);
     // A stream's objective is its first event, while its work is all of it.
-    cls.aim_stretch = job_class.streamed || job_class.bulk ? 1 : 0;
-    cls.worth = job_class.bulk ? kBulkWorth : std::pow(kRankFalls, job_class.rank);
-    cls.late_value = job_class.bulk ? 1 : kLateValue;
+    cls.aim_stretch = traffic_class.streamed || traffic_class.bulk ? 1 : 0;
+    cls.worth = traffic_class.bulk ? kBulkValue : std::pow(kRankFalls, traffic_class.rank);
+    cls.late_value = traffic_class.bulk ? 1 : kLateValue;
     cls.kind = 0;
     settings.classes.push_back(cls);
   }
@@ -310,14 +310,14 @@
   settings.worth_by_work = true;
   settings.weighted_workers = true;
   settings.retry_after = true;
-  settings.progress_every = kSilentProgress;
+  settings.progress_every = kNoProgressTimeout;
   settings.connect_price = kConnectPrice;
   settings.connection_idle = kKeepIdle;
   return settings;
 }
 
 Micros PoolDispatcher::RetryAfter() {
-  const Micros wait = std::min(kRetryFirst + kRetryEach * held_live_, kRetryLast);
+  const Micros wait = std::min(kRetryFirst + kRetryEach * queued_live_, kRetryLast);
   seed_ = seed_ * 6364136223846793005u + 1442695040888963407u;
   const Micros spread = static_cast<Micros>((seed_ >> 33) % static_cast<std::uint64_t>(wait));
   return wait * 3 / 4 + spread / 2;  // from three quarters to five quarters of it
--- a/src/tier/proxy/pool_dispatcher.h
+++ b/src/tier/proxy/pool_dispatcher.h
@@ -19,18 +19,18 @@
 using PlacementId = dispatch::RequestId;
 
 // What jobs have in common that compete alike.
-struct RequestClass {
+struct TrafficClass {
   int rank = 0;
   Micros target = 0;  // objective for the first byte
   bool streamed = false, bulk = false;
-  bool operator==(const RequestClass&) const = default;
+  bool operator==(const TrafficClass&) const = default;
 };
 
 struct Placement {
-  RequestClass job_class;
+  TrafficClass traffic_class;
   Micros due = 0;  // a worker must be found by then
   // Workers that it profits from, the best one first: the first one with a free slot takes it.
-  std::vector<dispatch::WorkerId> homes;
+  std::vector<dispatch::WorkerId> preferred;
 };
 
 class PlacementClient {
@@ -43,9 +43,9 @@
 };
 
 // This node among those that share the workers.
-struct NodeShare {
+struct FleetPosition {
   int nodes = 1, self = 0;
-  bool operator==(const NodeShare&) const = default;
+  bool operator==(const FleetPosition&) const = default;
 };
 
 class PoolDispatcher {
@@ -55,28 +55,28 @@
   PoolDispatcher(const PoolDispatcher&) = delete;
   PoolDispatcher& operator=(const PoolDispatcher&) = delete;
 
-  void SetShare(NodeShare share);
+  void SetFleetPosition(FleetPosition share);
   void OnWorkers(std::vector<dispatch::WorkerEntry> changes);
 
   // The client hears from a later turn, never from inside the call.
-  PlacementId Arrive(const Placement& placement, PlacementClient* client);
+  PlacementId Enqueue(const Placement& placement, PlacementClient* client);
   // It is wanted no more; only before OnPlaced.
-  void Lapse(PlacementId id);
+  void Withdraw(PlacementId id);
   // The answer has begun; Progress: it goes on.
-  void Began(PlacementId id);
-  void Progress(PlacementId id);
+  void OnResponseBegun(PlacementId id);
+  void OnProgress(PlacementId id);
   // A worker has told its load just now.
-  void Told(dispatch::WorkerId worker, const WorkerLoad& load);
-  void Ended(PlacementId id, dispatch::Outcome outcome, Micros latency,
-             const std::optional<WorkerLoad>& load);
+  void OnLoadReport(dispatch::WorkerId worker, const WorkerLoad& load);
+  void OnEnded(PlacementId id, dispatch::Outcome outcome, Micros latency,
+               const std::optional<WorkerLoad>& load);
 
-  int held_live() const { return held_live_; }
-  int held_bulk() const { return held_bulk_; }
+  int queued_live() const { return queued_live_; }
+  int queued_bulk() const { return queued_bulk_; }
   // The limit has not come to this node's part of the slots, and no worker was found full yet.
   bool limit_grows() const;
   // When a client that is refused now should come again.
   Micros RetryAfter();
-  const NodeShare& share() const { return share_; }
+  const FleetPosition& share() const { return position_; }
 
  private:
   struct Open {
@@ -94,14 +94,14 @@
   void Turn();
   void Rebuild(Micros now);
   void PostArrival(PlacementId id, const Open& open);
-  void Carry(const dispatch::Action& action);
+  void Apply(const dispatch::Action& action);
   void Place(const dispatch::Send& send);
   void Refuse(const dispatch::Refuse& refuse);
   void LogDecision(const dispatch::LogLine& line);
-  void Unhold(const Open& open);
+  void RemoveQueued(const Open& open);
   dispatch::Knowledge Learned(Micros now) const;
   void TeachSlots();
-  int ClassNumber(const RequestClass& job_class);
+  int ClassNumber(const TrafficClass& traffic_class);
   void DropUnusedClasses();
   dispatch::Settings MakeSettings() const;
 
@@ -109,17 +109,17 @@
   ServiceWorkers* workers_;
   std::string service_;
   std::uint64_t seed_;
-  NodeShare share_;
+  FleetPosition position_;
   std::optional<dispatch::Dispatcher> dispatcher_;
-  std::vector<RequestClass> classes_;
+  std::vector<TrafficClass> classes_;
   std::unordered_map<PlacementId, Open> open_;
   std::vector<dispatch::Event> events_;
   std::vector<dispatch::Action> actions_;
   PlacementId last_ = 0;
-  int held_live_ = 0, held_bulk_ = 0;
-  bool rebuild_ = true;     // the settings have changed
-  bool limit_cut_ = false;  // workers were found full: the limit is learned
-  double slots_told_ = 0;   // largest worker that the module was told of
+  int queued_live_ = 0, queued_bulk_ = 0;
+  bool rebuild_ = true;        // the settings have changed
+  bool limit_cut_ = false;     // workers were found full: the limit is learned
+  double reported_slots_ = 0;  // largest worker that the module was told of
   Timers::Id turn_ = 0, timer_ = 0;
 };
 
--- a/src/tier/proxy/kept_prefixes.h
+++ b/src/tier/proxy/prefix_cache_estimate.h
@@ -1,7 +1,7 @@
 // An estimate of which prompt prefixes a worker keeps, by what this node sent there: the most
 // recently used ones, as many as fit the worker's memory.
-#ifndef PEARREACH_SRC_TIER_PROXY_KEPT_PREFIXES_H_
-#define PEARREACH_SRC_TIER_PROXY_KEPT_PREFIXES_H_
+#ifndef PEARREACH_SRC_TIER_PROXY_PREFIX_CACHE_ESTIMATE_H_
+#define PEARREACH_SRC_TIER_PROXY_PREFIX_CACHE_ESTIMATE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace pearreach::proxy {
 
-class KeptPrefixes {
+class PrefixCacheEstimate {
  public:
   // Bounds the estimate where the worker's memory is not known, too.
   static constexpr std::size_t kMaxPrefixes = 512;
@@ -18,7 +18,7 @@
   bool Has(std::uint64_t key) const { return by_key_.contains(key); }
   // A request with this prefix, and with `own_tokens` besides, goes there. `room`: tokens that the
   // worker holds in all; 0: not known.
-  void Use(std::uint64_t key, double shared_tokens, double own_tokens, double room);
+  void Use(std::uint64_t key, double shared_tokens, double own_tokens, double worker_tokens);
   std::size_t size() const { return by_key_.size(); }
 
  private:
@@ -34,4 +34,4 @@
 
 }  // namespace pearreach::proxy
 
-#endif  // PEARREACH_SRC_TIER_PROXY_KEPT_PREFIXES_H_
+#endif  // PEARREACH_SRC_TIER_PROXY_PREFIX_CACHE_ESTIMATE_H_
--- a/src/tier/proxy/prompt_headers.cpp
+++ b/src/tier/proxy/prompt_headers.cpp
@@ -30,18 +30,18 @@
 }
 
 // Of one part, "ID:TOKENS".
-double PartTokens(std::string_view part) {
+double SegmentTokens(std::string_view part) {
   const std::size_t colon = part.rfind(':');
   return colon == std::string_view::npos ? 0 : Number(part.substr(colon + 1));
 }
 
 // Calls `see` with where each part ends and its tokens.
 template <class See>
-void ForEachPart(std::string_view parts, See see) {
+void ForEachSegment(std::string_view parts, See see) {
   std::size_t begin = 0;
   while (begin < parts.size()) {
     const std::size_t end = std::min(parts.find(',', begin), parts.size());
-    see(end, PartTokens(parts.substr(begin, end - begin)));
+    see(end, SegmentTokens(parts.substr(begin, end - begin)));
     begin = end + 1;
   }
 }
@@ -61,13 +61,13 @@
   PromptShape shape;
   const std::size_t last = prefix_header.rfind(',');
   const bool shares = last != std::string_view::npos;
-  shape.own_tokens = PartTokens(shares ? prefix_header.substr(last + 1) : prefix_header);
+  shape.own_tokens = SegmentTokens(shares ? prefix_header.substr(last + 1) : prefix_header);
   if (!shares) return shape;
   const std::string_view shared = prefix_header.substr(0, last);
-  ForEachPart(shared, [&](std::size_t, double tokens) { shape.shared_tokens += tokens; });
+  ForEachSegment(shared, [&](std::size_t, double tokens) { shape.shared_tokens += tokens; });
   std::size_t key_end = 0;
   double read = 0;
-  ForEachPart(shared, [&](std::size_t end, double tokens) {
+  ForEachSegment(shared, [&](std::size_t end, double tokens) {
     if (read < kMaxOfShared * shape.shared_tokens) key_end = end;
     read += tokens;
   });
--- a/src/tier/proxy/request.h
+++ b/src/tier/proxy/request.h
@@ -23,10 +23,10 @@
   std::string attempt_id;    // X-Attempt-Id
   Micros due = 0;            // on Now()'s clock: when the client gives up or the route's limit ends
   double target_ms = 0;      // objective for the first byte, from `due`'s start
-  double gap_aim_ms = 0;     // streamed: longest pause between events that keeps it in time
+  double gap_target_ms = 0;  // streamed: longest pause between events that keeps it in time
   int rank = 0;              // 0 is the most urgent
   int attempts = 1;          // most workers that it may be sent to
-  bool repeatable = false;   // may run more than once
+  bool idempotent = false;   // may run more than once
   bool streamed = false;     // text/event-stream with rising ids
   bool resumable = false;    // streamed and may go on at another worker with Last-Event-Id
   bool bulk = false;         // an item of a lot: yields to live jobs
@@ -71,12 +71,12 @@
   // Takes the job on; the sink hears its end unless Cancel comes first.
   virtual std::uint64_t Submit(RequestSpec spec, std::shared_ptr<RequestSink> sink) = 0;
   // The client is gone or the lot was ended: workers are left at once, the sink hears nothing more.
-  virtual void Cancel(std::uint64_t job) = 0;
+  virtual void Cancel(std::uint64_t request) = 0;
   // The receiver of this job's answer has taken all that it had left: its worker is read on.
   virtual void Resume(std::uint64_t) {}
   // How many more bulk jobs of this service this node would run now without harm to live ones;
   // 0 where workers are unknown or filled.
-  virtual int BulkRoom(const std::string& service) const = 0;
+  virtual int BulkCapacity(const std::string& service) const = 0;
 };
 
 }  // namespace pearreach::proxy
--- a/src/tier/proxy/request_runner.cpp
+++ b/src/tier/proxy/request_runner.cpp
@@ -6,8 +6,8 @@
 #include <utility>
 
 #include "tier/proxy/active_request.h"
-#include "tier/proxy/fleet_start.h"
-#include "tier/proxy/service_line.h"
+#include "tier/proxy/fleet_warm_up.h"
+#include "tier/proxy/service_pool.h"
 
 namespace pearreach::proxy {
 namespace {
@@ -16,7 +16,7 @@
 // workers. A drain does not wait for it: each send looks at the newest table.
 constexpr Micros kRefreshDelay = 5 * kMs;
 constexpr Micros kRefreshDelayEach = 10;         // a worker
-constexpr Micros kShareEvery = 200 * kMs;        // this node's share is looked at no more often
+constexpr Micros kPositionPeriod = 200 * kMs;    // this node's share is looked at no more often
 constexpr std::size_t kMinConnections = 2;       // to each worker, however many nodes there are
 constexpr std::size_t kDefaultConnections = 16;  // of a service that names no limit
 constexpr double kMaxFill = 0.9;  // of all slots, by what workers told; beyond it bulk jobs wait
@@ -32,40 +32,40 @@
   ~Runner() override;
 
   std::uint64_t Submit(RequestSpec spec, std::shared_ptr<RequestSink> sink) override;
-  void Cancel(std::uint64_t job) override;
-  void Resume(std::uint64_t job) override;
-  int BulkRoom(const std::string& service) const override;  // of ActiveRequestHost, too
+  void Cancel(std::uint64_t request) override;
+  void Resume(std::uint64_t request) override;
+  int BulkCapacity(const std::string& service) const override;  // of ActiveRequestHost, too
 
  private:
   bool IsReady(const std::string& worker_id) const override;
   void RefreshWorkers() override { Refresh(); }
   std::size_t ConnectionLimit(const std::string& service) const override;
   double WorkerTokens(const std::string& service) const override;
-  Micros LearnsWorkersUntil(Micros now) const override {
-    return options_.policy.wait_for_workers ? fleet_start_.LearnsUntil(now) : 0;
+  Micros WarmUpDeadline(Micros now) const override {
+    return options_.policy.wait_for_workers ? fleet_start_.WarmUpDeadline(now) : 0;
   }
   const settings::PolicyOptions& policy() const override { return options_.policy; }
-  void Forget(std::uint64_t job) override { jobs_.erase(job); }
+  void Forget(std::uint64_t request) override { requests_.erase(request); }
 
-  ServiceLine& Line(const std::string& service);
+  ServicePool& Pool(const std::string& service);
   void Refresh();
   void ArmRefresh(Micros delay);
-  void LookAtShare();
-  void PaceBulk(ServiceLine* line);
+  void UpdateNodeShare();
+  void PaceBulk(ServicePool* pool);
   const routing::Service* FindService(const std::string& service) const;
 
   Timers* timers_;
   registry::WorkerSource* source_;
   control::ControlClient* control_;
   RunnerOptions options_;
-  const FleetStart fleet_start_;
+  const FleetWarmUp fleet_start_;
   std::shared_ptr<const registry::WorkerTable> table_;
-  NodeShare share_;
-  Micros share_seen_ = 0;  // when it was looked at last; 0: never
+  FleetPosition share_;
+  Micros position_seen_ = 0;  // when it was looked at last; 0: never
   const Micros started_ = Now();
   Timers::Id refresh_ = 0, warm_ = 0;
-  std::unordered_map<std::string, std::unique_ptr<ServiceLine>> lines_;
-  std::unordered_map<std::uint64_t, std::shared_ptr<ActiveRequest>> jobs_;
+  std::unordered_map<std::string, std::unique_ptr<ServicePool>> pools_;
+  std::unordered_map<std::uint64_t, std::shared_ptr<ActiveRequest>> requests_;
   std::uint64_t last_job_ = 0;
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
@@ -90,39 +90,39 @@
 Runner::~Runner() {
   timers_->Cancel(&refresh_);
   timers_->Cancel(&warm_);
-  for (const auto& [id, job] : std::exchange(jobs_, {})) job->Cancel();
+  for (const auto& [id, request] : std::exchange(requests_, {})) request->Cancel();
 }
 
 std::uint64_t Runner::Submit(RequestSpec spec, std::shared_ptr<RequestSink> sink) {
-  LookAtShare();
-  ServiceLine& line = Line(spec.service);
+  UpdateNodeShare();
+  ServicePool& pool = Pool(spec.service);
   const std::uint64_t id = ++last_job_;
   ActiveRequestHost* const host = this;
-  const auto job =
-      std::make_shared<ActiveRequest>(id, std::move(spec), std::move(sink), timers_, &line, host);
-  jobs_.emplace(id, job);
-  job->Start();
+  const auto request =
+      std::make_shared<ActiveRequest>(id, std::move(spec), std::move(sink), timers_, &pool, host);
+  requests_.emplace(id, request);
+  request->Start();
   return id;
 }
 
-void Runner::Cancel(std::uint64_t job) {
-  const auto found = jobs_.find(job);
-  if (found == jobs_.end()) return;
+void Runner::Cancel(std::uint64_t request) {
+  const auto found = requests_.find(request);
+  if (found == requests_.end()) return;
   const auto running = std::move(found->second);
-  jobs_.erase(found);
+  requests_.erase(found);
   running->Cancel();
 }
 
-void Runner::Resume(std::uint64_t job) {
-  const auto found = jobs_.find(job);
-  if (found != jobs_.end()) std::shared_ptr(found->second)->Resume();
+void Runner::Resume(std::uint64_t request) {
+  const auto found = requests_.find(request);
+  if (found != requests_.end()) std::shared_ptr(found->second)->Resume();
 }
 
 // What this node's part of the slots leaves below the fill. Each node keeps to its own part, whose
 // use it knows at once: what workers tell of all nodes' jobs comes too late for a burst.
-int Runner::BulkRoom(const std::string& service) const {
-  const auto found = lines_.find(service);
-  if (found == lines_.end()) {
+int Runner::BulkCapacity(const std::string& service) const {
+  const auto found = pools_.find(service);
+  if (found == pools_.end()) {
     // Nothing has run yet: one job makes the service known here.
     bool any = false;
     table_->ForEach([&](const registry::WorkerRecord& record) {
@@ -130,22 +130,22 @@
     });
     return any ? 1 : 0;
   }
-  const ServiceLine& line = *found->second;
-  if (line.dispatcher.held_live() > 0) return 0;
-  bool told = false;
-  const double taken = line.workers.SlotsTaken(Now(), &told);
-  const double slots = line.workers.ready_slots();
-  if (slots < 1 || (told && taken > kMaxFill * slots)) return 0;
+  const ServicePool& pool = *found->second;
+  if (pool.dispatcher.queued_live() > 0) return 0;
+  bool has_fresh_report = false;
+  const double taken = pool.workers.SlotsTaken(Now(), &has_fresh_report);
+  const double slots = pool.workers.ready_slots();
+  if (slots < 1 || (has_fresh_report && taken > kMaxFill * slots)) return 0;
   const double usable = options_.policy.bulk_fill * slots / share_.nodes;
-  const int held =
-      line.dispatcher.held_bulk() + line.bulk_waiting + static_cast<int>(line.bulk_gate.waiting());
-  const int out = line.workers.InFlight();
-  const int ahead = kBulkAhead * line.bulk_gate.allowance() - held;
+  const int held = pool.dispatcher.queued_bulk() + pool.bulk_waiting +
+                   static_cast<int>(pool.bulk_gate.waiting());
+  const int out = pool.workers.InFlight();
+  const int ahead = kBulkAhead * pool.bulk_gate.allowance() - held;
   const bool idle = out + held == 0;
   // Guards a start: a node that does not know the others yet takes all slots for its own part.
   if (Now() < started_ + options_.settle) return idle ? 1 : 0;
-  const int room = std::min(static_cast<int>(std::floor(usable)) - out - held, ahead);
-  return std::max(room, idle ? 1 : 0);
+  const int capacity = std::min(static_cast<int>(std::floor(usable)) - out - held, ahead);
+  return std::max(capacity, idle ? 1 : 0);
 }
 
 bool Runner::IsReady(const std::string& worker_id) const {
@@ -170,28 +170,28 @@
   return found == nullptr ? 0 : found->engine_cache_tokens;
 }
 
-ServiceLine& Runner::Line(const std::string& service) {
-  std::unique_ptr<ServiceLine>& line = lines_[service];
-  if (line != nullptr) return *line;
-  line =
-      std::make_unique<ServiceLine>(timers_, service, options_.zone, options_.seed + lines_.size());
-  line->dispatcher.SetShare(share_);
+ServicePool& Runner::Pool(const std::string& service) {
+  std::unique_ptr<ServicePool>& pool = pools_[service];
+  if (pool != nullptr) return *pool;
+  pool =
+      std::make_unique<ServicePool>(timers_, service, options_.zone, options_.seed + pools_.size());
+  pool->dispatcher.SetFleetPosition(share_);
   Refresh();
-  return *line;
+  return *pool;
 }
 
 void Runner::Refresh() {
   timers_->Cancel(&refresh_);
-  for (auto& [name, line] : lines_) line->workers.BeginUpdate();
+  for (auto& [name, pool] : pools_) pool->workers.BeginUpdate();
   table_->ForEach([this](const registry::WorkerRecord& record) {
-    const auto line = lines_.find(record.service);
-    if (line != lines_.end()) line->second->workers.Update(record);
+    const auto pool = pools_.find(record.service);
+    if (pool != pools_.end()) pool->second->workers.Update(record);
   });
   Micros next_warm = 0;
-  for (auto& [name, line] : lines_) {
-    line->dispatcher.OnWorkers(line->workers.EndUpdate());
-    PaceBulk(line.get());
-    const Micros warm = line->workers.next_warm();
+  for (auto& [name, pool] : pools_) {
+    pool->dispatcher.OnWorkers(pool->workers.EndUpdate());
+    PaceBulk(pool.get());
+    const Micros warm = pool->workers.next_warm();
     if (warm != 0 && (next_warm == 0 || warm < next_warm)) next_warm = warm;
   }
   timers_->Cancel(&warm_);
@@ -203,7 +203,7 @@
 }
 
 void Runner::ArmRefresh(Micros delay) {
-  if (refresh_ != 0 || lines_.empty()) return;
+  if (refresh_ != 0 || pools_.empty()) return;
   refresh_ = timers_->After(delay, [this] {
     refresh_ = 0;
     Refresh();
@@ -211,11 +211,11 @@
 }
 
 // How many nodes share the workers, and which of them this one is, in an order common to all.
-void Runner::LookAtShare() {
+void Runner::UpdateNodeShare() {
   const Micros now = Now();
-  if (share_seen_ != 0 && now - share_seen_ < kShareEvery) return;
-  share_seen_ = now;
-  NodeShare share{0, 0};
+  if (position_seen_ != 0 && now - position_seen_ < kPositionPeriod) return;
+  position_seen_ = now;
+  FleetPosition share{0, 0};
   for (const auto& [name, member] : control_->members()) {
     const bool live = member.status == coordination::MemberStatus::kAlive ||
                       member.status == coordination::MemberStatus::kSuspect;
@@ -226,17 +226,17 @@
   share.nodes = std::max(share.nodes, 1);
   if (share == share_) return;
   share_ = share;
-  for (auto& [name, line] : lines_) {
-    line->dispatcher.SetShare(share);
-    PaceBulk(line.get());
+  for (auto& [name, pool] : pools_) {
+    pool->dispatcher.SetFleetPosition(share);
+    PaceBulk(pool.get());
   }
 }
 
-void Runner::PaceBulk(ServiceLine* line) {
-  const double part = kUnreadBulk * line->workers.ready_count() / share_.nodes;
+void Runner::PaceBulk(ServicePool* pool) {
+  const double part = kUnreadBulk * pool->workers.ready_count() / share_.nodes;
   const bool paced = options_.policy.pace_unread_bulk;
-  if (!paced) return line->bulk_gate.SetAllowance(kUnpacedBulk);
-  line->bulk_gate.SetAllowance(static_cast<int>(std::lround(part)));
+  if (!paced) return pool->bulk_gate.SetAllowance(kUnpacedBulk);
+  pool->bulk_gate.SetAllowance(static_cast<int>(std::lround(part)));
 }
 
 }  // namespace
--- a/src/tier/proxy/request_runner.h
+++ b/src/tier/proxy/request_runner.h
@@ -20,7 +20,7 @@
   std::uint64_t seed = 1;  // of the decision module's choices
   // So long after its start a node may not know the others yet: it runs bulk jobs one by one.
   Micros settle = kSecond;
-  Micros learn_time = 0;  // in which all workers call after a start of all nodes (FleetStart)
+  Micros learn_time = 0;  // in which all workers call after a start of all nodes (FleetWarmUp)
   settings::PolicyOptions policy{};
 };
 
--- a/src/tier/proxy/response_reader.cpp
+++ b/src/tier/proxy/response_reader.cpp
@@ -15,9 +15,10 @@
 constexpr int kSwitchingProtocols = 101;
 
 bool IsTokenByte(char c) {
-  const bool letter = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z');
+  const bool character = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z');
   const bool digit = c >= '0' && c <= '9';
-  return letter || digit || std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
+  return character || digit ||
+         std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
 }
 
 bool IsValueByte(char c) {
@@ -65,7 +66,7 @@
 }
 
 ResponseReader::Status ResponseReader::Feed(std::string_view* bytes) {
-  while (!bytes->empty() && stage_ < Stage::kDone) Step(bytes);
+  while (!bytes->empty() && stage_ < Stage::kDone) ReadStep(bytes);
   switch (stage_) {
     case Stage::kDone:
       return Status::kDone;
@@ -84,7 +85,7 @@
   return stage_ == Stage::kDone ? Status::kDone : Status::kBad;
 }
 
-void ResponseReader::Step(std::string_view* bytes) {
+void ResponseReader::ReadStep(std::string_view* bytes) {
   std::string_view line;
   switch (stage_) {
     case Stage::kStatusLine:
--- a/src/tier/proxy/response_reader.h
+++ b/src/tier/proxy/response_reader.h
@@ -58,7 +58,7 @@
     kStopped
   };
 
-  void Step(std::string_view* bytes);
+  void ReadStep(std::string_view* bytes);
   bool TakeLine(std::string_view* bytes, std::string_view* line);
   void ReadStatusLine(std::string_view line);
   void ReadHeaderLine(std::string_view line);
--- a/src/tier/proxy/silence_watch.cpp
+++ b/src/tier/proxy/response_timeout.cpp
@@ -1,4 +1,4 @@
-#include "tier/proxy/silence_watch.h"
+#include "tier/proxy/response_timeout.h"
 
 #include <algorithm>
 #include <functional>
@@ -23,20 +23,20 @@
 
 }  // namespace
 
-void SilenceWatch::NoteAnswer(Micros latency) {
+void ResponseTimeout::RecordLatency(Micros latency) {
   answers_[count_ % kAnswers] = latency;
   ++count_;
 }
 
-void SilenceWatch::NoteSend() { budget_ = std::min(budget_ + kRepeatsEach, kMaxRepeats); }
+void ResponseTimeout::RecordSend() { budget_ = std::min(budget_ + kRepeatsEach, kMaxRepeats); }
 
-bool SilenceWatch::TakeRepeat() {
+bool ResponseTimeout::TakeRetry() {
   if (budget_ < 1) return false;
   budget_ -= 1;
   return true;
 }
 
-Micros SilenceWatch::Slowest() const {
+Micros ResponseTimeout::Slowest() const {
   std::array<Micros, kAnswers> sorted = answers_;
   const auto known = static_cast<std::ptrdiff_t>(std::min(count_, kAnswers));
   const auto end = sorted.begin() + known;
@@ -45,7 +45,7 @@
   return *at;
 }
 
-Micros SilenceWatch::Limit(Micros target, Micros left) const {
+Micros ResponseTimeout::Limit(Micros target, Micros left) const {
   const Micros usual = count_ < kFewAnswers
                            ? std::max(kUnknownLimit, Times(kUnknownTargets, target))
                            : std::max(Times(kMargin, Slowest()), target / 2);
--- a/src/tier/proxy/service_workers.cpp
+++ b/src/tier/proxy/service_workers.cpp
@@ -34,7 +34,7 @@
 }
 
 // Most updates of a record say only that its worker was heard again.
-bool SameButHeard(const registry::WorkerRecord& a, const registry::WorkerRecord& b) {
+bool SameExceptLastSeen(const registry::WorkerRecord& a, const registry::WorkerRecord& b) {
   return a.phase == b.phase && a.capacity == b.capacity && a.warm_at == b.warm_at &&
          a.worker_id == b.worker_id && a.address == b.address && a.zone == b.zone;
 }
@@ -74,7 +74,7 @@
   if (worker.record.call_seq != record.call_seq && record.call_seq > worker.dropped_at)
     worker.dropped_at = 0;
   if (worker.dropped_at != 0 && Now() >= worker.dropped_until) worker.dropped_at = 0;
-  if (SameButHeard(worker.record, record)) {
+  if (SameExceptLastSeen(worker.record, record)) {
     worker.record.call_seq = record.call_seq;
   } else {
     worker.record = record;
@@ -90,8 +90,8 @@
   if (free_.empty()) {
     free_.push_back(static_cast<dispatch::WorkerId>(workers_.size()));
     workers_.emplace_back();
-    told_.emplace_back();
-    told_.back().health = dispatch::Health::kGone;
+    reported_.emplace_back();
+    reported_.back().health = dispatch::Health::kGone;
   }
   known->second.number = free_.back();
   free_.pop_back();
@@ -108,8 +108,8 @@
     const bool gone = known->second.update != update_;
     if (gone) worker.present = false;
     const dispatch::WorkerEntry entry = Entry(number, now);
-    if (!Same(entry, told_[number])) {
-      told_[number] = entry;
+    if (!Same(entry, reported_[number])) {
+      reported_[number] = entry;
       changes.push_back(entry);
       if (entry.health != dispatch::Health::kInService) worker.connections->CloseIdle();
     }
@@ -125,7 +125,8 @@
 std::vector<dispatch::WorkerEntry> ServiceWorkers::Everything() const {
   std::vector<dispatch::WorkerEntry> all;
   for (const auto& [id, known] : by_id_)
-    if (told_[known.number].health != dispatch::Health::kGone) all.push_back(told_[known.number]);
+    if (reported_[known.number].health != dispatch::Health::kGone)
+      all.push_back(reported_[known.number]);
   return all;
 }
 
@@ -140,12 +141,12 @@
   worker.connections->CloseIdle();
   const Micros now = Now();
   worker.dropped_until = now + kDroppedFor;
-  told_[id] = Entry(id, now);
+  reported_[id] = Entry(id, now);
   Count(now);
-  return {told_[id]};
+  return {reported_[id]};
 }
 
-void ServiceWorkers::Tell(dispatch::WorkerId id, const WorkerLoad& load) {
+void ServiceWorkers::RecordLoad(dispatch::WorkerId id, const WorkerLoad& load) {
   workers_[id].load = load;
   workers_[id].load_at = Now();
 }
@@ -176,7 +177,7 @@
   for (const auto& [id, known] : by_id_) {
     const ServiceWorker& worker = workers_[known.number];
     if (worker.dropped_at != 0 && worker.dropped_until > now) look_at(worker.dropped_until);
-    if (told_[known.number].health != dispatch::Health::kInService) continue;
+    if (reported_[known.number].health != dispatch::Health::kInService) continue;
     const registry::WorkerRecord& record = worker.record;
     ready_slots_ += record.capacity;
     ++ready_count_;
@@ -187,12 +188,12 @@
   }
 }
 
-double ServiceWorkers::SlotsTaken(Micros now, bool* told) const {
+double ServiceWorkers::SlotsTaken(Micros now, bool* has_fresh_report) const {
   double taken = 0;
-  *told = false;
+  *has_fresh_report = false;
   for (const auto& [id, known] : by_id_) {
-    if (told_[known.number].health != dispatch::Health::kInService) continue;
-    taken += Taken(workers_[known.number], now, told);
+    if (reported_[known.number].health != dispatch::Health::kInService) continue;
+    taken += Taken(workers_[known.number], now, has_fresh_report);
   }
   return taken;
 }
@@ -203,35 +204,36 @@
   return out;
 }
 
-double ServiceWorkers::Taken(const ServiceWorker& worker, Micros now, bool* told) const {
+double ServiceWorkers::Taken(const ServiceWorker& worker, Micros now,
+                             bool* has_fresh_report) const {
   const Micros age = now - worker.load_at;
   const bool fresh = worker.load_at != 0 && age < kLoadMemory;
   const double fade = fresh ? 1 - static_cast<double>(age) / kLoadMemory : 0;
-  *told = *told || fresh;
+  *has_fresh_report = *has_fresh_report || fresh;
   return std::max<double>(worker.in_flight, fade * (worker.load.running + worker.load.waiting));
 }
 
 double ServiceWorkers::Fill(dispatch::WorkerId id, Micros now) const {
-  bool told = false;
+  bool has_fresh_report = false;
   const ServiceWorker& worker = workers_[id];
-  return Taken(worker, now, &told) / std::max(worker.record.capacity, 1);
+  return Taken(worker, now, &has_fresh_report) / std::max(worker.record.capacity, 1);
 }
 
-std::vector<dispatch::WorkerId> ServiceWorkers::HomesOf(std::uint64_t prefix_key,
-                                                        std::size_t most) const {
+std::vector<dispatch::WorkerId> ServiceWorkers::PreferredWorkersOf(std::uint64_t prefix_key,
+                                                                   std::size_t max_count) const {
   std::vector<std::pair<std::uint64_t, dispatch::WorkerId>> order;
   order.reserve(by_id_.size());
   for (const auto& [id, known] : by_id_) {
-    const dispatch::WorkerEntry& entry = told_[known.number];
+    const dispatch::WorkerEntry& entry = reported_[known.number];
     if (entry.health == dispatch::Health::kInService)
       order.emplace_back(Scatter(entry.identity ^ Scatter(prefix_key)), known.number);
   }
-  most = std::min(most, order.size());
-  std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(most), order.end(),
-                    std::greater<>());
-  std::vector<dispatch::WorkerId> homes;
-  for (std::size_t i = 0; i < most; ++i) homes.push_back(order[i].second);
-  return homes;
+  max_count = std::min(max_count, order.size());
+  std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(max_count),
+                    order.end(), std::greater<>());
+  std::vector<dispatch::WorkerId> preferred;
+  for (std::size_t i = 0; i < max_count; ++i) preferred.push_back(order[i].second);
+  return preferred;
 }
 
 }  // namespace pearreach::proxy
--- a/src/tier/proxy/service_workers.h
+++ b/src/tier/proxy/service_workers.h
@@ -13,7 +13,7 @@
 
 #include "common/event_loop/timers.h"
 #include "pearreach/dispatcher.h"
-#include "tier/proxy/kept_prefixes.h"
+#include "tier/proxy/prefix_cache_estimate.h"
 #include "tier/proxy/response_reader.h"
 #include "tier/proxy/worker_connections.h"
 #include "tier/registry/worker_table.h"
@@ -34,9 +34,9 @@
   std::uint64_t dropped_at = 0;  // call_seq at which it was found to be another; 0: it was not
   Micros dropped_until = 0;      // then it is tried again, if the table has it still
   WorkerLoad load;
-  Micros load_at = 0;        // 0: it never told
-  KeptPrefixes kept;         // of what this node sent there
-  double unread_tokens = 0;  // of prompts sent there that no event has answered yet
+  Micros load_at = 0;                // 0: it never told
+  PrefixCacheEstimate prefix_cache;  // of what this node sent there
+  double prefill_tokens = 0;         // of prompts sent there that no event has answered yet
 };
 
 class ServiceWorkers {
@@ -53,7 +53,7 @@
   // Another worker answered at its address: nothing more goes there for a while, or until it is
   // heard of anew.
   std::vector<dispatch::WorkerEntry> DropWorker(dispatch::WorkerId id);
-  void Tell(dispatch::WorkerId id, const WorkerLoad& load);
+  void RecordLoad(dispatch::WorkerId id, const WorkerLoad& load);
 
   bool empty() const { return by_id_.empty(); }
   double ready_slots() const { return ready_slots_; }
@@ -64,13 +64,14 @@
   Micros next_warm() const { return next_warm_; }
   // The workers in service that are the first ones of a prompt prefix, the same at every node: the
   // order is by a hash of prefix and worker, so that it changes little with the workers.
-  std::vector<dispatch::WorkerId> HomesOf(std::uint64_t prefix_key, std::size_t most) const;
+  std::vector<dispatch::WorkerId> PreferredWorkersOf(std::uint64_t prefix_key,
+                                                     std::size_t max_count) const;
   // Share of its slots in use, by what this node has out there and what the worker told last.
   double Fill(dispatch::WorkerId id, Micros now) const;
   // Attempts of this node under way.
   int InFlight() const;
   // Slots taken at ready workers as far as is known; `told`: some load report is fresh.
-  double SlotsTaken(Micros now, bool* told) const;
+  double SlotsTaken(Micros now, bool* has_fresh_report) const;
 
  private:
   struct Known {
@@ -81,13 +82,13 @@
   dispatch::WorkerId Number(const registry::WorkerRecord& record);
   dispatch::WorkerEntry Entry(dispatch::WorkerId id, Micros now) const;
   void Count(Micros now);
-  double Taken(const ServiceWorker& worker, Micros now, bool* told) const;
+  double Taken(const ServiceWorker& worker, Micros now, bool* has_fresh_report) const;
   int Zone(const std::string& zone);
 
   Timers* timers_;
   std::map<std::string, int> zones_;  // the own one is 0
   std::vector<ServiceWorker> workers_;
-  std::vector<dispatch::WorkerEntry> told_;  // what the decision module was told last
+  std::vector<dispatch::WorkerEntry> reported_;  // what the decision module was told last
   std::vector<dispatch::WorkerId> free_;
   std::unordered_map<std::string, Known> by_id_;
   std::uint64_t update_ = 0;
--- a/src/tier/proxy/worker_connections.cpp
+++ b/src/tier/proxy/worker_connections.cpp
@@ -79,7 +79,7 @@
                                                           const ConnectionWish& wish) {
   std::shared_ptr<WorkerConnection> connection = TakeIdle(wish);
   if (connection == nullptr) {
-    if (!HasDiskCapacity(wish)) return nullptr;
+    if (!HasCapacity(wish)) return nullptr;
     connection = std::make_shared<WorkerConnection>();
     if (!connection->Open(address_)) return nullptr;
     ++opened_;
@@ -94,11 +94,11 @@
 std::shared_ptr<WorkerConnection> WorkerConnections::TakeIdle(const ConnectionWish& wish) {
   const Micros now = Now();
   for (std::size_t i = idle_.size(); i-- > 0;) {
-    const std::shared_ptr<WorkerConnection> connection = idle_[i];
+    std::shared_ptr<WorkerConnection> connection = idle_[i];
     const bool carried = connection->Carried(wish.attempt_id);
-    if (carried && HasDiskCapacity(wish)) continue;
+    if (carried && HasCapacity(wish)) continue;
     const bool stale = now - connection->idle_since_ > kStaleAfter;
-    if (stale && wish.freshness == Freshness::kPreferNew && HasDiskCapacity(wish)) return nullptr;
+    if (stale && wish.freshness == Freshness::kPreferNew && HasCapacity(wish)) return nullptr;
     idle_.erase(idle_.begin() + static_cast<std::ptrdiff_t>(i));
     const bool good = now < connection->expires_ && connection->stream_->Quiet();
     if (good && !carried) return connection;
@@ -107,8 +107,8 @@
   return nullptr;
 }
 
-void WorkerConnections::GiveBack(const std::shared_ptr<WorkerConnection>& connection,
-                                 Micros keep_for) {
+void WorkerConnections::Release(const std::shared_ptr<WorkerConnection>& connection,
+                                Micros keep_for) {
   const Micros now = Now();
   --in_use_;
   if (keep_for <= 0 || !connection->stream_->open()) return connection->Close();
--- a/src/tier/proxy/worker_connections.h
+++ b/src/tier/proxy/worker_connections.h
@@ -80,7 +80,7 @@
   // A connection, open or coming up, for this user. Null: the limit is in use, or no socket.
   std::shared_ptr<WorkerConnection> Take(ConnectionUser* user, const ConnectionWish& wish);
   // Its answer was whole: it may serve again for `keep_for`.
-  void GiveBack(const std::shared_ptr<WorkerConnection>& connection, Micros keep_for);
+  void Release(const std::shared_ptr<WorkerConnection>& connection, Micros keep_for);
   // It must not serve again.
   void Drop(const std::shared_ptr<WorkerConnection>& connection);
   void CloseIdle();
@@ -91,9 +91,7 @@
 
  private:
   std::shared_ptr<WorkerConnection> TakeIdle(const ConnectionWish& wish);
-  bool HasDiskCapacity(const ConnectionWish& wish) const {
-    return in_use_ + idle_.size() < wish.limit;
-  }
+  bool HasCapacity(const ConnectionWish& wish) const { return in_use_ + idle_.size() < wish.limit; }
   void Forget(WorkerConnection* idle);
   void Sweep();
   void ArmSweep();
--- a/src/tier/proxy/worker_request.cpp
+++ b/src/tier/proxy/worker_request.cpp
@@ -37,12 +37,12 @@
 
 }  // namespace
 
-std::string WriteWorkerHead(const RequestSpec& job, const SendDetails& send,
+std::string WriteWorkerHead(const RequestSpec& request, const SendDetails& send,
                             std::size_t body_size) {
   std::string out;
-  out.reserve(kHeadEstimate + job.target.size());
-  out.append(job.method).append(" ").append(job.target).append(" HTTP/1.1\r\n");
-  for (const http::Header& header : job.headers)
+  out.reserve(kHeadEstimate + request.target.size());
+  out.append(request.method).append(" ").append(request.target).append(" HTTP/1.1\r\n");
+  for (const http::Header& header : request.headers)
     if (!IsIn(kNotFromJob, header.name)) AddHeader(&out, header.name, header.value);
   if (send.last_event_id > 0) AddHeader(&out, "Last-Event-Id", send.last_event_id);
   if (send.left > 0)
--- a/src/tier/proxy/worker_request.h
+++ b/src/tier/proxy/worker_request.h
@@ -20,7 +20,8 @@
 };
 
 // The head of the request, up to the empty line that ends it; `body_size` bytes follow it.
-std::string WriteWorkerHead(const RequestSpec& job, const SendDetails& send, std::size_t body_size);
+std::string WriteWorkerHead(const RequestSpec& request, const SendDetails& send,
+                            std::size_t body_size);
 // The headers of an answer that concern more than one connection.
 std::vector<http::Header> EndToEnd(std::vector<http::Header> headers);
 
--- a/src/tier/routing/route_table.h
+++ b/src/tier/routing/route_table.h
@@ -27,7 +27,7 @@
 struct Route {
   std::string name, host, path_prefix;
   Variant variant = Variant::kEffectful;
-  double limit_ms = 0, target_ms = 0, gap_aim_ms = 0;
+  double limit_ms = 0, target_ms = 0, gap_target_ms = 0;
   double due_ms = 0, retain_s = 0, token_cap = 0;  // bulk only; token_cap 0: no limit
   int rank = 0, attempts = 1;
   bool pinned = false, resumable = false;
--- a/src/tier/server/main/main.cpp
+++ b/src/tier/server/main/main.cpp
@@ -27,7 +27,7 @@
 using pearreach::settings::NodeSettings;
 namespace logging = pearreach::logging;
 
-constexpr int kWrongUse = 2;
+constexpr int kUsageError = 2;
 constexpr char kUsage[] =
     "pearreach-tier COMMAND [--settings FILE] [--policy FILE] [--log_level LEVEL]\n\n"
     "  serve    run this machine's part of the tier until SIGTERM or SIGINT\n"
@@ -35,7 +35,7 @@
     "  version  print the version";
 
 std::string SettingsPath() {
-  const std::string path = absl::GetFlag(FLAGS_settings);
+  std::string path = absl::GetFlag(FLAGS_settings);
   if (!path.empty()) return path;
   const char* from_environment = std::getenv("PEARREACH_BOOT");
   return from_environment == nullptr ? "" : from_environment;
@@ -104,7 +104,7 @@
 int Run(const std::vector<char*>& arguments) {
   if (arguments.size() != 2 || !SetLogLevel(absl::GetFlag(FLAGS_log_level))) {
     fmt::print(stderr, "{}\n", kUsage);
-    return kWrongUse;
+    return kUsageError;
   }
   const std::string command = arguments[1];
   if (command == "version") {
@@ -113,12 +113,12 @@
   }
   if (command != "serve" && command != "check") {
     fmt::print(stderr, "unknown command '{}'\n{}\n", command, kUsage);
-    return kWrongUse;
+    return kUsageError;
   }
   const auto settings = ReadSettings();
   if (!settings.ok()) {
     fmt::print(stderr, "{}\n", std::string(settings.status().message()));
-    return kWrongUse;
+    return kUsageError;
   }
   if (command == "check") {
     fmt::print("{}: good\n", SettingsPath());
--- a/src/tier/server/node.cpp
+++ b/src/tier/server/node.cpp
@@ -34,7 +34,7 @@
 constexpr std::size_t kMinConnections = 64;
 constexpr std::size_t kControlConnections = 200;
 constexpr Micros kPlatformNotices = 2500 * kMs;  // two missed readiness questions, one a second
-constexpr Micros kLeaveTime = 300 * kMs;         // for the word of the leaving to go out
+constexpr Micros kLeaveDelay = 300 * kMs;        // for the word of the leaving to go out
 constexpr Micros kExitMargin = 700 * kMs;        // kept of `grace_s`
 constexpr double kLearnBeats = 1.5;              // of heartbeats, in which all workers call
 constexpr Micros kPoll = 50 * kMs;               // between looks at what is still under way
@@ -105,9 +105,9 @@
   std::unique_ptr<proxy::RequestRunner> runner_;
   std::unique_ptr<gateway::Gateway> gateway_;
   std::unique_ptr<batch::StoreClient> store_client_;
-  std::unique_ptr<batch::BatchJobApi> lot_api_;
+  std::unique_ptr<batch::BatchJobApi> batch_job_api_;
   std::unique_ptr<batch::ItemWorker> item_worker_;
-  std::unique_ptr<batch::PlacementController> placement_duty_;
+  std::unique_ptr<batch::PlacementController> placement_controller_;
   std::unique_ptr<batch::RetireApi> retire_api_;
   std::unique_ptr<batch::StoreServer> store_server_;
   std::unique_ptr<http_server::HttpServer> edge_server_, control_server_, readiness_server_;
@@ -130,7 +130,7 @@
 
 absl::Status Node::Impl::Start() {
   logging::SetNode(settings_.node_name);
-  if (const absl::Status status = OpenDisk(); !status.ok()) return status;
+  if (absl::Status status = OpenDisk(); !status.ok()) return status;
   auto transport = rpc::OpenTransport(settings_.ip, settings_.peer_port(), &timers_);
   if (!transport.ok()) return transport.status();
   transport_ = std::move(*transport);
@@ -138,9 +138,9 @@
                                                     settings_, incarnation_);
   if (settings_.Serves("storage")) StartStore();
   if (settings_.Serves("edge"))
-    if (const absl::Status status = StartEdge(); !status.ok()) return status;
+    if (absl::Status status = StartEdge(); !status.ok()) return status;
   if (settings_.Serves("control"))
-    if (const absl::Status status = StartControl(); !status.ok()) return status;
+    if (absl::Status status = StartControl(); !status.ok()) return status;
   control_->OnChange([this] { OnControlChange(); });
   control_->OnDiskIsOld([this] { EndOnOldDisk(); });
   logging::Info(kModule, "started",
@@ -172,7 +172,7 @@
   store_client_ = std::make_unique<batch::StoreClient>(
       &timers_, transport_.get(), control_.get(),
       settings_.policy.relay_lot_calls ? settings_.node_name : std::string());
-  lot_api_ = std::make_unique<batch::BatchJobApi>(
+  batch_job_api_ = std::make_unique<batch::BatchJobApi>(
       &timers_, store_client_.get(), control_.get(),
       batch::BatchJobLimits{settings_.bounds.status_s, settings_.bounds.quota_excess},
       settings_.policy.offer_lots);
@@ -180,30 +180,31 @@
       std::make_unique<batch::ItemWorker>(&timers_, store_client_.get(), control_.get(),
                                           runner_.get(), settings_.node_name, incarnation_);
   gateway_->SetBulkHandler(
-      [this](std::shared_ptr<http_server::Exchange> exchange, const routing::Route& route) {
-        lot_api_->Submit(exchange, route);
+      [this](const std::shared_ptr<http_server::Exchange>& exchange, const routing::Route& route) {
+        batch_job_api_->Submit(exchange, route);
       });
-  gateway_->SetLotHandler(
-      [this](std::shared_ptr<http_server::Exchange> exchange) { lot_api_->Handle(exchange); });
+  gateway_->SetBatchJobHandler([this](std::shared_ptr<http_server::Exchange> exchange) {
+    batch_job_api_->Handle(exchange);
+  });
   edge_server_ = std::make_unique<http_server::HttpServer>(
       &timers_, ClientOptions({}, settings_.limits.file_limit),
       [this](std::shared_ptr<http_server::Exchange> exchange) {
         gateway_->Handle(std::move(exchange));
       });
-  const std::string wrong = edge_server_->Open(settings_.bind.edge);
-  if (!wrong.empty()) return absl::UnavailableError(settings_.bind.edge + ": " + wrong);
+  const std::string error = edge_server_->Open(settings_.bind.edge);
+  if (!error.empty()) return absl::UnavailableError(settings_.bind.edge + ": " + error);
   return StartReadiness();
 }
 
 absl::Status Node::Impl::StartReadiness() {
   if (settings_.bind.readiness.empty()) return absl::OkStatus();
   readiness_server_ = std::make_unique<http_server::HttpServer>(
-      &timers_, ControlOptions(), [this](std::shared_ptr<http_server::Exchange> exchange) {
+      &timers_, ControlOptions(), [this](const std::shared_ptr<http_server::Exchange>& exchange) {
         exchange->Respond(Ready() ? 200 : 503, {}, "");
       });
-  const std::string wrong = readiness_server_->Open(settings_.bind.readiness);
-  return wrong.empty() ? absl::OkStatus()
-                       : absl::UnavailableError(settings_.bind.readiness + ": " + wrong);
+  const std::string error = readiness_server_->Open(settings_.bind.readiness);
+  return error.empty() ? absl::OkStatus()
+                       : absl::UnavailableError(settings_.bind.readiness + ": " + error);
 }
 
 absl::Status Node::Impl::StartControl() {
@@ -212,23 +213,24 @@
   config_api_ = std::make_unique<control::ConfigApi>(control_.get());
   config_api_->Register(&router_);
   if (registry_ != nullptr) registry_->RegisterCalls(&router_);
-  placement_duty_ = std::make_unique<batch::PlacementController>(
+  placement_controller_ = std::make_unique<batch::PlacementController>(
       &timers_, transport_.get(), control_.get(),
       fmt::format("{}#{}", settings_.node_name, incarnation_),
       batch::PlacementSpread{replicas, static_cast<std::size_t>(std::max(tolerance.zones, 0)) + 1,
                              static_cast<std::size_t>(std::max(tolerance.regions, 0)) + 1,
                              settings_.zones},
       control::TimingOf(settings_.bounds).probe_period, settings_.policy.ask_silent_stores);
-  control_->OnMembersChanged([this](const std::vector<std::string>&) { placement_duty_->Look(); });
+  control_->OnMembersChanged(
+      [this](const std::vector<std::string>&) { placement_controller_->Look(); });
   retire_api_ = std::make_unique<batch::RetireApi>(&timers_, control_.get(), replicas);
   retire_api_->AddTo(&router_);
   control_server_ = std::make_unique<http_server::HttpServer>(
       &timers_, ControlOptions(), [this](std::shared_ptr<http_server::Exchange> exchange) {
         router_.Dispatch(std::move(exchange));
       });
-  const std::string wrong = control_server_->Open(settings_.bind.control);
-  return wrong.empty() ? absl::OkStatus()
-                       : absl::UnavailableError(settings_.bind.control + ": " + wrong);
+  const std::string error = control_server_->Open(settings_.bind.control);
+  return error.empty() ? absl::OkStatus()
+                       : absl::UnavailableError(settings_.bind.control + ": " + error);
 }
 
 // The disk has forgotten what this machine has promised and taken since: it is as good as lost.
@@ -253,8 +255,8 @@
 void Node::Impl::Reload(const settings::NodeSettings& settings) {
   // Where this process listens and what it holds stand for its life; bounds are taken over.
   settings_.bounds = settings.bounds;
-  if (lot_api_ != nullptr)
-    lot_api_->SetBounds({settings.bounds.status_s, settings.bounds.quota_excess});
+  if (batch_job_api_ != nullptr)
+    batch_job_api_->SetBounds({settings.bounds.status_s, settings.bounds.quota_excess});
   logging::Info(kModule, "settings read again", {});
 }
 
@@ -285,14 +287,14 @@
   }
   done =
       done && control_->MayShutDown() && (store_server_ == nullptr || store_server_->MayShutDown());
-  if (done || since > grace - kExitMargin - kLeaveTime) return Leave();
+  if (done || since > grace - kExitMargin - kLeaveDelay) return Leave();
   timers_.After(kPoll, [this] { AwaitEnd(); });
 }
 
 void Node::Impl::Leave() {
   if (std::exchange(left_, true)) return;
   control_->Leave();
-  timers_.After(kLeaveTime, [this] {
+  timers_.After(kLeaveDelay, [this] {
     logging::Info(kModule, "stopped", {});
     finished_();
   });
--- a/tests/tier/batch/edge_fakes.h
+++ b/tests/tier/batch/edge_fakes.h
@@ -179,7 +179,7 @@
     return jobs.size();
   }
   void Cancel(std::uint64_t job) override { cancelled.push_back(job); }
-  int BulkRoom(const std::string& service) const override {
+  int BulkCapacity(const std::string& service) const override {
     const auto found = room.find(service);
     return found == room.end() ? 0 : found->second;
   }
--- a/tests/tier/batch/edge_item_worker_test.cpp
+++ b/tests/tier/batch/edge_item_worker_test.cpp
@@ -136,7 +136,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("body"), spec.body);
     CPPUNIT_ASSERT_EQUAL(940.0, spec.tokens);
     CPPUNIT_ASSERT_EQUAL(2, spec.rank);
-    CPPUNIT_ASSERT(spec.bulk && spec.repeatable && spec.streamed && spec.resumable);
+    CPPUNIT_ASSERT(spec.bulk && spec.idempotent && spec.streamed && spec.resumable);
     CPPUNIT_ASSERT(spec.stop_on_500);
     CPPUNIT_ASSERT(spec.prefix_key != 0);
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, spec.headers.size());
--- a/tests/tier/gateway/doubles.h
+++ b/tests/tier/gateway/doubles.h
@@ -102,7 +102,7 @@
     sinks.erase(job);
   }
   void Resume(std::uint64_t job) override { resumed.push_back(job); }
-  int BulkRoom(const std::string&) const override { return 0; }
+  int BulkCapacity(const std::string&) const override { return 0; }
 
   std::shared_ptr<proxy::RequestSink> sink() const { return sinks.at(specs.size()); }
   void End(proxy::RequestEnd end, Micros retry_after = 0) {
--- a/tests/tier/gateway/gateway_test.cpp
+++ b/tests/tier/gateway/gateway_test.cpp
@@ -79,7 +79,8 @@
         [this](std::shared_ptr<http_server::Exchange>, const routing::Route& route) {
           handed_ = "bulk " + route.name;
         });
-    gateway_->SetLotHandler([this](std::shared_ptr<http_server::Exchange>) { handed_ = "lot"; });
+    gateway_->SetBatchJobHandler(
+        [this](std::shared_ptr<http_server::Exchange>) { handed_ = "lot"; });
     control_->Use(kConfiguration);
   }
   void tearDown() override {
--- a/tests/tier/gateway/request_builder_test.cpp
+++ b/tests/tier/gateway/request_builder_test.cpp
@@ -76,7 +76,7 @@
   void TakesTheRoutesTerms() {
     const struct {
       routing::Variant variant;
-      bool resumable, repeatable, streamed, resumes;
+      bool resumable, idempotent, streamed, resumes;
     } kCases[] = {
         {routing::Variant::kIdempotent, false, true, false, false},
         {routing::Variant::kEffectful, false, false, false, false},
@@ -90,7 +90,7 @@
       route.resumable = c.resumable;
       http::Message request = Request({});
       const proxy::RequestSpec spec = BuildRequestSpec(route, &request, 0);
-      CPPUNIT_ASSERT_EQUAL(c.repeatable, spec.repeatable);
+      CPPUNIT_ASSERT_EQUAL(c.idempotent, spec.idempotent);
       CPPUNIT_ASSERT_EQUAL(c.streamed, spec.streamed);
       CPPUNIT_ASSERT_EQUAL(c.resumes, spec.resumable);
       CPPUNIT_ASSERT_EQUAL(2, spec.rank);
--- a/tests/tier/proxy/bulk_gate_test.cpp
+++ b/tests/tier/proxy/bulk_gate_test.cpp
@@ -22,9 +22,9 @@
     CPPUNIT_ASSERT(Enter(2));
     CPPUNIT_ASSERT(!Enter(3));
     CPPUNIT_ASSERT(!Enter(4));
-    gate_.Leave();
+    gate_.Release();
     CPPUNIT_ASSERT((admitted_ == std::vector<std::uint64_t>{3}));
-    gate_.Leave();
+    gate_.Release();
     CPPUNIT_ASSERT((admitted_ == std::vector<std::uint64_t>{3, 4}));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, gate_.waiting());
   }
@@ -34,7 +34,7 @@
     CPPUNIT_ASSERT(!Enter(2));
     CPPUNIT_ASSERT(!Enter(3));
     gate_.Withdraw(2);
-    gate_.Leave();
+    gate_.Release();
     CPPUNIT_ASSERT((admitted_ == std::vector<std::uint64_t>{3}));
   }
 
--- a/tests/tier/proxy/fleet_start_test.cpp
+++ b/tests/tier/proxy/fleet_warm_up_test.cpp
@@ -1,5 +1,5 @@
 // When a node waits for workers after a start.
-#include "tier/proxy/fleet_start.h"
+#include "tier/proxy/fleet_warm_up.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -33,7 +33,7 @@
   }
 
   FakeControl control_;
-  const FleetStart start_{&control_, "me", kBegan, kLearn};
+  const FleetWarmUp start_{&control_, "me", kBegan, kLearn};
 
  public:
   void setUp() override {
@@ -42,28 +42,28 @@
   }
 
   void WaitsWhileAllAreNew() {
-    CPPUNIT_ASSERT_EQUAL(kBegan + kLearn, start_.LearnsUntil(kBegan));
-    CPPUNIT_ASSERT_EQUAL(kBegan + kLearn, start_.LearnsUntil(kBegan + kLearn - 1));
-    CPPUNIT_ASSERT_EQUAL(Micros{0}, start_.LearnsUntil(kBegan + kLearn));
+    CPPUNIT_ASSERT_EQUAL(kBegan + kLearn, start_.WarmUpDeadline(kBegan));
+    CPPUNIT_ASSERT_EQUAL(kBegan + kLearn, start_.WarmUpDeadline(kBegan + kLearn - 1));
+    CPPUNIT_ASSERT_EQUAL(Micros{0}, start_.WarmUpDeadline(kBegan + kLearn));
   }
 
   void DoesNotWaitWhereAnOlderNodeLives() {
     Add("old", kStart - 2001);
-    CPPUNIT_ASSERT_EQUAL(Micros{0}, start_.LearnsUntil(kBegan));
+    CPPUNIT_ASSERT_EQUAL(Micros{0}, start_.WarmUpDeadline(kBegan));
     Add("old", kStart - 2001, MemberInfo::kServesEdge, MemberStatus::kSuspect);
-    CPPUNIT_ASSERT_EQUAL(Micros{0}, start_.LearnsUntil(kBegan));
+    CPPUNIT_ASSERT_EQUAL(Micros{0}, start_.WarmUpDeadline(kBegan));
   }
 
   void PassesOverTheDeadAndOtherRoles() {
     Add("dead", kStart - 60'000, MemberInfo::kServesEdge, MemberStatus::kDead);
     Add("left", kStart - 60'000, MemberInfo::kServesEdge, MemberStatus::kLeft);
     Add("store", kStart - 60'000, MemberInfo::kServesStorage);
-    CPPUNIT_ASSERT_EQUAL(kBegan + kLearn, start_.LearnsUntil(kBegan));
+    CPPUNIT_ASSERT_EQUAL(kBegan + kLearn, start_.WarmUpDeadline(kBegan));
   }
 
   void WaitsForNothingWithoutATime() {
-    const FleetStart none(&control_, "me", kBegan, 0);
-    CPPUNIT_ASSERT_EQUAL(Micros{0}, none.LearnsUntil(kBegan));
+    const FleetWarmUp none(&control_, "me", kBegan, 0);
+    CPPUNIT_ASSERT_EQUAL(Micros{0}, none.WarmUpDeadline(kBegan));
   }
 };
 
--- a/tests/tier/proxy/forwarding_faults_test.cpp
+++ b/tests/tier/proxy/forwarding_faults_test.cpp
@@ -136,8 +136,8 @@
   if (!good) wrong_.push_back("UNASKED: " + request.method + " " + request.target);
 }
 
-RequestSpec RequestOf(const std::string& id, bool repeatable) {
-  RequestSpec spec = repeatable ? RepeatableJob(3) : PlainJob();
+RequestSpec RequestOf(const std::string& id, bool idempotent) {
+  RequestSpec spec = idempotent ? RepeatableJob(3) : PlainJob();
   spec.headers = {{"Host", "h.example"}, {"X-Attempt-Id", id}};
   spec.target = "/p/" + id;
   spec.body = "request " + id;
@@ -176,7 +176,7 @@
   // The worker refuses, and doubles that answer once the same request stands on the connection
   // again: taken for the answer to the second send, the copy would let it be sent a third time.
   void TestALateCopyOfAPromiseIsNoPromise() {
-    for (const bool repeatable : {false, true}) {
+    for (const bool idempotent : {false, true}) {
       Rig rig;
       int runs = 0;
       const auto refuse = NotRun(503);
@@ -188,7 +188,7 @@
         call.stream->Write(AnswerText(IdOf(call), 200, "X-Seal: s\r\n", "ran"));
       };
       ScriptedWorker& worker = rig.Add({refuse, late_copy});
-      const auto sink = rig.Run(RequestOf("a1", repeatable));
+      const auto sink = rig.Run(RequestOf("a1", idempotent));
       CPPUNIT_ASSERT_EQUAL(std::size_t{2}, worker.calls().size());
       CPPUNIT_ASSERT_EQUAL(1, runs);
       CPPUNIT_ASSERT(sink->result.end == RequestEnd::kComplete);
@@ -218,8 +218,8 @@
   static void Check(const std::string& id, const NotingSink& sink, const FaultyWorkers& workers,
                     Tally* tally) {
     const int runs = workers.RunsOf(id);
-    const bool repeatable = (id.back() - '0') % 2 == 0;
-    if (!repeatable) CPPUNIT_ASSERT_MESSAGE("TWICE: " + id, runs <= 1);
+    const bool idempotent = (id.back() - '0') % 2 == 0;
+    if (!idempotent) CPPUNIT_ASSERT_MESSAGE("TWICE: " + id, runs <= 1);
     if (sink.result.end == RequestEnd::kNotRun) {
       ++tally->refused;
       CPPUNIT_ASSERT_EQUAL_MESSAGE("REFUSED: " + id, 0, runs);
--- a/tests/tier/proxy/pool_dispatcher_test.cpp
+++ b/tests/tier/proxy/pool_dispatcher_test.cpp
@@ -39,23 +39,23 @@
     record.call_seq = 1;
     return record;
   }
-  PlacementId Arrive(std::vector<dispatch::WorkerId> homes = {}) {
+  PlacementId Enqueue(std::vector<dispatch::WorkerId> preferred = {}) {
     Placement placement;
-    placement.job_class.target = 200 * kMs;
-    placement.job_class.streamed = true;
+    placement.traffic_class.target = 200 * kMs;
+    placement.traffic_class.streamed = true;
     placement.due = Now() + 5 * kSecond;
-    placement.homes = std::move(homes);
-    return dispatcher.Arrive(placement, &client);
+    placement.preferred = std::move(preferred);
+    return dispatcher.Enqueue(placement, &client);
   }
   bool AwaitPlaced(std::size_t count) {
     return RunUntil([&] { return client.placed.size() >= count; }, 2 * kSecond);
   }
   // One job after the other, each served: they raise the limit.
-  void Serve(int count, std::vector<dispatch::WorkerId> homes = {}) {
+  void Serve(int count, std::vector<dispatch::WorkerId> preferred = {}) {
     for (int i = 0; i < count; ++i) {
-      const PlacementId id = Arrive(homes);
+      const PlacementId id = Enqueue(preferred);
       CPPUNIT_ASSERT(RunUntil([&] { return client.placed.contains(id); }));
-      dispatcher.Ended(id, dispatch::Outcome::kGood, kMs, {});
+      dispatcher.OnEnded(id, dispatch::Outcome::kGood, kMs, {});
     }
     client.placed.clear();
   }
@@ -89,14 +89,14 @@
   // 32 slots are free, yet only the one job that an empty limit lets through is sent at first.
   void LimitStartsAtZero() {
     Pool pool(4);
-    for (int i = 0; i < 8; ++i) pool.Arrive();
+    for (int i = 0; i < 8; ++i) pool.Enqueue();
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, pool.PlacedAtOnce());
     CPPUNIT_ASSERT(pool.dispatcher.limit_grows());
   }
 
   void BacklogRaisesTheLimit() {
     Pool pool(4);
-    for (int i = 0; i < 8; ++i) pool.Arrive();
+    for (int i = 0; i < 8; ++i) pool.Enqueue();
     CPPUNIT_ASSERT(pool.AwaitPlaced(8));  // none has ended
     CPPUNIT_ASSERT_EQUAL(0, pool.client.refused);
   }
@@ -104,7 +104,7 @@
   void ServedJobsRaiseTheLimit() {
     Pool pool(4);
     pool.Serve(4);
-    for (int i = 0; i < 12; ++i) pool.Arrive();
+    for (int i = 0; i < 12; ++i) pool.Enqueue();
     const std::size_t at_once = pool.PlacedAtOnce();
     CPPUNIT_ASSERT(at_once >= 2 && at_once <= 4);
   }
@@ -112,8 +112,8 @@
   void NewSettingsKeepTheLimit() {
     Pool pool(4);
     pool.Serve(4);
-    pool.dispatcher.SetShare({2, 1});
-    for (int i = 0; i < 12; ++i) pool.Arrive();
+    pool.dispatcher.SetFleetPosition({2, 1});
+    for (int i = 0; i < 12; ++i) pool.Enqueue();
     const std::size_t at_once = pool.PlacedAtOnce();
     CPPUNIT_ASSERT(at_once >= 2 && at_once <= 4);
   }
@@ -122,10 +122,10 @@
     Pool pool(6);
     pool.Serve(4, {3, 5});
     for (int i = 0; i < 8; ++i) {
-      const PlacementId id = pool.Arrive({3, 5});
+      const PlacementId id = pool.Enqueue({3, 5});
       CPPUNIT_ASSERT(pool.AwaitPlaced(1));
       CPPUNIT_ASSERT_EQUAL(dispatch::WorkerId{3}, pool.client.placed.at(id));
-      pool.dispatcher.Ended(id, dispatch::Outcome::kGood, kMs, {});
+      pool.dispatcher.OnEnded(id, dispatch::Outcome::kGood, kMs, {});
       pool.client.placed.clear();
     }
   }
@@ -137,10 +137,10 @@
     for (int i = 0; i < 2; ++i) pool.workers.Update(Pool::Record(i));
     pool.workers.Update(Pool::Record(3));
     pool.dispatcher.OnWorkers(pool.workers.EndUpdate());
-    const PlacementId second = pool.Arrive({2, 3});
+    const PlacementId second = pool.Enqueue({2, 3});
     CPPUNIT_ASSERT(pool.AwaitPlaced(1));
     CPPUNIT_ASSERT_EQUAL(dispatch::WorkerId{3}, pool.client.placed.at(second));
-    const PlacementId any = pool.Arrive({2});
+    const PlacementId any = pool.Enqueue({2});
     CPPUNIT_ASSERT(pool.AwaitPlaced(2));
     CPPUNIT_ASSERT(pool.client.placed.at(any) != 2);
   }
@@ -148,7 +148,7 @@
   void HomesWaitUnderTheLimitToo() {
     Pool pool(4);
     pool.Serve(1, {1});
-    for (int i = 0; i < 8; ++i) pool.Arrive({1});
+    for (int i = 0; i < 8; ++i) pool.Enqueue({1});
     CPPUNIT_ASSERT(pool.PlacedAtOnce() <= 2);
     CPPUNIT_ASSERT(pool.AwaitPlaced(8));
     for (const auto& [id, worker] : pool.client.placed)  // the wait is no reason to go elsewhere
@@ -161,7 +161,7 @@
     Pool pool(4);
     pool.Serve(1, {1});
     pool.Serve(6, {1});
-    for (int i = 0; i < 12; ++i) pool.Arrive();
+    for (int i = 0; i < 12; ++i) pool.Enqueue();
     CPPUNIT_ASSERT(pool.PlacedAtOnce() >= 2);
   }
 };
--- a/tests/tier/proxy/prompt_test.cpp
+++ b/tests/tier/proxy/prompt_test.cpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "tier/proxy/kept_prefixes.h"
+#include "tier/proxy/prefix_cache_estimate.h"
 #include "tier/proxy/prompt_headers.h"
 #include "tier/proxy/service_workers.h"
 
@@ -42,7 +42,7 @@
   }
   std::vector<std::string> Homes(std::uint64_t key, std::size_t most) {
     std::vector<std::string> names;
-    for (const dispatch::WorkerId id : workers.HomesOf(key, most))
+    for (const dispatch::WorkerId id : workers.PreferredWorkersOf(key, most))
       names.push_back(workers.Find(id)->record.worker_id);
     return names;
   }
@@ -84,21 +84,21 @@
   }
 
   void KeepsWhatFits() {
-    KeptPrefixes kept;
-    kept.Use(1, 400, 0, 1000);
-    kept.Use(2, 400, 0, 1000);
-    kept.Use(1, 400, 100, 1000);  // used again: 2 is the oldest now
-    kept.Use(3, 400, 0, 1000);
-    CPPUNIT_ASSERT(kept.Has(1) && !kept.Has(2) && kept.Has(3));
-    kept.Use(4, 5000, 0, 1000);  // larger than all of it
-    CPPUNIT_ASSERT(kept.Has(4) && !kept.Has(1) && !kept.Has(3));
+    PrefixCacheEstimate prefix_cache;
+    prefix_cache.Use(1, 400, 0, 1000);
+    prefix_cache.Use(2, 400, 0, 1000);
+    prefix_cache.Use(1, 400, 100, 1000);  // used again: 2 is the oldest now
+    prefix_cache.Use(3, 400, 0, 1000);
+    CPPUNIT_ASSERT(prefix_cache.Has(1) && !prefix_cache.Has(2) && prefix_cache.Has(3));
+    prefix_cache.Use(4, 5000, 0, 1000);  // larger than all of it
+    CPPUNIT_ASSERT(prefix_cache.Has(4) && !prefix_cache.Has(1) && !prefix_cache.Has(3));
   }
 
   void BoundsWhatItKeeps() {
-    KeptPrefixes kept;
-    for (std::uint64_t key = 1; key <= 3 * KeptPrefixes::kMaxPrefixes; ++key)
-      kept.Use(key, 1e6, 0, 0);
-    CPPUNIT_ASSERT_EQUAL(KeptPrefixes::kMaxPrefixes, kept.size());
+    PrefixCacheEstimate prefix_cache;
+    for (std::uint64_t key = 1; key <= 3 * PrefixCacheEstimate::kMaxPrefixes; ++key)
+      prefix_cache.Use(key, 1e6, 0, 0);
+    CPPUNIT_ASSERT_EQUAL(PrefixCacheEstimate::kMaxPrefixes, prefix_cache.size());
   }
 
   void NodesAgreeOnHomes() {
@@ -121,10 +121,10 @@
 
   void HomesSpread() {
     View view({"w1", "w2", "w3", "w4"});
-    std::map<std::string, int> homes;
-    for (std::uint64_t key = 1; key <= 400; ++key) ++homes[view.Homes(key, 1)[0]];
-    for (const auto& [id, count] : homes) CPPUNIT_ASSERT_MESSAGE(id, count > 60 && count < 140);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{4}, homes.size());
+    std::map<std::string, int> preferred;
+    for (std::uint64_t key = 1; key <= 400; ++key) ++preferred[view.Homes(key, 1)[0]];
+    for (const auto& [id, count] : preferred) CPPUNIT_ASSERT_MESSAGE(id, count > 60 && count < 140);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{4}, preferred.size());
   }
 };
 
--- a/tests/tier/proxy/proxy_rig.h
+++ b/tests/tier/proxy/proxy_rig.h
@@ -292,16 +292,16 @@
 }
 inline RequestSpec RepeatableJob(int attempts = 2) {
   RequestSpec spec = PlainJob();
-  spec.repeatable = true;
+  spec.idempotent = true;
   spec.attempts = attempts;
   return spec;
 }
 inline RequestSpec StreamJob(bool resumable, int attempts = 2) {
   RequestSpec spec = PlainJob();
   spec.streamed = true;
-  spec.repeatable = spec.resumable = resumable;
+  spec.idempotent = spec.resumable = resumable;
   spec.attempts = attempts;
-  spec.gap_aim_ms = 50;
+  spec.gap_target_ms = 50;
   return spec;
 }
 
--- a/tests/tier/proxy/request_runner_test.cpp
+++ b/tests/tier/proxy/request_runner_test.cpp
@@ -12,7 +12,7 @@
 struct EndCase {
   const char* name;
   std::vector<ScriptedWorker::Step> steps;  // of one worker
-  bool repeatable;
+  bool idempotent;
   RequestEnd end;
   int status;  // passed on, 0: none
   std::size_t calls;
@@ -114,7 +114,7 @@
     for (const EndCase& c : cases) {
       Rig rig;
       rig.Add(c.steps);
-      RequestSpec spec = c.repeatable ? RepeatableJob() : PlainJob();
+      RequestSpec spec = c.idempotent ? RepeatableJob() : PlainJob();
       const auto sink = rig.Run(spec);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(c.name, 1, sink->ends);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(c.name, NameOf(c.end), NameOf(sink->result.end));
@@ -311,18 +311,18 @@
 
   void BulkRoomFollowsSlots() {
     Rig rig;
-    CPPUNIT_ASSERT_EQUAL(0, rig.runner->BulkRoom("svc"));
+    CPPUNIT_ASSERT_EQUAL(0, rig.runner->BulkCapacity("svc"));
     rig.Add({Silence()});
-    CPPUNIT_ASSERT_EQUAL(1, rig.runner->BulkRoom("svc"));  // not used yet
+    CPPUNIT_ASSERT_EQUAL(1, rig.runner->BulkCapacity("svc"));  // not used yet
     rig.Add({Silence()});
     RequestSpec spec = PlainJob();
     spec.bulk = true;
     rig.Submit(spec);
     CPPUNIT_ASSERT(RunUntil([&] { return rig.Calls() == 1; }));
-    CPPUNIT_ASSERT_EQUAL(5, rig.runner->BulkRoom("svc"));  // 0.85 of 8 slots, one in use
+    CPPUNIT_ASSERT_EQUAL(5, rig.runner->BulkCapacity("svc"));  // 0.85 of 8 slots, one in use
     for (int i = 0; i < 5; ++i) rig.Submit(PlainJob());
     CPPUNIT_ASSERT(RunUntil([&] { return rig.Calls() == 6; }));
-    CPPUNIT_ASSERT_EQUAL(0, rig.runner->BulkRoom("svc"));
+    CPPUNIT_ASSERT_EQUAL(0, rig.runner->BulkCapacity("svc"));
   }
 
   // A node that has just started takes itself for the only one.
@@ -333,21 +333,21 @@
     spec.bulk = true;
     rig.Submit(spec);
     CPPUNIT_ASSERT(RunUntil([&] { return rig.Calls() == 1; }));
-    CPPUNIT_ASSERT_EQUAL(0, rig.runner->BulkRoom("svc"));
+    CPPUNIT_ASSERT_EQUAL(0, rig.runner->BulkCapacity("svc"));
   }
 
   void BulkRoomFollowsTheNodes() {
     Rig rig;
     for (int i = 0; i < 2; ++i) rig.Add({Good("ok")});
     rig.Run(PlainJob());
-    CPPUNIT_ASSERT(rig.runner->BulkRoom("svc") > 3);  // 0.85 of 8 slots
+    CPPUNIT_ASSERT(rig.runner->BulkCapacity("svc") > 3);  // 0.85 of 8 slots
     for (const char* name : {"me", "other"}) {
       rig.control.members_[name].status = coordination::MemberStatus::kAlive;
       rig.control.members_[name].info.roles = coordination::MemberInfo::kServesEdge;
     }
     const auto halved = [&] {
       rig.Run(PlainJob());
-      return rig.runner->BulkRoom("svc") == 3;
+      return rig.runner->BulkCapacity("svc") == 3;
     };
     CPPUNIT_ASSERT(RunUntil(halved, kSecond));
   }
--- a/tests/tier/proxy/silence_watch_test.cpp
+++ b/tests/tier/proxy/response_timeout_test.cpp
@@ -1,5 +1,5 @@
 // How long a silent worker is waited for, and how many requests may go to another one.
-#include "tier/proxy/silence_watch.h"
+#include "tier/proxy/response_timeout.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -13,9 +13,9 @@
   CPPUNIT_TEST(RepeatsStayASmallPartOfTheSends);
   CPPUNIT_TEST_SUITE_END();
 
-  static SilenceWatch After(int answers, Micros latency, int slow = 0, Micros slow_latency = 0) {
-    SilenceWatch watch;
-    for (int i = 0; i < answers; ++i) watch.NoteAnswer(i < slow ? slow_latency : latency);
+  static ResponseTimeout After(int answers, Micros latency, int slow = 0, Micros slow_latency = 0) {
+    ResponseTimeout watch;
+    for (int i = 0; i < answers; ++i) watch.RecordLatency(i < slow ? slow_latency : latency);
     return watch;
   }
 
@@ -23,12 +23,12 @@
   void LimitsByTable() {
     const struct {
       const char* what;
-      SilenceWatch watch;
+      ResponseTimeout watch;
       Micros target, left, limit;
     } kCases[] = {
-        {"nothing known", SilenceWatch(), 120, 10'000, 1500},
-        {"nothing known, long objective", SilenceWatch(), 400, 10'000, 2000},
-        {"nothing known, little time", SilenceWatch(), 120, 1000, 500},
+        {"nothing known", ResponseTimeout(), 120, 10'000, 1500},
+        {"nothing known, long objective", ResponseTimeout(), 400, 10'000, 2000},
+        {"nothing known, little time", ResponseTimeout(), 120, 1000, 500},
         {"too few answers", After(15, 20 * kMs), 120, 10'000, 1500},
         {"one slow answer is none", After(100, 60 * kMs, 1, 900 * kMs), 120, 1000, 90},
         {"two slow answers count", After(100, 20 * kMs, 2, 200 * kMs), 120, 1000, 300},
@@ -41,27 +41,27 @@
   }
 
   void FollowsTheLatestAnswers() {
-    SilenceWatch watch = After(200, 20 * kMs);
+    ResponseTimeout watch = After(200, 20 * kMs);
     CPPUNIT_ASSERT_EQUAL(Micros{60 * kMs}, watch.Limit(120 * kMs, 10 * kSecond));
-    for (int i = 0; i < 10; ++i) watch.NoteAnswer(200 * kMs);
+    for (int i = 0; i < 10; ++i) watch.RecordLatency(200 * kMs);
     CPPUNIT_ASSERT_EQUAL(Micros{300 * kMs}, watch.Limit(120 * kMs, 10 * kSecond));
-    for (int i = 0; i < 128; ++i) watch.NoteAnswer(20 * kMs);
+    for (int i = 0; i < 128; ++i) watch.RecordLatency(20 * kMs);
     CPPUNIT_ASSERT_EQUAL(Micros{60 * kMs}, watch.Limit(120 * kMs, 10 * kSecond));
   }
 
   void RepeatsStayASmallPartOfTheSends() {
-    SilenceWatch watch;
+    ResponseTimeout watch;
     constexpr int kSends = 1000;
     int repeats = 0;
     for (int i = 0; i < kSends; ++i) {
-      watch.NoteSend();
-      if (watch.TakeRepeat()) ++repeats;
+      watch.RecordSend();
+      if (watch.TakeRetry()) ++repeats;
     }
     CPPUNIT_ASSERT(repeats >= kSends / 5 && repeats <= kSends / 5 + 1);
-    while (watch.TakeRepeat()) ++repeats;
-    for (int i = 0; i < kSends; ++i) watch.NoteSend();
+    while (watch.TakeRetry()) ++repeats;
+    for (int i = 0; i < kSends; ++i) watch.RecordSend();
     int saved = 0;
-    while (watch.TakeRepeat()) ++saved;
+    while (watch.TakeRetry()) ++saved;
     CPPUNIT_ASSERT_EQUAL(10, saved);
   }
 };
--- a/tests/tier/routing/route_table_test.cpp
+++ b/tests/tier/routing/route_table_test.cpp
@@ -77,7 +77,7 @@
     CPPUNIT_ASSERT(split->variant == Variant::kStreamed);
     CPPUNIT_ASSERT(split->pinned && split->resumable);
     CPPUNIT_ASSERT_EQUAL(2, split->attempts);
-    CPPUNIT_ASSERT_EQUAL(250.0, split->gap_aim_ms);
+    CPPUNIT_ASSERT_EQUAL(250.0, split->gap_target_ms);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, split->targets.size());
     CPPUNIT_ASSERT_EQUAL(std::string("wuno96b"), split->targets[1].service);
     const Route* bulk = table->FindRoute("r-bulk");
