--- a/src/tier/server/node.cpp
+++ b/src/tier/server/node.cpp
@@ -183,7 +183,7 @@
       [this](const std::shared_ptr<http_server::Exchange>& exchange, const routing::Route& route) {
         batch_job_api_->Submit(exchange, route);
       });
-  gateway_->SetBatchJobHandler([this](std::shared_ptr<http_server::Exchange> exchange) {
+  gateway_->SetBatchJobHandler([this](const std::shared_ptr<http_server::Exchange>& exchange) {
     batch_job_api_->Handle(exchange);
   });
   edge_server_ = std::make_unique<http_server::HttpServer>(
