--- a/src/common/http/http.cpp
+++ b/src/common/http/http.cpp
@@ -100,70 +100,93 @@
 }
 
 bool Parser::Step() {
-  std::string_view line;
   switch (stage_) {
-    case Stage::kHead: {
-      // An empty line before a request is to be passed over (RFC 9112, 2.2).
-      while (kind_ == Kind::kRequest && buffer_.starts_with("\r\n")) buffer_.erase(0, 2);
-      const std::size_t from = scanned_ < 3 ? 0 : scanned_ - 3;
-      const std::size_t end = buffer_.find("\r\n\r\n", from);
-      if (end == std::string::npos ? buffer_.size() > limits_.head : end > limits_.head)
-        return Fail(buffer_.find("\r\n") > kMaxTarget ? 414 : 431, "the head is too long");
-      if (end == std::string::npos) {
-        scanned_ = buffer_.size();
-        return false;
-      }
-      if (!ReadHead(std::string_view(buffer_).substr(0, end + 2))) return false;
-      buffer_.erase(0, end + 4);
-      if (kind_ == Kind::kResponse && message_.status < 200) {  // an interim answer
-        Take();
-        return true;
-      }
-      return ReadFraming();
-    }
+    case Stage::kHead:
+      return StepHead();
     case Stage::kBody:
-      if (buffer_.size() < left_) return false;
-      message_.body.assign(buffer_, 0, left_);
-      buffer_.erase(0, left_);
-      stage_ = Stage::kDone;
-      return true;
-    case Stage::kChunkSize: {
-      if (!Line(&line, kChunkLine)) return false;
-      const std::size_t size = line.size();
-      if (!ReadLength(Trim(line.substr(0, line.find(';'))), 16, &left_))
-        return Fail(400, "bad size of a chunk");
-      if (left_ > limits_.body - message_.body.size()) return Fail(413, "the body is too long");
-      buffer_.erase(0, size + 2);
-      stage_ = left_ == 0 ? Stage::kTrailer : Stage::kChunk;
-      return true;
-    }
+      return StepBody();
+    case Stage::kChunkSize:
+      return StepChunkSize();
     case Stage::kChunk:
-      if (buffer_.size() < left_ + 2) return false;
-      if (buffer_.compare(left_, 2, "\r\n") != 0) return Fail(400, "a chunk has no end");
-      message_.body.append(buffer_, 0, left_);
-      buffer_.erase(0, left_ + 2);
-      stage_ = Stage::kChunkSize;
-      return true;
-    case Stage::kTrailer: {  // read and passed over
-      if (!Line(&line, limits_.head)) return false;
-      if (line.empty()) stage_ = Stage::kDone;
-      trailer_ += line.size() + 2;
-      if (trailer_ > limits_.head) return Fail(431, "the trailers are too long");
-      buffer_.erase(0, line.size() + 2);
-      return true;
-    }
+      return StepChunk();
+    case Stage::kTrailer:
+      return StepTrailer();
     case Stage::kToClose:
-      if (buffer_.size() > limits_.body - message_.body.size())
-        return Fail(413, "the body is too long");
-      message_.body.append(buffer_);
-      buffer_.clear();
-      return false;
+      return StepToClose();
     case Stage::kDone:
       break;
   }
   return false;
 }
 
+bool Parser::StepHead() {
+  // An empty line before a request is to be passed over (RFC 9112, 2.2).
+  while (kind_ == Kind::kRequest && buffer_.starts_with("\r\n")) buffer_.erase(0, 2);
+  const std::size_t from = scanned_ < 3 ? 0 : scanned_ - 3;
+  const std::size_t end = buffer_.find("\r\n\r\n", from);
+  if (end == std::string::npos ? buffer_.size() > limits_.head : end > limits_.head)
+    return Fail(buffer_.find("\r\n") > kMaxTarget ? 414 : 431, "the head is too long");
+  if (end == std::string::npos) {
+    scanned_ = buffer_.size();
+    return false;
+  }
+  if (!ReadHead(std::string_view(buffer_).substr(0, end + 2))) return false;
+  buffer_.erase(0, end + 4);
+  if (kind_ == Kind::kResponse && message_.status < 200) {  // an interim response
+    Take();
+    return true;
+  }
+  return ReadFraming();
+}
+
+bool Parser::StepBody() {
+  if (buffer_.size() < left_) return false;
+  message_.body.assign(buffer_, 0, left_);
+  buffer_.erase(0, left_);
+  stage_ = Stage::kDone;
+  return true;
+}
+
+bool Parser::StepChunkSize() {
+  std::string_view line;
+  if (!Line(&line, kChunkLine)) return false;
+  const std::size_t size = line.size();
+  if (!ReadLength(Trim(line.substr(0, line.find(';'))), 16, &left_))
+    return Fail(400, "bad size of a chunk");
+  if (left_ > limits_.body - message_.body.size()) return Fail(413, "the body is too long");
+  buffer_.erase(0, size + 2);
+  stage_ = left_ == 0 ? Stage::kTrailer : Stage::kChunk;
+  return true;
+}
+
+bool Parser::StepChunk() {
+  if (buffer_.size() < left_ + 2) return false;
+  if (buffer_.compare(left_, 2, "\r\n") != 0) return Fail(400, "a chunk has no end");
+  message_.body.append(buffer_, 0, left_);
+  buffer_.erase(0, left_ + 2);
+  stage_ = Stage::kChunkSize;
+  return true;
+}
+
+// Trailers are read and passed over.
+bool Parser::StepTrailer() {
+  std::string_view line;
+  if (!Line(&line, limits_.head)) return false;
+  if (line.empty()) stage_ = Stage::kDone;
+  trailer_ += line.size() + 2;
+  if (trailer_ > limits_.head) return Fail(431, "the trailers are too long");
+  buffer_.erase(0, line.size() + 2);
+  return true;
+}
+
+bool Parser::StepToClose() {
+  if (buffer_.size() > limits_.body - message_.body.size())
+    return Fail(413, "the body is too long");
+  message_.body.append(buffer_);
+  buffer_.clear();
+  return false;
+}
+
 bool Parser::ReadHead(std::string_view head) {
   std::size_t end = head.find("\r\n");
   if (!ReadFirstLine(head.substr(0, end))) return false;
--- a/src/common/http/http.h
+++ b/src/common/http/http.h
@@ -66,7 +66,14 @@
   bool ReadFirstLine(std::string_view line);
   bool ReadFraming();
   bool Line(std::string_view* line, std::size_t most);
-  bool Step();  // false: needs more, or is bad
+  // Each consumes what it can of the buffer; false: more bytes are needed, or the message is bad.
+  bool Step();
+  bool StepHead();
+  bool StepBody();
+  bool StepChunkSize();
+  bool StepChunk();
+  bool StepTrailer();
+  bool StepToClose();
 
   Kind kind_;
   Limits limits_;
--- a/src/node/admin/door.cpp
+++ b/src/node/admin/door.cpp
@@ -57,71 +57,86 @@
   return out;
 }
 
-Reply Route(const http::Message& call, const Calls& calls) {
-  const std::string_view target = call.target;
-  const std::size_t mark = target.find('?');
-  const std::string_view path = target.substr(0, mark);
-  const std::string_view query =
-      mark == std::string_view::npos ? std::string_view() : target.substr(mark + 1);
-  if (path == "/_ready" || path == "/_vars") {
-    if (call.method != "GET" && call.method != "HEAD")
-      return Wrong("door_bad_method", 405, "GET only", {{"Allow", "GET, HEAD"}});
-    if (path == "/_vars") {
-      Reply reply{200, WriteVars(calls.vars()), {{"Content-Type", "text/plain"}}};
-      return reply;
-    }
-    return calls.ready() ? Text(200, "ready") : Text(503, "not ready");
-  }
-  if (path.starts_with(kWorkers)) {
-    const std::string_view verb = path.substr(kWorkers.size());
-    if (verb != "detach" && verb != "attach") return Wrong("door_bad_path", 404, "no such call");
-    if (call.method != "POST")
-      return Wrong("door_bad_method", 405, "POST only", {{"Allow", "POST"}});
-    const std::string id = QueryValue(query, "target");
-    if (id.empty()) return Wrong("door_bad_target", 400, "no target=ID");
-    const bool detach = verb == "detach";
-    if (!(detach ? calls.detach : calls.attach)(id))
-      return Wrong("door_unknown_target", 404, "no list has named " + id);
-    Log(detach ? "detached" : "attached", {{"worker", id}},
-        (detach ? "detached " : "attached ") + id + " by the operators' door");
-    return Text(200, (detach ? "detached " : "attached ") + id);
-  }
-  if (path == "/_zones" && calls.zones) {
-    if (call.method != "GET" && call.method != "HEAD")
-      return Wrong("door_bad_method", 405, "GET only", {{"Allow", "GET, HEAD"}});
-    return Text(200, calls.zones());
-  }
-  if (path.starts_with(kZones) && calls.order) {
-    const std::string verb(path.substr(kZones.size()));
-    if (verb != "leave" && verb != "return" && verb != "clear")
-      return Wrong("door_bad_path", 404, "no such call");
-    if (call.method != "POST")
-      return Wrong("door_bad_method", 405, "POST only", {{"Allow", "POST"}});
-    const std::string target = QueryValue(query, "target");
-    if (target.empty()) return Wrong("door_bad_target", 400, "no target=ZONE");
-    if (!calls.order(target, verb))
-      return Wrong("door_unknown_target", 404, "there is no zone or region " + target);
-    return Text(200, verb + " " + target);
-  }
-  if ((path == kRules || path.starts_with(std::string(kRules) + "/")) && calls.rules) {
-    const bool post = call.method == "POST";
-    if (!post && call.method != "GET" && call.method != "HEAD")
-      return Wrong("door_bad_method", 405, "GET or POST", {{"Allow", "GET, HEAD, POST"}});
-    Calls::RulesCall asked{post,
+namespace {
+
+bool IsGet(const http::Message& call) { return call.method == "GET" || call.method == "HEAD"; }
+
+Reply GetOnly() { return Wrong("door_bad_method", 405, "GET only", {{"Allow", "GET, HEAD"}}); }
+Reply PostOnly() { return Wrong("door_bad_method", 405, "POST only", {{"Allow", "POST"}}); }
+Reply NoSuchCall() { return Wrong("door_bad_path", 404, "no such call"); }
+
+// A call's target, split at its query.
+struct Target {
+  std::string_view path, query;
+};
+
+Target SplitTarget(std::string_view target) {
+  const std::size_t question = target.find('?');
+  if (question == std::string_view::npos) return {target, {}};
+  return {target.substr(0, question), target.substr(question + 1)};
+}
+
+Reply RouteWorkers(const http::Message& call, const Target& at, const Calls& calls) {
+  const std::string_view verb = at.path.substr(kWorkers.size());
+  if (verb != "detach" && verb != "attach") return NoSuchCall();
+  if (call.method != "POST") return PostOnly();
+  const std::string id = QueryValue(at.query, "target");
+  if (id.empty()) return Wrong("door_bad_target", 400, "no target=ID");
+  const bool detach = verb == "detach";
+  if (!(detach ? calls.detach : calls.attach)(id))
+    return Wrong("door_unknown_target", 404, "no list has named " + id);
+  Log(detach ? "detached" : "attached", {{"worker", id}},
+      (detach ? "detached " : "attached ") + id + " by the operators' door");
+  return Text(200, (detach ? "detached " : "attached ") + id);
+}
+
+Reply RouteZones(const http::Message& call, const Target& at, const Calls& calls) {
+  const std::string verb(at.path.substr(kZones.size()));
+  if (verb != "leave" && verb != "return" && verb != "clear") return NoSuchCall();
+  if (call.method != "POST") return PostOnly();
+  const std::string target = QueryValue(at.query, "target");
+  if (target.empty()) return Wrong("door_bad_target", 400, "no target=ZONE");
+  if (!calls.order(target, verb))
+    return Wrong("door_unknown_target", 404, "there is no zone or region " + target);
+  return Text(200, verb + " " + target);
+}
+
+Reply RouteRules(const http::Message& call, const Target& at, const Calls& calls) {
+  const bool post = call.method == "POST";
+  if (!post && !IsGet(call))
+    return Wrong("door_bad_method", 405, "GET or POST", {{"Allow", "GET, HEAD, POST"}});
+  Calls::RulesCall request{post,
                            "",
                            call.body,
-                           QueryValue(query, "after"),
-                           QueryValue(query, "number"),
-                           QueryValue(query, "from"),
-                           QueryValue(query, "to"),
-                           QueryValue(query, "voters")};
-    if (path.size() > kRules.size()) asked.verb = path.substr(kRules.size() + 1);
-    const auto answer = calls.rules(asked);
-    if (!answer) return Wrong("door_bad_path", 404, "no such call");
-    if (answer->first >= 400) Count("door_rules_refused");
-    return Text(answer->first, answer->second);
+                           QueryValue(at.query, "after"),
+                           QueryValue(at.query, "number"),
+                           QueryValue(at.query, "from"),
+                           QueryValue(at.query, "to"),
+                           QueryValue(at.query, "voters")};
+  if (at.path.size() > kRules.size()) request.verb = at.path.substr(kRules.size() + 1);
+  const auto answer = calls.rules(request);
+  if (!answer) return NoSuchCall();
+  if (answer->first >= 400) Count("door_rules_refused");
+  return Text(answer->first, answer->second);
+}
+
+}  // namespace
+
+Reply Route(const http::Message& call, const Calls& calls) {
+  const Target at = SplitTarget(call.target);
+  if (at.path == "/_ready" || at.path == "/_vars") {
+    if (!IsGet(call)) return GetOnly();
+    if (at.path == "/_vars")
+      return Reply{200, WriteVars(calls.vars()), {{"Content-Type", "text/plain"}}};
+    return calls.ready() ? Text(200, "ready") : Text(503, "not ready");
   }
-  return Wrong("door_bad_path", 404, "no such call");
+  if (at.path.starts_with(kWorkers)) return RouteWorkers(call, at, calls);
+  if (at.path == "/_zones" && calls.zones)
+    return IsGet(call) ? Text(200, calls.zones()) : GetOnly();
+  if (at.path.starts_with(kZones) && calls.order) return RouteZones(call, at, calls);
+  const bool rules = at.path == kRules || at.path.starts_with(std::string(kRules) + "/");
+  if (rules && calls.rules) return RouteRules(call, at, calls);
+  return NoSuchCall();
 }
 
 Door::Door(Calls calls)
--- a/src/node/membership/members.cpp
+++ b/src/node/membership/members.cpp
@@ -389,37 +389,10 @@
     case kPing:
       if (!leaving_) Say(now, from, kAck, s.probe(), -1, out);
       return;
-    case kAsk: {
-      if (!Valid(about) || about == options_.self || leaving_ || relays_.size() >= kMaxRelays)
-        return;
-      Relay r;
-      r.number = ++last_probe_;
-      r.theirs = s.probe();
-      r.target = about;
-      r.asker = from;
-      r.until = now + options_.period;
-      r.nack_at = now + static_cast<Micros>(kNackAfter * static_cast<double>(options_.period));
-      relays_.push_back(r);
-      return Say(now, about, kPing, r.number, -1, out);
-    }
+    case kAsk:
+      return OnPingRequest(now, from, s.probe(), about, out);
     case kAck:
-      for (Probe& probe : probes_) {
-        if (probe.number != s.probe() || probe.target != (about >= 0 ? about : from)) continue;
-        probe.answered = true;
-        probe.direct = probe.direct || about < 0;
-        if (probe.sent >= woke_) doubts_ = false;
-        if (about >= 0) {
-          At(probe.target).heard = now;
-          At(probe.target).heard_from = from;
-        }
-      }
-      for (std::size_t i = 0; i < relays_.size(); ++i) {
-        const Relay r = relays_[i];
-        if (about >= 0 || r.number != s.probe() || r.target != from) continue;
-        relays_.erase(relays_.begin() + static_cast<std::ptrdiff_t>(i));
-        return Say(now, r.asker, kAck, r.theirs, r.target, out);
-      }
-      return;
+      return OnAck(now, from, s.probe(), about, out);
     case kNack:
       for (Probe& probe : probes_)
         if (probe.number == s.probe() && probe.target == about) ++probe.nacks;
@@ -429,6 +402,39 @@
   }
 }
 
+void Members::OnPingRequest(Micros now, int from, std::uint32_t probe, int about,
+                            std::vector<Out>* out) {
+  if (!Valid(about) || about == options_.self || leaving_ || relays_.size() >= kMaxRelays) return;
+  Relay relay;
+  relay.number = ++last_probe_;
+  relay.theirs = probe;
+  relay.target = about;
+  relay.asker = from;
+  relay.until = now + options_.period;
+  relay.nack_at = now + static_cast<Micros>(kNackAfter * static_cast<double>(options_.period));
+  relays_.push_back(relay);
+  Say(now, about, kPing, relay.number, -1, out);
+}
+
+void Members::OnAck(Micros now, int from, std::uint32_t number, int about, std::vector<Out>* out) {
+  for (Probe& probe : probes_) {
+    if (probe.number != number || probe.target != (about >= 0 ? about : from)) continue;
+    probe.answered = true;
+    probe.direct = probe.direct || about < 0;
+    if (probe.sent >= woke_) doubts_ = false;
+    if (about >= 0) {
+      At(probe.target).heard = now;
+      At(probe.target).heard_from = from;
+    }
+  }
+  for (std::size_t i = 0; i < relays_.size(); ++i) {
+    const Relay relay = relays_[i];
+    if (about >= 0 || relay.number != number || relay.target != from) continue;
+    relays_.erase(relays_.begin() + static_cast<std::ptrdiff_t>(i));
+    return Say(now, relay.asker, kAck, relay.theirs, relay.target, out);
+  }
+}
+
 void Members::Refused(int from) {
   if (Valid(from)) At(from).refused = true;
 }
--- a/src/node/membership/members.h
+++ b/src/node/membership/members.h
@@ -149,6 +149,8 @@
   Peer& At(int node) { return peers_[static_cast<std::size_t>(node)]; }
   bool Valid(int node) const { return node >= 0 && node < options_.nodes; }
   void Wake(Micros now);
+  void OnPingRequest(Micros now, int from, std::uint32_t probe, int about, std::vector<Out>* out);
+  void OnAck(Micros now, int from, std::uint32_t number, int about, std::vector<Out>* out);
   void Period(Micros now, std::vector<Out>* out);
   void Resolve(Micros now, const Probe& probe, std::vector<Out>* out);
   void Learn(Micros now, int node, const Entry& entry, int by, int from);
