--- a/src/tier/control/control_node.cpp
+++ b/src/tier/control/control_node.cpp
@@ -217,7 +217,7 @@
 }
 
 void ControlNode::ReplicaStepped() {
-  connectivity_.Update(replica_->is_head(), replica_->is_agreeing(), replica_->view());
+  connectivity_.Update(replica_->is_head(), replica_->is_changing_view(), replica_->view());
   UpdatePolls();
 }
 
--- a/src/tier/control/replica_driver.cpp
+++ b/src/tier/control/replica_driver.cpp
@@ -34,7 +34,7 @@
 
 bool Same(const std::vector<coordination::Peer>& a, const std::vector<coordination::Peer>& b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(), [](const auto& x, const auto& y) {
-    return x.id == y.id && x.alive == y.alive && x.leaving == y.leaving && x.zone == y.zone &&
+    return x.id == y.id && x.alive == y.alive && x.draining == y.draining && x.zone == y.zone &&
            x.region == y.region;
   });
 }
@@ -84,7 +84,7 @@
   std::vector<coordination::Peer> peers = directory_->Peers();
   for (coordination::Peer& peer : peers) {
     peer.alive = peer.alive && !connectivity_->IsLost(peer.id.name);
-    peer.leaving = connectivity_->IsLeaving(peer.id.name);
+    peer.draining = connectivity_->IsLeaving(peer.id.name);
   }
   if (Same(peers, peers_)) return;
   peers_ = peers;
@@ -176,7 +176,7 @@
   if (!connectivity_->IsDiskChecked())
     connectivity_->AskAgain();  // the others can be told of this process now
   coordination::Effects effects;
-  for (const std::uint64_t token : tokens) replica_.Persisted(time_->Now(), token, &effects);
+  for (const std::uint64_t token : tokens) replica_.OnPersisted(time_->Now(), token, &effects);
   CarryOut(std::move(effects));
 }
 
--- a/src/tier/control/replica_driver.h
+++ b/src/tier/control/replica_driver.h
@@ -46,7 +46,7 @@
   void Read(Micros timeout, ReadDone done);
 
   bool is_head() const { return replica_.is_head(); }
-  bool is_agreeing() const { return replica_.is_agreeing(); }
+  bool is_changing_view() const { return replica_.is_changing_view(); }
   const coordination::View& view() const { return replica_.view(); }
   // It takes part in the view that it knows, so that it learns of commits by itself.
   bool InView() const;
--- a/src/tier/control/singleton_role_driver.cpp
+++ b/src/tier/control/singleton_role_driver.cpp
@@ -23,7 +23,7 @@
 
 bool SingletonRoleDriver::Update(Micros now) {
   Observe();
-  role_.SetFirst(control_->IsSingletonRoleCandidate());
+  role_.SetCandidate(control_->IsSingletonRoleCandidate());
   if (const auto epoch = role_.NextClaim(now)) Claim(*epoch);
   return holds();
 }
@@ -39,7 +39,7 @@
   control_->Change(
       {key_, epoch, self_}, kClaimTimeout, [this, alive = alive_](const ChangeOutcome& outcome) {
         if (!*alive) return;
-        role_.ClaimEnded(outcome.status, outcome.revision);
+        role_.OnClaimCompleted(outcome.status, outcome.revision);
         if (holds()) {
           logging::Info("control", "duty taken",
                         {logging::F("duty", key_), logging::F("epoch", role_.record().epoch)});
--- a/src/tier/control/singleton_role_driver.h
+++ b/src/tier/control/singleton_role_driver.h
@@ -26,7 +26,7 @@
   // Takes in what the control state says now, and claims the duty if it is this node's to take.
   // True: this process holds it.
   bool Update(Micros now);
-  bool holds() const { return role_.acting().has_value(); }
+  bool holds() const { return role_.owned_epoch().has_value(); }
   // Of a change that is refused once another process has taken the duty. The last epoch that this
   // process knows where it does not hold the duty.
   coordination::FencingToken fencing_token() const { return {key_, role_.record().epoch}; }
--- a/src/tier/coordination/chain.h
+++ b/src/tier/coordination/chain.h
@@ -139,7 +139,7 @@
   ReplicaId id;
   bool alive = false;
   std::string zone, region;  // empty: not known
-  bool leaving = false;      // it ends soon, perhaps for good: the next view does without it
+  bool draining = false;     // it ends soon, perhaps for good: the next view does without it
 };
 
 class ChainReplica {
@@ -157,7 +157,7 @@
   // no effect once there is a view.
   void SetFounders(Micros now, std::vector<ReplicaId> founders, Effects* out);
   void Receive(Micros now, const std::string& from, std::string_view bytes, Effects* out);
-  void Persisted(Micros now, std::uint64_t token, Effects* out);
+  void OnPersisted(Micros now, std::uint64_t token, Effects* out);
   Micros NextTick() const;
   void Tick(Micros now, Effects* out);
 
@@ -169,7 +169,7 @@
   const View& view() const;
   bool is_head() const;
   // It takes part in an agreement on the next view.
-  bool is_agreeing() const;
+  bool is_changing_view() const;
   // The newest map that is known to be committed; null: none yet.
   std::shared_ptr<const Map> committed() const;
   Version committed_version() const;
--- a/src/tier/coordination/chain_replica.cpp
+++ b/src/tier/coordination/chain_replica.cpp
@@ -67,7 +67,7 @@
   Run(now, out);
 }
 
-void ChainReplica::Impl::Persisted(Micros now, std::uint64_t token, Effects* out) {
+void ChainReplica::Impl::OnPersisted(Micros now, std::uint64_t token, Effects* out) {
   synced_early_.insert(token);
   while (synced_early_.erase(synced_token_ + 1) > 0) ++synced_token_;
   Run(now, out);
@@ -177,8 +177,8 @@
   impl_->Receive(now, from, bytes, out);
 }
 
-void ChainReplica::Persisted(Micros now, std::uint64_t token, Effects* out) {
-  impl_->Persisted(now, token, out);
+void ChainReplica::OnPersisted(Micros now, std::uint64_t token, Effects* out) {
+  impl_->OnPersisted(now, token, out);
 }
 
 Micros ChainReplica::NextTick() const { return impl_->NextTick(); }
@@ -197,7 +197,7 @@
 
 bool ChainReplica::is_head() const { return impl_->IsHead(); }
 
-bool ChainReplica::is_agreeing() const { return impl_->IsAgreeing(); }
+bool ChainReplica::is_changing_view() const { return impl_->IsAgreeing(); }
 
 std::shared_ptr<const Map> ChainReplica::committed() const {
   return impl_->state().committed().map;
--- a/src/tier/coordination/chain_replica.h
+++ b/src/tier/coordination/chain_replica.h
@@ -56,7 +56,7 @@
   void SetPeers(Micros now, const std::vector<Peer>& peers, Effects* out);
   void SetFounders(Micros now, std::vector<ReplicaId> founders, Effects* out);
   void Receive(Micros now, const std::string& from, std::string_view bytes, Effects* out);
-  void Persisted(Micros now, std::uint64_t token, Effects* out);
+  void OnPersisted(Micros now, std::uint64_t token, Effects* out);
   void Tick(Micros now, Effects* out) { Run(now, out); }
   void Change(Micros now, ChangeRequest request, Effects* out);
   void Read(Micros now, std::uint64_t ticket, Effects* out);
--- a/src/tier/coordination/singleton_role.cpp
+++ b/src/tier/coordination/singleton_role.cpp
@@ -19,12 +19,12 @@
 }
 
 // A claim of which nothing is known shows in the record, if it has come into force.
-void SingletonRole::ClaimEnded(ChangeStatus status, std::uint64_t revision) {
+void SingletonRole::OnClaimCompleted(ChangeStatus status, std::uint64_t revision) {
   claiming_ = false;
   if (status == ChangeStatus::kCommitted) Observe({revision, self_});
 }
 
-std::optional<std::uint64_t> SingletonRole::acting() const {
+std::optional<std::uint64_t> SingletonRole::owned_epoch() const {
   if (!first_ || record_.epoch == 0 || record_.holder != self_) return std::nullopt;
   return record_.epoch;
 }
--- a/src/tier/coordination/singleton_role.h
+++ b/src/tier/coordination/singleton_role.h
@@ -30,17 +30,17 @@
   SingletonRole(std::string self, Micros pause);
 
   // Whether this node is the first live one in the agreed order, as far as it knows.
-  void SetFirst(bool first) { first_ = first; }
+  void SetCandidate(bool first) { first_ = first; }
   // What the control state says; an older record than one that is known is passed over.
   void Observe(const SingletonRoleRecord& record);
 
   // The epoch that a claim must follow, if one is due: the caller sets the duty's key to `self`
   // where its revision is this one, and says how that ended.
   std::optional<std::uint64_t> NextClaim(Micros now);
-  void ClaimEnded(ChangeStatus status, std::uint64_t revision);
+  void OnClaimCompleted(ChangeStatus status, std::uint64_t revision);
 
   // The epoch under which this process may act; none: it may not.
-  std::optional<std::uint64_t> acting() const;
+  std::optional<std::uint64_t> owned_epoch() const;
   const SingletonRoleRecord& record() const { return record_; }
 
  private:
--- a/src/tier/coordination/view_target.cpp
+++ b/src/tier/coordination/view_target.cpp
@@ -71,7 +71,7 @@
   alive_.push_back(self_);
   for (const Peer& peer : peers) {
     places_[peer.id.name] = {peer.zone, peer.region};
-    if (peer.leaving) leaving_.insert(peer.id);
+    if (peer.draining) leaving_.insert(peer.id);
     if (peer.id.name == self_.name) continue;
     if (!peer.alive) {
       down_since_.try_emplace(peer.id, now);
--- a/tests/fuzz/tier_state_fuzz.cpp
+++ b/tests/fuzz/tier_state_fuzz.cpp
@@ -272,7 +272,7 @@
       replica.Read(now, static_cast<std::uint64_t>(step), &effects);
     }
     for (; persisted < effects.persists.size(); ++persisted)
-      replica.Persisted(now, effects.persists[persisted].token, &effects);
+      replica.OnPersisted(now, effects.persists[persisted].token, &effects);
     replica.Tick(now, &effects);
   }
 }
--- a/tests/tier/coordination/chain_cluster.cpp
+++ b/tests/tier/coordination/chain_cluster.cpp
@@ -295,7 +295,7 @@
     for (auto& [key, value] : machine.writes.front().records) machine.disk[key] = value;
     machine.writes.pop_front();
   }
-  Call(name, [&](ChainReplica& replica, Effects* out) { replica.Persisted(now_, token, out); });
+  Call(name, [&](ChainReplica& replica, Effects* out) { replica.OnPersisted(now_, token, out); });
 }
 
 Micros ChainCluster::NextTick() const {
--- a/tests/tier/coordination/chain_rules_test.cpp
+++ b/tests/tier/coordination/chain_rules_test.cpp
@@ -41,7 +41,7 @@
   std::string Finish(Effects out) {
     std::string answers;
     for (std::size_t i = 0; i < out.persists.size(); ++i) {
-      replica_.Persisted(kNow, out.persists[i].token, &out);
+      replica_.OnPersisted(kNow, out.persists[i].token, &out);
     }
     for (const SendMessage& message : out.messages) {
       const auto envelope = DecodeEnvelope(message.bytes);
--- a/tests/tier/coordination/chain_views_test.cpp
+++ b/tests/tier/coordination/chain_views_test.cpp
@@ -159,7 +159,7 @@
   // At once, where the others suffice; `leaving` are alive.
   void DoesWithoutThoseThatLeave() {
     const struct {
-      std::string view, alive, leaving, dead;
+      std::string view, alive, draining, dead;
       int tolerance;
       std::string target;
     } cases[] = {
@@ -179,9 +179,9 @@
     for (const auto& test : cases) {
       ViewTarget target({"a", "1"}, {test.tolerance}, {2 * kRetry, kTimeout, kStart});
       auto peers = Peers(test.alive, test.dead);
-      for (const ReplicaId& id : Ids(test.leaving)) peers.push_back({id, true, {}, {}, true});
+      for (const ReplicaId& id : Ids(test.draining)) peers.push_back({id, true, {}, {}, true});
       target.SetPeers(kStart, peers);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(test.view + " without " + test.leaving, test.target,
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(test.view + " without " + test.draining, test.target,
                                    Text(target.Compute(kStart, Ids(test.view)).members));
     }
   }
--- a/tests/tier/coordination/singleton_role_test.cpp
+++ b/tests/tier/coordination/singleton_role_test.cpp
@@ -132,9 +132,9 @@
     SingletonRole& duty = DutyOf(node);
     const auto map = machine.replica->committed();
     if (map) duty.Observe(RecordOf(*map));
-    duty.SetFirst(first(node) == node);
+    duty.SetCandidate(first(node) == node);
     if (const auto epoch = duty.NextClaim(cluster_.now())) Claim(node, *epoch);
-    if (duty.acting() && map) Act(node, *duty.acting(), *map);
+    if (duty.owned_epoch() && map) Act(node, *duty.owned_epoch(), *map);
   }
 
   // A claim's outcome is lost on its way back now and then: it shows in the record then.
@@ -144,7 +144,7 @@
     Relay({0, kDutyKey, epoch, value, {}});
     cluster_.At(cluster_.now() + kSecond, [this, node, life] {
       if (cluster_.machine(node).life != life) return;
-      DutyOf(node).ClaimEnded(ChangeStatus::kUnavailable, 0);
+      DutyOf(node).OnClaimCompleted(ChangeStatus::kUnavailable, 0);
     });
   }
 
@@ -207,48 +207,48 @@
   void TakesADutyThatNobodyHolds() {
     SingletonRole duty("a#1", kPause);
     CPPUNIT_ASSERT(!duty.NextClaim(0));
-    duty.SetFirst(true);
+    duty.SetCandidate(true);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, duty.NextClaim(0).value());
-    CPPUNIT_ASSERT(!duty.acting());
-    duty.ClaimEnded(ChangeStatus::kCommitted, 1);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, duty.acting().value());
+    CPPUNIT_ASSERT(!duty.owned_epoch());
+    duty.OnClaimCompleted(ChangeStatus::kCommitted, 1);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, duty.owned_epoch().value());
     CPPUNIT_ASSERT(!duty.NextClaim(10 * kPause));
   }
 
   void ActsOnlyWhileFirstAndNewest() {
     SingletonRole duty("a#2", kPause);
-    duty.SetFirst(true);
+    duty.SetCandidate(true);
     duty.Observe({4, "a#1"});  // an earlier process of this node
-    CPPUNIT_ASSERT(!duty.acting());
+    CPPUNIT_ASSERT(!duty.owned_epoch());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, duty.NextClaim(0).value());
-    duty.ClaimEnded(ChangeStatus::kCommitted, 5);
-    duty.SetFirst(false);
-    CPPUNIT_ASSERT(!duty.acting());
-    duty.SetFirst(true);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, duty.acting().value());
+    duty.OnClaimCompleted(ChangeStatus::kCommitted, 5);
+    duty.SetCandidate(false);
+    CPPUNIT_ASSERT(!duty.owned_epoch());
+    duty.SetCandidate(true);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, duty.owned_epoch().value());
     duty.Observe({6, "b#1"});
-    CPPUNIT_ASSERT(!duty.acting());
+    CPPUNIT_ASSERT(!duty.owned_epoch());
     duty.Observe({5, "a#2"});  // late
-    CPPUNIT_ASSERT(!duty.acting());
+    CPPUNIT_ASSERT(!duty.owned_epoch());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, duty.NextClaim(kPause).value());
   }
 
   void AnUnclearClaimShowsInTheRecord() {
     SingletonRole duty("a#1", kPause);
-    duty.SetFirst(true);
+    duty.SetCandidate(true);
     duty.NextClaim(0);
-    duty.ClaimEnded(ChangeStatus::kUnavailable, 0);
-    CPPUNIT_ASSERT(!duty.acting());
+    duty.OnClaimCompleted(ChangeStatus::kUnavailable, 0);
+    CPPUNIT_ASSERT(!duty.owned_epoch());
     duty.Observe({1, "a#1"});
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, duty.acting().value());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, duty.owned_epoch().value());
   }
 
   void ClaimsAreSpaced() {
     SingletonRole duty("a#1", kPause);
-    duty.SetFirst(true);
+    duty.SetCandidate(true);
     CPPUNIT_ASSERT(duty.NextClaim(0));
     CPPUNIT_ASSERT(!duty.NextClaim(kPause));  // still under way
-    duty.ClaimEnded(ChangeStatus::kConflict, 3);
+    duty.OnClaimCompleted(ChangeStatus::kConflict, 3);
     CPPUNIT_ASSERT(!duty.NextClaim(kPause - 1));
     CPPUNIT_ASSERT(duty.NextClaim(kPause));
   }
--- a/tests/tier/golden/store_rig.cpp
+++ b/tests/tier/golden/store_rig.cpp
@@ -58,7 +58,7 @@
     writer_.Write(std::move(persist));
     storage::RunUntil([&] { return !written_.empty() && written_.back() >= token; });
     coordination::Effects more;
-    replica_.Persisted(now_, token, &more);
+    replica_.OnPersisted(now_, token, &more);
     CarryOut(std::move(more));
   }
 }
