--- a/src/tier/control/membership_driver.cpp
+++ b/src/tier/control/membership_driver.cpp
@@ -26,7 +26,7 @@
   running_ = false;
   timer_.Stop();
   std::vector<coordination::Datagram> datagrams;
-  membership_.Leave(time_->Now(), &datagrams);
+  membership_.AnnounceShutdown(time_->Now(), &datagrams);
   for (const auto& datagram : datagrams) transport_->SendDatagram(datagram.to, datagram.bytes);
 }
 
--- a/src/tier/control/quorum_connectivity.cpp
+++ b/src/tier/control/quorum_connectivity.cpp
@@ -126,7 +126,8 @@
 
 bool QuorumConnectivity::HeardByMembership(const std::string& name, Micros span) const {
   const coordination::Member* member = directory_->FindLive(name);
-  return member != nullptr && member->heard != 0 && time_->Now() - member->heard <= span;
+  return member != nullptr && member->last_contact != 0 &&
+         time_->Now() - member->last_contact <= span;
 }
 
 bool QuorumConnectivity::IsLost(const std::string& name) const {
--- a/src/tier/coordination/chain_reads.cpp
+++ b/src/tier/coordination/chain_reads.cpp
@@ -10,118 +10,126 @@
 namespace pearreach::coordination {
 
 void ChainReplica::Impl::Read(Micros now, std::uint64_t ticket, Effects* out) {
-  asked_.push_back({ticket, now + options_.call_timeout, Resender(options_.retry), false});
+  pending_reads_.push_back(
+      {ticket, now + options_.call_timeout, RetransmitTimer(options_.retry), false});
   Run(now, out);
 }
 
 void ChainReplica::Impl::AdvanceReads(Micros now) {
-  AdvanceAskedReads(now);
-  AdvanceConfirmRound(now);
+  AdvancePendingReads(now);
+  AdvanceViewConfirmation(now);
 }
 
-void ChainReplica::Impl::AdvanceAskedReads(Micros now) {
-  const auto expired = [&](const AskedRead& read) {
+void ChainReplica::Impl::AdvancePendingReads(Micros now) {
+  const auto expired = [&](const PendingRead& read) {
     if (read.deadline > now) return false;
     if (read.is_own) {
-      unsure_.clear();
+      unconfirmed_tickets_.clear();
     } else {
       out_->reads.push_back({read.ticket, false, nullptr, {}});
     }
     return true;
   };
-  asked_.erase(std::remove_if(asked_.begin(), asked_.end(), expired), asked_.end());
+  pending_reads_.erase(std::remove_if(pending_reads_.begin(), pending_reads_.end(), expired),
+                       pending_reads_.end());
   const auto& members = state_.view().members;
-  for (AskedRead& read : asked_) {
-    WakeAt(read.deadline);
+  for (PendingRead& read : pending_reads_) {
+    ScheduleTick(read.deadline);
     if (members.empty()) continue;
-    if (read.resend.Due(now)) {
+    if (read.retransmit.Due(now)) {
       Send(members.back().name,
            chain::ReadRequest{instance_, read.ticket, state_.committed().version});
     }
-    WakeAt(read.resend.at());
+    ScheduleTick(read.retransmit.at());
   }
 }
 
 void ChainReplica::Impl::On(Micros now, const chain::Header& header,
-                            const chain::ReadRequest& ask) {
+                            const chain::ReadRequest& request) {
   (void)now;
   if (!IsServing() || !IsTail() || !state_.started()) return;
-  TailRead read{header.from.name, ask};
+  TailRead read{header.from.name, request};
   const auto same = [&](const TailRead& other) { return other.Key() == read.Key(); };
   if (std::any_of(tail_reads_.begin(), tail_reads_.end(), same)) return;
-  if (round_ && std::any_of(round_->reads.begin(), round_->reads.end(), same)) return;
+  if (view_confirmation_ &&
+      std::any_of(view_confirmation_->reads.begin(), view_confirmation_->reads.end(), same))
+    return;
   tail_reads_.push_back(std::move(read));
 }
 
-void ChainReplica::Impl::AdvanceConfirmRound(Micros now) {
+void ChainReplica::Impl::AdvanceViewConfirmation(Micros now) {
   if (!IsServing() || !IsTail()) {
-    round_.reset();
+    view_confirmation_.reset();
     tail_reads_.clear();
     return;
   }
   const auto& members = state_.view().members;
-  if (round_ && round_->confirmed.size() >= chain::MajorityOf(members.size())) AnswerReads();
-  if (round_ && round_->deadline <= now) round_.reset();
-  if (!round_ && !tail_reads_.empty()) {
-    round_ = ConfirmRound{random_(),
-                          now + options_.call_timeout,
-                          Resender(options_.retry),
-                          {options_.self},
-                          std::exchange(tail_reads_, {})};
-    if (members.size() == 1) AnswerReads();
+  if (view_confirmation_ &&
+      view_confirmation_->confirmed.size() >= chain::MajorityOf(members.size()))
+    RespondToReads();
+  if (view_confirmation_ && view_confirmation_->deadline <= now) view_confirmation_.reset();
+  if (!view_confirmation_ && !tail_reads_.empty()) {
+    view_confirmation_ = ViewConfirmation{random_(),
+                                          now + options_.call_timeout,
+                                          RetransmitTimer(options_.retry),
+                                          {options_.self},
+                                          std::exchange(tail_reads_, {})};
+    if (members.size() == 1) RespondToReads();
   }
-  if (!round_) return;
-  if (round_->resend.Due(now)) {
+  if (!view_confirmation_) return;
+  if (view_confirmation_->retransmit.Due(now)) {
     for (const ReplicaId& member : members) {
-      if (round_->confirmed.count(member) == 0)
-        Send(member.name, chain::ConfirmRequest{round_->nonce});
+      if (view_confirmation_->confirmed.count(member) == 0)
+        Send(member.name, chain::ConfirmRequest{view_confirmation_->nonce});
     }
   }
-  WakeAt(std::min(round_->resend.at(), round_->deadline));
+  ScheduleTick(std::min(view_confirmation_->retransmit.at(), view_confirmation_->deadline));
 }
 
-void ChainReplica::Impl::AnswerReads() {
+void ChainReplica::Impl::RespondToReads() {
   const chain::State& newest = state_.committed();
-  for (const TailRead& read : round_->reads) {
-    chain::ReadResponse answer{read.ask.instance, read.ask.ticket, newest.version, {}};
-    if (read.ask.have != newest.version) answer.map.map = newest.map;
-    Send(read.asker, std::move(answer));
+  for (const TailRead& read : view_confirmation_->reads) {
+    chain::ReadResponse response{read.request.instance, read.request.ticket, newest.version, {}};
+    if (read.request.have != newest.version) response.map.map = newest.map;
+    Send(read.requester, std::move(response));
   }
-  round_.reset();
+  view_confirmation_.reset();
 }
 
-void ChainReplica::Impl::On(Micros, const chain::Header& header, const chain::ConfirmRequest& ask) {
+void ChainReplica::Impl::On(Micros, const chain::Header& header,
+                            const chain::ConfirmRequest& request) {
   const auto& members = state_.view().members;
   if (!IsServing() || members.empty() || header.from != members.back()) return;
-  Send(header.from.name, chain::ConfirmResponse{ask.nonce});
+  Send(header.from.name, chain::ConfirmResponse{request.nonce});
 }
 
 void ChainReplica::Impl::On(Micros, const chain::Header& header,
                             const chain::ConfirmResponse& confirm) {
-  if (!round_ || round_->nonce != confirm.nonce) return;
-  if (chain::Contains(state_.view().members, header.from)) round_->confirmed.insert(header.from);
+  if (!view_confirmation_ || view_confirmation_->nonce != confirm.nonce) return;
+  if (chain::Contains(state_.view().members, header.from))
+    view_confirmation_->confirmed.insert(header.from);
 }
 
-void ChainReplica::Impl::On(Micros, const chain::Header&, const chain::ReadResponse& answer) {
-  if (answer.instance != instance_) return;
-  const auto read = std::find_if(asked_.begin(), asked_.end(), [&](const AskedRead& asked) {
-    return asked.ticket == answer.ticket;
-  });
-  if (read == asked_.end()) return;
+void ChainReplica::Impl::On(Micros, const chain::Header&, const chain::ReadResponse& response) {
+  if (response.instance != instance_) return;
+  const auto read =
+      std::find_if(pending_reads_.begin(), pending_reads_.end(),
+                   [&](const PendingRead& pending) { return pending.ticket == response.ticket; });
+  if (read == pending_reads_.end()) return;
   if (read->is_own) {
-    asked_.erase(read);
-    OnMadeSure(answer.version);
+    pending_reads_.erase(read);
+    OnNewestStateConfirmed(response.version);
     return;
   }
-  ReadResult result{answer.ticket, true, answer.map.map, answer.version};
+  ReadResult result{response.ticket, true, response.map.map, response.version};
   const chain::State& own = state_.committed();
-  if (own.version >= answer.version) {  // a newer committed map answers as well
+  if (own.version >= response.version) {  // a newer committed map answers as well
     result.map = own.map;
     result.version = own.version;
   }
   if (!result.map) return;
   out_->reads.push_back(std::move(result));
-  asked_.erase(read);
+  pending_reads_.erase(read);
 }
 
 }  // namespace pearreach::coordination
--- a/src/tier/coordination/chain_replica.cpp
+++ b/src/tier/coordination/chain_replica.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // A member is dropped once it has been down for this many times the retry interval.
-constexpr int kSteadyRetries = 2;
+constexpr int kRetriesBeforeRemoval = 2;
 
 constexpr char kFoundersKey[] = "chain/founders";
 
@@ -26,16 +26,16 @@
       random_(seed),
       state_(records),
       acceptor_(state_.view().epoch, records),
-      target_(
-          options_.self, options_.tolerance,
-          {kSteadyRetries * options_.retry, options_.call_timeout, now + options_.call_timeout}),
+      target_(options_.self, options_.tolerance,
+              {kRetriesBeforeRemoval * options_.retry, options_.call_timeout,
+               now + options_.call_timeout}),
       pending_since_(now),
-      push_(options_.retry),
+      append_timer_(options_.retry),
       founders_(LoadFounders(records)),
       founder_(options_.bootstrap || !founders_.empty()),
-      proposer_resend_(options_.retry),
+      proposer_timer_(options_.retry),
       greatest_round_(acceptor_.promised().round),
-      ask_resend_(options_.retry),
+      view_request_timer_(options_.retry),
       instance_(random_()) {
   predecessors_have_start_ = IsHead() || state_.latest().version.sequence > 0;
 }
@@ -62,14 +62,14 @@
   if (!envelope.ok()) return;
   if (!from.empty() && envelope->header.from.name != from) return;
   out_ = out;
-  target_.Heard(now, envelope->header.from);
+  target_.OnContact(now, envelope->header.from);
   Dispatch(now, *envelope);
   Run(now, out);
 }
 
 void ChainReplica::Impl::OnPersisted(Micros now, std::uint64_t token, Effects* out) {
-  synced_early_.insert(token);
-  while (synced_early_.erase(synced_token_ + 1) > 0) ++synced_token_;
+  synced_out_of_order_.insert(token);
+  while (synced_out_of_order_.erase(synced_token_ + 1) > 0) ++synced_token_;
   Run(now, out);
 }
 
@@ -87,28 +87,29 @@
   const auto& members = state_.view().members;
   const auto self = std::find(members.begin(), members.end(), options_.self);
   if (self == members.end()) return nullptr;
-  const auto place = (self - members.begin()) + step;
-  if (place < 0 || place >= static_cast<std::ptrdiff_t>(members.size())) return nullptr;
-  return &members[place];
+  const auto index = (self - members.begin()) + step;
+  if (index < 0 || index >= static_cast<std::ptrdiff_t>(members.size())) return nullptr;
+  return &members[index];
 }
 
 // Carries everything on as far as it goes, and finds when to be called next.
 void ChainReplica::Impl::Run(Micros now, Effects* out) {
   out_ = out;
   do {
-    const auto messages = std::exchange(to_self_, {});
+    const auto messages = std::exchange(loopback_, {});
     for (const chain::Envelope& envelope : messages) Dispatch(now, envelope);
-    wake_ = chain::kNever;
+    next_tick_ = chain::kNever;
     AdvanceReplication(now);
     AdvanceReads(now);
     AdvanceViews(now);
     ReleaseMessages();
-  } while (!to_self_.empty());
+  } while (!loopback_.empty());
   out_ = nullptr;
 }
 
 void ChainReplica::Impl::Send(const std::string& to, chain::Body body) {
-  held_.push_back({last_token_, to, {{options_.self, state_.view().epoch}, std::move(body)}});
+  deferred_messages_.push_back(
+      {last_token_, to, {{options_.self, state_.view().epoch}, std::move(body)}});
 }
 
 void ChainReplica::Impl::Sync(chain::Records records) {
@@ -116,11 +117,11 @@
 }
 
 void ChainReplica::Impl::ReleaseMessages() {
-  while (!held_.empty() && held_.front().token <= synced_token_) {
-    HeldMessage message = std::move(held_.front());
-    held_.pop_front();
+  while (!deferred_messages_.empty() && deferred_messages_.front().token <= synced_token_) {
+    DeferredMessage message = std::move(deferred_messages_.front());
+    deferred_messages_.pop_front();
     if (message.to == options_.self.name) {
-      to_self_.push_back(std::move(message.envelope));
+      loopback_.push_back(std::move(message.envelope));
     } else {
       out_->messages.push_back({message.to, chain::EncodeEnvelope(message.envelope)});
     }
@@ -130,24 +131,24 @@
 void ChainReplica::Impl::Dispatch(Micros now, const chain::Envelope& envelope) {
   const chain::Header& header = envelope.header;
   if (const auto* prepare = std::get_if<chain::Prepare>(&envelope.body)) {
-    AnswerIfReplaced(header, *prepare);
+    ReplyIfReplaced(header, *prepare);
   }
   const std::uint64_t epoch = state_.view().epoch;
   if (header.epoch > epoch) {
-    if (const auto* answer = std::get_if<chain::ViewResponse>(&envelope.body)) {
-      OnViewResponse(now, *answer);
+    if (const auto* response = std::get_if<chain::ViewResponse>(&envelope.body)) {
+      OnViewResponse(now, *response);
     } else if (!std::holds_alternative<chain::ViewRequest>(envelope.body)) {
-      AskForView(now, header);
+      RequestView(now, header);
     }
     return;
   }
   if (header.epoch < epoch) {
     // An answer to this ballot comes from any epoch: a wiped node has none.
-    if (const auto* absent = std::get_if<chain::AcceptorGone>(&envelope.body)) {
-      On(now, header, *absent);
+    if (const auto* gone = std::get_if<chain::AcceptorGone>(&envelope.body)) {
+      On(now, header, *gone);
       return;
     }
-    AnswerOlder(header, envelope.body);
+    ReplyToOlderEpoch(header, envelope.body);
     return;
   }
   DispatchSameEpoch(now, header, envelope.body);
--- a/src/tier/coordination/chain_replica.h
+++ b/src/tier/coordination/chain_replica.h
@@ -32,9 +32,9 @@
 
 // When something unanswered is sent again. The interval does not grow: a repair takes a dozen
 // messages one after another, and each that is lost would hold it up for longer.
-class Resender {
+class RetransmitTimer {
  public:
-  explicit Resender(Micros interval) : interval_(interval) {}
+  explicit RetransmitTimer(Micros interval) : interval_(interval) {}
   void Restart() { at_ = 0; }
   // True: send now. The next time is set.
   bool Due(Micros now) {
@@ -61,7 +61,7 @@
   void Change(Micros now, ChangeRequest request, Effects* out);
   void Read(Micros now, std::uint64_t ticket, Effects* out);
 
-  Micros NextTick() const { return wake_; }
+  Micros NextTick() const { return next_tick_; }
   const chain::DurableState& state() const { return state_; }
   bool IsHead() const;
   bool IsAgreeing() const { return acceptor_.sealed() || proposer_.has_value(); }
@@ -69,29 +69,30 @@
  private:
   struct QueuedChange : ChangeRequest {
     Micros deadline = 0;
-    bool is_newest = false;  // a strict read since has found what this head has to be the newest
+    bool confirmed_newest =
+        false;  // a strict read since has found what this head has to be the newest
   };
-  struct AskedRead {
+  struct PendingRead {
     std::uint64_t ticket = 0;
     Micros deadline = 0;
-    Resender resend;
+    RetransmitTimer retransmit;
     bool is_own = false;  // asked by this head about its queued changes; `ticket` is a number drawn
   };
   // A read that waits at the tail.
   struct TailRead {
-    std::string asker;
-    chain::ReadRequest ask;
-    auto Key() const { return std::tie(asker, ask.instance, ask.ticket); }
+    std::string requester;
+    chain::ReadRequest request;
+    auto Key() const { return std::tie(requester, request.instance, request.ticket); }
   };
   // One question to all members, for all reads that waited when it began.
-  struct ConfirmRound {
+  struct ViewConfirmation {
     std::uint64_t nonce = 0;
     Micros deadline = 0;
-    Resender resend;
+    RetransmitTimer retransmit;
     std::set<ReplicaId> confirmed;
     std::vector<TailRead> reads;
   };
-  struct HeldMessage {
+  struct DeferredMessage {
     std::uint64_t token = 0;  // of the last disk write before it
     std::string to;
     chain::Envelope envelope;
@@ -106,7 +107,7 @@
   void Sync(chain::Records records);
   // Nothing is sent again while the disk works: it would only wait as well.
   bool IsSynced() const { return synced_token_ == last_token_; }
-  void WakeAt(Micros at) { wake_ = std::min(wake_, at); }
+  void ScheduleTick(Micros at) { next_tick_ = std::min(next_tick_, at); }
   bool IsMember() const { return chain::Contains(state_.view().members, options_.self); }
   bool IsTail() const;
   // In force here: a member that has not promised a next view.
@@ -119,8 +120,8 @@
   void AddChange(const QueuedChange& change, std::uint64_t revision,
                  std::vector<chain::KeyChange>* changes) const;
   void ExpireChanges(Micros now);
-  void MakeSureOfNewest(Micros now);
-  void OnMadeSure(const Version& newest);
+  void ConfirmNewestState(Micros now);
+  void OnNewestStateConfirmed(const Version& newest);
   void Commit();
   void ResolveAfterViewChange();
   void FinishChange(const QueuedChange& change, ChangeStatus status, std::uint64_t revision);
@@ -133,16 +134,16 @@
   // chain_views.cpp
   const std::vector<ReplicaId>& Acceptors() const;
   bool IsAcceptor() const;
-  void AskForView(Micros now, const chain::Header& header);
-  void AnswerOlder(const chain::Header& header, const chain::Body& body);
-  void OnViewResponse(Micros now, const chain::ViewResponse& answer);
+  void RequestView(Micros now, const chain::Header& header);
+  void ReplyToOlderEpoch(const chain::Header& header, const chain::Body& body);
+  void OnViewResponse(Micros now, const chain::ViewResponse& response);
   void Install(Micros now, const chain::Proposal& proposal);
   void AfterInstall(Micros now);
-  void AnswerIfReplaced(const chain::Header& header, const chain::Prepare& prepare);
+  void ReplyIfReplaced(const chain::Header& header, const chain::Prepare& prepare);
   void On(Micros now, const chain::Header& header, const chain::Prepare& prepare);
   void On(Micros now, const chain::Header& header, const chain::Promise& promise);
-  void On(Micros now, const chain::Header& header, const chain::Reject& refuse);
-  void On(Micros now, const chain::Header& header, const chain::AcceptorGone& absent);
+  void On(Micros now, const chain::Header& header, const chain::Reject& reject);
+  void On(Micros now, const chain::Header& header, const chain::AcceptorGone& gone);
   void On(Micros now, const chain::Header& header, const chain::Accept& accept);
   void On(Micros now, const chain::Header& header, const chain::Accepted& accepted);
   void On(Micros, const chain::Header&, const chain::ViewNotice&) {}
@@ -151,25 +152,25 @@
   void AdvanceViews(Micros now);
   void AdvanceProposer(Micros now);
   void Propose();
-  void Decide(Micros now);
-  void GiveTime(Micros now);
+  void OnDecided(Micros now);
+  void DeferOwnProposal(Micros now);
   void AbandonProposal(Micros now);
-  bool MayReachQuorum() const;
-  bool IsStuck(Micros now);
-  bool HasReasonToPropose(Micros now);
+  bool CanReachQuorum() const;
+  bool IsCommitStalled(Micros now);
+  bool NeedsNewView(Micros now);
   std::vector<ReplicaId> NextMembers(Micros now);
-  bool IsTimeToChoose(Micros now);
-  Micros TurnToPropose() const;
+  bool MayChooseMembers(Micros now);
+  Micros ProposalDelay() const;
 
   // chain_reads.cpp
   void AdvanceReads(Micros now);
-  void AdvanceAskedReads(Micros now);
-  void AdvanceConfirmRound(Micros now);
-  void AnswerReads();
-  void On(Micros now, const chain::Header& header, const chain::ReadRequest& ask);
-  void On(Micros now, const chain::Header& header, const chain::ConfirmRequest& ask);
+  void AdvancePendingReads(Micros now);
+  void AdvanceViewConfirmation(Micros now);
+  void RespondToReads();
+  void On(Micros now, const chain::Header& header, const chain::ReadRequest& request);
+  void On(Micros now, const chain::Header& header, const chain::ConfirmRequest& request);
   void On(Micros now, const chain::Header& header, const chain::ConfirmResponse& confirm);
-  void On(Micros now, const chain::Header& header, const chain::ReadResponse& answer);
+  void On(Micros now, const chain::Header& header, const chain::ReadResponse& response);
 
   const ChainOptions options_;
   std::mt19937_64 random_;
@@ -177,42 +178,43 @@
   chain::Acceptor acceptor_;
   chain::ViewTarget target_;
   Effects* out_ = nullptr;  // set while a call runs
-  Micros wake_ = 0;
+  Micros next_tick_ = 0;
 
   // Disk writes: tokens count from 1 and are done in order.
   std::uint64_t last_token_ = 0, synced_token_ = 0;
-  std::set<std::uint64_t> synced_early_;
-  std::deque<HeldMessage> held_;
-  std::vector<chain::Envelope> to_self_;
+  std::set<std::uint64_t> synced_out_of_order_;
+  std::deque<DeferredMessage> deferred_messages_;
+  std::vector<chain::Envelope> loopback_;
 
   // Replication. The pending state may be passed on once it is synced and, at a view's start, once
   // all predecessors are known to have the view.
   std::uint64_t pending_token_ = 0;
   bool predecessors_have_start_ = false;
   Micros pending_since_ = 0;
-  Resender push_;
+  RetransmitTimer append_timer_;
   std::deque<QueuedChange> queued_;
   std::vector<QueuedChange> in_flight_;
-  std::vector<std::uint64_t> unsure_;  // tickets that the head's own strict read is about
+  std::vector<std::uint64_t>
+      unconfirmed_tickets_;  // tickets that the head's own strict read is about
 
   // Views.
   std::vector<ReplicaId> founders_;
   bool founder_ = false;  // may take part in forming the first view
   std::optional<chain::Proposer> proposer_;
-  std::optional<Micros> promised_since_;  // when the proposer had a quorum of promises
-  Resender proposer_resend_;
+  std::optional<Micros> quorum_promised_since_;  // when the proposer had a quorum of promises
+  RetransmitTimer proposer_timer_;
   std::uint64_t greatest_round_ = 0;
   std::optional<Micros> reason_since_;
-  Micros quiet_until_ = 0;  // another proposer is given time
-  int failures_ = 0;
-  std::uint64_t asked_epoch_ = 0;
-  Resender ask_resend_;
+  Micros backoff_until_ = 0;  // another proposer is given time
+  int failed_proposals_ = 0;
+  std::uint64_t requested_epoch_ = 0;
+  RetransmitTimer view_request_timer_;
 
   // Reads.
   std::uint64_t instance_;
-  std::vector<AskedRead> asked_;
+  std::vector<PendingRead> pending_reads_;
   std::vector<TailRead> tail_reads_;  // wait for the next round
-  std::optional<ConfirmRound> round_;
+  std::optional<ViewConfirmation> view_confirmation_;
 };
 
 }  // namespace pearreach::coordination
--- a/src/tier/coordination/chain_replication.cpp
+++ b/src/tier/coordination/chain_replication.cpp
@@ -45,13 +45,13 @@
   if (state_.pending() && synced_token_ >= pending_token_ && IsSynced()) {
     const Version version = state_.pending()->version;
     if (!predecessors_have_start_) {
-      if (push_.Due(now)) Send(Neighbour(-1)->name, chain::ViewProbe{});
+      if (append_timer_.Due(now)) Send(Neighbour(-1)->name, chain::ViewProbe{});
     } else if (IsTail()) {
       Commit();
-    } else if (push_.Due(now)) {
+    } else if (append_timer_.Due(now)) {
       Send(Neighbour(1)->name, chain::Append{version.sequence, state_.PendingChanges()});
     }
-    if (state_.pending()) WakeAt(push_.at());
+    if (state_.pending()) ScheduleTick(append_timer_.at());
   }
   if (IsHead()) AppendQueued(now);
 }
@@ -64,22 +64,23 @@
   };
   queued_.erase(std::remove_if(queued_.begin(), queued_.end(), expired), queued_.end());
   in_flight_.erase(std::remove_if(in_flight_.begin(), in_flight_.end(), expired), in_flight_.end());
-  for (const QueuedChange& change : queued_) WakeAt(change.deadline);
-  for (const QueuedChange& change : in_flight_) WakeAt(change.deadline);
+  for (const QueuedChange& change : queued_) ScheduleTick(change.deadline);
+  for (const QueuedChange& change : in_flight_) ScheduleTick(change.deadline);
 }
 
 // A change on top of one that is not committed yet stays in the queue, and is judged by what has
 // been committed in this view only. A key and the fence on it never change together.
 void ChainReplica::Impl::AppendQueued(Micros now) {
   if (queued_.empty() || state_.pending() || !state_.started()) return;
-  if (!target_.IsWide(state_.view().members)) return;  // the next view has more members
+  if (!target_.IsSufficientlyReplicated(state_.view().members))
+    return;  // the next view has more members
   std::vector<chain::KeyChange> changes;
   std::set<std::string> keys, fences;
   std::deque<QueuedChange> later;
   for (QueuedChange& change : queued_) {
     const std::uint64_t revision = CommittedRevision(change.key);
-    const bool unsure = revision < change.expected && !change.is_newest;
-    if (unsure) {
+    const bool unconfirmed = revision < change.expected && !change.confirmed_newest;
+    if (unconfirmed) {
       later.push_back(std::move(change));
     } else if (revision != change.expected) {
       FinishChange(change, ChangeStatus::kConflict, revision);
@@ -97,12 +98,12 @@
     }
   }
   queued_ = std::move(later);
-  MakeSureOfNewest(now);
+  ConfirmNewestState(now);
   if (changes.empty()) return;
   Sync(state_.Append(changes));
   pending_token_ = last_token_;
   pending_since_ = now;
-  push_.Restart();
+  append_timer_.Restart();
 }
 
 // Of a marked change, with the page that records its mark: they are committed together or not at
@@ -118,22 +119,25 @@
 
 // A change that expects a later revision than this head knows: either this head is out of date, and
 // then it must not say that there is a conflict, or the change is wrong.
-void ChainReplica::Impl::MakeSureOfNewest(Micros now) {
-  if (!unsure_.empty()) return;
+void ChainReplica::Impl::ConfirmNewestState(Micros now) {
+  if (!unconfirmed_tickets_.empty()) return;
   for (const QueuedChange& change : queued_) {
-    const bool unsure = CommittedRevision(change.key) < change.expected && !change.is_newest;
-    if (unsure) unsure_.push_back(change.ticket);
+    const bool unconfirmed =
+        CommittedRevision(change.key) < change.expected && !change.confirmed_newest;
+    if (unconfirmed) unconfirmed_tickets_.push_back(change.ticket);
   }
-  if (unsure_.empty()) return;
-  asked_.push_back({random_(), now + options_.call_timeout, Resender(options_.retry), true});
+  if (unconfirmed_tickets_.empty()) return;
+  pending_reads_.push_back(
+      {random_(), now + options_.call_timeout, RetransmitTimer(options_.retry), true});
 }
 
-void ChainReplica::Impl::OnMadeSure(const Version& newest) {
-  const auto tickets = std::exchange(unsure_, {});
+void ChainReplica::Impl::OnNewestStateConfirmed(const Version& newest) {
+  const auto tickets = std::exchange(unconfirmed_tickets_, {});
   if (state_.committed().version < newest) return;
   for (QueuedChange& change : queued_) {
-    const bool asked = std::find(tickets.begin(), tickets.end(), change.ticket) != tickets.end();
-    change.is_newest = change.is_newest || asked;
+    const bool confirmed =
+        std::find(tickets.begin(), tickets.end(), change.ticket) != tickets.end();
+    change.confirmed_newest = change.confirmed_newest || confirmed;
   }
 }
 
@@ -145,7 +149,7 @@
   }
   Sync(state_.CommitPending());  // no message waits for this but later ones
   out_->committed.push_back({state_.committed().version, state_.committed().map});
-  failures_ = 0;
+  failed_proposals_ = 0;
   if (sequence == 0) {
     ResolveAfterViewChange();
     return;
@@ -187,7 +191,7 @@
     return;
   }
   if (state_.pending() && append.sequence == state_.pending()->version.sequence) {
-    if (!predecessors_have_start_) push_.Restart();
+    if (!predecessors_have_start_) append_timer_.Restart();
     predecessors_have_start_ = true;
     return;
   }
@@ -202,7 +206,7 @@
   Sync(state_.Append(append.changes));
   pending_token_ = last_token_;
   pending_since_ = now;
-  push_.Restart();
+  append_timer_.Restart();
 }
 
 void ChainReplica::Impl::On(Micros, const chain::Header& header,
@@ -219,7 +223,8 @@
   if (state_.started()) {
     Send(header.from.name, chain::CommitNotice{state_.committed().version.sequence});
   }
-  if (predecessors_have_start_) push_.Restart();  // the successor is ready for what is pending
+  if (predecessors_have_start_)
+    append_timer_.Restart();  // the successor is ready for what is pending
 }
 
 }  // namespace pearreach::coordination
--- a/src/tier/coordination/chain_state.cpp
+++ b/src/tier/coordination/chain_state.cpp
@@ -48,7 +48,7 @@
   return State{version, std::move(map), slots};
 }
 
-bool Same(const Entry& left, const Entry& right) {
+bool IsSameEntry(const Entry& left, const Entry& right) {
   return left.revision == right.revision && left.value == right.value;
 }
 
@@ -95,12 +95,12 @@
   return changes;
 }
 
-State DurableState::Place(const Version& version, std::shared_ptr<const Map> map,
-                          Records* records) const {
+State DurableState::AssignSlots(const Version& version, std::shared_ptr<const Map> map,
+                                Records* records) const {
   State state{version, std::move(map), {}};
   const auto holds = [](const State& other, const std::string& key, const Entry& entry) {
     const auto slot = other.slots.find(key);
-    return slot != other.slots.end() && Same(other.map->at(key), entry);
+    return slot != other.slots.end() && IsSameEntry(other.map->at(key), entry);
   };
   for (const auto& [key, entry] : *state.map) {
     if (holds(committed_, key, entry)) {
@@ -160,7 +160,7 @@
 
 Records DurableState::Install(View view, const Version& base, std::shared_ptr<const Map> map) {
   Records records;
-  State start = Place({view.epoch, 0}, std::move(map), &records);
+  State start = AssignSlots({view.epoch, 0}, std::move(map), &records);
   view_ = std::move(view);
   base_ = base;
   pending_ = std::move(start);
@@ -172,7 +172,7 @@
 Records DurableState::Adopt(View view, const Version& base, const Version& version,
                             std::shared_ptr<const Map> map) {
   Records records;
-  State state = Place(version, std::move(map), &records);
+  State state = AssignSlots(version, std::move(map), &records);
   view_ = std::move(view);
   base_ = base;
   committed_ = std::move(state);
--- a/src/tier/coordination/chain_state.h
+++ b/src/tier/coordination/chain_state.h
@@ -53,7 +53,7 @@
                 std::shared_ptr<const Map> map);
 
  private:
-  State Place(const Version& version, std::shared_ptr<const Map> map, Records* records) const;
+  State AssignSlots(const Version& version, std::shared_ptr<const Map> map, Records* records) const;
   void SaveView(Records* records) const;
   void SaveIndex(Records* records) const;
 
--- a/src/tier/coordination/change_history.cpp
+++ b/src/tier/coordination/change_history.cpp
@@ -16,11 +16,11 @@
 // Marks of consecutive revisions.
 struct ChangeHistoryPage {
   std::uint64_t first_revision = 0;
-  std::vector<ChangeId> marks;
-  std::uint64_t end_revision() const { return first_revision + marks.size(); }
+  std::vector<ChangeId> change_ids;
+  std::uint64_t end_revision() const { return first_revision + change_ids.size(); }
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& first_revision& marks;
+    archive& first_revision& change_ids;
   }
 };
 
@@ -34,7 +34,7 @@
   const auto found = map.find(page_key);
   if (found == map.end()) return std::nullopt;
   auto page = codec::Decode<ChangeHistoryPage>(found->second.value);
-  if (!page.ok() || page->marks.empty()) return std::nullopt;
+  if (!page.ok() || page->change_ids.empty()) return std::nullopt;
   return *std::move(page);
 }
 
@@ -44,9 +44,9 @@
 
 ChangeHistoryStatus HistoryStatusIn(const ChangeHistoryPage& page, const ChangeId& change_id) {
   const auto found = std::lower_bound(
-      page.marks.begin(), page.marks.end(), change_id,
+      page.change_ids.begin(), page.change_ids.end(), change_id,
       [](const ChangeId& left, const ChangeId& right) { return left.number < right.number; });
-  const bool same = found != page.marks.end() && *found == change_id;
+  const bool same = found != page.change_ids.end() && *found == change_id;
   return same ? ChangeHistoryStatus::kRecorded : ChangeHistoryStatus::kOther;
 }
 
@@ -65,7 +65,7 @@
   const std::string page_key = PageKey(key, PageOf(revision));
   ChangeHistoryPage page = PageAt(map, page_key).value_or(ChangeHistoryPage());
   if (page.end_revision() != revision) page = {revision, {}};  // the oldest page gives way
-  page.marks.push_back(change_id);
+  page.change_ids.push_back(change_id);
   return {page_key, {codec::Encode(page), RevisionOf(map, page_key) + 1}};
 }
 
@@ -76,10 +76,11 @@
   for (std::uint64_t end = newest_end; end > 1;) {
     const auto page = PageAt(map, PageKey(key, PageOf(end - 1)));
     if (!page || page->end_revision() != end) return ChangeHistoryStatus::kForgotten;
-    if (change_id.number > page->marks.back().number) {
+    if (change_id.number > page->change_ids.back().number) {
       return end == newest_end ? ChangeHistoryStatus::kNew : ChangeHistoryStatus::kOther;
     }
-    if (change_id.number >= page->marks.front().number) return HistoryStatusIn(*page, change_id);
+    if (change_id.number >= page->change_ids.front().number)
+      return HistoryStatusIn(*page, change_id);
     end = page->first_revision;
   }
   return newest_end == 1 ? ChangeHistoryStatus::kNew : ChangeHistoryStatus::kOther;
--- a/src/tier/coordination/membership.cpp
+++ b/src/tier/coordination/membership.cpp
@@ -27,33 +27,33 @@
 }  // namespace
 
 Membership::Membership(MembershipOptions options, std::uint64_t seed, Micros now)
-    : options_(std::move(options)), random_(seed), clock_(now), last_answer_(now) {
+    : options_(std::move(options)), random_(seed), latest_time_(now), last_response_(now) {
   Member& self = members_[options_.self.name];
   self.info = options_.self;
-  self.heard = now;
+  self.last_contact = now;
   std::erase(options_.seeds, options_.self.address);
   last_probe_ = static_cast<std::uint32_t>(random_());
-  last_push_ = now - kPushPause;
-  last_sync_ = now - kSyncPause;
-  lists_paid_ = now;
-  next_probe_ = next_push_ = next_dead_ = kNever;
+  last_update_ = now - kMinUpdateInterval;
+  last_sync_ = now - kMinSyncInterval;
+  lists_paid_until_ = now;
+  next_probe_ = next_update_ = next_dead_ = kNever;
   next_seed_ = options_.seeds.empty() ? kNever : now;
-  seed_pause_ = kFirstSeedPause;
-  planned_ = NextTick();
+  seed_backoff_ = kInitialSeedBackoff;
+  planned_tick_ = NextTick();
 }
 
 Micros Membership::NextTick() const {
   if (left_) return kNever;
-  Micros next = std::min({next_probe_, next_push_, next_seed_, next_dead_});
+  Micros next = std::min({next_probe_, next_update_, next_seed_, next_dead_});
   for (const auto& [id, probe] : probes_) next = std::min(next, probe.due);
   for (const auto& [name, due] : suspects_) next = std::min(next, due);
   return next;
 }
 
-void Membership::Leave(Micros now, std::vector<Datagram>* out) {
-  clock_ = std::max(clock_, now);
+void Membership::AnnounceShutdown(Micros now, std::vector<Datagram>* out) {
+  latest_time_ = std::max(latest_time_, now);
   Self().status = MemberStatus::kLeft;
-  for (const std::string& name : RandomLive(kLeaveReceivers, "")) {
+  for (const std::string& name : RandomLive(kShutdownReceivers, "")) {
     const Member& to = members_.at(name);
     MemberPacket packet = NewPacket(PacketKind::kUpdate, &to);
     packet.records.push_back(MakeRecord(now, Self()));
@@ -69,7 +69,7 @@
   if (found == versions.end() && versions.size() >= kMaxVersions) return;
   if (found != versions.end() && found->second == version) return;
   versions[name] = version;
-  SchedulePush(clock_);
+  ScheduleUpdate(latest_time_);
 }
 
 std::vector<std::string> Membership::TakeChanged() {
@@ -78,80 +78,83 @@
   return names;
 }
 
-bool Membership::HearsMostOf(const std::vector<std::string>& names, Micros now, Micros span) const {
-  std::size_t heard = 0;
+bool Membership::HasContactWithMajority(const std::vector<std::string>& names, Micros now,
+                                        Micros span) const {
+  std::size_t last_contact = 0;
   for (const std::string& name : names) {
     const auto found = members_.find(name);
     if (found == members_.end()) continue;
     const Member& member = found->second;
-    const bool recent = IsLive(member.status) && member.heard != 0 && now - member.heard <= span;
-    if (recent || name == options_.self.name) ++heard;
+    const bool recent =
+        IsLive(member.status) && member.last_contact != 0 && now - member.last_contact <= span;
+    if (recent || name == options_.self.name) ++last_contact;
   }
-  return heard * 2 > names.size();
+  return last_contact * 2 > names.size();
 }
 
 // ---------------------------------------------------------------- state
 
-bool Membership::Apply(Micros now, const MemberRecord& news) {
-  const std::string& name = news.info.name;
+bool Membership::Apply(Micros now, const MemberRecord& update) {
+  const std::string& name = update.info.name;
   if (name == options_.self.name) {
-    ApplyToSelf(news);
+    ApplyToSelf(update);
     return false;
   }
   auto found = members_.find(name);
   const Member* known = found == members_.end() ? nullptr : &found->second;
-  if (!Supersedes(known, news)) return false;
-  const Micros age = news.age_tenths * kAgeUnit;
-  const bool live = IsLive(news.status);
-  if (known == nullptr && !live && age >= options_.forget_dead) return false;
+  if (!Supersedes(known, update)) return false;
+  const Micros age = update.age_tenths * kAgeUnit;
+  const bool live = IsLive(update.status);
+  if (known == nullptr && !live && age >= options_.dead_retention) return false;
 
-  const bool other_process = known == nullptr || known->info.incarnation != news.info.incarnation;
+  const bool other_process = known == nullptr || known->info.incarnation != update.info.incarnation;
   Member& member = members_[name];
-  Track& track = tracks_[name];
+  PeerState& peer_state = peer_states_[name];
   if (other_process) {
     member = Member{};
-    member.info = news.info;
-    track = Track{};
+    member.info = update.info;
+    peer_state = PeerState{};
   }
-  member.status = news.status;
-  member.refutations = news.refutations;
+  member.status = update.status;
+  member.refutations = update.refutations;
   suspects_.erase(name);
-  if (news.status == MemberStatus::kSuspect) suspects_[name] = now + options_.suspicion;
+  if (update.status == MemberStatus::kSuspect) suspects_[name] = now + options_.suspicion;
   if (!live) {
-    track.since = now - age;
-    next_dead_ = std::min(next_dead_, now + kDeadProbePause);
+    peer_state.since = now - age;
+    next_dead_ = std::min(next_dead_, now + kDeadProbeInterval);
   }
   SetLive(name, live);
   // A seed may be live no longer, or its address another node's.
-  if (!live || other_process) next_seed_ = std::min(next_seed_, now + kFirstSeedPause);
+  if (!live || other_process) next_seed_ = std::min(next_seed_, now + kInitialSeedBackoff);
   digest_known_ = false;
-  NoteChange(now, name);
+  RecordChange(now, name);
   return true;
 }
 
-void Membership::ApplyToSelf(const MemberRecord& news) {
-  if (news.info.incarnation > options_.self.incarnation) {
+void Membership::ApplyToSelf(const MemberRecord& update) {
+  if (update.info.incarnation > options_.self.incarnation) {
     // At another address, another process took the name. At this one it is an earlier process.
-    if (news.info.address == options_.self.address) Overtake(news.info.incarnation);
+    if (update.info.address == options_.self.address) AdvanceIncarnation(update.info.incarnation);
     return;
   }
-  if (news.info.incarnation < options_.self.incarnation) {
-    if (IsLive(news.status)) NoteChange(clock_, options_.self.name);
+  if (update.info.incarnation < options_.self.incarnation) {
+    if (IsLive(update.status)) RecordChange(latest_time_, options_.self.name);
     return;
   }
-  const bool doubted = news.status == MemberStatus::kSuspect || news.status == MemberStatus::kDead;
-  if (doubted) Refute(news.refutations);
+  const bool suspected =
+      update.status == MemberStatus::kSuspect || update.status == MemberStatus::kDead;
+  if (suspected) Refute(update.refutations);
 }
 
 // The time of day was later when the process before this one started.
-void Membership::Overtake(std::uint64_t incarnation) {
+void Membership::AdvanceIncarnation(std::uint64_t incarnation) {
   if (left_ || incarnation == std::numeric_limits<std::uint64_t>::max()) return;
   options_.self.incarnation = incarnation + 1;
   Member& self = Self();
   self.info.incarnation = options_.self.incarnation;
   self.refutations = 0;
   digest_known_ = false;
-  NoteChange(clock_, self.info.name);
+  RecordChange(latest_time_, self.info.name);
 }
 
 void Membership::Refute(std::uint32_t refutations) {
@@ -159,50 +162,51 @@
   if (refutations < self.refutations || refutations >= kMaxRefutations) return;
   self.refutations = refutations + 1;
   changes_.Add(self.info.name);
-  SchedulePush(clock_);
+  ScheduleUpdate(latest_time_);
 }
 
 void Membership::SetLive(const std::string& name, bool live) {
   auto found = std::find(live_.begin(), live_.end(), name);
   if (live == (found != live_.end())) return;
   if (!live) {
-    const std::size_t place = static_cast<std::size_t>(found - live_.begin());
+    const std::size_t index = static_cast<std::size_t>(found - live_.begin());
     live_.erase(found);
-    if (place < turn_) --turn_;
+    if (index < probe_index_) --probe_index_;
     if (live_.empty()) next_probe_ = kNever;
     return;
   }
   if (live_.empty()) {
-    next_probe_ = clock_ + Jitter(options_.probe_period);
-    last_answer_ = clock_;
+    next_probe_ = latest_time_ + Jitter(options_.probe_period);
+    last_response_ = latest_time_;
   }
-  const std::size_t place = std::uniform_int_distribution<std::size_t>(0, live_.size())(random_);
-  live_.insert(live_.begin() + static_cast<std::ptrdiff_t>(place), name);
-  if (place < turn_) ++turn_;
+  const std::size_t index = std::uniform_int_distribution<std::size_t>(0, live_.size())(random_);
+  live_.insert(live_.begin() + static_cast<std::ptrdiff_t>(index), name);
+  if (index < probe_index_) ++probe_index_;
 }
 
-void Membership::NoteChange(Micros now, const std::string& name) {
+void Membership::RecordChange(Micros now, const std::string& name) {
   changes_.Add(name);
   if (name != options_.self.name) changed_.insert(name);
-  SchedulePush(now);
+  ScheduleUpdate(now);
 }
 
-void Membership::SchedulePush(Micros now) {
-  next_push_ = std::min(next_push_, std::max(now + kPushDelay, last_push_ + kPushPause));
+void Membership::ScheduleUpdate(Micros now) {
+  next_update_ =
+      std::min(next_update_, std::max(now + kUpdateDelay, last_update_ + kMinUpdateInterval));
 }
 
-void Membership::NoteGap(Micros now) {
-  clock_ = std::max(clock_, now);
-  if (planned_ == kNever || now - planned_ <= options_.probe_timeout) return;
+void Membership::ExtendDeadlinesAfterStall(Micros now) {
+  latest_time_ = std::max(latest_time_, now);
+  if (planned_tick_ == kNever || now - planned_tick_ <= options_.probe_timeout) return;
   // This process stood still: what did not come meanwhile says nothing of the others.
-  const Micros late = now - planned_;
+  const Micros late = now - planned_tick_;
   for (auto& [id, probe] : probes_) probe.due += late;
   for (auto& [name, due] : suspects_) {
     if (due != kNever) due += late;
   }
   isolated_ = true;
   mismatched_since_ = 0;
-  planned_ = now;
+  planned_tick_ = now;
 }
 
 std::uint64_t Membership::Digest() {
--- a/src/tier/coordination/membership.h
+++ b/src/tier/coordination/membership.h
@@ -40,18 +40,18 @@
   MemberInfo info;
   MemberStatus status = MemberStatus::kAlive;
   std::uint32_t refutations = 0;                  // version of the status within one incarnation
-  Micros heard = 0;                               // last direct sign of it; 0: never
+  Micros last_contact = 0;                        // last direct sign of it; 0: never
   std::map<std::string, std::uint64_t> versions;  // what it last announced (see Announce)
 };
 
 struct MembershipOptions {
   MemberInfo self;
-  std::vector<std::string> seeds;   // mesh addresses to join through; may be wrong or down
-  Micros probe_period = 200'000;    // one probe each
-  Micros probe_timeout = 250'000;   // then second opinions are asked for
-  Micros suspicion = 1'000'000;     // from suspicion to dead
-  Micros forget_dead = 60'000'000;  // a dead node's entry is kept this long
-  int helpers = 3;                  // nodes asked for a second opinion
+  std::vector<std::string> seeds;      // mesh addresses to join through; may be wrong or down
+  Micros probe_period = 200'000;       // one probe each
+  Micros probe_timeout = 250'000;      // then second opinions are asked for
+  Micros suspicion = 1'000'000;        // from suspicion to dead
+  Micros dead_retention = 60'000'000;  // a dead node's entry is kept this long
+  int indirect_probes = 3;             // nodes asked for a second opinion
   std::size_t datagram_bytes = 1300;
 };
 
@@ -75,20 +75,20 @@
   void Receive(Micros now, const std::string& from_ip, std::string_view bytes,
                std::vector<Datagram>* out);
   // Tells others that this process ends on purpose.
-  void Leave(Micros now, std::vector<Datagram>* out);
+  void AnnounceShutdown(Micros now, std::vector<Datagram>* out);
   // A version of something shared that rides on this node's own messages (and nowhere else), so
   // that others learn that this node has a newer one. Names are short.
   void Announce(const std::string& name, std::uint64_t version);
 
-  // Members to be heard often whatever the size of the cluster (see HearsMostOf): those that have
-  // not been heard for a while are asked, one with each probe. Meant for a few names.
+  // Members to be heard often whatever the size of the cluster (see HasContactWithMajority): those
+  // that have not been heard for a while are asked, one with each probe. Meant for a few names.
   void Watch(std::vector<std::string> names) { watched_ = std::move(names); }
 
   // By name; this node itself is among them, alive.
   const std::map<std::string, Member>& members() const { return members_; }
   std::vector<std::string> TakeChanged();  // names whose status, info or versions changed since
   // Every other node that is alive or suspect was last heard within `span`, directly.
-  bool HearsMostOf(const std::vector<std::string>& names, Micros now, Micros span) const;
+  bool HasContactWithMajority(const std::vector<std::string>& names, Micros now, Micros span) const;
   std::uint64_t malformed() const { return malformed_; }
 
  private:
@@ -96,7 +96,7 @@
   struct Probe {
     std::string target;
     Micros started = 0, due = 0;
-    bool helpers_asked = false;
+    bool indirect_probes_requested = false;
   };
   // A ping that was made for another node.
   struct Relay {
@@ -106,24 +106,24 @@
     Micros expires = 0;
   };
   // What is kept of another member and not told.
-  struct Track {
-    bool numbered = false;
+  struct PeerState {
+    bool has_number = false;
     std::uint32_t number = 0;  // of its newest packet
     Micros since = 0;          // dead or left
-    Micros checked = 0;        // suspect: last asked
+    Micros last_probed = 0;    // suspect: last asked
   };
 
   // membership.cpp: the state
   Member& Self() { return members_.at(options_.self.name); }
   const Member& Self() const { return members_.at(options_.self.name); }
-  bool Apply(Micros now, const MemberRecord& news);
-  void ApplyToSelf(const MemberRecord& news);
-  void Overtake(std::uint64_t incarnation);
+  bool Apply(Micros now, const MemberRecord& update);
+  void ApplyToSelf(const MemberRecord& update);
+  void AdvanceIncarnation(std::uint64_t incarnation);
   void Refute(std::uint32_t refutations);
   void SetLive(const std::string& name, bool live);
-  void NoteChange(Micros now, const std::string& name);
-  void NoteGap(Micros now);
-  void SchedulePush(Micros now);
+  void RecordChange(Micros now, const std::string& name);
+  void ExtendDeadlinesAfterStall(Micros now);
+  void ScheduleUpdate(Micros now);
   std::uint64_t Digest();
   std::vector<std::string> RandomLive(std::size_t count, const std::string& except);
   Micros Jitter(Micros span);
@@ -138,12 +138,12 @@
   void Ping(Micros now, const Member& to, std::uint32_t probe, std::vector<Datagram>* out);
 
   // membership_receive.cpp: packets in
-  bool NoteSender(Micros now, const MemberPacket& packet);
-  void TellReplaced(Micros now, const std::string& from_ip, const MemberPacket& packet,
-                    std::vector<Datagram>* out);
-  bool NoteView(const ReceiverView& view);
-  void NoteAnswer(Micros now);
-  bool TakeListAllowance(Micros now);
+  bool UpdateSender(Micros now, const MemberPacket& packet);
+  void NotifySuperseded(Micros now, const std::string& from_ip, const MemberPacket& packet,
+                        std::vector<Datagram>* out);
+  bool ReconcileReceiverView(const ReceiverView& view);
+  void OnResponse(Micros now);
+  bool AdmitListTransfer(Micros now);
   void OnPing(Micros now, const MemberPacket& packet, const std::string& from, bool own_wanted,
               std::vector<Datagram>* out);
   void OnAck(Micros now, const MemberPacket& packet, const std::string& from,
@@ -155,28 +155,29 @@
                      std::vector<Datagram>* out);
 
   // membership_tick.cpp: what happens with time
-  void EndProbes(Micros now, std::vector<Datagram>* out);
-  void AskHelpers(Micros now, std::uint32_t id, Probe* probe, std::vector<Datagram>* out);
+  void CheckProbeTimeouts(Micros now, std::vector<Datagram>* out);
+  void RequestIndirectProbes(Micros now, std::uint32_t id, Probe* probe,
+                             std::vector<Datagram>* out);
   void Suspect(Micros now, const Probe& probe);
-  void EndSuspicions(Micros now);
+  void CheckSuspicionTimeouts(Micros now);
   void StartProbe(Micros now, std::vector<Datagram>* out);
-  void CheckSuspects(Micros now, std::vector<Datagram>* out);
-  void CheckWatched(Micros now, std::vector<Datagram>* out);
-  void CheckIsolation(Micros now, std::vector<Datagram>* out);
-  void TrySeeds(Micros now, std::vector<Datagram>* out);
+  void ProbeSuspects(Micros now, std::vector<Datagram>* out);
+  void ProbeWatched(Micros now, std::vector<Datagram>* out);
+  void ProbeWhenUnanswered(Micros now, std::vector<Datagram>* out);
+  void ContactSeeds(Micros now, std::vector<Datagram>* out);
   void ProbeDead(Micros now, std::vector<Datagram>* out);
-  void Push(Micros now, std::vector<Datagram>* out);
+  void SendUpdates(Micros now, std::vector<Datagram>* out);
 
   MembershipOptions options_;
   std::mt19937_64 random_;
   std::map<std::string, Member> members_;
-  std::map<std::string, Track> tracks_;     // by name, of the others
+  std::map<std::string, PeerState> peer_states_;  // by name, of the others
   std::vector<std::string> live_;           // names of the others that are live, in probing order
-  std::size_t turn_ = 0;                    // index of the next to probe
+  std::size_t probe_index_ = 0;             // index of the next to probe
   std::map<std::string, Micros> suspects_;  // by name, when they become dead
   std::map<std::uint32_t, Probe> probes_;
   std::map<std::uint32_t, Relay> relays_;
-  PendingChanges changes_;
+  UpdateQueue changes_;
   std::vector<std::string> watched_;
   std::set<std::string> changed_;
   std::uint64_t digest_ = 0;
@@ -184,13 +185,13 @@
   bool left_ = false;
   bool isolated_ = false;  // no answer of anybody for too long: suspicions are held back
   std::uint32_t last_number_ = 0, last_probe_ = 0;
-  Micros clock_ = 0;    // the newest time seen
-  Micros planned_ = 0;  // the next tick as planned
-  Micros last_answer_ = 0, last_push_ = 0, last_sync_ = 0;
-  Micros lists_paid_ = 0;        // lists handed out are within their budget up to here
+  Micros latest_time_ = 0;   // the newest time seen
+  Micros planned_tick_ = 0;  // the next tick as planned
+  Micros last_response_ = 0, last_update_ = 0, last_sync_ = 0;
+  Micros lists_paid_until_ = 0;  // lists handed out are within their budget up to here
   Micros mismatched_since_ = 0;  // others know other members; 0: they do not
-  Micros next_probe_ = 0, next_push_ = 0, next_seed_ = 0, next_dead_ = 0;
-  Micros seed_pause_ = 0;
+  Micros next_probe_ = 0, next_update_ = 0, next_seed_ = 0, next_dead_ = 0;
+  Micros seed_backoff_ = 0;
   std::uint64_t malformed_ = 0;
 };
 
--- a/src/tier/coordination/membership_changes.cpp
+++ b/src/tier/coordination/membership_changes.cpp
@@ -5,31 +5,31 @@
 
 namespace pearreach::coordination {
 
-void PendingChanges::Add(const std::string& name) {
-  Place& place = places_[name];
-  if (place.added != 0) order_.erase(place);
-  place = {.sent = 0, .added = ++last_};
-  order_.emplace(place, name);
+void UpdateQueue::Add(const std::string& name) {
+  Priority& priority = priorities_[name];
+  if (priority.added != 0) order_.erase(priority);
+  priority = {.sent = 0, .added = ++last_};
+  order_.emplace(priority, name);
 }
 
-void PendingChanges::Offer(int limit, const std::function<Fit(const std::string&)>& take) {
-  std::vector<std::pair<Place, std::string>> again;
+void UpdateQueue::Offer(int limit, const std::function<OfferResult(const std::string&)>& take) {
+  std::vector<std::pair<Priority, std::string>> again;
   while (!order_.empty()) {
     auto first = order_.begin();
-    const Fit fit = take(first->second);
-    if (fit == Fit::kTooLarge) break;
-    Place place = first->first;
-    ++place.sent;
-    if (fit == Fit::kObsolete || place.sent >= limit) {
-      places_.erase(first->second);
+    const OfferResult fit = take(first->second);
+    if (fit == OfferResult::kTooLarge) break;
+    Priority priority = first->first;
+    ++priority.sent;
+    if (fit == OfferResult::kObsolete || priority.sent >= limit) {
+      priorities_.erase(first->second);
     } else {
-      again.emplace_back(place, std::move(first->second));
+      again.emplace_back(priority, std::move(first->second));
     }
     order_.erase(first);
   }
-  for (auto& [place, name] : again) {
-    places_[name] = place;
-    order_.emplace(place, std::move(name));
+  for (auto& [priority, name] : again) {
+    priorities_[name] = priority;
+    order_.emplace(priority, std::move(name));
   }
 }
 
--- a/src/tier/coordination/membership_changes.h
+++ b/src/tier/coordination/membership_changes.h
@@ -11,30 +11,30 @@
 
 namespace pearreach::coordination {
 
-class PendingChanges {
+class UpdateQueue {
  public:
   // What became of a change that was offered to a packet.
-  enum class Fit { kTaken, kTooLarge, kObsolete };
+  enum class OfferResult { kIncluded, kTooLarge, kObsolete };
 
   // The member has changed: its former change is replaced.
   void Add(const std::string& name);
   bool empty() const { return order_.empty(); }
   std::size_t size() const { return order_.size(); }
   // Offers the changes in order until one is too large; one that was taken `limit` times is done.
-  void Offer(int limit, const std::function<Fit(const std::string& name)>& take);
+  void Offer(int limit, const std::function<OfferResult(const std::string& name)>& take);
 
  private:
-  struct Place {
+  struct Priority {
     int sent = 0;
     std::uint64_t added = 0;
-    bool operator<(const Place& other) const {
+    bool operator<(const Priority& other) const {
       if (sent != other.sent) return sent < other.sent;
       return added > other.added;
     }
   };
 
-  std::map<Place, std::string> order_;
-  std::map<std::string, Place> places_;
+  std::map<Priority, std::string> order_;
+  std::map<std::string, Priority> priorities_;
   std::uint64_t last_ = 0;
 };
 
--- a/src/tier/coordination/membership_merge.cpp
+++ b/src/tier/coordination/membership_merge.cpp
@@ -2,15 +2,15 @@
 
 namespace pearreach::coordination {
 
-bool Supersedes(const Member* known, const MemberRecord& news) {
+bool Supersedes(const Member* known, const MemberRecord& update) {
   if (known == nullptr) return true;
-  if (news.info.incarnation != known->info.incarnation) {
-    return news.info.incarnation > known->info.incarnation;
+  if (update.info.incarnation != known->info.incarnation) {
+    return update.info.incarnation > known->info.incarnation;
   }
   if (known->status == MemberStatus::kLeft) return false;
-  if (news.status == MemberStatus::kLeft) return true;
-  if (news.refutations != known->refutations) return news.refutations > known->refutations;
-  return news.status > known->status;
+  if (update.status == MemberStatus::kLeft) return true;
+  if (update.refutations != known->refutations) return update.refutations > known->refutations;
+  return update.status > known->status;
 }
 
 }  // namespace pearreach::coordination
--- a/src/tier/coordination/membership_merge.h
+++ b/src/tier/coordination/membership_merge.h
@@ -13,7 +13,7 @@
 }
 
 // Whether `news` replaces what is known of the member (null: nothing).
-bool Supersedes(const Member* known, const MemberRecord& news);
+bool Supersedes(const Member* known, const MemberRecord& update);
 
 }  // namespace pearreach::coordination
 
--- a/src/tier/coordination/membership_receive.cpp
+++ b/src/tier/coordination/membership_receive.cpp
@@ -19,15 +19,15 @@
   }
   const MemberPacket& packet = *read;
   if (packet.sender == options_.self.name) return;  // its own, through a seed, or a namesake's
-  NoteGap(now);
+  ExtendDeadlinesAfterStall(now);
   for (const MemberRecord& record : packet.records) Apply(now, record);
-  if (NoteSender(now, packet)) {
+  if (UpdateSender(now, packet)) {
     const auto sender = members_.find(packet.sender);
     const bool known =
         sender != members_.end() && sender->second.info.incarnation == packet.incarnation;
     const std::string from =
         known ? sender->second.info.address : from_ip + ":" + std::to_string(packet.port);
-    bool own_wanted = NoteView(packet.view);
+    bool own_wanted = ReconcileReceiverView(packet.view);
     switch (packet.kind) {
       case PacketKind::kPing:
         OnPing(now, packet, from, own_wanted, out);
@@ -43,7 +43,7 @@
         OnIndirectAck(now, packet);
         break;
       case PacketKind::kUpdate:
-        if (packet.wants_list && TakeListAllowance(now)) {
+        if (packet.wants_list && AdmitListTransfer(now)) {
           SendList(now, from, NewPacket(PacketKind::kUpdate, known ? &sender->second : nullptr),
                    out);
           own_wanted = false;
@@ -53,73 +53,75 @@
     // What this node is to the sender is not what it is; or the sender is not known here, which
     // the answer's view tells it.
     if (own_wanted || (!known && packet.kind != PacketKind::kPing)) {
-      MemberPacket answer = NewPacket(PacketKind::kUpdate, known ? &sender->second : nullptr);
-      answer.records.push_back(MakeRecord(now, Self()));
-      Send(now, from, std::move(answer), out);
+      MemberPacket response = NewPacket(PacketKind::kUpdate, known ? &sender->second : nullptr);
+      response.records.push_back(MakeRecord(now, Self()));
+      Send(now, from, std::move(response), out);
     }
   } else {
-    TellReplaced(now, from_ip, packet, out);
+    NotifySuperseded(now, from_ip, packet, out);
   }
-  planned_ = NextTick();
+  planned_tick_ = NextTick();
 }
 
 // So that a process that started under an earlier time of day than the one before it goes on under
 // a greater number.
-void Membership::TellReplaced(Micros now, const std::string& from_ip, const MemberPacket& packet,
-                              std::vector<Datagram>* out) {
+void Membership::NotifySuperseded(Micros now, const std::string& from_ip,
+                                  const MemberPacket& packet, std::vector<Datagram>* out) {
   const Member& known = members_.at(packet.sender);
   if (packet.incarnation >= known.info.incarnation) return;
-  MemberPacket answer = NewPacket(PacketKind::kUpdate, nullptr);
-  answer.records.push_back(MakeRecord(now, known));
-  Send(now, from_ip + ":" + std::to_string(packet.port), std::move(answer), out);
+  MemberPacket response = NewPacket(PacketKind::kUpdate, nullptr);
+  response.records.push_back(MakeRecord(now, known));
+  Send(now, from_ip + ":" + std::to_string(packet.port), std::move(response), out);
 }
 
 // False: the packet is of a process that has been replaced or has left.
-bool Membership::NoteSender(Micros now, const MemberPacket& packet) {
+bool Membership::UpdateSender(Micros now, const MemberPacket& packet) {
   auto found = members_.find(packet.sender);
   if (found == members_.end()) return true;
   Member& member = found->second;
   if (packet.incarnation > member.info.incarnation) return true;
   if (packet.incarnation < member.info.incarnation) return false;
   if (member.status == MemberStatus::kLeft) return false;
-  member.heard = now;
-  Track& track = tracks_[packet.sender];
-  const bool newer = !track.numbered || static_cast<std::int32_t>(packet.number - track.number) > 0;
+  member.last_contact = now;
+  PeerState& peer_state = peer_states_[packet.sender];
+  const bool newer =
+      !peer_state.has_number || static_cast<std::int32_t>(packet.number - peer_state.number) > 0;
   if (newer) {
-    track.numbered = true;
-    track.number = packet.number;
+    peer_state.has_number = true;
+    peer_state.number = packet.number;
     if (member.versions != packet.versions) {
       member.versions = packet.versions;
       changed_.insert(packet.sender);
     }
   }
   if (packet.refutations > member.refutations) {
-    MemberRecord news;
-    news.info = member.info;
-    news.refutations = packet.refutations;
-    Apply(now, news);
+    MemberRecord update;
+    update.info = member.info;
+    update.refutations = packet.refutations;
+    Apply(now, update);
   }
   return true;
 }
 
 // True: the sender should be told of this node.
-bool Membership::NoteView(const ReceiverView& view) {
+bool Membership::ReconcileReceiverView(const ReceiverView& view) {
   const std::uint64_t own = options_.self.incarnation;
   if (view.incarnation != own) return view.incarnation < own;
-  const bool doubted = view.status == MemberStatus::kSuspect || view.status == MemberStatus::kDead;
-  if (doubted) Refute(view.refutations);
-  return doubted;
+  const bool suspected =
+      view.status == MemberStatus::kSuspect || view.status == MemberStatus::kDead;
+  if (suspected) Refute(view.refutations);
+  return suspected;
 }
 
 // Somebody has answered: this node is not cut off.
-void Membership::NoteAnswer(Micros now) {
-  const bool was_isolated = isolated_ || now - last_answer_ > options_.suspicion;
+void Membership::OnResponse(Micros now) {
+  const bool was_isolated = isolated_ || now - last_response_ > options_.suspicion;
   if (was_isolated) probes_.clear();
   for (auto& [name, due] : suspects_) {
     if (was_isolated || due == kNever) due = now + options_.suspicion;
   }
   isolated_ = false;
-  last_answer_ = now;
+  last_response_ = now;
 }
 
 void Membership::OnPing(Micros now, const MemberPacket& packet, const std::string& from,
@@ -130,7 +132,7 @@
   MemberPacket ack = NewPacket(PacketKind::kAck, known ? &sender->second : nullptr);
   ack.probe = packet.probe;
   if (own_wanted) ack.records.push_back(MakeRecord(now, Self()));
-  if (!packet.wants_list || !TakeListAllowance(now)) {
+  if (!packet.wants_list || !AdmitListTransfer(now)) {
     Send(now, from, std::move(ack), out);
     return;
   }
@@ -138,28 +140,28 @@
 }
 
 // Lists are handed out within a budget, so that many joiners do not hold up the probes.
-bool Membership::TakeListAllowance(Micros now) {
-  const Micros paid = std::max(lists_paid_, now);
-  if (paid - now > kListAllowance) return false;
-  lists_paid_ = paid + static_cast<Micros>(members_.size()) * kListCost;
+bool Membership::AdmitListTransfer(Micros now) {
+  const Micros paid = std::max(lists_paid_until_, now);
+  if (paid - now > kMaxListBacklog) return false;
+  lists_paid_until_ = paid + static_cast<Micros>(members_.size()) * kListCostPerRecord;
   return true;
 }
 
 void Membership::OnAck(Micros now, const MemberPacket& packet, const std::string& from,
                        std::vector<Datagram>* out) {
-  NoteAnswer(now);
+  OnResponse(now);
   auto probe = probes_.find(packet.probe);
   if (probe != probes_.end() && probe->second.target == packet.sender) probes_.erase(probe);
   auto relay = relays_.find(packet.probe);
   if (relay != relays_.end() && relay->second.target == packet.sender) {
-    MemberPacket answer = NewPacket(PacketKind::kIndirectAck, nullptr);
-    answer.probe = relay->second.probe;
-    answer.target = packet.sender;
-    answer.target_incarnation = packet.incarnation;
-    answer.target_refutations = packet.refutations;
+    MemberPacket response = NewPacket(PacketKind::kIndirectAck, nullptr);
+    response.probe = relay->second.probe;
+    response.target = packet.sender;
+    response.target_incarnation = packet.incarnation;
+    response.target_refutations = packet.refutations;
     const std::string requester = std::move(relay->second.requester);
     relays_.erase(relay);
-    Send(now, requester, std::move(answer), out);
+    Send(now, requester, std::move(response), out);
   }
   CompareDigest(now, packet, from, out);
 }
@@ -177,15 +179,15 @@
 }
 
 void Membership::OnIndirectAck(Micros now, const MemberPacket& packet) {
-  NoteAnswer(now);
+  OnResponse(now);
   auto probe = probes_.find(packet.probe);
   if (probe != probes_.end() && probe->second.target == packet.target) probes_.erase(probe);
   const auto target = members_.find(packet.target);
   if (target == members_.end()) return;
-  MemberRecord news;
-  news.info = target->second.info;
-  news.refutations = packet.target_refutations;
-  if (news.info.incarnation == packet.target_incarnation) Apply(now, news);
+  MemberRecord update;
+  update.info = target->second.info;
+  update.refutations = packet.target_refutations;
+  if (update.info.incarnation == packet.target_incarnation) Apply(now, update);
 }
 
 void Membership::CompareDigest(Micros now, const MemberPacket& packet, const std::string& from,
@@ -195,9 +197,9 @@
     return;
   }
   if (mismatched_since_ == 0) mismatched_since_ = now;
-  const Micros pause =
-      std::max<Micros>(kSyncPause, static_cast<Micros>(members_.size()) * kSyncPausePerMember);
-  if (now - mismatched_since_ < kMismatchPatience || now - last_sync_ < pause) return;
+  const Micros pause = std::max<Micros>(
+      kMinSyncInterval, static_cast<Micros>(members_.size()) * kSyncIntervalPerMember);
+  if (now - mismatched_since_ < kMinMismatchAge || now - last_sync_ < pause) return;
   last_sync_ = now;
   const auto sender = members_.find(packet.sender);
   MemberPacket list =
--- a/src/tier/coordination/membership_send.cpp
+++ b/src/tier/coordination/membership_send.cpp
@@ -24,11 +24,11 @@
 }
 
 // How often each change is sent in a cluster of `nodes`.
-int ChangeLimit(std::size_t nodes) {
-  return kChangeFactor * static_cast<int>(std::bit_width(nodes));
+int RetransmitLimit(std::size_t nodes) {
+  return kRetransmitMultiplier * static_cast<int>(std::bit_width(nodes));
 }
 
-bool Holds(const MemberPacket& packet, const std::string& name) {
+bool ContainsRecord(const MemberPacket& packet, const std::string& name) {
   for (const MemberRecord& record : packet.records) {
     if (record.info.name == name) return true;
   }
@@ -56,9 +56,9 @@
   record.info = member.info;
   record.status = member.status;
   record.refutations = member.refutations;
-  const auto track = tracks_.find(member.info.name);
-  if (!IsLive(member.status) && track != tracks_.end()) {
-    const Micros age = std::clamp<Micros>((now - track->second.since) / kAgeUnit, 0, kMaxAge);
+  const auto peer_state = peer_states_.find(member.info.name);
+  if (!IsLive(member.status) && peer_state != peer_states_.end()) {
+    const Micros age = std::clamp<Micros>((now - peer_state->second.since) / kAgeUnit, 0, kMaxAge);
     record.age_tenths = static_cast<std::uint16_t>(age);
   }
   return record;
@@ -70,17 +70,17 @@
   std::size_t size = EncodedSize(packet);
   const auto take = [&](const std::string& name) {
     const auto member = members_.find(name);
-    if (member == members_.end()) return PendingChanges::Fit::kObsolete;
-    if (Holds(packet, name)) return PendingChanges::Fit::kTaken;
+    if (member == members_.end()) return UpdateQueue::OfferResult::kObsolete;
+    if (ContainsRecord(packet, name)) return UpdateQueue::OfferResult::kIncluded;
     MemberRecord record = MakeRecord(now, member->second);
     const std::size_t more = EncodedSize(record);
     const bool fits = size + more <= options_.datagram_bytes && packet.records.size() < kMaxRecords;
-    if (!fits) return PendingChanges::Fit::kTooLarge;
+    if (!fits) return UpdateQueue::OfferResult::kTooLarge;
     size += more;
     packet.records.push_back(std::move(record));
-    return PendingChanges::Fit::kTaken;
+    return UpdateQueue::OfferResult::kIncluded;
   };
-  if (!changes_.empty()) changes_.Offer(ChangeLimit(live_.size() + 1), take);
+  if (!changes_.empty()) changes_.Offer(RetransmitLimit(live_.size() + 1), take);
   out->push_back({address, EncodePacket(packet)});
 }
 
@@ -94,7 +94,7 @@
   next.records.clear();
   std::size_t size = EncodedSize(packet);
   for (const auto& [name, member] : members_) {
-    if (Holds(packet, name)) continue;
+    if (ContainsRecord(packet, name)) continue;
     MemberRecord record = MakeRecord(now, member);
     const std::size_t more = EncodedSize(record);
     if (size + more > options_.datagram_bytes || packet.records.size() >= kMaxRecords) {
--- a/src/tier/coordination/membership_timing.h
+++ b/src/tier/coordination/membership_timing.h
@@ -11,27 +11,27 @@
 
 constexpr Micros kNever = std::numeric_limits<Micros>::max();
 
-constexpr Micros kPushDelay = 20'000;      // news wait so long for more news
-constexpr Micros kPushPause = 100'000;     // between two pushes
-constexpr std::size_t kPushReceivers = 2;  // of one push
+constexpr Micros kUpdateDelay = 20'000;         // news wait so long for more news
+constexpr Micros kMinUpdateInterval = 100'000;  // between two pushes
+constexpr std::size_t kUpdateReceivers = 2;     // of one push
 
-constexpr Micros kFirstSeedPause = 100'000;
-constexpr Micros kMaxSeedPause = 2'000'000;
+constexpr Micros kInitialSeedBackoff = 100'000;
+constexpr Micros kMaxSeedBackoff = 2'000'000;
 
-constexpr Micros kDeadProbePause = 2'000'000;
+constexpr Micros kDeadProbeInterval = 2'000'000;
 
-constexpr Micros kMismatchPatience = 1'000'000;  // of digests, before lists are exchanged
-constexpr Micros kSyncPause = 2'000'000;         // between two exchanges that this node begins
-constexpr Micros kSyncPausePerMember = 20'000;   // the same, where this is longer
+constexpr Micros kMinMismatchAge = 1'000'000;      // of digests, before lists are exchanged
+constexpr Micros kMinSyncInterval = 2'000'000;     // between two exchanges that this node begins
+constexpr Micros kSyncIntervalPerMember = 20'000;  // the same, where this is longer
 
-constexpr Micros kListCost = 500;             // of one record of a list that is handed out
-constexpr Micros kListAllowance = 1'000'000;  // handed out at once at most
+constexpr Micros kListCostPerRecord = 500;     // of one record of a list that is handed out
+constexpr Micros kMaxListBacklog = 1'000'000;  // handed out at once at most
 
-constexpr int kChangeFactor = 3;             // a change is sent so many times log2(n + 1)
-constexpr std::size_t kSuspectChecks = 2;    // suspects asked with each probe
-constexpr std::size_t kIsolationChecks = 2;  // members asked while nobody answers
-constexpr std::size_t kLeaveReceivers = 32;  // members told directly of a planned end
-constexpr std::size_t kMaxRelays = 256;      // pings made for others that wait at once
+constexpr int kRetransmitMultiplier = 3;        // a change is sent so many times log2(n + 1)
+constexpr std::size_t kSuspectsPerProbe = 2;    // suspects asked with each probe
+constexpr std::size_t kUnansweredProbes = 2;    // members asked while nobody answers
+constexpr std::size_t kShutdownReceivers = 32;  // members told directly of a planned end
+constexpr std::size_t kMaxRelays = 256;         // pings made for others that wait at once
 
 }  // namespace pearreach::coordination
 
--- a/src/tier/coordination/singleton_role.h
+++ b/src/tier/coordination/singleton_role.h
@@ -20,17 +20,17 @@
 // The newest committed state of a duty. Epoch 0: nobody has taken it yet.
 struct SingletonRoleRecord {
   std::uint64_t epoch = 0;
-  std::string holder;
+  std::string owner;
 };
 
 class SingletonRole {
  public:
   // `self` names the process, not only the node: a restarted one takes the duty anew. `pause`:
   // between two claims of this process.
-  SingletonRole(std::string self, Micros pause);
+  SingletonRole(std::string self, Micros claim_interval);
 
   // Whether this node is the first live one in the agreed order, as far as it knows.
-  void SetCandidate(bool first) { first_ = first; }
+  void SetCandidate(bool candidate) { is_candidate_ = candidate; }
   // What the control state says; an older record than one that is known is passed over.
   void Observe(const SingletonRoleRecord& record);
 
@@ -45,8 +45,8 @@
 
  private:
   const std::string self_;
-  const Micros pause_;
-  bool first_ = false, claiming_ = false;
+  const Micros claim_interval_;
+  bool is_candidate_ = false, claim_in_flight_ = false;
   SingletonRoleRecord record_;
   Micros next_claim_ = 0;
 };
--- a/src/tier/coordination/view_agreement.cpp
+++ b/src/tier/coordination/view_agreement.cpp
@@ -26,25 +26,25 @@
 
 std::size_t MajorityOf(std::size_t members) { return members / 2 + 1; }
 
-std::size_t MostGone(std::size_t acceptors, int tolerance) {
+std::size_t MaxGoneAcceptors(std::size_t acceptors, int tolerance) {
   return std::min<std::size_t>(std::max(tolerance, 0), acceptors / 2);
 }
 
 bool IsQuorum(const std::vector<ReplicaId>& acceptors, const std::set<ReplicaId>& answered,
               const std::set<ReplicaId>& gone, int tolerance) {
-  std::size_t answers = 0, lost = 0, missing = 0;
+  std::size_t responses = 0, lost = 0, missing = 0;
   for (const ReplicaId& acceptor : acceptors) {
     if (answered.count(acceptor) > 0) {
-      ++answers;
+      ++responses;
     } else if (gone.count(acceptor) > 0) {
       ++lost;
     } else {
       ++missing;
     }
   }
-  if (answers == 0) return false;
-  if (answers >= MajorityOf(acceptors.size())) return true;
-  return missing == 0 && lost <= MostGone(acceptors.size(), tolerance);
+  if (responses == 0) return false;
+  if (responses >= MajorityOf(acceptors.size())) return true;
+  return missing == 0 && lost <= MaxGoneAcceptors(acceptors.size(), tolerance);
 }
 
 Acceptor::Acceptor(std::uint64_t epoch, const Records& records) : epoch_(epoch) {
@@ -71,9 +71,9 @@
   return true;
 }
 
-Records Acceptor::Save(const Version& held) const {
+Records Acceptor::Save(const Version& available) const {
   AcceptorRecord record{epoch_, promised_, accepted_number_, accepted_};
-  if (accepted_.base == held) record.accepted.map = {};
+  if (accepted_.base == available) record.accepted.map = {};
   return {{kAcceptorKey, codec::Encode(record)}};
 }
 
@@ -139,14 +139,14 @@
 
 std::vector<ReplicaId> Proposer::Unanswered() const {
   std::vector<ReplicaId> missing;
-  const std::set<ReplicaId>& answers = proposal_ ? accepted_ : answered_;
+  const std::set<ReplicaId>& responses = proposal_ ? accepted_ : answered_;
   for (const ReplicaId& acceptor : acceptors_) {
-    if (answers.count(acceptor) == 0 && gone_.count(acceptor) == 0) missing.push_back(acceptor);
+    if (responses.count(acceptor) == 0 && gone_.count(acceptor) == 0) missing.push_back(acceptor);
   }
   return missing;
 }
 
-bool Proposer::HoldsMap(const ReplicaId& acceptor) const {
+bool Proposer::HasMap(const ReplicaId& acceptor) const {
   const auto found = promised_.find(acceptor);
   return found != promised_.end() && proposal_ && found->second == proposal_->base;
 }
--- a/src/tier/coordination/view_agreement.h
+++ b/src/tier/coordination/view_agreement.h
@@ -31,7 +31,7 @@
 
 std::size_t MajorityOf(std::size_t members);
 // The most acceptors that may be gone for good in a quorum of survivors.
-std::size_t MostGone(std::size_t acceptors, int tolerance);
+std::size_t MaxGoneAcceptors(std::size_t acceptors, int tolerance);
 bool IsQuorum(const std::vector<ReplicaId>& acceptors, const std::set<ReplicaId>& answered,
               const std::set<ReplicaId>& gone, int tolerance);
 
@@ -50,7 +50,7 @@
   bool Promise(const ProposalNumber& proposal_number);
   bool Accept(const ProposalNumber& proposal_number, const Proposal& proposal);
   // `held`: the version whose map this replica holds anyway, so that it is not written again.
-  Records Save(const Version& held) const;
+  Records Save(const Version& available) const;
 
  private:
   std::uint64_t epoch_;
@@ -82,7 +82,7 @@
   void Choose(std::uint64_t epoch, std::vector<ReplicaId> members);
   std::vector<ReplicaId> Unanswered() const;
   // That acceptor holds the proposal's map already.
-  bool HoldsMap(const ReplicaId& acceptor) const;
+  bool HasMap(const ReplicaId& acceptor) const;
 
  private:
   const ProposalNumber proposal_number_;
--- a/src/tier/coordination/view_target.h
+++ b/src/tier/coordination/view_target.h
@@ -19,46 +19,47 @@
 
 class ViewTarget {
  public:
-  struct Waits {
-    Micros steady = 0;      // a member is dropped once it has been down for so long,
-    Micros heard = 0;       // so long after this replica heard from it itself,
-    Micros first_drop = 0;  // and not before this time
+  struct RemovalDelays {
+    Micros after_down = 0;     // a member is dropped once it has been down for so long,
+    Micros after_contact = 0;  // so long after this replica heard from it itself,
+    Micros not_before = 0;     // and not before this time
   };
-  ViewTarget(ReplicaId self, const Tolerance& tolerance, const Waits& waits);
+  ViewTarget(ReplicaId self, const Tolerance& tolerance, const RemovalDelays& removal_delays);
 
   void SetPeers(Micros now, const std::vector<Peer>& peers);
-  void Heard(Micros now, const ReplicaId& from) { heard_[from] = now; }
+  void OnContact(Micros now, const ReplicaId& from) { last_contact_[from] = now; }
   bool known() const { return known_; }
   bool IsAlive(const ReplicaId& id) const;
   // The node of that name is alive with another disk.
   bool IsReplaced(const ReplicaId& id) const;
   // What `members` acknowledge outlasts what may be lost, as far as the machines that are known
   // allow it.
-  bool IsWide(const std::vector<ReplicaId>& members) const;
+  bool IsSufficientlyReplicated(const std::vector<ReplicaId>& members) const;
   // The most of them that may be lost at once.
-  int MostLost(const std::vector<ReplicaId>& members) const;
+  int MaxSimultaneousLosses(const std::vector<ReplicaId>& members) const;
   Target Compute(Micros now, const std::vector<ReplicaId>& members);
 
  private:
-  bool IsLeaving(const ReplicaId& id) const { return leaving_.count(id) > 0; }
-  Micros DropTime(Micros now, const ReplicaId& member);
-  std::vector<ReplicaId> Added(const std::vector<ReplicaId>& members) const;
+  bool IsDraining(const ReplicaId& id) const { return draining_.count(id) > 0; }
+  Micros RemovalTime(Micros now, const ReplicaId& member);
+  std::vector<ReplicaId> AdditionalMembers(const std::vector<ReplicaId>& members) const;
 
-  struct Place {
+  struct Location {
     std::string zone, region;
   };
-  std::map<std::string, int> CountBy(const std::vector<ReplicaId>& members,
-                                     std::string Place::*part) const;
-  bool IsSpread(const std::vector<ReplicaId>& copies, const std::vector<ReplicaId>& all) const;
+  std::map<std::string, int> CountByDomain(const std::vector<ReplicaId>& members,
+                                           std::string Location::*domain) const;
+  bool IsSpreadOverDomains(const std::vector<ReplicaId>& replicas,
+                           const std::vector<ReplicaId>& all) const;
 
   const ReplicaId self_;
   const Tolerance tolerance_;
-  const Waits waits_;
+  const RemovalDelays removal_delays_;
   bool known_ = false;
-  std::map<std::string, Place> places_;  // by node name
+  std::map<std::string, Location> locations_;  // by node name
   std::vector<ReplicaId> alive_;
-  std::set<ReplicaId> leaving_;
-  std::map<ReplicaId, Micros> down_since_, heard_;
+  std::set<ReplicaId> draining_;
+  std::map<ReplicaId, Micros> down_since_, last_contact_;
 };
 
 }  // namespace pearreach::coordination::chain
--- a/tests/tier/coordination/chain_cluster.cpp
+++ b/tests/tier/coordination/chain_cluster.cpp
@@ -18,10 +18,10 @@
                       const std::string& value) {
   const auto [known, added] = values_.try_emplace({key, revision}, value);
   if (!added && known->second != value) {
-    Find(where + ": two values of " + key + " at revision " + std::to_string(revision));
+    AddFinding(where + ": two values of " + key + " at revision " + std::to_string(revision));
   }
   seen_values_.insert(value);
-  if (refused_.count(value) > 0) Find(where + ": a refused change is in force: " + value);
+  if (refused_.count(value) > 0) AddFinding(where + ": a refused change is in force: " + value);
 }
 
 void History::OnAcknowledged(const std::string& key, std::uint64_t revision,
@@ -34,7 +34,7 @@
 
 void History::OnRefused(const std::string& value) {
   refused_.insert(value);
-  if (seen_values_.count(value) > 0) Find("refused though in force: " + value);
+  if (seen_values_.count(value) > 0) AddFinding("refused though in force: " + value);
 }
 
 void History::OnMap(const std::string& where, const Version& version, const Map& map) {
@@ -44,7 +44,8 @@
     content = content * 31 + std::hash<std::string>()(key + "=" + entry.value);
   }
   const auto [known, added] = contents_.try_emplace(version, content);
-  if (!added && known->second != content) Find(where + ": two maps of version " + Text(version));
+  if (!added && known->second != content)
+    AddFinding(where + ": two maps of version " + Text(version));
 }
 
 void History::OnReadDone(const std::string& where, const Revisions& floor, const Map& map) {
@@ -52,7 +53,7 @@
   for (const auto& [key, revision] : floor) {
     const auto found = map.find(key);
     const std::uint64_t seen = found == map.end() ? 0 : found->second.revision;
-    if (seen < revision) Find(where + ": a strict read is too old");
+    if (seen < revision) AddFinding(where + ": a strict read is too old");
   }
   for (const auto& [key, entry] : map) floor_[key] = std::max(floor_[key], entry.revision);
 }
@@ -95,22 +96,22 @@
   options.self = {name, machine.disk_id};
   options.bootstrap = machine.bootstrap;
   options.tolerance.machines = options_.tolerance;
-  machine.life = ++lives_;
+  machine.incarnation = ++incarnations_;
   machine.frozen = false;
   machine.changed = now_;
   machine.greatest = {};
   machine.peers.clear();
   machine.replica = std::make_unique<ChainReplica>(options, machine.disk, random_(), now_);
   if (machine.bootstrap) {
-    At(now_ + Between(100, 900) * kMillisecond, [this, name, life = machine.life] {
-      if (machines_.at(name).life != life) return;
+    At(now_ + Between(100, 900) * kMillisecond, [this, name, incarnation = machine.incarnation] {
+      if (machines_.at(name).incarnation != incarnation) return;
       Call(name, [this](ChainReplica& replica, Effects* out) {
         replica.SetFounders(now_, founders_, out);
       });
     });
   }
   machine.bootstrap = false;
-  TellAllOfChange();
+  SchedulePeerUpdates();
 }
 
 void ChainCluster::Crash(const std::string& name) {
@@ -119,14 +120,14 @@
   machine.replica.reset();
   machine.thaw.clear();
   machine.frozen = false;
-  machine.life = ++lives_;
+  machine.incarnation = ++incarnations_;
   machine.changed = now_;
-  while (!machine.writes.empty() && Share() < 0.5) {
+  while (!machine.writes.empty() && RandomFraction() < 0.5) {
     for (auto& [key, value] : machine.writes.front().records) machine.disk[key] = value;
     machine.writes.pop_front();
   }
   machine.writes.clear();
-  TellAllOfChange();
+  SchedulePeerUpdates();
 }
 
 void ChainCluster::Wipe(const std::string& name) {
@@ -146,7 +147,7 @@
   if (!machine.up()) return;
   machine.frozen = true;
   machine.changed = now_;
-  TellAllOfChange();
+  SchedulePeerUpdates();
 }
 
 void ChainCluster::Thaw(const std::string& name) {
@@ -156,26 +157,26 @@
   machine.changed = now_;
   const auto waiting = std::exchange(machine.thaw, {});
   for (const auto& what : waiting) At(now_, what);
-  TellAllOfChange();
+  SchedulePeerUpdates();
 }
 
 void ChainCluster::Heal() {
-  cuts_.clear();
-  TellAllOfChange();
+  blocked_links_.clear();
+  SchedulePeerUpdates();
 }
 
 bool ChainCluster::Reaches(const std::string& from, const std::string& to) const {
-  return cuts_.count({from, to}) == 0;
+  return blocked_links_.count({from, to}) == 0;
 }
 
-void ChainCluster::TellAllOfChange() {
+void ChainCluster::SchedulePeerUpdates() {
   for (const auto& [name, machine] : machines_) {
-    At(now_ + Between(50, 300) * kMillisecond, [this, name = name] { TellPeers(name); });
-    At(now_ + Between(1000, 1600) * kMillisecond, [this, name = name] { TellPeers(name); });
+    At(now_ + Between(50, 300) * kMillisecond, [this, name = name] { UpdatePeers(name); });
+    At(now_ + Between(1000, 1600) * kMillisecond, [this, name = name] { UpdatePeers(name); });
   }
 }
 
-void ChainCluster::TellPeers(const std::string& observer) {
+void ChainCluster::UpdatePeers(const std::string& observer) {
   Machine& machine = machines_.at(observer);
   if (!machine.up() || machine.frozen) return;
   std::vector<Peer> peers;
@@ -201,7 +202,7 @@
   std::vector<Peer> peers;
   for (const auto& [name, known] : machine.peers) peers.push_back(known);
   Call(observer, [&](ChainReplica& replica, Effects* out) { replica.SetPeers(now_, peers, out); });
-  At(now_ + Between(200, 2000) * kMillisecond, [this, observer] { TellPeers(observer); });
+  At(now_ + Between(200, 2000) * kMillisecond, [this, observer] { UpdatePeers(observer); });
 }
 
 void ChainCluster::Call(const std::string& name,
@@ -210,10 +211,10 @@
   if (!machine.up()) return;
   Effects effects;
   call(*machine.replica, &effects);
-  CarryOut(&machine, std::move(effects));
+  ApplyEffects(&machine, std::move(effects));
 }
 
-void ChainCluster::CarryOut(Machine* machine, Effects effects) {
+void ChainCluster::ApplyEffects(Machine* machine, Effects effects) {
   for (const Persist& persist : effects.persists) StartWrite(machine, persist);
   for (const SendMessage& message : effects.messages) Deliver(machine->name, message);
   for (const Committed& committed : effects.committed) {
@@ -221,14 +222,14 @@
     maps_.emplace(committed.version, committed.map);
   }
   const Version version = machine->replica->committed_version();
-  if (version < machine->greatest) history_.Find(machine->name + ": the version went back");
+  if (version < machine->greatest) history_.AddFinding(machine->name + ": the version went back");
   machine->greatest = version;
   for (const ChangeResult& result : effects.changes) {
     const auto change = changes_.find(result.ticket);
     if (change == changes_.end()) continue;
     results_[change->second.value] = result;
     if (result.status == ChangeStatus::kCommitted) {
-      if (result.revision != change->second.expected + 1) history_.Find("a wrong revision");
+      if (result.revision != change->second.expected + 1) history_.AddFinding("a wrong revision");
       history_.OnAcknowledged(change->second.key, result.revision, change->second.value);
     } else if (result.status != ChangeStatus::kUnavailable) {
       history_.OnRefused(change->second.value);
@@ -249,15 +250,15 @@
 void ChainCluster::Deliver(const std::string& from, const SendMessage& message) {
   ++sent_;
   if (machines_.count(message.to) == 0) {
-    history_.Find("a message to nobody: " + message.to);
+    history_.AddFinding("a message to nobody: " + message.to);
     return;
   }
   if (!Reaches(from, message.to)) return;
-  const int copies = 1 + (Share() < options_.doubling ? 1 : 0);
+  const int copies = 1 + (RandomFraction() < options_.doubling ? 1 : 0);
   for (int i = 0; i < copies; ++i) {
-    if (Share() < options_.loss) continue;
+    if (RandomFraction() < options_.loss) continue;
     Micros delay = Between(500, 8 * kMillisecond);
-    if (Share() < options_.late) delay = Between(50, 3000) * kMillisecond;
+    if (RandomFraction() < options_.late) delay = Between(50, 3000) * kMillisecond;
     auto receive = [this, from, to = message.to, bytes = message.bytes] {
       Call(to,
            [&](ChainReplica& replica, Effects* out) { replica.Receive(now_, from, bytes, out); });
@@ -275,20 +276,22 @@
 
 void ChainCluster::StartWrite(Machine* machine, const Persist& persist) {
   Micros span = Between(1, 12) * kMillisecond;
-  if (options_.slow_disks && Share() < 0.05) span = Between(100, 1500) * kMillisecond;
+  if (options_.slow_disks && RandomFraction() < 0.05) span = Between(100, 1500) * kMillisecond;
   Micros done = now_ + span;
   if (!machine->writes.empty()) done = std::max(done, machine->writes.back().done);
   machine->writes.push_back({done, persist.token, persist.records});
-  At(done, [this, name = machine->name, life = machine->life, token = persist.token] {
-    OnWritten(name, life, token);
+  At(done, [this, name = machine->name, incarnation = machine->incarnation, token = persist.token] {
+    OnWritten(name, incarnation, token);
   });
 }
 
-void ChainCluster::OnWritten(const std::string& name, std::uint64_t life, std::uint64_t token) {
+void ChainCluster::OnWritten(const std::string& name, std::uint64_t incarnation,
+                             std::uint64_t token) {
   Machine& machine = machines_.at(name);
-  if (machine.life != life || !machine.up()) return;
+  if (machine.incarnation != incarnation || !machine.up()) return;
   if (machine.frozen) {
-    machine.thaw.push_back([this, name, life, token] { OnWritten(name, life, token); });
+    machine.thaw.push_back(
+        [this, name, incarnation, token] { OnWritten(name, incarnation, token); });
     return;
   }
   while (!machine.writes.empty() && machine.writes.front().token <= token) {
@@ -311,7 +314,7 @@
     if (!machine.up() || machine.frozen || machine.replica->NextTick() > now_) continue;
     ++ticks_;
     Call(name, [&](ChainReplica& replica, Effects* out) { replica.Tick(now_, out); });
-    if (machine.replica->NextTick() <= now_) history_.Find(name + ": ticks without an end");
+    if (machine.replica->NextTick() <= now_) history_.AddFinding(name + ": ticks without an end");
   }
 }
 
@@ -339,21 +342,21 @@
   RunUntil(span, [] { return false; });
 }
 
-std::string ChainCluster::TryChange(const std::string& name, const std::string& key,
-                                    std::uint64_t expected) {
+std::string ChainCluster::SubmitChange(const std::string& name, const std::string& key,
+                                       std::uint64_t expected) {
   const std::string value = key + "#" + std::to_string(++values_);
-  TryRequest(name, {0, key, expected, value, {}});
+  SubmitRequest(name, {0, key, expected, value, {}});
   return value;
 }
 
-void ChainCluster::TryRequest(const std::string& name, ChangeRequest request) {
+void ChainCluster::SubmitRequest(const std::string& name, ChangeRequest request) {
   if (!machines_.at(name).up() || machines_.at(name).frozen) return;
   request.ticket = ++tickets_;
   changes_[request.ticket] = {request.key, request.value, request.expected};
   Call(name, [&](ChainReplica& replica, Effects* out) { replica.Change(now_, request, out); });
 }
 
-void ChainCluster::TryRead(const std::string& name) {
+void ChainCluster::SubmitRead(const std::string& name) {
   if (!machines_.at(name).up() || machines_.at(name).frozen) return;
   const std::uint64_t ticket = ++tickets_;
   reads_[ticket] = history_.floor();
@@ -377,7 +380,7 @@
 }
 
 bool ChainCluster::IsRepaired() const {
-  if (!cuts_.empty()) return false;
+  if (!blocked_links_.empty()) return false;
   const View* greatest = nullptr;
   for (const auto& [name, machine] : machines_) {
     if (!machine.up()) continue;
@@ -405,7 +408,7 @@
     const auto map = machines_.at(head).replica->committed();
     const auto entry = map ? map->find("probe") : Map::const_iterator();
     const bool found = map && entry != map->end();
-    const std::string value = TryChange(head, "probe", found ? entry->second.revision : 0);
+    const std::string value = SubmitChange(head, "probe", found ? entry->second.revision : 0);
     RunUntil(2 * kSecond, [&] { return ResultOf(value).has_value(); });
     const auto result = ResultOf(value);
     if (result && result->status == ChangeStatus::kCommitted) return true;
--- a/tests/tier/coordination/chain_cluster.h
+++ b/tests/tier/coordination/chain_cluster.h
@@ -42,7 +42,7 @@
   void OnReadDone(const std::string& where, const Revisions& floor, const Map& map);
   const Revisions& floor() const { return floor_; }  // what a read that begins now must show
   const Revisions& acknowledged() const { return acknowledged_; }
-  void Find(std::string what) { findings_.push_back(std::move(what)); }
+  void AddFinding(std::string what) { findings_.push_back(std::move(what)); }
   const std::vector<std::string>& findings() const { return findings_; }
   int commits() const { return commits_; }
   int reads() const { return reads_; }
@@ -75,7 +75,7 @@
     Micros changed = 0;  // when it last went up or down
     std::map<std::string, std::string> disk;
     std::unique_ptr<ChainReplica> replica;  // null: down
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::deque<DiskWrite> writes;
     std::deque<std::function<void()>> thaw;  // what came while it was frozen
     Version greatest;
@@ -103,16 +103,18 @@
   std::string Add();                             // an empty machine
   void Freeze(const std::string& name);
   void Thaw(const std::string& name);
-  void Cut(const std::string& from, const std::string& to) { cuts_.insert({from, to}); }
+  void BlockLink(const std::string& from, const std::string& to) {
+    blocked_links_.insert({from, to});
+  }
   void Heal();
   // Membership at `observer` takes the peer for dead, whatever it is, until the next change.
   void MisreportDead(const std::string& observer, const std::string& peer);
 
   // Tries one change at `name`; the outcome lands in the history. Returns the value.
-  std::string TryChange(const std::string& name, const std::string& key, std::uint64_t expected);
+  std::string SubmitChange(const std::string& name, const std::string& key, std::uint64_t expected);
   // Values must be unique.
-  void TryRequest(const std::string& name, ChangeRequest request);
-  void TryRead(const std::string& name);
+  void SubmitRequest(const std::string& name, ChangeRequest request);
+  void SubmitRead(const std::string& name);
   std::optional<ChangeResult> ResultOf(const std::string& value) const;
   // A change through whoever is head commits within the span.
   bool CommitsWithin(Micros span);
@@ -139,29 +141,29 @@
     std::uint64_t expected;
   };
 
-  double Share() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  double RandomFraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
   Micros Between(Micros least, Micros most) {
     return std::uniform_int_distribution<Micros>(least, most)(random_);
   }
   void Schedule(Micros time, std::function<void()> what) { At(time, std::move(what)); }
   void Call(const std::string& name, const std::function<void(ChainReplica&, Effects*)>& call);
-  void CarryOut(Machine* machine, Effects effects);
+  void ApplyEffects(Machine* machine, Effects effects);
   void Deliver(const std::string& from, const SendMessage& message);
   void StartWrite(Machine* machine, const Persist& persist);
-  void OnWritten(const std::string& name, std::uint64_t life, std::uint64_t token);
-  void TellAllOfChange();
-  void TellPeers(const std::string& observer);
+  void OnWritten(const std::string& name, std::uint64_t incarnation, std::uint64_t token);
+  void SchedulePeerUpdates();
+  void UpdatePeers(const std::string& observer);
   bool Reaches(const std::string& from, const std::string& to) const;
   void Tick();
 
   ClusterOptions options_;
   std::mt19937_64 random_;
   Micros now_ = kSecond;
-  std::uint64_t order_ = 0, disks_ = 0, names_ = 0, lives_ = 0, tickets_ = 0, values_ = 0;
+  std::uint64_t order_ = 0, disks_ = 0, names_ = 0, incarnations_ = 0, tickets_ = 0, values_ = 0;
   std::uint64_t sent_ = 0, ticks_ = 0;
   std::priority_queue<Event> events_;
   std::map<std::string, Machine> machines_;
-  std::set<std::pair<std::string, std::string>> cuts_;
+  std::set<std::pair<std::string, std::string>> blocked_links_;
   std::vector<ReplicaId> founders_;
   History history_;
   std::map<Version, std::shared_ptr<const Map>> maps_;
--- a/tests/tier/coordination/chain_messages_test.cpp
+++ b/tests/tier/coordination/chain_messages_test.cpp
@@ -8,13 +8,13 @@
 namespace pearreach::coordination::chain {
 namespace {
 
-MapRef SomeMap() {
+MapRef SampleMap() {
   return {std::make_shared<const Map>(Map{{"config", {"{}", 3}}, {"stores", {"x", 1}}})};
 }
 
 std::vector<Body> OneOfEach() {
   const ReplicaId id{"n1", "d1"};
-  const Proposal proposal{{4, {id, {"n2", "d2"}}}, {3, 9}, SomeMap()};
+  const Proposal proposal{{4, {id, {"n2", "d2"}}}, {3, 9}, SampleMap()};
   return {Append{7, {{"config", {"value", 2}}}},
           CommitNotice{7},
           ViewProbe{},
@@ -22,7 +22,7 @@
           ViewRequest{{{1, 2}, {3, 4}}},
           ViewResponse{proposal, true, {4, 1}},
           Prepare{{5, id}, {id}, {3, 2}},
-          Promise{{5, id}, {3, 3}, SomeMap(), {4, id}, proposal},
+          Promise{{5, id}, {3, 3}, SampleMap(), {4, id}, proposal},
           Reject{{6, id}},
           AcceptorGone{{5, id}},
           Accept{{5, id}, proposal},
@@ -30,18 +30,18 @@
           ReadRequest{1, 2, {3, 4}},
           ConfirmRequest{11},
           ConfirmResponse{11},
-          ReadResponse{1, 2, {3, 4}, SomeMap()}};
+          ReadResponse{1, 2, {3, 4}, SampleMap()}};
 }
 
 class ChainMessagesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ChainMessagesTest);
-  CPPUNIT_TEST(EveryKindIsReadAsWritten);
-  CPPUNIT_TEST(DamagedBytesAreRefused);
-  CPPUNIT_TEST(AMapMayBeLeftOut);
+  CPPUNIT_TEST(RoundTripsEveryMessageType);
+  CPPUNIT_TEST(RejectsCorruptBytes);
+  CPPUNIT_TEST(AllowsOmittedMap);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void EveryKindIsReadAsWritten() {
+  void RoundTripsEveryMessageType() {
     const auto bodies = OneOfEach();
     CPPUNIT_ASSERT_EQUAL(std::variant_size_v<Body>, bodies.size());
     for (std::size_t kind = 0; kind < bodies.size(); ++kind) {
@@ -54,7 +54,7 @@
     }
   }
 
-  void DamagedBytesAreRefused() {
+  void RejectsCorruptBytes() {
     std::mt19937 random(1);
     for (const Body& body : OneOfEach()) {
       const std::string bytes = EncodeEnvelope({{{"n9", "d9"}, 42}, body});
@@ -69,7 +69,7 @@
     }
   }
 
-  void AMapMayBeLeftOut() {
+  void AllowsOmittedMap() {
     const auto read = DecodeEnvelope(EncodeEnvelope({{}, ReadResponse{1, 2, {3, 4}, {}}}));
     CPPUNIT_ASSERT(read.ok());
     CPPUNIT_ASSERT(!std::get<ReadResponse>(read->body).map.map);
--- a/tests/tier/coordination/chain_replica_test.cpp
+++ b/tests/tier/coordination/chain_replica_test.cpp
@@ -19,11 +19,11 @@
 }
 
 // One seeded day: clients all the while, faults one after the other, then calm and the reckoning.
-class HostileDay {
+class FaultScenario {
  public:
   // On a reckless day, disks are lost as soon as the newest view is whole, although a next one may
   // have been decided with fewer machines: then it may stand still, but nothing may be lost.
-  HostileDay(const ClusterOptions& options, bool reckless)
+  FaultScenario(const ClusterOptions& options, bool reckless)
       : options_(options),
         reckless_(reckless),
         cluster_(options),
@@ -33,27 +33,27 @@
   std::string Play() {
     if (!cluster_.CommitsWithin(kFounding)) return Finding("no first commit");
     ScheduleClients();
-    const Micros end = cluster_.now() + kTrouble;
+    const Micros end = cluster_.now() + kFaultSpan;
     while (cluster_.now() < end && cluster_.history().findings().empty()) {
       cluster_.RunFor(Between(100, 1500) * kMillisecond);
-      Trouble();
+      InjectFault();
     }
-    if (Share() < 0.5) FinalFault();
+    if (RandomFraction() < 0.5) FinalFault();
     Calm();
     if (!cluster_.CommitsWithin(kRecovery)) {
       return Finding(reckless_ ? "" : "no commit after the calm");
     }
     cluster_.RunFor(5 * kSecond);
-    CheckKept();
+    CheckNothingLost();
     return Finding("");
   }
   const History& history() { return cluster_.history(); }
 
  private:
-  static constexpr Micros kFounding = 15 * kSecond, kTrouble = 14 * kSecond,
+  static constexpr Micros kFounding = 15 * kSecond, kFaultSpan = 14 * kSecond,
                           kRecovery = 15 * kSecond;
 
-  double Share() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  double RandomFraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
   Micros Between(Micros least, Micros most) {
     return std::uniform_int_distribution<Micros>(least, most)(random_);
   }
@@ -75,19 +75,19 @@
   }
 
   void ClientTurn() {
-    const std::string key = Share() < 0.6 ? "config" : "stores";
+    const std::string key = RandomFraction() < 0.6 ? "config" : "stores";
     std::string name = Pick();
     const Machine& machine = cluster_.machine(name);
     if (machine.up()) {
       const View& view = machine.replica->view();
-      if (Share() < 0.3) {
-        cluster_.TryRead(name);
+      if (RandomFraction() < 0.3) {
+        cluster_.SubmitRead(name);
       } else if (!view.members.empty()) {
         const auto map = machine.replica->committed();
         const bool found = map && map->count(key) > 0;
         const std::uint64_t revision = found ? map->at(key).revision : 0;
-        if (Share() < 0.9) name = view.members.front().name;
-        cluster_.TryChange(name, key, revision);
+        if (RandomFraction() < 0.9) name = view.members.front().name;
+        cluster_.SubmitChange(name, key, revision);
       }
     }
     cluster_.At(cluster_.now() + Between(20, 250) * kMillisecond, [this] { ClientTurn(); });
@@ -98,7 +98,7 @@
                 [this, name] { cluster_.Start(name); });
   }
 
-  void Trouble() {
+  void InjectFault() {
     const std::string name = Pick(), other = Pick();
     switch (Between(0, 9)) {
       case 0:
@@ -118,15 +118,15 @@
                     [this, name] { cluster_.Thaw(name); });
         break;
       case 5:
-        cluster_.Cut(name, other);
+        cluster_.BlockLink(name, other);
         cluster_.At(cluster_.now() + Between(300, 4000) * kMillisecond,
                     [this] { cluster_.Heal(); });
         break;
       case 6:
         for (const std::string& peer : cluster_.Names()) {
           if (peer == name) continue;
-          cluster_.Cut(name, peer);
-          cluster_.Cut(peer, name);
+          cluster_.BlockLink(name, peer);
+          cluster_.BlockLink(peer, name);
         }
         cluster_.At(cluster_.now() + Between(300, 4000) * kMillisecond,
                     [this] { cluster_.Heal(); });
@@ -177,21 +177,21 @@
     constexpr Micros kSyncing = 2500 * kMillisecond;
     if (options_.tolerance == 0) return false;
     if (reckless_) return cluster_.IsRepaired();
-    Mend();
+    RestoreAll();
     cluster_.RunUntil(8 * kSecond, [&] { return cluster_.IsRepaired(); });
     cluster_.RunFor(kSyncing);
     return cluster_.IsRepaired();
   }
 
-  void FinalFault() { LoseDisks(Share() < 0.6); }
+  void FinalFault() { LoseDisks(RandomFraction() < 0.6); }
 
   void Calm() {
     cluster_.Heal();
     cluster_.RunFor(5 * kSecond);
-    Mend();
+    RestoreAll();
   }
 
-  void Mend() {
+  void RestoreAll() {
     cluster_.Heal();
     for (const std::string& name : cluster_.Names()) {
       cluster_.Start(name);
@@ -199,11 +199,11 @@
     }
   }
 
-  void CheckKept() {
+  void CheckNothingLost() {
     const std::string head = cluster_.HeadName();
     const View view = cluster_.machine(head).replica->view();
     if (!reckless_ && view.members.size() != cluster_.Names().size()) {
-      cluster_.history().Find("not all machines are members again");
+      cluster_.history().AddFinding("not all machines are members again");
     }
     for (const ReplicaId& member : view.members) {
       const Machine& machine = cluster_.machine(member.name);
@@ -212,7 +212,7 @@
         const auto map = machine.replica->committed();
         const auto found = map ? map->find(key) : Map::const_iterator();
         if (!map || found == map->end() || found->second.revision < revision) {
-          cluster_.history().Find(member.name + ": an acknowledged change is missing");
+          cluster_.history().AddFinding(member.name + ": an acknowledged change is missing");
         }
       }
     }
@@ -224,22 +224,22 @@
   std::mt19937_64 random_;
 };
 
-struct DayCase {
+struct FaultCase {
   int machines, tolerance, seeds;
 };
 
 class ChainReplicaTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ChainReplicaTest);
   CPPUNIT_TEST(FoundsOneViewAndCommits);
-  CPPUNIT_TEST(IsSilentWhenCalm);
-  CPPUNIT_TEST(ARaceHasOneWinner);
-  CPPUNIT_TEST(AChangeElsewhereNamesTheHead);
-  CPPUNIT_TEST(ATooLateRevisionIsAConflictOnceMadeSure);
-  CPPUNIT_TEST(AWipedMemberOfTwoComesBack);
-  CPPUNIT_TEST(ADeadMemberOfTwoStopsChanges);
-  CPPUNIT_TEST(AnotherNameReplacesADeadMember);
-  CPPUNIT_TEST(PowerOffKeepsWhatWasAcknowledged);
-  CPPUNIT_TEST(HostileDays);
+  CPPUNIT_TEST(SendsNothingWhenIdle);
+  CPPUNIT_TEST(CommitsOneOfTwoConcurrentChanges);
+  CPPUNIT_TEST(RejectsChangeAtReplicaWithHintOfHead);
+  CPPUNIT_TEST(ReportsConflictOnlyOnceNewestStateIsConfirmed);
+  CPPUNIT_TEST(WipedMemberOfTwoRejoins);
+  CPPUNIT_TEST(RefusesChangeWhenQuorumIsLost);
+  CPPUNIT_TEST(NewNodeReplacesDeadMember);
+  CPPUNIT_TEST(KeepsAcknowledgedChangesAfterPowerLoss);
+  CPPUNIT_TEST(KeepsInvariantsUnderRandomFaults);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -256,7 +256,7 @@
     }
   }
 
-  void IsSilentWhenCalm() {
+  void SendsNothingWhenIdle() {
     ChainCluster cluster({5, 1, 6});
     CPPUNIT_ASSERT(cluster.CommitsWithin(10 * kSecond));
     cluster.RunFor(10 * kSecond);
@@ -266,12 +266,12 @@
     CPPUNIT_ASSERT_EQUAL(ticks, cluster.ticks());
   }
 
-  void ARaceHasOneWinner() {
+  void CommitsOneOfTwoConcurrentChanges() {
     ChainCluster cluster({3, 1, 7});
     CPPUNIT_ASSERT(cluster.CommitsWithin(10 * kSecond));
     const std::string head = cluster.HeadName();
     std::vector<std::string> values;
-    for (int i = 0; i < 5; ++i) values.push_back(cluster.TryChange(head, "config", 0));
+    for (int i = 0; i < 5; ++i) values.push_back(cluster.SubmitChange(head, "config", 0));
     cluster.RunFor(3 * kSecond);
     int won = 0, lost = 0;
     for (const std::string& value : values) {
@@ -284,31 +284,31 @@
     CPPUNIT_ASSERT_EQUAL(4, lost);
   }
 
-  void AChangeElsewhereNamesTheHead() {
+  void RejectsChangeAtReplicaWithHintOfHead() {
     ChainCluster cluster({3, 1, 8});
     CPPUNIT_ASSERT(cluster.CommitsWithin(10 * kSecond));
     cluster.RunFor(3 * kSecond);
     const std::string head = cluster.HeadName();
     for (const std::string& name : cluster.Names()) {
       if (name == head) continue;
-      const auto result = cluster.ResultOf(cluster.TryChange(name, "config", 0));
+      const auto result = cluster.ResultOf(cluster.SubmitChange(name, "config", 0));
       CPPUNIT_ASSERT(result && result->status == ChangeStatus::kNotHead);
       CPPUNIT_ASSERT_EQUAL(head, result->hint);
     }
   }
 
-  void ATooLateRevisionIsAConflictOnceMadeSure() {
+  void ReportsConflictOnlyOnceNewestStateIsConfirmed() {
     ChainCluster cluster({3, 1, 9});
     CPPUNIT_ASSERT(cluster.CommitsWithin(10 * kSecond));
     cluster.RunFor(3 * kSecond);
-    const std::string value = cluster.TryChange(cluster.HeadName(), "config", 77);
+    const std::string value = cluster.SubmitChange(cluster.HeadName(), "config", 77);
     CPPUNIT_ASSERT(!cluster.ResultOf(value));
     cluster.RunFor(kSecond / 2);
     const auto result = cluster.ResultOf(value);
     CPPUNIT_ASSERT(result && result->status == ChangeStatus::kConflict);
   }
 
-  void AWipedMemberOfTwoComesBack() {
+  void WipedMemberOfTwoRejoins() {
     ChainCluster cluster({2, 1, 10});
     CPPUNIT_ASSERT(cluster.CommitsWithin(10 * kSecond));
     cluster.RunFor(3 * kSecond);
@@ -324,7 +324,7 @@
     AssertClean(cluster);
   }
 
-  void ADeadMemberOfTwoStopsChanges() {
+  void RefusesChangeWhenQuorumIsLost() {
     ChainCluster cluster({2, 1, 11});
     CPPUNIT_ASSERT(cluster.CommitsWithin(10 * kSecond));
     cluster.RunFor(3 * kSecond);
@@ -336,7 +336,7 @@
     AssertClean(cluster);
   }
 
-  void AnotherNameReplacesADeadMember() {
+  void NewNodeReplacesDeadMember() {
     ChainCluster cluster({3, 1, 12});
     CPPUNIT_ASSERT(cluster.CommitsWithin(10 * kSecond));
     cluster.RunFor(3 * kSecond);
@@ -351,7 +351,7 @@
     AssertClean(cluster);
   }
 
-  void PowerOffKeepsWhatWasAcknowledged() {
+  void KeepsAcknowledgedChangesAfterPowerLoss() {
     for (const int machines : {1, 2, 3, 5}) {
       ChainCluster cluster({machines, machines > 1 ? 1 : 0, 13});
       CPPUNIT_ASSERT(cluster.CommitsWithin(10 * kSecond));
@@ -366,19 +366,20 @@
     }
   }
 
-  void HostileDays() {
-    const DayCase cases[] = {{1, 0, 3}, {2, 1, 10}, {3, 1, 16}, {4, 2, 7}, {5, 2, 7}, {9, 1, 1}};
+  void KeepsInvariantsUnderRandomFaults() {
+    const FaultCase cases[] = {{1, 0, 3}, {2, 1, 10}, {3, 1, 16}, {4, 2, 7}, {5, 2, 7}, {9, 1, 1}};
     const char* more = std::getenv("PEARREACH_CHAIN_DAYS");  // times as many, for a long search
     const int times = more ? std::atoi(more) : 1;
     int commits = 0, reads = 0;
-    for (const DayCase& day : cases) {
-      for (int seed = 1; seed <= day.seeds * times; ++seed) {
-        ClusterOptions options{day.machines, day.tolerance, static_cast<std::uint64_t>(seed)};
+    for (const FaultCase& scenario : cases) {
+      for (int seed = 1; seed <= scenario.seeds * times; ++seed) {
+        ClusterOptions options{scenario.machines, scenario.tolerance,
+                               static_cast<std::uint64_t>(seed)};
         options.loss = seed % 3 == 0 ? 0.1 : 0.01;
         options.doubling = seed % 2 == 0 ? 0.1 : 0;
         options.late = seed % 4 == 0 ? 0.1 : 0;
         options.slow_disks = seed % 5 == 0;
-        HostileDay played(options, seed % 7 == 0);
+        FaultScenario played(options, seed % 7 == 0);
         const std::string finding = played.Play();
         CPPUNIT_ASSERT_EQUAL_MESSAGE(finding, std::string(), finding);
         commits += played.history().commits();
--- a/tests/tier/coordination/chain_views_test.cpp
+++ b/tests/tier/coordination/chain_views_test.cpp
@@ -32,9 +32,9 @@
 class QuorumTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(QuorumTest);
   CPPUNIT_TEST(MajorityOrAllSurvivors);
-  CPPUNIT_TEST(AnyTwoQuorumsMeet);
-  CPPUNIT_TEST(AnAcceptorKeepsToTheGreatestBallot);
-  CPPUNIT_TEST(AProposerTakesUpWhatWasAccepted);
+  CPPUNIT_TEST(AnyTwoQuorumsIntersect);
+  CPPUNIT_TEST(AcceptorHonoursGreatestProposalNumber);
+  CPPUNIT_TEST(ProposerAdoptsAcceptedProposal);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -66,16 +66,16 @@
   }
 
   // Of a majority and the survivors of any permitted loss.
-  void AnyTwoQuorumsMeet() {
+  void AnyTwoQuorumsIntersect() {
     for (std::size_t members = 1; members <= 9; ++members) {
       for (int tolerance = 0; tolerance <= 4; ++tolerance) {
-        const std::size_t survivors = members - MostGone(members, tolerance);
+        const std::size_t survivors = members - MaxGoneAcceptors(members, tolerance);
         CPPUNIT_ASSERT(survivors + MajorityOf(members) > members);
       }
     }
   }
 
-  void AnAcceptorKeepsToTheGreatestBallot() {
+  void AcceptorHonoursGreatestProposalNumber() {
     const ProposalNumber low{1, {"a", "1"}}, middle{1, {"b", "1"}}, high{2, {"a", "1"}};
     const Proposal proposal{{6, Ids("a1 b1")}, {5, 3}, {std::make_shared<const Map>()}};
     Acceptor acceptor(5, {});
@@ -95,7 +95,7 @@
     CPPUNIT_ASSERT(!Acceptor(6, records).sealed());
   }
 
-  void AProposerTakesUpWhatWasAccepted() {
+  void ProposerAdoptsAcceptedProposal() {
     const auto map = std::make_shared<const Map>();
     const ProposalNumber proposal_number{3, {"a", "1"}};
     const Proposal former{{6, Ids("c1")}, {5, 1}, {map}};
@@ -119,16 +119,16 @@
 
 class ViewTargetTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ViewTargetTest);
-  CPPUNIT_TEST(FollowsTheLiveOnes);
-  CPPUNIT_TEST(DoesWithoutThoseThatLeave);
-  CPPUNIT_TEST(DropsNobodyTooSoon);
-  CPPUNIT_TEST(KeepsEnoughZonesAndRegions);
-  CPPUNIT_TEST(CountsWhatAZoneTakesWithIt);
-  CPPUNIT_TEST(KnowsWhatIsWideEnough);
+  CPPUNIT_TEST(TargetFollowsLiveMembers);
+  CPPUNIT_TEST(RemovesDrainingMembers);
+  CPPUNIT_TEST(RemovesMemberOnlyAfterDelay);
+  CPPUNIT_TEST(KeepsReplicasInEnoughFailureDomains);
+  CPPUNIT_TEST(CountsLossesOfWholeDomains);
+  CPPUNIT_TEST(JudgesSufficientReplication);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void FollowsTheLiveOnes() {
+  void TargetFollowsLiveMembers() {
     const struct {
       std::string view, alive, dead;
       int tolerance;
@@ -157,7 +157,7 @@
   }
 
   // At once, where the others suffice; `leaving` are alive.
-  void DoesWithoutThoseThatLeave() {
+  void RemovesDrainingMembers() {
     const struct {
       std::string view, alive, draining, dead;
       int tolerance;
@@ -186,7 +186,7 @@
     }
   }
 
-  void DropsNobodyTooSoon() {
+  void RemovesMemberOnlyAfterDelay() {
     ViewTarget target({"a", "1"}, {1}, {2 * kRetry, kTimeout, kStart});
     const auto view = Ids("a1 b1 c1");
     CPPUNIT_ASSERT(target.Compute(kStart, view).members == view);
@@ -194,7 +194,7 @@
     const Target soon = target.Compute(kStart, view);
     CPPUNIT_ASSERT(soon.members == view);
     CPPUNIT_ASSERT_EQUAL(kStart + 2 * kRetry, soon.next_change);
-    target.Heard(kStart + kRetry, {"c", "1"});
+    target.OnContact(kStart + kRetry, {"c", "1"});
     CPPUNIT_ASSERT_EQUAL(kStart + kRetry + kTimeout,
                          target.Compute(soon.next_change, view).next_change);
     const auto dropped = target.Compute(kStart + kRetry + kTimeout, view);
@@ -202,7 +202,7 @@
   }
 
   // The places are given as "a=z1/r1"; the target is that of a with everybody else as told.
-  void KeepsEnoughZonesAndRegions() {
+  void KeepsReplicasInEnoughFailureDomains() {
     const struct {
       std::string view, alive, dead, places;
       Tolerance tolerance;
@@ -237,7 +237,7 @@
     }
   }
 
-  void CountsWhatAZoneTakesWithIt() {
+  void CountsLossesOfWholeDomains() {
     const std::string places = "a=x/r b=x/r c=y/r d=z/s";
     const struct {
       Tolerance tolerance;
@@ -246,21 +246,21 @@
     for (const auto& test : cases) {
       ViewTarget target({"a", "1"}, test.tolerance, {2 * kRetry, kTimeout, kStart});
       target.SetPeers(kStart, Peers("a1 b1 c1 d1", "", places));
-      CPPUNIT_ASSERT_EQUAL(test.lost, target.MostLost(Ids("a1 b1 c1 d1")));
+      CPPUNIT_ASSERT_EQUAL(test.lost, target.MaxSimultaneousLosses(Ids("a1 b1 c1 d1")));
     }
   }
 
-  void KnowsWhatIsWideEnough() {
+  void JudgesSufficientReplication() {
     ViewTarget target({"a", "1"}, {1, 1, 0}, {2 * kRetry, kTimeout, kStart});
-    CPPUNIT_ASSERT(target.IsWide(Ids("a1")));  // nothing is known yet
+    CPPUNIT_ASSERT(target.IsSufficientlyReplicated(Ids("a1")));  // nothing is known yet
     target.SetPeers(kStart, Peers("a1", "", "a=x/r"));
-    CPPUNIT_ASSERT(target.IsWide(Ids("a1")));  // there is no other machine
+    CPPUNIT_ASSERT(target.IsSufficientlyReplicated(Ids("a1")));  // there is no other machine
     target.SetPeers(kStart, Peers("a1 b1", "c1", "a=x/r b=x/r c=y/r"));
-    CPPUNIT_ASSERT(!target.IsWide(Ids("a1")));
-    CPPUNIT_ASSERT(target.IsWide(Ids("a1 b1")));
+    CPPUNIT_ASSERT(!target.IsSufficientlyReplicated(Ids("a1")));
+    CPPUNIT_ASSERT(target.IsSufficientlyReplicated(Ids("a1 b1")));
     target.SetPeers(kStart, Peers("a1 b1 c1", "", "a=x/r b=x/r c=y/r"));
-    CPPUNIT_ASSERT(!target.IsWide(Ids("a1 b1")));
-    CPPUNIT_ASSERT(target.IsWide(Ids("a1 c1")));
+    CPPUNIT_ASSERT(!target.IsSufficientlyReplicated(Ids("a1 b1")));
+    CPPUNIT_ASSERT(target.IsSufficientlyReplicated(Ids("a1 c1")));
   }
 
  private:
--- a/tests/tier/coordination/change_history_test.cpp
+++ b/tests/tier/coordination/change_history_test.cpp
@@ -12,7 +12,9 @@
 
 constexpr char kKey[] = "config";
 
-ChangeId Mark(std::uint64_t number, std::uint64_t digest = 7) { return {number, digest, digest}; }
+ChangeId MakeChangeId(std::uint64_t number, std::uint64_t digest = 7) {
+  return {number, digest, digest};
+}
 
 // Sets the key with a mark, as a head does.
 void Commit(Map* map, const ChangeId& change_id) {
@@ -43,28 +45,29 @@
       });
 }
 
-class ChangeMarksTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(ChangeMarksTest);
-  CPPUNIT_TEST(SaysWhatHasBeenRecorded);
-  CPPUNIT_TEST(KeepsTheNewestOnly);
-  CPPUNIT_TEST(GoesOnAfterAnUnmarkedChange);
+class ChangeHistoryTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ChangeHistoryTest);
+  CPPUNIT_TEST(FindsRecordedChanges);
+  CPPUNIT_TEST(DiscardsOldestPage);
+  CPPUNIT_TEST(ContinuesAfterChangeWithoutId);
   CPPUNIT_TEST(IsCommittedWithTheChange);
-  CPPUNIT_TEST(OutlastsRestartsAndLostDisks);
+  CPPUNIT_TEST(SurvivesRestartsAndLostDisks);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void SaysWhatHasBeenRecorded() {
+  void FindsRecordedChanges() {
     Map map;
-    CPPUNIT_ASSERT_EQUAL(std::string("new"), Text(FindInChangeHistory(map, kKey, Mark(5))));
-    for (const std::uint64_t number : {5, 7, 20}) Commit(&map, Mark(number));
+    CPPUNIT_ASSERT_EQUAL(std::string("new"), Text(FindInChangeHistory(map, kKey, MakeChangeId(5))));
+    for (const std::uint64_t number : {5, 7, 20}) Commit(&map, MakeChangeId(number));
     const struct {
       ChangeId change_id;
       std::string history_status;
     } cases[] = {
-        {Mark(5), "recorded"}, {Mark(7), "recorded"},  {Mark(20), "recorded"},
-        {Mark(7, 8), "other"}, {Mark(20, 8), "other"}, {Mark(6), "other"},
-        {Mark(2), "other"},    {Mark(21), "new"},      {{7, 7, 8}, "other"},
-        {{7, 8, 7}, "other"},
+        {MakeChangeId(5), "recorded"},  {MakeChangeId(7), "recorded"},
+        {MakeChangeId(20), "recorded"}, {MakeChangeId(7, 8), "other"},
+        {MakeChangeId(20, 8), "other"}, {MakeChangeId(6), "other"},
+        {MakeChangeId(2), "other"},     {MakeChangeId(21), "new"},
+        {{7, 7, 8}, "other"},           {{7, 8, 7}, "other"},
     };
     for (const auto& test : cases) {
       CPPUNIT_ASSERT_EQUAL_MESSAGE(std::to_string(test.change_id.number), test.history_status,
@@ -75,45 +78,49 @@
   }
 
   // Uneven numbers, three times around: of each state all that must be kept is, and no more.
-  void KeepsTheNewestOnly() {
+  void DiscardsOldestPage() {
     Map map;
     std::vector<std::uint64_t> numbers;
     std::size_t most = 0;
     for (std::size_t i = 1; i <= 3 * kMaxRecordedChanges; ++i) {
       numbers.push_back(3 * i + i % 2);
-      Commit(&map, Mark(numbers.back()));
+      Commit(&map, MakeChangeId(numbers.back()));
       if (i % 1009 != 0) continue;
       most = std::max(most, BytesOf(map));
       const std::size_t sure = std::min(i, kMaxRecordedChanges - kChangesPerHistoryPage + 1);
       for (const std::size_t back : {std::size_t{1}, sure / 2 + 1, sure}) {
         const std::uint64_t number = numbers[i - back];
         CPPUNIT_ASSERT_EQUAL(std::string("recorded"),
-                             Text(FindInChangeHistory(map, kKey, Mark(number))));
+                             Text(FindInChangeHistory(map, kKey, MakeChangeId(number))));
         CPPUNIT_ASSERT_EQUAL(std::string("other"),
-                             Text(FindInChangeHistory(map, kKey, Mark(number, 1))));
-        const std::string between = Text(FindInChangeHistory(map, kKey, Mark(number - 1)));
+                             Text(FindInChangeHistory(map, kKey, MakeChangeId(number, 1))));
+        const std::string between = Text(FindInChangeHistory(map, kKey, MakeChangeId(number - 1)));
         CPPUNIT_ASSERT(between == "other" || (back == sure && between == "forgotten"));
       }
       if (i <= kMaxRecordedChanges) continue;
       CPPUNIT_ASSERT_EQUAL(
           std::string("forgotten"),
-          Text(FindInChangeHistory(map, kKey, Mark(numbers[i - kMaxRecordedChanges - 1]))));
+          Text(FindInChangeHistory(map, kKey, MakeChangeId(numbers[i - kMaxRecordedChanges - 1]))));
       CPPUNIT_ASSERT_EQUAL(std::string("new"),
-                           Text(FindInChangeHistory(map, kKey, Mark(numbers[i - 1] + 1))));
+                           Text(FindInChangeHistory(map, kKey, MakeChangeId(numbers[i - 1] + 1))));
     }
     CPPUNIT_ASSERT_EQUAL(kChangeHistoryPages + 1, map.size());
     CPPUNIT_ASSERT(most < kMaxRecordedChanges * 25);
   }
 
-  void GoesOnAfterAnUnmarkedChange() {
+  void ContinuesAfterChangeWithoutId() {
     Map map;
-    for (const std::uint64_t number : {1, 2, 3}) Commit(&map, Mark(number));
+    for (const std::uint64_t number : {1, 2, 3}) Commit(&map, MakeChangeId(number));
     ++map[kKey].revision;
-    CPPUNIT_ASSERT_EQUAL(std::string("forgotten"), Text(FindInChangeHistory(map, kKey, Mark(2))));
-    Commit(&map, Mark(9));
-    CPPUNIT_ASSERT_EQUAL(std::string("recorded"), Text(FindInChangeHistory(map, kKey, Mark(9))));
-    CPPUNIT_ASSERT_EQUAL(std::string("forgotten"), Text(FindInChangeHistory(map, kKey, Mark(2))));
-    CPPUNIT_ASSERT_EQUAL(std::string("new"), Text(FindInChangeHistory(map, kKey, Mark(10))));
+    CPPUNIT_ASSERT_EQUAL(std::string("forgotten"),
+                         Text(FindInChangeHistory(map, kKey, MakeChangeId(2))));
+    Commit(&map, MakeChangeId(9));
+    CPPUNIT_ASSERT_EQUAL(std::string("recorded"),
+                         Text(FindInChangeHistory(map, kKey, MakeChangeId(9))));
+    CPPUNIT_ASSERT_EQUAL(std::string("forgotten"),
+                         Text(FindInChangeHistory(map, kKey, MakeChangeId(2))));
+    CPPUNIT_ASSERT_EQUAL(std::string("new"),
+                         Text(FindInChangeHistory(map, kKey, MakeChangeId(10))));
   }
 
   // Whoever has the change has its mark, whatever is lost in between.
@@ -135,12 +142,12 @@
           const auto entry = map->find(kKey);
           const std::uint64_t revision = entry == map->end() ? 0 : entry->second.revision;
           number = std::max(number, revision) + 1;
-          cluster.TryRequest(head, {0,
-                                    kKey,
-                                    revision,
-                                    "v" + std::to_string(number) + "." + std::to_string(turn),
-                                    {},
-                                    Mark(revision + 1, turn)});
+          cluster.SubmitRequest(head, {0,
+                                       kKey,
+                                       revision,
+                                       "v" + std::to_string(number) + "." + std::to_string(turn),
+                                       {},
+                                       MakeChangeId(revision + 1, turn)});
         }
         cluster.RunFor(300 * kMillisecond);
       }
@@ -152,7 +159,7 @@
         const std::uint64_t turn = std::stoull(value.substr(value.find('.') + 1));
         CPPUNIT_ASSERT_EQUAL(
             std::string("recorded"),
-            Text(FindInChangeHistory(*map, kKey, Mark(entry->second.revision, turn))));
+            Text(FindInChangeHistory(*map, kKey, MakeChangeId(entry->second.revision, turn))));
         ++checked;
       }
       CPPUNIT_ASSERT(checked > 5);
@@ -161,13 +168,16 @@
   }
 
   // Every machine loses its disk in its turn; what was recorded first is known after the last.
-  void OutlastsRestartsAndLostDisks() {
+  void SurvivesRestartsAndLostDisks() {
     ChainCluster cluster({3, 1, 4, 0, 0, 0, false});
     CPPUNIT_ASSERT(cluster.CommitsWithin(20 * kSecond));
     for (std::uint64_t revision = 0; revision < 200; ++revision) {
-      cluster.TryRequest(
-          cluster.HeadName(),
-          {0, kKey, revision, "v" + std::to_string(revision), {}, Mark(revision + 1, revision)});
+      cluster.SubmitRequest(cluster.HeadName(), {0,
+                                                 kKey,
+                                                 revision,
+                                                 "v" + std::to_string(revision),
+                                                 {},
+                                                 MakeChangeId(revision + 1, revision)});
       cluster.RunFor(100 * kMillisecond);
     }
     for (const std::string& name : cluster.Names()) {
@@ -180,13 +190,14 @@
     for (const std::string& name : cluster.Names()) {
       const auto map = cluster.machine(name).replica->committed();
       for (std::uint64_t revision = 0; revision < 200; ++revision) {
-        CPPUNIT_ASSERT_EQUAL(std::string("recorded"),
-                             Text(FindInChangeHistory(*map, kKey, Mark(revision + 1, revision))));
+        CPPUNIT_ASSERT_EQUAL(
+            std::string("recorded"),
+            Text(FindInChangeHistory(*map, kKey, MakeChangeId(revision + 1, revision))));
       }
     }
   }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(ChangeMarksTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ChangeHistoryTest);
 
 }  // namespace
 }  // namespace pearreach::coordination
--- a/tests/tier/coordination/membership_cluster.cpp
+++ b/tests/tier/coordination/membership_cluster.cpp
@@ -12,15 +12,16 @@
 
 }  // namespace
 
-Cluster::Cluster(std::uint64_t seed, Network net) : network(net), random_(seed) {}
+MembershipCluster::MembershipCluster(std::uint64_t seed, NetworkConditions net)
+    : network(net), random_(seed) {}
 
-std::uint64_t Cluster::IncarnationOf(int i) const {
+std::uint64_t MembershipCluster::IncarnationOf(int i) const {
   const Node& node = nodes_.at(i);
   if (node.machine == nullptr) return node.incarnation;
   return node.machine->members().at(NameOf(i)).info.incarnation;
 }
 
-void Cluster::Start(int i, const std::string& address, std::uint64_t incarnation) {
+void MembershipCluster::Start(int i, const std::string& address, std::uint64_t incarnation) {
   Node& node = nodes_[i];
   if (incarnation == 0) incarnation = std::max<std::uint64_t>(IncarnationOf(i) + 1, 1000);
   node = Node{};
@@ -36,93 +37,93 @@
                   .incarnation = incarnation,
                   .roles = MemberInfo::kServesEdge};
   node.machine = std::make_unique<Membership>(std::move(options), random_(), now_);
-  NoteEvent();
+  RecordEvent();
 }
 
-void Cluster::StartAll(int count) {
+void MembershipCluster::StartAll(int count) {
   for (int i = 0; i < count; ++i) {
     Start(i);
-    RunFor(static_cast<Micros>(Draw() * 300 * kMilli) / count);
+    RunFor(static_cast<Micros>(RandomFraction() * 300 * kMilli) / count);
   }
 }
 
-void Cluster::Kill(int i) {
+void MembershipCluster::Kill(int i) {
   nodes_.at(i).machine.reset();
   nodes_.at(i).frozen = false;
   nodes_.at(i).waiting.clear();
-  NoteEvent();
+  RecordEvent();
 }
 
-void Cluster::Leave(int i) {
+void MembershipCluster::AnnounceShutdown(int i) {
   std::vector<Datagram> out;
-  At(i).Leave(now_, &out);
-  Carry(i, std::move(out));
+  At(i).AnnounceShutdown(now_, &out);
+  Transmit(i, std::move(out));
   Kill(i);
 }
 
-void Cluster::Freeze(int i) {
+void MembershipCluster::Freeze(int i) {
   nodes_.at(i).frozen = true;
-  NoteEvent();
+  RecordEvent();
 }
 
-void Cluster::Thaw(int i, bool lost) {
+void MembershipCluster::Thaw(int i, bool lost) {
   Node& node = nodes_.at(i);
   node.frozen = false;
-  NoteEvent();
+  RecordEvent();
   if (lost) node.waiting.clear();
   for (auto& [ip, bytes] : std::exchange(node.waiting, {})) {
     std::vector<Datagram> out;
     node.machine->Receive(now_, ip, bytes, &out);
-    Carry(i, std::move(out));
+    Transmit(i, std::move(out));
   }
 }
 
-void Cluster::Cut(int from, int to) {
-  cuts_.insert({from, to});
-  NoteEvent();
+void MembershipCluster::BlockLink(int from, int to) {
+  blocked_links_.insert({from, to});
+  RecordEvent();
 }
 
-void Cluster::CutBoth(int a, int b) {
-  Cut(a, b);
-  Cut(b, a);
+void MembershipCluster::BlockBothDirections(int a, int b) {
+  BlockLink(a, b);
+  BlockLink(b, a);
 }
 
-void Cluster::Isolate(int i) { Split({i}); }
+void MembershipCluster::Isolate(int i) { Split({i}); }
 
-void Cluster::Split(const std::set<int>& one_side) {
+void MembershipCluster::Split(const std::set<int>& one_side) {
   for (const int a : one_side) {
     for (const auto& [b, node] : nodes_) {
-      if (!one_side.contains(b)) CutBoth(a, b);
+      if (!one_side.contains(b)) BlockBothDirections(a, b);
     }
   }
 }
 
-void Cluster::Heal() {
-  cuts_.clear();
-  NoteEvent();
+void MembershipCluster::Heal() {
+  blocked_links_.clear();
+  RecordEvent();
 }
 
-void Cluster::Carry(int from, std::vector<Datagram> datagrams) {
+void MembershipCluster::Transmit(int from, std::vector<Datagram> datagrams) {
   for (Datagram& datagram : datagrams) {
     ++sent;
     sent_bytes += datagram.bytes.size();
     largest = std::max<std::uint64_t>(largest, datagram.bytes.size());
-    const int copies = Draw() < network.doubled ? 2 : 1;
+    const int copies = RandomFraction() < network.doubled ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
-      if (Draw() < network.loss) continue;
-      const double share = Draw();
+      if (RandomFraction() < network.loss) continue;
+      const double fraction = RandomFraction();
       const Micros delay =
           network.shortest +
-          static_cast<Micros>(share * static_cast<double>(network.longest - network.shortest));
+          static_cast<Micros>(fraction * static_cast<double>(network.longest - network.shortest));
       flights_.emplace(now_ + delay, Flight{from, datagram.to, datagram.bytes});
     }
   }
 }
 
-void Cluster::Deliver(const Flight& flight) {
+void MembershipCluster::Deliver(const Flight& flight) {
   for (auto& [i, node] : nodes_) {
     if (node.machine == nullptr || node.address != flight.to) continue;
-    if (cuts_.contains({flight.from, i})) return;
+    if (blocked_links_.contains({flight.from, i})) return;
     const std::string from = nodes_.at(flight.from).address;
     const std::string ip = from.substr(0, from.find(':'));
     if (node.frozen) {
@@ -131,22 +132,22 @@
     }
     std::vector<Datagram> out;
     node.machine->Receive(now_, ip, flight.bytes, &out);
-    Carry(i, std::move(out));
+    Transmit(i, std::move(out));
     Check(i);
     return;
   }
 }
 
-void Cluster::TickOne(int i) {
+void MembershipCluster::TickOne(int i) {
   ++ticks;
   std::vector<Datagram> out;
   nodes_.at(i).machine->Tick(now_, &out);
-  Carry(i, std::move(out));
+  Transmit(i, std::move(out));
   Check(i);
   if (nodes_.at(i).machine->NextTick() <= now_) violations.push_back("a tick leaves work undone");
 }
 
-void Cluster::Check(int i) {
+void MembershipCluster::Check(int i) {
   Node& node = nodes_.at(i);
   for (const std::string& name : node.machine->TakeChanged()) {
     const auto found = node.machine->members().find(name);
@@ -161,20 +162,21 @@
     const int target = IndexOf(name);
     const bool wrong = Running(target) && member.info.incarnation == IncarnationOf(target) &&
                        !IsLive(member.status);
-    if (wrong && !wrong_since_.contains({i, target})) {
-      ++wrong_deaths;
-      wrong_since_[{i, target}] = now_;
+    if (wrong && !false_death_since_.contains({i, target})) {
+      ++false_deaths;
+      false_death_since_[{i, target}] = now_;
     }
-    if (!wrong) wrong_since_.erase({i, target});
+    if (!wrong) false_death_since_.erase({i, target});
   }
-  for (const auto& [pair, since] : wrong_since_) {
+  for (const auto& [pair, since] : false_death_since_) {
     const auto& [observer, target] = pair;
-    const bool counts = Running(observer) && Running(target) && cuts_.empty();
-    if (counts) longest_wrong = std::max(longest_wrong, now_ - std::max(since, last_event_));
+    const bool counts = Running(observer) && Running(target) && blocked_links_.empty();
+    if (counts)
+      longest_false_death = std::max(longest_false_death, now_ - std::max(since, last_event_));
   }
 }
 
-void Cluster::RunFor(Micros span) {
+void MembershipCluster::RunFor(Micros span) {
   const Micros end = now_ + span;
   for (;;) {
     Micros next = flights_.empty() ? end + 1 : flights_.begin()->first;
@@ -200,7 +202,7 @@
   now_ = end;
 }
 
-bool Cluster::Settle(Micros bound) {
+bool MembershipCluster::RunUntilAgreed(Micros bound) {
   const Micros end = now_ + bound;
   while (!Agreed()) {
     if (now_ >= end) return false;
@@ -209,9 +211,9 @@
   return true;
 }
 
-bool Cluster::Agreed() const { return Disagreement().empty(); }
+bool MembershipCluster::Agreed() const { return Disagreement().empty(); }
 
-std::string Cluster::Disagreement() const {
+std::string MembershipCluster::Disagreement() const {
   std::string text;
   for (const auto& [i, node] : nodes_) {
     if (!Running(i)) continue;
@@ -227,15 +229,15 @@
   return text;
 }
 
-bool Cluster::Knows(int observer, int target) const {
+bool MembershipCluster::Knows(int observer, int target) const {
   return nodes_.at(observer).machine->members().contains(NameOf(target));
 }
 
-MemberStatus Cluster::StatusAt(int observer, int target) const {
+MemberStatus MembershipCluster::StatusAt(int observer, int target) const {
   return nodes_.at(observer).machine->members().at(NameOf(target)).status;
 }
 
-int Cluster::HeldLiveBy(int target) const {
+int MembershipCluster::CountSeeingLive(int target) const {
   int count = 0;
   for (const auto& [i, node] : nodes_) {
     if (Running(i) && i != target && Knows(i, target) && IsLive(StatusAt(i, target))) ++count;
--- a/tests/tier/coordination/membership_cluster.h
+++ b/tests/tier/coordination/membership_cluster.h
@@ -18,32 +18,32 @@
 
 constexpr Micros kMilli = 1000, kSecond = 1000 * kMilli;
 
-struct Network {
+struct NetworkConditions {
   double loss = 0, doubled = 0;
   Micros shortest = 1 * kMilli, longest = 30 * kMilli;  // delay of a datagram
 };
 
-class Cluster {
+class MembershipCluster {
  public:
-  explicit Cluster(std::uint64_t seed, Network network = {});
+  explicit MembershipCluster(std::uint64_t seed, NetworkConditions network = {});
 
   // Starts node `i`, or starts it again: a later incarnation, or the one that is given, at
   // `address` where that is given.
   void Start(int i, const std::string& address = "", std::uint64_t incarnation = 0);
   void StartAll(int count);
   void Kill(int i);
-  void Leave(int i);
+  void AnnounceShutdown(int i);
   void Freeze(int i);
   // What came meanwhile is read then, or was lost.
   void Thaw(int i, bool lost = false);
-  void Cut(int from, int to);  // one way
-  void CutBoth(int a, int b);
+  void BlockLink(int from, int to);  // one way
+  void BlockBothDirections(int a, int b);
   void Isolate(int i);                        // both ways, from all
   void Split(const std::set<int>& one_side);  // all links between it and the others
   void Heal();                                // all links
   void RunFor(Micros span);
   // Runs until all running nodes agree on who is live; false: not within `bound`.
-  bool Settle(Micros bound);
+  bool RunUntilAgreed(Micros bound);
 
   bool Agreed() const;
   std::string Disagreement() const;
@@ -52,7 +52,7 @@
   MemberStatus StatusAt(int observer, int target) const;
   bool Knows(int observer, int target) const;
   // Nodes that hold `target` live, of the running ones.
-  int HeldLiveBy(int target) const;
+  int CountSeeingLive(int target) const;
   Micros now() const { return now_; }
 
   // Of its running process, else of the last one.
@@ -60,15 +60,15 @@
   static std::string NameOf(int i) { return "edge-zone-" + std::to_string(i); }
   static std::string AddressOf(int i) { return "10.0.0." + std::to_string(i) + ":7660"; }
 
-  Network network;
+  NetworkConditions network;
   std::vector<std::string> seeds = {AddressOf(0), AddressOf(1), AddressOf(2)};
   MembershipOptions defaults;  // all but self and seeds
   std::uint64_t sent = 0, sent_bytes = 0, ticks = 0, largest = 0;
   std::vector<std::string> violations;
   // Longest time that a running, reachable, thawed node was held dead by another one since the
   // last event, and how often a running one was held dead at all.
-  Micros longest_wrong = 0;
-  int wrong_deaths = 0;
+  Micros longest_false_death = 0;
+  int false_deaths = 0;
 
  private:
   struct Node {
@@ -86,22 +86,22 @@
   };
 
   bool Running(int i) const { return Up(i) && !nodes_.at(i).frozen; }
-  void Carry(int from, std::vector<Datagram> datagrams);
+  void Transmit(int from, std::vector<Datagram> datagrams);
   void Deliver(const Flight& flight);
   void TickOne(int i);
   void Check(int i);
-  void NoteEvent() {
+  void RecordEvent() {
     last_event_ = now_;
-    wrong_since_.clear();
+    false_death_since_.clear();
   }
-  double Draw() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  double RandomFraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
   std::mt19937_64 random_;
   Micros now_ = 1000 * kSecond, last_event_ = 0;
   std::map<int, Node> nodes_;
-  std::set<std::pair<int, int>> cuts_;
+  std::set<std::pair<int, int>> blocked_links_;
   std::multimap<Micros, Flight> flights_;
-  std::map<std::pair<int, int>, Micros> wrong_since_;
+  std::map<std::pair<int, int>, Micros> false_death_since_;
 };
 
 }  // namespace pearreach::coordination
--- a/tests/tier/coordination/membership_wire_test.cpp
+++ b/tests/tier/coordination/membership_wire_test.cpp
@@ -54,22 +54,22 @@
   CPPUNIT_TEST_SUITE(MembershipWireTest);
   CPPUNIT_TEST(MergeRules);
   CPPUNIT_TEST(RoundTrip);
-  CPPUNIT_TEST(CutBytesAreRefused);
-  CPPUNIT_TEST(ChangedBytesDoNoHarm);
-  CPPUNIT_TEST(RandomBytesAreCounted);
-  CPPUNIT_TEST(TooLongTextsAreRefused);
-  CPPUNIT_TEST(ChangesNewestFirst);
+  CPPUNIT_TEST(RejectsTruncatedBytes);
+  CPPUNIT_TEST(SurvivesCorruptBytes);
+  CPPUNIT_TEST(CountsMalformedDatagrams);
+  CPPUNIT_TEST(RejectsOverlongStrings);
+  CPPUNIT_TEST(QueueOrdersByTransmissionsThenAge);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void MergeRules() {
-    struct Account {
+    struct Record {
       std::uint64_t incarnation;
       MemberStatus status;
       std::uint32_t refutations;
     };
     struct Case {
-      Account known, news;
+      Record known, update;
       bool superseded;
     };
     const std::vector<Case> cases = {
@@ -106,12 +106,12 @@
       known.info.incarnation = cases[i].known.incarnation;
       known.status = cases[i].known.status;
       known.refutations = cases[i].known.refutations;
-      MemberRecord news;
-      news.info.incarnation = cases[i].news.incarnation;
-      news.status = cases[i].news.status;
-      news.refutations = cases[i].news.refutations;
+      MemberRecord update;
+      update.info.incarnation = cases[i].update.incarnation;
+      update.status = cases[i].update.status;
+      update.refutations = cases[i].update.refutations;
       CPPUNIT_ASSERT_EQUAL_MESSAGE("case " + std::to_string(i), cases[i].superseded,
-                                   Supersedes(&known, news));
+                                   Supersedes(&known, update));
     }
     CPPUNIT_ASSERT(Supersedes(nullptr, MemberRecord{}));
   }
@@ -134,7 +134,7 @@
     }
   }
 
-  void CutBytesAreRefused() {
+  void RejectsTruncatedBytes() {
     const std::string bytes = EncodePacket(FullPacket());
     for (std::size_t size = 0; size < bytes.size(); ++size) {
       CPPUNIT_ASSERT(!DecodePacket(std::string_view(bytes).substr(0, size)).ok());
@@ -142,7 +142,7 @@
     CPPUNIT_ASSERT(!DecodePacket(bytes + "x").ok());
   }
 
-  void ChangedBytesDoNoHarm() {
+  void SurvivesCorruptBytes() {
     const std::string bytes = EncodePacket(FullPacket());
     Membership node = SmallNode();
     for (std::size_t at = 0; at < bytes.size(); ++at) {
@@ -160,22 +160,22 @@
     CPPUNIT_ASSERT(node.members().at("edge-2").status == kAlive);
   }
 
-  void RandomBytesAreCounted() {
+  void CountsMalformedDatagrams() {
     std::mt19937_64 random(7);
     Membership node = SmallNode();
-    constexpr std::uint64_t kTries = 3000;
-    for (std::uint64_t i = 0; i < kTries; ++i) {
+    constexpr std::uint64_t kAttempts = 3000;
+    for (std::uint64_t i = 0; i < kAttempts; ++i) {
       std::string bytes(random() % 200, '\0');
       for (char& c : bytes) c = static_cast<char>(random());
       std::vector<Datagram> out;
       node.Receive(static_cast<Micros>(i), "10.0.0.9", bytes, &out);
       CPPUNIT_ASSERT(out.empty());
     }
-    CPPUNIT_ASSERT_EQUAL(kTries, node.malformed());
+    CPPUNIT_ASSERT_EQUAL(kAttempts, node.malformed());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, node.members().size());
   }
 
-  void TooLongTextsAreRefused() {
+  void RejectsOverlongStrings() {
     MemberPacket packet = FullPacket();
     packet.records[1].info.zone = std::string(kMaxTextBytes + 1, 'z');
     CPPUNIT_ASSERT(!DecodePacket(EncodePacket(packet)).ok());
@@ -190,24 +190,24 @@
     CPPUNIT_ASSERT(!DecodePacket(EncodePacket(packet)).ok());
   }
 
-  void ChangesNewestFirst() {
-    PendingChanges changes;
+  void QueueOrdersByTransmissionsThenAge() {
+    UpdateQueue changes;
     for (const char* name : {"a", "b", "c"}) changes.Add(name);
     std::string taken;
-    int room = 2;
+    int capacity = 2;
     const auto take = [&](const std::string& name) {
-      if (room-- == 0) return PendingChanges::Fit::kTooLarge;
+      if (capacity-- == 0) return UpdateQueue::OfferResult::kTooLarge;
       taken += name;
-      return PendingChanges::Fit::kTaken;
+      return UpdateQueue::OfferResult::kIncluded;
     };
     changes.Offer(2, take);
     CPPUNIT_ASSERT_EQUAL(std::string("cb"), taken);
-    room = 2;
+    capacity = 2;
     changes.Offer(2, take);  // the one never sent, then the newest of the others, for the last time
     CPPUNIT_ASSERT_EQUAL(std::string("cbac"), taken);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, changes.size());
     changes.Add("b");  // anew
-    room = 10;
+    capacity = 10;
     for (int i = 0; i < 5; ++i) changes.Offer(2, take);
     CPPUNIT_ASSERT_EQUAL(std::string("cbacbab"), taken);
     CPPUNIT_ASSERT(changes.empty());
--- a/tests/tier/coordination/singleton_role_test.cpp
+++ b/tests/tier/coordination/singleton_role_test.cpp
@@ -13,15 +13,15 @@
 namespace pearreach::coordination {
 namespace {
 
-constexpr Micros kPause = 200 * kMillisecond;
-constexpr char kDutyKey[] = "duty/test", kTableKey[] = "table";
+constexpr Micros kClaimInterval = 200 * kMillisecond;
+constexpr char kRoleKey[] = "duty/test", kTableKey[] = "table";
 
 // Nodes that do a duty over a chain cluster. Each is told who is the first live one and acts as
 // long as it takes itself for the holder; a claim and an action reach the head some time after they
 // were decided, as over a relay.
-class DutyDay {
+class SingletonRoleScenario {
  public:
-  DutyDay(std::uint64_t seed, double loss = 0) : cluster_(OptionsOf(seed, loss)) {}
+  SingletonRoleScenario(std::uint64_t seed, double loss = 0) : cluster_(OptionsOf(seed, loss)) {}
 
   ChainCluster& cluster() { return cluster_; }
   // What each node takes for the first live one.
@@ -29,17 +29,17 @@
     return FirstLive(node);
   };
 
-  bool Begin() {
+  bool WaitForOwner() {
     if (!cluster_.CommitsWithin(15 * kSecond)) return false;
-    for (const std::string& name : cluster_.Names()) Turn(name);
-    return cluster_.RunUntil(10 * kSecond, [&] { return !Holder().empty(); });
+    for (const std::string& name : cluster_.Names()) Step(name);
+    return cluster_.RunUntil(10 * kSecond, [&] { return !Owner().empty(); });
   }
   void RunFor(Micros span) { cluster_.RunFor(span); }
 
   // The holder by the newest map that anybody has: node, or nothing.
-  std::string Holder() const {
+  std::string Owner() const {
     const SingletonRoleRecord record = Newest();
-    return record.holder.substr(0, record.holder.find('#'));
+    return record.owner.substr(0, record.owner.find('#'));
   }
   std::uint64_t Epoch() const { return Newest().epoch; }
   std::size_t ActionsUnder(std::uint64_t epoch) const {
@@ -52,15 +52,15 @@
   std::string Check() {
     std::string wrong;
     for (const std::string& finding : cluster_.history().findings()) wrong += finding + "; ";
-    std::map<std::uint64_t, std::set<std::string>> doers;
+    std::map<std::uint64_t, std::set<std::string>> actors;
     for (const Action& action : Actions()) {
-      doers[action.epoch].insert(action.doer);
+      actors[action.epoch].insert(action.actor);
       if (action.epoch != action.greatest) {
         wrong += "epoch " + std::to_string(action.epoch) + " acted below " +
                  std::to_string(action.greatest) + "; ";
       }
     }
-    for (const auto& [epoch, names] : doers) {
+    for (const auto& [epoch, names] : actors) {
       if (names.size() > 1) wrong += "two doers of epoch " + std::to_string(epoch) + "; ";
     }
     return wrong;
@@ -69,7 +69,7 @@
  private:
   struct Action {
     std::uint64_t epoch = 0, greatest = 0;  // the greatest epoch that its map shows
-    std::string doer;
+    std::string actor;
   };
 
   static ClusterOptions OptionsOf(std::uint64_t seed, double loss) {
@@ -84,7 +84,7 @@
     return RecordOf(*cluster_.maps().rbegin()->second);
   }
   static SingletonRoleRecord RecordOf(const Map& map) {
-    const auto found = map.find(kDutyKey);
+    const auto found = map.find(kRoleKey);
     if (found == map.end()) return {};
     const std::string& value = found->second.value;  // "HOLDER CLAIM"
     return {found->second.revision, value.substr(0, value.find(' '))};
@@ -114,46 +114,49 @@
     return node;
   }
 
-  SingletonRole& DutyOf(const std::string& node) {
-    const std::uint64_t life = cluster_.machine(node).life;
-    auto& [known, duty] = duties_[node];
-    if (duty == nullptr || known != life) {
-      known = life;
-      duty = std::make_unique<SingletonRole>(node + "#" + std::to_string(life), kPause);
+  SingletonRole& RoleOf(const std::string& node) {
+    const std::uint64_t incarnation = cluster_.machine(node).incarnation;
+    auto& [known, role] = roles_[node];
+    if (role == nullptr || known != incarnation) {
+      known = incarnation;
+      role =
+          std::make_unique<SingletonRole>(node + "#" + std::to_string(incarnation), kClaimInterval);
     }
-    return *duty;
+    return *role;
   }
 
   // One look of a node; a frozen one looks when it thaws.
-  void Turn(const std::string& node) {
-    cluster_.At(cluster_.now() + Between(20, 60) * kMillisecond, [this, node] { Turn(node); });
+  void Step(const std::string& node) {
+    cluster_.At(cluster_.now() + Between(20, 60) * kMillisecond, [this, node] { Step(node); });
     ChainCluster::Machine& machine = cluster_.machine(node);
     if (!machine.up() || machine.frozen || machine.gone) return;
-    SingletonRole& duty = DutyOf(node);
+    SingletonRole& role = RoleOf(node);
     const auto map = machine.replica->committed();
-    if (map) duty.Observe(RecordOf(*map));
-    duty.SetCandidate(first(node) == node);
-    if (const auto epoch = duty.NextClaim(cluster_.now())) Claim(node, *epoch);
-    if (duty.owned_epoch() && map) Act(node, *duty.owned_epoch(), *map);
+    if (map) role.Observe(RecordOf(*map));
+    role.SetCandidate(first(node) == node);
+    if (const auto epoch = role.NextClaim(cluster_.now())) Claim(node, *epoch);
+    if (role.owned_epoch() && map) Act(node, *role.owned_epoch(), *map);
   }
 
   // A claim's outcome is lost on its way back now and then: it shows in the record then.
   void Claim(const std::string& node, std::uint64_t epoch) {
-    const std::uint64_t life = cluster_.machine(node).life;
-    const std::string value = node + "#" + std::to_string(life) + " " + std::to_string(++claims_);
-    Relay({0, kDutyKey, epoch, value, {}});
-    cluster_.At(cluster_.now() + kSecond, [this, node, life] {
-      if (cluster_.machine(node).life != life) return;
-      DutyOf(node).OnClaimCompleted(ChangeStatus::kUnavailable, 0);
+    const std::uint64_t incarnation = cluster_.machine(node).incarnation;
+    const std::string value =
+        node + "#" + std::to_string(incarnation) + " " + std::to_string(++claims_);
+    Relay({0, kRoleKey, epoch, value, {}});
+    cluster_.At(cluster_.now() + kSecond, [this, node, incarnation] {
+      if (cluster_.machine(node).incarnation != incarnation) return;
+      RoleOf(node).OnClaimCompleted(ChangeStatus::kUnavailable, 0);
     });
   }
 
   void Act(const std::string& node, std::uint64_t epoch, const Map& map) {
     const auto found = map.find(kTableKey);
     const std::uint64_t revision = found == map.end() ? 0 : found->second.revision;
-    const std::string doer = node + "#" + std::to_string(cluster_.machine(node).life);
-    const std::string value = std::to_string(epoch) + " " + doer + " " + std::to_string(++actions_);
-    Relay({0, kTableKey, revision, value, {kDutyKey, epoch}});
+    const std::string actor = node + "#" + std::to_string(cluster_.machine(node).incarnation);
+    const std::string value =
+        std::to_string(epoch) + " " + actor + " " + std::to_string(++actions_);
+    Relay({0, kTableKey, revision, value, {kRoleKey, epoch}});
   }
 
   // Some actions are late and reach the head long after.
@@ -170,7 +173,7 @@
         const auto found = map->find(kTableKey);
         current.expected = found == map->end() ? 0 : found->second.revision;
       }
-      cluster_.TryRequest(head, std::move(current));
+      cluster_.SubmitRequest(head, std::move(current));
     });
   }
 
@@ -179,81 +182,81 @@
   }
 
   ChainCluster cluster_;
-  std::map<std::string, std::pair<std::uint64_t, std::unique_ptr<SingletonRole>>> duties_;
+  std::map<std::string, std::pair<std::uint64_t, std::unique_ptr<SingletonRole>>> roles_;
   std::uint64_t actions_ = 0, claims_ = 0;
 };
 
-class DutyTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(DutyTest);
-  CPPUNIT_TEST(TakesADutyThatNobodyHolds);
+class SingletonRoleTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(SingletonRoleTest);
+  CPPUNIT_TEST(ClaimsRoleWithoutOwner);
   CPPUNIT_TEST(ActsOnlyWhileFirstAndNewest);
-  CPPUNIT_TEST(AnUnclearClaimShowsInTheRecord);
-  CPPUNIT_TEST(ClaimsAreSpaced);
-  CPPUNIT_TEST(TheControlStateRefusesAnEarlierEpoch);
-  CPPUNIT_TEST(HolderFrozenAndThawed);
-  CPPUNIT_TEST(HolderCutOff);
-  CPPUNIT_TEST(KilledRightAfterTakingOver);
-  CPPUNIT_TEST(TwoClaimAtOnce);
-  CPPUNIT_TEST(ViewsLag);
+  CPPUNIT_TEST(LearnsOutcomeOfUnansweredClaim);
+  CPPUNIT_TEST(WaitsBetweenClaims);
+  CPPUNIT_TEST(RejectsChangeFencedByLaterEpoch);
+  CPPUNIT_TEST(FencesOwnerThatWasFrozen);
+  CPPUNIT_TEST(ReplacesIsolatedOwner);
+  CPPUNIT_TEST(SurvivesOwnersKilledAfterClaim);
+  CPPUNIT_TEST(OneActorPerEpochWhenAllClaim);
+  CPPUNIT_TEST(OneActorPerEpochWithFalseSuspicions);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr int kSeeds = 30;
 
-  static void Check(DutyDay& day, std::uint64_t seed) {
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("seed " + std::to_string(seed), std::string(), day.Check());
+  static void Check(SingletonRoleScenario& scenario, std::uint64_t seed) {
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("seed " + std::to_string(seed), std::string(), scenario.Check());
   }
 
  public:
-  void TakesADutyThatNobodyHolds() {
-    SingletonRole duty("a#1", kPause);
-    CPPUNIT_ASSERT(!duty.NextClaim(0));
-    duty.SetCandidate(true);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, duty.NextClaim(0).value());
-    CPPUNIT_ASSERT(!duty.owned_epoch());
-    duty.OnClaimCompleted(ChangeStatus::kCommitted, 1);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, duty.owned_epoch().value());
-    CPPUNIT_ASSERT(!duty.NextClaim(10 * kPause));
+  void ClaimsRoleWithoutOwner() {
+    SingletonRole role("a#1", kClaimInterval);
+    CPPUNIT_ASSERT(!role.NextClaim(0));
+    role.SetCandidate(true);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, role.NextClaim(0).value());
+    CPPUNIT_ASSERT(!role.owned_epoch());
+    role.OnClaimCompleted(ChangeStatus::kCommitted, 1);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, role.owned_epoch().value());
+    CPPUNIT_ASSERT(!role.NextClaim(10 * kClaimInterval));
   }
 
   void ActsOnlyWhileFirstAndNewest() {
-    SingletonRole duty("a#2", kPause);
-    duty.SetCandidate(true);
-    duty.Observe({4, "a#1"});  // an earlier process of this node
-    CPPUNIT_ASSERT(!duty.owned_epoch());
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, duty.NextClaim(0).value());
-    duty.OnClaimCompleted(ChangeStatus::kCommitted, 5);
-    duty.SetCandidate(false);
-    CPPUNIT_ASSERT(!duty.owned_epoch());
-    duty.SetCandidate(true);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, duty.owned_epoch().value());
-    duty.Observe({6, "b#1"});
-    CPPUNIT_ASSERT(!duty.owned_epoch());
-    duty.Observe({5, "a#2"});  // late
-    CPPUNIT_ASSERT(!duty.owned_epoch());
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, duty.NextClaim(kPause).value());
+    SingletonRole role("a#2", kClaimInterval);
+    role.SetCandidate(true);
+    role.Observe({4, "a#1"});  // an earlier process of this node
+    CPPUNIT_ASSERT(!role.owned_epoch());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, role.NextClaim(0).value());
+    role.OnClaimCompleted(ChangeStatus::kCommitted, 5);
+    role.SetCandidate(false);
+    CPPUNIT_ASSERT(!role.owned_epoch());
+    role.SetCandidate(true);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, role.owned_epoch().value());
+    role.Observe({6, "b#1"});
+    CPPUNIT_ASSERT(!role.owned_epoch());
+    role.Observe({5, "a#2"});  // late
+    CPPUNIT_ASSERT(!role.owned_epoch());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, role.NextClaim(kClaimInterval).value());
   }
 
-  void AnUnclearClaimShowsInTheRecord() {
-    SingletonRole duty("a#1", kPause);
-    duty.SetCandidate(true);
-    duty.NextClaim(0);
-    duty.OnClaimCompleted(ChangeStatus::kUnavailable, 0);
-    CPPUNIT_ASSERT(!duty.owned_epoch());
-    duty.Observe({1, "a#1"});
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, duty.owned_epoch().value());
+  void LearnsOutcomeOfUnansweredClaim() {
+    SingletonRole role("a#1", kClaimInterval);
+    role.SetCandidate(true);
+    role.NextClaim(0);
+    role.OnClaimCompleted(ChangeStatus::kUnavailable, 0);
+    CPPUNIT_ASSERT(!role.owned_epoch());
+    role.Observe({1, "a#1"});
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, role.owned_epoch().value());
   }
 
-  void ClaimsAreSpaced() {
-    SingletonRole duty("a#1", kPause);
-    duty.SetCandidate(true);
-    CPPUNIT_ASSERT(duty.NextClaim(0));
-    CPPUNIT_ASSERT(!duty.NextClaim(kPause));  // still under way
-    duty.OnClaimCompleted(ChangeStatus::kConflict, 3);
-    CPPUNIT_ASSERT(!duty.NextClaim(kPause - 1));
-    CPPUNIT_ASSERT(duty.NextClaim(kPause));
+  void WaitsBetweenClaims() {
+    SingletonRole role("a#1", kClaimInterval);
+    role.SetCandidate(true);
+    CPPUNIT_ASSERT(role.NextClaim(0));
+    CPPUNIT_ASSERT(!role.NextClaim(kClaimInterval));  // still under way
+    role.OnClaimCompleted(ChangeStatus::kConflict, 3);
+    CPPUNIT_ASSERT(!role.NextClaim(kClaimInterval - 1));
+    CPPUNIT_ASSERT(role.NextClaim(kClaimInterval));
   }
 
-  void TheControlStateRefusesAnEarlierEpoch() {
+  void RejectsChangeFencedByLaterEpoch() {
     ChainCluster cluster({});
     CPPUNIT_ASSERT(cluster.CommitsWithin(15 * kSecond));
     const std::string head = cluster.HeadName();
@@ -262,121 +265,123 @@
       ChangeStatus status;
     } cases[] = {
         // A state in which the duty was never taken is that of epoch 0.
-        {{0, kTableKey, 0, "t1", {kDutyKey, 0}}, ChangeStatus::kCommitted},
-        {{0, kDutyKey, 0, "a", {}}, ChangeStatus::kCommitted},
-        {{0, kTableKey, 1, "t2", {kDutyKey, 0}}, ChangeStatus::kFenced},
-        {{0, kTableKey, 1, "t3", {kDutyKey, 1}}, ChangeStatus::kCommitted},
-        {{0, kTableKey, 1, "t4", {kDutyKey, 1}}, ChangeStatus::kConflict},
+        {{0, kTableKey, 0, "t1", {kRoleKey, 0}}, ChangeStatus::kCommitted},
+        {{0, kRoleKey, 0, "a", {}}, ChangeStatus::kCommitted},
+        {{0, kTableKey, 1, "t2", {kRoleKey, 0}}, ChangeStatus::kFenced},
+        {{0, kTableKey, 1, "t3", {kRoleKey, 1}}, ChangeStatus::kCommitted},
+        {{0, kTableKey, 1, "t4", {kRoleKey, 1}}, ChangeStatus::kConflict},
         {{0, kTableKey, 2, "t5", {}}, ChangeStatus::kCommitted},  // an operator's
     };
     for (const auto& test : cases) {
-      cluster.TryRequest(head, test.request);
+      cluster.SubmitRequest(head, test.request);
       cluster.RunUntil(kSecond, [&] { return cluster.ResultOf(test.request.value).has_value(); });
       const auto result = cluster.ResultOf(test.request.value);
       CPPUNIT_ASSERT_MESSAGE(test.request.value, result.has_value());
       CPPUNIT_ASSERT_EQUAL_MESSAGE(test.request.value, int(test.status), int(result->status));
     }
     // Given at once, a claim and an action under the epoch before do not share a version.
-    cluster.TryRequest(head, {0, kDutyKey, 1, "b", {}});
-    cluster.TryRequest(head, {0, kTableKey, 3, "t6", {kDutyKey, 1}});
+    cluster.SubmitRequest(head, {0, kRoleKey, 1, "b", {}});
+    cluster.SubmitRequest(head, {0, kTableKey, 3, "t6", {kRoleKey, 1}});
     cluster.RunFor(kSecond);
     CPPUNIT_ASSERT_EQUAL(int(ChangeStatus::kCommitted), int(cluster.ResultOf("b")->status));
     CPPUNIT_ASSERT_EQUAL(int(ChangeStatus::kFenced), int(cluster.ResultOf("t6")->status));
   }
 
-  void HolderFrozenAndThawed() {
+  void FencesOwnerThatWasFrozen() {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-      DutyDay day(seed);
-      CPPUNIT_ASSERT(day.Begin());
-      const std::string holder = day.Holder();
-      const std::uint64_t epoch = day.Epoch();
-      day.cluster().Freeze(holder);
-      CPPUNIT_ASSERT(day.cluster().RunUntil(10 * kSecond, [&] { return day.Holder() != holder; }));
-      day.RunFor(kSecond);
-      const std::size_t actions = day.ActionsUnder(epoch);
-      day.cluster().Thaw(holder);
-      day.RunFor(5 * kSecond);
-      Check(day, seed);
-      CPPUNIT_ASSERT_EQUAL(actions, day.ActionsUnder(epoch));
-      CPPUNIT_ASSERT(day.ActionsUnder(day.Epoch()) > 0);
+      SingletonRoleScenario scenario(seed);
+      CPPUNIT_ASSERT(scenario.WaitForOwner());
+      const std::string owner = scenario.Owner();
+      const std::uint64_t epoch = scenario.Epoch();
+      scenario.cluster().Freeze(owner);
+      CPPUNIT_ASSERT(
+          scenario.cluster().RunUntil(10 * kSecond, [&] { return scenario.Owner() != owner; }));
+      scenario.RunFor(kSecond);
+      const std::size_t actions = scenario.ActionsUnder(epoch);
+      scenario.cluster().Thaw(owner);
+      scenario.RunFor(5 * kSecond);
+      Check(scenario, seed);
+      CPPUNIT_ASSERT_EQUAL(actions, scenario.ActionsUnder(epoch));
+      CPPUNIT_ASSERT(scenario.ActionsUnder(scenario.Epoch()) > 0);
     }
   }
 
-  void HolderCutOff() {
+  void ReplacesIsolatedOwner() {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-      DutyDay day(seed);
-      CPPUNIT_ASSERT(day.Begin());
-      const std::string holder = day.Holder();
-      for (const std::string& name : day.cluster().Names()) {
-        if (name == holder) continue;
-        day.cluster().Cut(holder, name);
-        day.cluster().Cut(name, holder);
+      SingletonRoleScenario scenario(seed);
+      CPPUNIT_ASSERT(scenario.WaitForOwner());
+      const std::string owner = scenario.Owner();
+      for (const std::string& name : scenario.cluster().Names()) {
+        if (name == owner) continue;
+        scenario.cluster().BlockLink(owner, name);
+        scenario.cluster().BlockLink(name, owner);
       }
-      for (const std::string& name : day.cluster().Names()) {
-        if (name == holder) continue;
-        day.cluster().MisreportDead(name, holder);  // rightly, as nothing comes through
-        day.cluster().MisreportDead(holder, name);
+      for (const std::string& name : scenario.cluster().Names()) {
+        if (name == owner) continue;
+        scenario.cluster().MisreportDead(name, owner);  // rightly, as nothing comes through
+        scenario.cluster().MisreportDead(owner, name);
       }
-      CPPUNIT_ASSERT(day.cluster().RunUntil(15 * kSecond, [&] { return day.Holder() != holder; }));
-      const std::uint64_t epoch = day.Epoch();
-      day.RunFor(kSecond);
-      CPPUNIT_ASSERT(day.ActionsUnder(epoch) > 0);
-      day.cluster().Heal();
-      day.RunFor(5 * kSecond);
-      Check(day, seed);
+      CPPUNIT_ASSERT(
+          scenario.cluster().RunUntil(15 * kSecond, [&] { return scenario.Owner() != owner; }));
+      const std::uint64_t epoch = scenario.Epoch();
+      scenario.RunFor(kSecond);
+      CPPUNIT_ASSERT(scenario.ActionsUnder(epoch) > 0);
+      scenario.cluster().Heal();
+      scenario.RunFor(5 * kSecond);
+      Check(scenario, seed);
     }
   }
 
-  void KilledRightAfterTakingOver() {
+  void SurvivesOwnersKilledAfterClaim() {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-      DutyDay day(seed);
-      CPPUNIT_ASSERT(day.Begin());
+      SingletonRoleScenario scenario(seed);
+      CPPUNIT_ASSERT(scenario.WaitForOwner());
       for (int round = 0; round < 3; ++round) {
-        const std::string holder = day.Holder();
-        const std::uint64_t epoch = day.Epoch();
-        day.cluster().Crash(holder);
-        const auto taken = [&] { return day.Epoch() > epoch; };
-        CPPUNIT_ASSERT(day.cluster().RunUntil(15 * kSecond, taken));
-        day.cluster().Start(holder);
-        day.RunFor(2 * kSecond);
+        const std::string owner = scenario.Owner();
+        const std::uint64_t epoch = scenario.Epoch();
+        scenario.cluster().Crash(owner);
+        const auto taken = [&] { return scenario.Epoch() > epoch; };
+        CPPUNIT_ASSERT(scenario.cluster().RunUntil(15 * kSecond, taken));
+        scenario.cluster().Start(owner);
+        scenario.RunFor(2 * kSecond);
       }
-      day.RunFor(5 * kSecond);
-      Check(day, seed);
-      CPPUNIT_ASSERT(day.ActionsUnder(day.Epoch()) > 0);
+      scenario.RunFor(5 * kSecond);
+      Check(scenario, seed);
+      CPPUNIT_ASSERT(scenario.ActionsUnder(scenario.Epoch()) > 0);
     }
   }
 
   // All take themselves for the first: each epoch still has one doer.
-  void TwoClaimAtOnce() {
+  void OneActorPerEpochWhenAllClaim() {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-      DutyDay day(seed, 0.05);
-      day.first = [](const std::string& node) { return node; };
-      CPPUNIT_ASSERT(day.Begin());
-      day.RunFor(8 * kSecond);
-      Check(day, seed);
-      CPPUNIT_ASSERT(day.Epoch() > 3);
+      SingletonRoleScenario scenario(seed, 0.05);
+      scenario.first = [](const std::string& node) { return node; };
+      CPPUNIT_ASSERT(scenario.WaitForOwner());
+      scenario.RunFor(8 * kSecond);
+      Check(scenario, seed);
+      CPPUNIT_ASSERT(scenario.Epoch() > 3);
     }
   }
 
   // Every node takes another one for dead now and then.
-  void ViewsLag() {
+  void OneActorPerEpochWithFalseSuspicions() {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-      DutyDay day(seed, 0.02);
-      CPPUNIT_ASSERT(day.Begin());
-      const auto names = day.cluster().Names();
+      SingletonRoleScenario scenario(seed, 0.02);
+      CPPUNIT_ASSERT(scenario.WaitForOwner());
+      const auto names = scenario.cluster().Names();
       for (int round = 0; round < 12; ++round) {
         const std::string& observer = names[round % names.size()];
-        day.cluster().MisreportDead(observer, names[(seed + round) % names.size()]);
-        day.RunFor(700 * kMillisecond);
+        scenario.cluster().MisreportDead(observer, names[(seed + round) % names.size()]);
+        scenario.RunFor(700 * kMillisecond);
       }
-      day.RunFor(5 * kSecond);
-      Check(day, seed);
-      CPPUNIT_ASSERT(day.ActionsUnder(day.Epoch()) > 0);
+      scenario.RunFor(5 * kSecond);
+      Check(scenario, seed);
+      CPPUNIT_ASSERT(scenario.ActionsUnder(scenario.Epoch()) > 0);
     }
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(DutyTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(SingletonRoleTest);
 
 }  // namespace
 }  // namespace pearreach::coordination
