--- a/src/tier/coordination/membership_merge.h
+++ b/src/tier/coordination/membership_merge.h
@@ -12,7 +12,11 @@
   return status == MemberStatus::kAlive || status == MemberStatus::kSuspect;
 }
 
-// Whether `news` replaces what is known of the member (null: nothing).
+inline bool IsSuspectOrDead(MemberStatus status) {
+  return status == MemberStatus::kSuspect || status == MemberStatus::kDead;
+}
+
+// Whether `update` replaces what is known of the member (null: nothing).
 bool Supersedes(const Member* known, const MemberRecord& update);
 
 }  // namespace pearreach::coordination
--- a/src/tier/coordination/membership_wire.h
+++ b/src/tier/coordination/membership_wire.h
@@ -12,7 +12,7 @@
 #include <string_view>
 #include <vector>
 
-#include "tier/coordination/membership.h"
+#include "tier/coordination/member.h"
 
 namespace pearreach::coordination {
 
@@ -30,8 +30,9 @@
   MemberInfo info;
   MemberStatus status = MemberStatus::kAlive;
   std::uint32_t refutations = 0;
-  std::uint16_t age_tenths = 0;  // dead and left: tenths of a second since then
+  std::uint16_t age_tenths = 0;  // dead and left: for how long, in units of kRecordAgeUnit
 };
+constexpr Micros kRecordAgeUnit = 100'000;
 
 // How the sender sees the receiver.
 struct ReceiverView {
--- a/src/tier/coordination/membership_changes.cpp
+++ b/src/tier/coordination/update_queue.cpp
@@ -1,4 +1,4 @@
-#include "tier/coordination/membership_changes.h"
+#include "tier/coordination/update_queue.h"
 
 #include <utility>
 #include <vector>
--- a/src/tier/coordination/membership_changes.h
+++ b/src/tier/coordination/update_queue.h
@@ -1,7 +1,7 @@
 // The changes that a node still passes on with its packets: each a bounded number of times, those
 // that were sent least first and, among these, the newest first.
-#ifndef PEARREACH_SRC_TIER_COORDINATION_MEMBERSHIP_CHANGES_H_
-#define PEARREACH_SRC_TIER_COORDINATION_MEMBERSHIP_CHANGES_H_
+#ifndef PEARREACH_SRC_TIER_COORDINATION_UPDATE_QUEUE_H_
+#define PEARREACH_SRC_TIER_COORDINATION_UPDATE_QUEUE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -40,4 +40,4 @@
 
 }  // namespace pearreach::coordination
 
-#endif  // PEARREACH_SRC_TIER_COORDINATION_MEMBERSHIP_CHANGES_H_
+#endif  // PEARREACH_SRC_TIER_COORDINATION_UPDATE_QUEUE_H_
--- a/tests/tier/coordination/membership_wire_test.cpp
+++ b/tests/tier/coordination/membership_wire_test.cpp
@@ -7,8 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "tier/coordination/membership_changes.h"
+#include "tier/coordination/membership.h"
 #include "tier/coordination/membership_merge.h"
+#include "tier/coordination/update_queue.h"
 
 namespace pearreach::coordination {
 namespace {
