--- a/src/tier/coordination/chain.h
+++ b/src/tier/coordination/chain.h
@@ -1,12 +1,13 @@
-// A small durable map of named values, replicated over a chain of nodes with disks: a change enters
-// at the head, is synced to disk by each replica in turn and is committed when the tail has it.
-// When a replica fails the chain is repaired by a new view (epoch and members), which a majority of
-// the old view's members agrees on; the view carries the whole map, so that nothing else need be
-// copied. There is no replicated log and no elected leader: the head is the first member of the
-// view.
+// The control state: a small durable map of named values, replicated by chain replication over
+// nodes with disks. A change enters at the head, is synced to disk by each replica in turn and is
+// committed when the tail has it. When a replica fails, the chain is repaired by a new view (epoch
+// and members) on which a quorum of the old view's members agrees (view_agreement.h); the view
+// carries the complete map, so that nothing else need be copied. There is no replicated log and no
+// elected leader: the head is the first member of the view.
 //
-// A pure machine: no socket, no clock, no thread, no disk. The caller delivers messages, ticks and
-// the completion of disk writes, and carries out the effects in order. Guarantees, for as long as
+// A deterministic state machine without socket, clock, thread or disk: the caller delivers
+// messages, ticks and the completion of disk writes, and carries out the effects in order. Not
+// thread-safe; one object per process, owned by control::ReplicaDriver. Guarantees, for as long as
 // no more than `tolerance` is lost at once:
 //   - a committed change is never lost, also when power fails everywhere right after;
 //   - of two changes with the same expected version at most one commits;
@@ -25,7 +26,7 @@
 
 namespace pearreach::coordination {
 
-using Micros = std::int64_t;
+using Micros = std::int64_t;  // microseconds on the caller's steady clock
 
 // A replica: the node's name and the identity of its disk's contents. A wiped disk is another
 // identity of the same node.
@@ -51,31 +52,32 @@
   std::vector<ReplicaId> members;  // head first, tail last
 };
 
-// What a change or read came to.
+// The outcome of a change.
 enum class ChangeStatus {
   kCommitted,
   kConflict,     // the key's revision is another one: nothing was changed
-  kUnavailable,  // nothing is promised: it may come into force or not
-  kNotHead,      // nothing was changed; `hint` names the head as far as known
-  kFenced,       // the fence's key has a later revision: nothing was changed
+  kUnavailable,  // the outcome is unknown: it may be committed or not
+  kNotHead,      // nothing was changed; `hint` is the head as far as known
+  kFenced,       // the fencing token is out of date: nothing was changed
 };
 
-// Refuses a change once `key` has a later revision than this one: what was decided while `revision`
-// was the newest does not come into force after it.
+// The change is rejected once `key` has a later revision than this one: what was decided while
+// `revision` was the newest does not come into force after it.
 struct FencingToken {
   std::string key;  // empty: none
   std::uint64_t revision = 0;
 };
 
-// What stands for a change in the record of its key's changes (change_marks.h): the number that its
-// author gave it, which rises from change to change, and a digest of its content.
+// Identifies a change in the history of its key (change_history.h): the number that its author gave
+// it, which rises from change to change, and a digest of its content.
 struct ChangeId {
   std::uint64_t number = 0;
   std::uint64_t digest_high = 0, digest_low = 0;
   auto operator<=>(const ChangeId&) const = default;
 };
 
-// Sets `key` to `value` where its revision is `expected` and the fence stands.
+// Compare and set: sets `key` to `value` where its revision is `expected` and the fencing token is
+// not out of date.
 struct ChangeRequest {
   std::uint64_t ticket = 0;
   std::string key;
@@ -94,7 +96,7 @@
 
 struct ReadResult {
   std::uint64_t ticket = 0;
-  bool ok = false;  // false: it could not be made sure in time that the map is the newest
+  bool ok = false;  // false: it could not be confirmed in time that the map is the newest
   std::shared_ptr<const Map> map;
   Version version;
 };
@@ -104,7 +106,7 @@
   std::string to;  // node name
   std::string bytes;
 };
-struct Persist {  // sync these to disk as a whole, then call Persisted(token)
+struct Persist {  // sync these to disk atomically, then call OnPersisted(token)
   std::uint64_t token = 0;
   std::map<std::string, std::string> records;
 };
@@ -127,7 +129,7 @@
 
 struct ChainOptions {
   ReplicaId self;
-  bool bootstrap = false;  // the whole system starts for the first time
+  bool bootstrap = false;  // the cluster starts for the first time
   Tolerance tolerance;
   Micros call_timeout = 1'000'000;
   Micros retry = 100'000;
@@ -139,7 +141,7 @@
   ReplicaId id;
   bool alive = false;
   std::string zone, region;  // empty: not known
-  bool draining = false;     // it ends soon, perhaps for good: the next view does without it
+  bool draining = false;     // it shuts down soon: the next view is formed without it
 };
 
 class ChainReplica {
@@ -149,8 +151,8 @@
                std::uint64_t seed, Micros now);
   ~ChainReplica();
 
-  // What membership says. The duty to repair the view falls to the first live member of the view in
-  // its order (at bootstrap: the first by name), never to one that is not sure of a majority.
+  // The members as membership sees them. The first live member of the view in its order (at
+  // bootstrap: the first by name) repairs the view, never one that cannot reach a quorum.
   void SetPeers(Micros now, const std::vector<Peer>& peers, Effects* out);
   // At bootstrap: those whose majority forms the first view, the same set at all founders. Another
   // set may be given until this node has taken part in an agreement; then the first one holds. Of
@@ -161,14 +163,15 @@
   Micros NextTick() const;
   void Tick(Micros now, Effects* out);
 
-  // At the head only. The result comes as an effect.
+  // At the head only. The result comes as an effect, within `call_timeout`.
   void Change(Micros now, ChangeRequest request, Effects* out);
-  // Answered from the tail once a majority confirms that the view still stands.
+  // A linearizable read: the tail responds once a majority has confirmed that the view is still in
+  // force. The result comes as an effect, within `call_timeout`.
   void Read(Micros now, std::uint64_t ticket, Effects* out);
 
   const View& view() const;
   bool is_head() const;
-  // It takes part in an agreement on the next view.
+  // This replica takes part in an agreement on the next view, and commits nothing meanwhile.
   bool is_changing_view() const;
   // The newest map that is known to be committed; null: none yet.
   std::shared_ptr<const Map> committed() const;
--- a/src/tier/coordination/chain_messages.cpp
+++ b/src/tier/coordination/chain_messages.cpp
@@ -2,6 +2,7 @@
 
 #include <array>
 #include <cstring>
+#include <string>
 #include <utility>
 
 namespace pearreach::coordination::chain {
@@ -35,7 +36,7 @@
 
 constexpr std::size_t kChecksumBytes = sizeof(std::uint64_t);
 
-// FNV-1a: the archive believes the counts that it reads, so damaged bytes must not get there.
+// FNV-1a. The archive trusts the counts that it reads, so corrupt bytes must not reach it.
 std::uint64_t Checksum(std::string_view bytes) {
   constexpr std::uint64_t kOffset = 14695981039346656037u, kPrime = 1099511628211u;
   std::uint64_t sum = kOffset;
@@ -59,13 +60,17 @@
 }
 
 absl::StatusOr<Envelope> DecodeEnvelope(std::string_view bytes) {
-  if (bytes.size() <= kChecksumBytes) return absl::InvalidArgumentError("short message");
+  if (bytes.size() <= kChecksumBytes)
+    return absl::InvalidArgumentError("chain message of " + std::to_string(bytes.size()) +
+                                      " bytes is too short for its checksum");
   std::uint64_t sum = 0;
   std::memcpy(&sum, bytes.data() + bytes.size() - kChecksumBytes, kChecksumBytes);
   bytes.remove_suffix(kChecksumBytes);
-  if (sum != Checksum(bytes)) return absl::InvalidArgumentError("damaged message");
+  if (sum != Checksum(bytes))
+    return absl::InvalidArgumentError("chain message has a wrong checksum");
   const auto kind = static_cast<unsigned char>(bytes.front());
-  if (kind >= kDecoders.size()) return absl::InvalidArgumentError("unknown kind of message");
+  if (kind >= kDecoders.size())
+    return absl::InvalidArgumentError("chain message has the unknown kind " + std::to_string(kind));
   return kDecoders[kind](bytes.substr(1));
 }
 
--- a/src/tier/coordination/chain_messages.h
+++ b/src/tier/coordination/chain_messages.h
@@ -1,4 +1,5 @@
-// The messages between chain replicas, as types and as bytes.
+// The messages between chain replicas and their encoding (Boost.Serialization). The order of the
+// serialized fields is part of the wire format and of the records on disk: never change it.
 #ifndef PEARREACH_SRC_TIER_COORDINATION_CHAIN_MESSAGES_H_
 #define PEARREACH_SRC_TIER_COORDINATION_CHAIN_MESSAGES_H_
 
@@ -51,7 +52,7 @@
   }
 };
 
-// A whole map that is shared in memory and left out (null) where the receiver has it.
+// A complete map that is shared in memory and left out (null) where the receiver has it.
 struct MapRef {
   std::shared_ptr<const Map> map;
   template <class Archive>
@@ -113,7 +114,7 @@
   }
 };
 
-// Successor -> predecessor: this member has the view and does not know whether you have it.
+// Successor -> predecessor: this member has the view and does not know whether the predecessor has.
 struct ViewProbe {
   template <class Archive>
   void serialize(Archive&, unsigned) {}
@@ -126,7 +127,7 @@
 };
 
 struct ViewRequest {
-  std::vector<Version> have;  // maps that need not be sent
+  std::vector<Version> have;  // versions whose maps need not be sent
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& have;
@@ -166,7 +167,7 @@
   }
 };
 
-// A greater ballot is promised.
+// A greater proposal number is promised.
 struct Reject {
   ProposalNumber promised;
   template <class Archive>
@@ -175,7 +176,7 @@
   }
 };
 
-// The acceptor of the sender's name is gone for good: the sender runs on another disk.
+// The acceptor of the sender's name is permanently lost: the sender runs on another disk.
 struct AcceptorGone {
   ProposalNumber proposal_number;
   template <class Archive>
@@ -212,7 +213,7 @@
   }
 };
 
-// Tail -> members: is the view still in force with you?
+// Tail -> members: a request to confirm that the view is still in force with the receiver.
 struct ConfirmRequest {
   std::uint64_t nonce = 0;
   template <class Archive>
@@ -232,7 +233,7 @@
 struct ReadResponse {
   std::uint64_t instance = 0, ticket = 0;
   Version version;
-  MapRef map;  // null: the asker has this version
+  MapRef map;  // null: the requester has this version
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& instance& ticket& version& map;
@@ -258,7 +259,9 @@
   Body body;
 };
 
+// One byte for the kind, the archive, and a checksum.
 std::string EncodeEnvelope(const Envelope& envelope);
+// InvalidArgument: too short, a wrong checksum, an unknown kind or an archive that cannot be read.
 absl::StatusOr<Envelope> DecodeEnvelope(std::string_view bytes);
 
 }  // namespace chain
--- a/src/tier/coordination/chain_reads.cpp
+++ b/src/tier/coordination/chain_reads.cpp
@@ -1,7 +1,7 @@
-// Strict reads: the asker asks the tail, the tail asks a majority of the members whether the view
-// is still in force with them. Whatever next view there is was promised by a quorum that has a
-// member in common with this majority, so nothing was committed there before that member's answer;
-// and all that is committed in this view, the tail has.
+// Strict reads: a replica sends a request to the tail, and the tail asks a majority of the members
+// to confirm that the view is still in force with them. Whatever next view there is was promised by
+// a quorum that has a member in common with this majority, so nothing was committed there before
+// that member's response; and all that is committed in this view, the tail has.
 #include <algorithm>
 #include <utility>
 
@@ -44,9 +44,8 @@
   }
 }
 
-void ChainReplica::Impl::On(Micros now, const chain::Header& header,
+void ChainReplica::Impl::On(Micros, const chain::Header& header,
                             const chain::ReadRequest& request) {
-  (void)now;
   if (!IsServing() || !IsTail() || !state_.started()) return;
   TailRead read{header.from.name, request};
   const auto same = [&](const TailRead& other) { return other.Key() == read.Key(); };
@@ -123,7 +122,7 @@
   }
   ReadResult result{response.ticket, true, response.map.map, response.version};
   const chain::State& own = state_.committed();
-  if (own.version >= response.version) {  // a newer committed map answers as well
+  if (own.version >= response.version) {  // a newer committed map is as good
     result.map = own.map;
     result.version = own.version;
   }
--- a/src/tier/coordination/chain_replica.cpp
+++ b/src/tier/coordination/chain_replica.cpp
@@ -6,7 +6,7 @@
 namespace pearreach::coordination {
 namespace {
 
-// A member is dropped once it has been down for this many times the retry interval.
+// A member is removed once it has been down for this many times the retry interval.
 constexpr int kRetriesBeforeRemoval = 2;
 
 constexpr char kFoundersKey[] = "chain/founders";
@@ -92,7 +92,7 @@
   return &members[index];
 }
 
-// Carries everything on as far as it goes, and finds when to be called next.
+// Advances every part as far as possible, and finds when the next tick is due.
 void ChainReplica::Impl::Run(Micros now, Effects* out) {
   out_ = out;
   do {
@@ -143,7 +143,7 @@
     return;
   }
   if (header.epoch < epoch) {
-    // An answer to this ballot comes from any epoch: a wiped node has none.
+    // This response to a proposal comes from any epoch: a wiped node has none.
     if (const auto* gone = std::get_if<chain::AcceptorGone>(&envelope.body)) {
       On(now, header, *gone);
       return;
@@ -151,12 +151,7 @@
     ReplyToOlderEpoch(header, envelope.body);
     return;
   }
-  DispatchSameEpoch(now, header, envelope.body);
-}
-
-void ChainReplica::Impl::DispatchSameEpoch(Micros now, const chain::Header& header,
-                                           const chain::Body& body) {
-  std::visit([&](const auto& message) { On(now, header, message); }, body);
+  std::visit([&](const auto& message) { On(now, header, message); }, envelope.body);
 }
 
 ChainReplica::ChainReplica(ChainOptions options, const std::map<std::string, std::string>& records,
--- a/src/tier/coordination/chain_replica.h
+++ b/src/tier/coordination/chain_replica.h
@@ -1,12 +1,14 @@
-// The chain replica's inside: one object that ties the durable state, the replication along the
-// chain, the agreement on views and the strict reads together. By file:
-//   chain_replica.cpp      the public calls, sending and what is held until disk writes are synced
+// The implementation of ChainReplica: one object that ties the durable state, the replication along
+// the chain, the agreement on views and the strict reads together. Not thread-safe. By file:
+//   chain_replica.cpp      the public calls, sending, and the messages that wait for disk writes
 //   chain_replication.cpp  changes along the chain and their commit
-//   chain_views.cpp        when and how views change
+//   chain_views.cpp        the acceptor's side of an agreement, and taking over a decided view
+//   chain_proposals.cpp    when to propose a view, and the proposer's side
 //   chain_reads.cpp        strict reads
 //
 // Every message waits until all that was handed to the disk before it is synced, so that nothing is
-// told which a loss of power could take back. Persist effects must reach the disk in their order.
+// acknowledged which a loss of power could undo. Persist effects must reach the disk in their
+// order.
 #ifndef PEARREACH_SRC_TIER_COORDINATION_CHAIN_REPLICA_H_
 #define PEARREACH_SRC_TIER_COORDINATION_CHAIN_REPLICA_H_
 
@@ -25,30 +27,12 @@
 #include "tier/coordination/chain.h"
 #include "tier/coordination/chain_messages.h"
 #include "tier/coordination/chain_state.h"
+#include "tier/coordination/retransmit_timer.h"
 #include "tier/coordination/view_agreement.h"
 #include "tier/coordination/view_target.h"
 
 namespace pearreach::coordination {
 
-// When something unanswered is sent again. The interval does not grow: a repair takes a dozen
-// messages one after another, and each that is lost would hold it up for longer.
-class RetransmitTimer {
- public:
-  explicit RetransmitTimer(Micros interval) : interval_(interval) {}
-  void Restart() { at_ = 0; }
-  // True: send now. The next time is set.
-  bool Due(Micros now) {
-    if (now < at_) return false;
-    at_ = now + interval_;
-    return true;
-  }
-  Micros at() const { return at_; }
-
- private:
-  Micros interval_;
-  Micros at_ = 0;
-};
-
 class ChainReplica::Impl {
  public:
   Impl(ChainOptions options, const chain::Records& records, std::uint64_t seed, Micros now);
@@ -70,7 +54,7 @@
   struct QueuedChange : ChangeRequest {
     Micros deadline = 0;
     bool confirmed_newest =
-        false;  // a strict read since has found what this head has to be the newest
+        false;  // a strict read has confirmed since that this head's state is the newest
   };
   struct PendingRead {
     std::uint64_t ticket = 0;
@@ -78,13 +62,13 @@
     RetransmitTimer retransmit;
     bool is_own = false;  // asked by this head about its queued changes; `ticket` is a number drawn
   };
-  // A read that waits at the tail.
+  // A read that waits at the tail for the confirmation of the view.
   struct TailRead {
     std::string requester;
     chain::ReadRequest request;
     auto Key() const { return std::tie(requester, request.instance, request.ticket); }
   };
-  // One question to all members, for all reads that waited when it began.
+  // One request to all members, for all reads that waited when it was sent.
   struct ViewConfirmation {
     std::uint64_t nonce = 0;
     Micros deadline = 0;
@@ -102,10 +86,9 @@
   void Run(Micros now, Effects* out);
   void ReleaseMessages();
   void Dispatch(Micros now, const chain::Envelope& envelope);
-  void DispatchSameEpoch(Micros now, const chain::Header& header, const chain::Body& body);
   void Send(const std::string& to, chain::Body body);
   void Sync(chain::Records records);
-  // Nothing is sent again while the disk works: it would only wait as well.
+  // Nothing is retransmitted while the disk is busy: it would only wait as well.
   bool IsSynced() const { return synced_token_ == last_token_; }
   void ScheduleTick(Micros at) { next_tick_ = std::min(next_tick_, at); }
   bool IsMember() const { return chain::Contains(state_.view().members, options_.self); }
@@ -119,6 +102,7 @@
   void AppendQueued(Micros now);
   void AddChange(const QueuedChange& change, std::uint64_t revision,
                  std::vector<chain::KeyChange>* changes) const;
+  void StartPending(Micros now);
   void ExpireChanges(Micros now);
   void ConfirmNewestState(Micros now);
   void OnNewestStateConfirmed(const Version& newest);
@@ -127,6 +111,8 @@
   void FinishChange(const QueuedChange& change, ChangeStatus status, std::uint64_t revision);
   std::uint64_t CommittedRevision(const std::string& key) const;
   bool IsFenced(const QueuedChange& change) const;
+  // It expects a later revision than this head knows, which may be out of date.
+  bool IsUnconfirmed(const QueuedChange& change) const;
   void On(Micros now, const chain::Header& header, const chain::Append& append);
   void On(Micros now, const chain::Header& header, const chain::CommitNotice& notice);
   void On(Micros now, const chain::Header& header, const chain::ViewProbe& probe);
@@ -140,27 +126,32 @@
   void Install(Micros now, const chain::Proposal& proposal);
   void AfterInstall(Micros now);
   void ReplyIfReplaced(const chain::Header& header, const chain::Prepare& prepare);
+  chain::Promise MakePromise(const chain::Prepare& prepare) const;
   void On(Micros now, const chain::Header& header, const chain::Prepare& prepare);
-  void On(Micros now, const chain::Header& header, const chain::Promise& promise);
-  void On(Micros now, const chain::Header& header, const chain::Reject& reject);
-  void On(Micros now, const chain::Header& header, const chain::AcceptorGone& gone);
   void On(Micros now, const chain::Header& header, const chain::Accept& accept);
-  void On(Micros now, const chain::Header& header, const chain::Accepted& accepted);
+  // Of the own epoch these mean nothing.
   void On(Micros, const chain::Header&, const chain::ViewNotice&) {}
   void On(Micros, const chain::Header&, const chain::ViewRequest&) {}
   void On(Micros, const chain::Header&, const chain::ViewResponse&) {}
+
+  // chain_proposals.cpp
   void AdvanceViews(Micros now);
-  void AdvanceProposer(Micros now);
-  void Propose();
-  void OnDecided(Micros now);
-  void DeferOwnProposal(Micros now);
-  void AbandonProposal(Micros now);
   bool CanReachQuorum() const;
   bool IsCommitStalled(Micros now);
   bool NeedsNewView(Micros now);
   std::vector<ReplicaId> NextMembers(Micros now);
   bool MayChooseMembers(Micros now);
   Micros ProposalDelay() const;
+  void Propose();
+  void AdvanceProposer(Micros now);
+  void SendToUnanswered();
+  void OnDecided(Micros now);
+  void DeferOwnProposal(Micros now);
+  void AbandonProposal(Micros now);
+  void On(Micros now, const chain::Header& header, const chain::Promise& promise);
+  void On(Micros now, const chain::Header& header, const chain::Reject& reject);
+  void On(Micros now, const chain::Header& header, const chain::AcceptorGone& gone);
+  void On(Micros now, const chain::Header& header, const chain::Accepted& accepted);
 
   // chain_reads.cpp
   void AdvanceReads(Micros now);
@@ -205,7 +196,7 @@
   RetransmitTimer proposer_timer_;
   std::uint64_t greatest_round_ = 0;
   std::optional<Micros> reason_since_;
-  Micros backoff_until_ = 0;  // another proposer is given time
+  Micros backoff_until_ = 0;  // no proposal before this time, in favour of another proposer's
   int failed_proposals_ = 0;
   std::uint64_t requested_epoch_ = 0;
   RetransmitTimer view_request_timer_;
--- a/src/tier/coordination/chain_replication.cpp
+++ b/src/tier/coordination/chain_replication.cpp
@@ -26,6 +26,10 @@
   return found == map->end() ? 0 : found->second.revision;
 }
 
+bool ChainReplica::Impl::IsUnconfirmed(const QueuedChange& change) const {
+  return CommittedRevision(change.key) < change.expected && !change.confirmed_newest;
+}
+
 bool ChainReplica::Impl::IsFenced(const QueuedChange& change) const {
   return !change.fencing_token.key.empty() &&
          CommittedRevision(change.fencing_token.key) > change.fencing_token.revision;
@@ -56,6 +60,13 @@
   if (IsHead()) AppendQueued(now);
 }
 
+// The pending state was handed to the disk just now.
+void ChainReplica::Impl::StartPending(Micros now) {
+  pending_token_ = last_token_;
+  pending_since_ = now;
+  append_timer_.Restart();
+}
+
 void ChainReplica::Impl::ExpireChanges(Micros now) {
   const auto expired = [&](const QueuedChange& change) {
     if (change.deadline > now) return false;
@@ -79,16 +90,14 @@
   std::deque<QueuedChange> later;
   for (QueuedChange& change : queued_) {
     const std::uint64_t revision = CommittedRevision(change.key);
-    const bool unconfirmed = revision < change.expected && !change.confirmed_newest;
-    if (unconfirmed) {
+    if (IsUnconfirmed(change)) {
       later.push_back(std::move(change));
     } else if (revision != change.expected) {
       FinishChange(change, ChangeStatus::kConflict, revision);
     } else if (IsFenced(change)) {
       FinishChange(change, ChangeStatus::kFenced, revision);
-    } else if (keys.count(change.key) + keys.count(change.fencing_token.key) +
-                   fences.count(change.key) >
-               0) {
+    } else if (keys.contains(change.key) || keys.contains(change.fencing_token.key) ||
+               fences.contains(change.key)) {
       later.push_back(std::move(change));
     } else {
       keys.insert(change.key);
@@ -101,13 +110,11 @@
   ConfirmNewestState(now);
   if (changes.empty()) return;
   Sync(state_.Append(changes));
-  pending_token_ = last_token_;
-  pending_since_ = now;
-  append_timer_.Restart();
+  StartPending(now);
 }
 
-// Of a marked change, with the page that records its mark: they are committed together or not at
-// all.
+// Adds the change and, where it has an identity, the page of the key's history that records it:
+// they are committed together or not at all.
 void ChainReplica::Impl::AddChange(const QueuedChange& change, std::uint64_t revision,
                                    std::vector<chain::KeyChange>* changes) const {
   changes->push_back({change.key, {change.value, revision}});
@@ -118,13 +125,11 @@
 }
 
 // A change that expects a later revision than this head knows: either this head is out of date, and
-// then it must not say that there is a conflict, or the change is wrong.
+// then it must not report a conflict, or the change is wrong.
 void ChainReplica::Impl::ConfirmNewestState(Micros now) {
   if (!unconfirmed_tickets_.empty()) return;
   for (const QueuedChange& change : queued_) {
-    const bool unconfirmed =
-        CommittedRevision(change.key) < change.expected && !change.confirmed_newest;
-    if (unconfirmed) unconfirmed_tickets_.push_back(change.ticket);
+    if (IsUnconfirmed(change)) unconfirmed_tickets_.push_back(change.ticket);
   }
   if (unconfirmed_tickets_.empty()) return;
   pending_reads_.push_back(
@@ -204,9 +209,7 @@
                     append.sequence == state_.committed().version.sequence + 1;
   if (!next || append.changes.empty()) return;
   Sync(state_.Append(append.changes));
-  pending_token_ = last_token_;
-  pending_since_ = now;
-  append_timer_.Restart();
+  StartPending(now);
 }
 
 void ChainReplica::Impl::On(Micros, const chain::Header& header,
--- a/src/tier/coordination/chain_state.cpp
+++ b/src/tier/coordination/chain_state.cpp
@@ -35,7 +35,7 @@
   return "chain/slot/" + std::to_string(slot) + "/" + key;
 }
 
-// Nothing where a record is missing: the batch is atomic, so that means a foreign or broken disk.
+// Nothing where a record is missing: batches are atomic, so that means a foreign or corrupt disk.
 std::optional<State> LoadState(const Records& records, const Version& version, const Slots& slots) {
   auto map = std::make_shared<Map>();
   for (const auto& [key, slot] : slots) {
--- a/src/tier/coordination/chain_state.h
+++ b/src/tier/coordination/chain_state.h
@@ -1,6 +1,8 @@
-// What a chain replica keeps on disk of the view and the map: the records and how they change.
+// The durable part of a chain replica: the view and the map as records on disk, and how they
+// change. Owned by ChainReplica; not thread-safe. It writes nothing itself: each change returns the
+// records that the caller must sync.
 //
-// Each key has two slots. The index says which one holds the committed entry and which one the
+// Each key has two slots. The index records which slot has the committed entry and which one the
 // entry of the pending state, so that a value is written once and a discarded state costs nothing.
 // All records of one change form one atomic batch.
 #ifndef PEARREACH_SRC_TIER_COORDINATION_CHAIN_STATE_H_
@@ -27,6 +29,7 @@
 
 class DurableState {
  public:
+  // Records that are missing or cannot be read leave the state empty, as on a new disk.
   explicit DurableState(const Records& records);
 
   const View& view() const { return view_; }
@@ -38,14 +41,14 @@
   const State& latest() const { return pending_ ? *pending_ : committed_; }
   // The committed state belongs to the present view.
   bool started() const { return view_.epoch > 0 && committed_.version.epoch == view_.epoch; }
-  // The map of that version, where this replica holds it; {0, 0} is the empty map.
+  // The map of that version, null where this replica does not have it; {0, 0} is the empty map.
   std::shared_ptr<const Map> MapAt(const Version& version) const;
   // What the pending state changes on top of the committed one of the same view.
   std::vector<KeyChange> PendingChanges() const;
 
   // Each returns the records to sync.
   Records Append(const std::vector<KeyChange>& changes);  // on top of the committed state
-  Records CommitPending();
+  Records CommitPending();                                // REQUIRES: pending()
   // The view's starting map becomes the pending state.
   Records Install(View view, const Version& base, std::shared_ptr<const Map> map);
   // For a replica that is no member: a map that is committed in the view.
--- a/src/tier/coordination/change_history.cpp
+++ b/src/tier/coordination/change_history.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::string_view kPrefix = "marks/";
 
-// Marks of consecutive revisions.
+// The identities of the changes to consecutive revisions.
 struct ChangeHistoryPage {
   std::uint64_t first_revision = 0;
   std::vector<ChangeId> change_ids;
@@ -64,7 +64,7 @@
                                                     const ChangeId& change_id) {
   const std::string page_key = PageKey(key, PageOf(revision));
   ChangeHistoryPage page = PageAt(map, page_key).value_or(ChangeHistoryPage());
-  if (page.end_revision() != revision) page = {revision, {}};  // the oldest page gives way
+  if (page.end_revision() != revision) page = {revision, {}};  // replaces the oldest page
   page.change_ids.push_back(change_id);
   return {page_key, {codec::Encode(page), RevisionOf(map, page_key) + 1}};
 }
--- a/src/tier/coordination/change_history.h
+++ b/src/tier/coordination/change_history.h
@@ -1,9 +1,10 @@
-// A bounded record of the changes of one key, kept in the replicated map beside the key itself:
-// each marked change adds its mark in the same commit, so the record is on the same disks as the
-// change and passes through repairs, restarts and replacements with it.
+// A bounded history of the changes of one key, kept in the replicated map beside the key itself:
+// each change with an identity adds that in the same commit, so the history is on the same disks as
+// the change and survives repairs, restarts and replacements with it. It makes retried changes
+// idempotent: a change that is in the history already has been committed.
 //
-// The marks lie in pages, each the value of a key of its own, which are used in turn: a change
-// rewrites one page, and the oldest page gives way to the newest.
+// The identities are stored in pages, each the value of a key of its own, which are used as a ring:
+// a change rewrites one page, and the newest page replaces the oldest. Pure functions.
 #ifndef PEARREACH_SRC_TIER_COORDINATION_CHANGE_HISTORY_H_
 #define PEARREACH_SRC_TIER_COORDINATION_CHANGE_HISTORY_H_
 
@@ -18,27 +19,28 @@
 
 inline constexpr std::size_t kChangesPerHistoryPage = 128;
 inline constexpr std::size_t kChangeHistoryPages = 128;
-// The most that are kept; at least a page less than that is.
+// The most changes that are kept; at least this less one page are.
 inline constexpr std::size_t kMaxRecordedChanges = kChangesPerHistoryPage * kChangeHistoryPages;
 
-// What the record says of a mark.
+// Whether a change is in the history.
 enum class ChangeHistoryStatus : std::uint8_t {
-  kNew,        // its number is above all that are recorded, or nothing was recorded so far
-  kRecorded,   // this very mark
-  kOther,      // its number is recorded with another digest, or was passed over
+  kNew,        // its number is above all that are recorded, or the history is empty
+  kRecorded,   // this very change
+  kOther,      // its number is recorded with another digest, or was skipped
   kForgotten,  // its number is below all that are still kept
 };
 
-// The keys of the pages: of no use to those who only read the values.
+// Whether `key` is that of a page, which readers of values ignore.
 bool IsChangeHistoryKey(std::string_view key);
 
-// The page of `key` that records `mark` for the change that makes `revision` of it, as it must be
-// set in `map` together with that change. Marks must come with rising numbers.
+// The page that records `change_id` for the change which gives `key` the revision `revision`: the
+// key and the entry to set in `map` together with that change. REQUIRES: `change_id.number` is
+// greater than all that are recorded.
 std::pair<std::string, Entry> ChangeHistoryPageWith(const Map& map, const std::string& key,
                                                     std::uint64_t revision,
                                                     const ChangeId& change_id);
 
-// `map` must be whole: a map without the pages of marks says nothing.
+// REQUIRES: `map` is complete, with the pages.
 ChangeHistoryStatus FindInChangeHistory(const Map& map, const std::string& key,
                                         const ChangeId& change_id);
 
--- a/src/tier/coordination/membership_merge.h
+++ b/src/tier/coordination/membership_merge.h
@@ -1,5 +1,5 @@
-// Which of two accounts of a member holds: the rules that make all nodes come to the same view,
-// in whatever order they hear.
+// Which of two records of a member wins: the rules by which all nodes converge to the same view, in
+// whatever order the records arrive. Pure functions.
 #ifndef PEARREACH_SRC_TIER_COORDINATION_MEMBERSHIP_MERGE_H_
 #define PEARREACH_SRC_TIER_COORDINATION_MEMBERSHIP_MERGE_H_
 
@@ -7,7 +7,7 @@
 
 namespace pearreach::coordination {
 
-// True for those that are taken to be there: alive and suspect.
+// Suspects still count as live: they may refute.
 inline bool IsLive(MemberStatus status) {
   return status == MemberStatus::kAlive || status == MemberStatus::kSuspect;
 }
@@ -16,7 +16,7 @@
   return status == MemberStatus::kSuspect || status == MemberStatus::kDead;
 }
 
-// Whether `update` replaces what is known of the member (null: nothing).
+// Whether `update` replaces what is known about the member (null: nothing).
 bool Supersedes(const Member* known, const MemberRecord& update);
 
 }  // namespace pearreach::coordination
--- a/src/tier/coordination/membership_wire.cpp
+++ b/src/tier/coordination/membership_wire.cpp
@@ -3,6 +3,7 @@
 #include <boost/serialization/level.hpp>
 #include <boost/serialization/tracking.hpp>
 #include <stdexcept>
+#include <string>
 
 #include "tier/codec/archive.h"
 
@@ -16,16 +17,16 @@
 constexpr std::uint8_t kFormat = 0x51;  // another one for each incompatible format
 
 // Thrown while an archive is read, and caught by codec::Decode.
-struct BadPacket : std::runtime_error {
+struct MalformedPacket : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 void Require(bool holds, const char* what) {
-  if (!holds) throw BadPacket(what);
+  if (!holds) throw MalformedPacket(what);
 }
 
 template <class Archive>
-void Text(Archive& archive, std::string& text, std::size_t limit) {
+void ArchiveText(Archive& archive, std::string& text, std::size_t limit) {
   std::uint8_t size = static_cast<std::uint8_t>(text.size());
   archive& size;
   if constexpr (Archive::is_loading::value) {
@@ -39,7 +40,7 @@
 
 // An enumeration as one byte, from `first` to `last`.
 template <class Archive, class Enumeration>
-void Choice(Archive& archive, Enumeration& value, Enumeration first, Enumeration last) {
+void ArchiveEnum(Archive& archive, Enumeration& value, Enumeration first, Enumeration last) {
   std::uint8_t byte = static_cast<std::uint8_t>(value);
   archive& byte;
   if constexpr (Archive::is_loading::value) {
@@ -50,28 +51,28 @@
 }
 
 template <class Archive>
-void Status(Archive& archive, MemberStatus& status) {
-  Choice(archive, status, MemberStatus::kAlive, MemberStatus::kLeft);
+void ArchiveStatus(Archive& archive, MemberStatus& status) {
+  ArchiveEnum(archive, status, MemberStatus::kAlive, MemberStatus::kLeft);
 }
 
 template <class Archive>
-void Refutations(Archive& archive, std::uint32_t& count) {
+void ArchiveRefutations(Archive& archive, std::uint32_t& count) {
   archive& count;
   if constexpr (Archive::is_loading::value)
     Require(count <= kMaxRefutations, "too many refutations");
 }
 
 template <class Archive>
-void Record(Archive& archive, MemberRecord& record) {
-  Text(archive, record.info.name, kMaxTextBytes);
-  Text(archive, record.info.address, kMaxTextBytes);
-  Text(archive, record.info.zone, kMaxTextBytes);
-  Text(archive, record.info.machine_class, kMaxTextBytes);
-  Text(archive, record.info.disk_id, kMaxTextBytes);
+void ArchiveRecord(Archive& archive, MemberRecord& record) {
+  ArchiveText(archive, record.info.name, kMaxTextBytes);
+  ArchiveText(archive, record.info.address, kMaxTextBytes);
+  ArchiveText(archive, record.info.zone, kMaxTextBytes);
+  ArchiveText(archive, record.info.machine_class, kMaxTextBytes);
+  ArchiveText(archive, record.info.disk_id, kMaxTextBytes);
   archive& record.info.incarnation;
   archive& record.info.roles;
-  Status(archive, record.status);
-  Refutations(archive, record.refutations);
+  ArchiveStatus(archive, record.status);
+  ArchiveRefutations(archive, record.refutations);
   archive& record.age_tenths;
   if constexpr (Archive::is_loading::value) {
     Require(!record.info.name.empty(), "record without a name");
@@ -80,7 +81,7 @@
 }
 
 template <class Archive>
-void Versions(Archive& archive, std::map<std::string, std::uint64_t>& versions) {
+void ArchiveVersions(Archive& archive, std::map<std::string, std::uint64_t>& versions) {
   std::uint8_t count = static_cast<std::uint8_t>(versions.size());
   archive& count;
   if constexpr (Archive::is_loading::value) {
@@ -88,7 +89,7 @@
     for (std::uint8_t i = 0; i < count; ++i) {
       std::string name;
       std::uint64_t version = 0;
-      Text(archive, name, kMaxVersionName);
+      ArchiveText(archive, name, kMaxVersionName);
       archive& version;
       Require(versions.emplace_hint(versions.end(), std::move(name), version)->second == version,
               "a version twice");
@@ -96,20 +97,20 @@
     Require(versions.size() == count, "a version twice");
   } else {
     for (auto& [name, version] : versions) {
-      Text(archive, const_cast<std::string&>(name), kMaxVersionName);
+      ArchiveText(archive, const_cast<std::string&>(name), kMaxVersionName);
       archive& version;
     }
   }
 }
 
 template <class Archive>
-void Records(Archive& archive, std::vector<MemberRecord>& records) {
+void ArchiveRecords(Archive& archive, std::vector<MemberRecord>& records) {
   std::uint8_t count = static_cast<std::uint8_t>(records.size());
   archive& count;
   if constexpr (Archive::is_loading::value) {
-    for (std::uint8_t i = 0; i < count; ++i) Record(archive, records.emplace_back());
+    for (std::uint8_t i = 0; i < count; ++i) ArchiveRecord(archive, records.emplace_back());
   } else {
-    for (MemberRecord& record : records) Record(archive, record);
+    for (MemberRecord& record : records) ArchiveRecord(archive, record);
   }
 }
 
@@ -126,28 +127,28 @@
   std::uint8_t format = kFormat;
   archive& format;
   if constexpr (Archive::is_loading::value) Require(format == kFormat, "another format");
-  Choice(archive, packet.kind, PacketKind::kPing, PacketKind::kUpdate);
+  ArchiveEnum(archive, packet.kind, PacketKind::kPing, PacketKind::kUpdate);
   std::uint8_t wants_list = packet.wants_list ? 1 : 0;
   archive& wants_list;
   packet.wants_list = wants_list != 0;
   archive& packet.number;
   archive& packet.probe;
-  Text(archive, packet.sender, kMaxTextBytes);
+  ArchiveText(archive, packet.sender, kMaxTextBytes);
   if constexpr (Archive::is_loading::value) Require(!packet.sender.empty(), "no sender");
   archive& packet.incarnation;
-  Refutations(archive, packet.refutations);
+  ArchiveRefutations(archive, packet.refutations);
   archive& packet.port;
   archive& packet.digest;
   archive& packet.view.incarnation;
-  Refutations(archive, packet.view.refutations);
-  Status(archive, packet.view.status);
+  ArchiveRefutations(archive, packet.view.refutations);
+  ArchiveStatus(archive, packet.view.status);
   if (NamesTarget(packet.kind)) {
-    Text(archive, packet.target, kMaxTextBytes);
+    ArchiveText(archive, packet.target, kMaxTextBytes);
     archive& packet.target_incarnation;
-    Refutations(archive, packet.target_refutations);
+    ArchiveRefutations(archive, packet.target_refutations);
   }
-  Versions(archive, packet.versions);
-  Records(archive, packet.records);
+  ArchiveVersions(archive, packet.versions);
+  ArchiveRecords(archive, packet.records);
 }
 
 std::size_t EncodedSize(const MemberRecord& record) {
@@ -173,7 +174,9 @@
 absl::StatusOr<MemberPacket> DecodePacket(std::string_view bytes) {
   absl::StatusOr<MemberPacket> packet = codec::Decode<MemberPacket>(bytes);
   if (!packet.ok()) return packet;
-  if (EncodedSize(*packet) != bytes.size()) return absl::InvalidArgumentError("bytes left over");
+  if (EncodedSize(*packet) != bytes.size())
+    return absl::InvalidArgumentError(std::to_string(bytes.size() - EncodedSize(*packet)) +
+                                      " bytes after the membership packet");
   return packet;
 }
 
--- a/src/tier/coordination/membership_wire.h
+++ b/src/tier/coordination/membership_wire.h
@@ -1,5 +1,7 @@
-// The datagrams that members exchange: typed packets as bytes, checked when read. Compact: short
-// lengths, no class information; the exact size of each part is known before it is written.
+// The datagrams that members exchange, as types and as bytes. The encoding is compact (short
+// lengths, no class information), and the exact size of each part is known before it is written, so
+// that a packet can be filled up to the size of a datagram. The order of the fields is the wire
+// format.
 #ifndef PEARREACH_SRC_TIER_COORDINATION_MEMBERSHIP_WIRE_H_
 #define PEARREACH_SRC_TIER_COORDINATION_MEMBERSHIP_WIRE_H_
 
@@ -18,14 +20,14 @@
 
 // Values are part of the protocol and never reused.
 enum class PacketKind : std::uint8_t {
-  kPing = 1,         // wants an ack
-  kAck = 2,          // answers a ping of the same probe number
-  kPingRequest = 3,  // asks the receiver to ping `target`
-  kIndirectAck = 4,  // `target` has answered the ping that was asked for
-  kUpdate = 5,       // news alone
+  kPing = 1,         // requests an ack
+  kAck = 2,          // the response to the ping of the same probe identifier
+  kPingRequest = 3,  // requests an indirect probe: the receiver pings `target`
+  kIndirectAck = 4,  // `target` has acknowledged the indirect probe
+  kUpdate = 5,       // only carries records
 };
 
-// One member as one node passes it on.
+// What one node publishes about one member.
 struct MemberRecord {
   MemberInfo info;
   MemberStatus status = MemberStatus::kAlive;
@@ -43,7 +45,7 @@
 
 struct MemberPacket {
   PacketKind kind = PacketKind::kUpdate;
-  bool wants_list = false;   // the receiver is asked for all the members that it knows
+  bool wants_list = false;   // requests all the members that the receiver knows
   std::uint32_t number = 0;  // rises with each packet of the sender
   std::uint32_t probe = 0;
   std::string sender;
@@ -69,7 +71,8 @@
 std::size_t EncodedSize(const MemberPacket& packet);
 
 std::string EncodePacket(const MemberPacket& packet);
-// Never trusts the bytes: all counts, lengths and values are checked, and nothing may be left over.
+// Does not trust the bytes: all counts, lengths and values are checked. InvalidArgument where they
+// are malformed or followed by others.
 absl::StatusOr<MemberPacket> DecodePacket(std::string_view bytes);
 
 }  // namespace pearreach::coordination
--- a/src/tier/coordination/singleton_role.cpp
+++ b/src/tier/coordination/singleton_role.cpp
@@ -19,7 +19,7 @@
   return record_.epoch;
 }
 
-// A claim of which nothing is known shows in the record, if it has come into force.
+// The outcome of a claim may be unknown: if it was committed, the record will show it.
 void SingletonRole::OnClaimCompleted(ChangeStatus status, std::uint64_t revision) {
   claim_in_flight_ = false;
   if (status == ChangeStatus::kCommitted) Observe({revision, self_});
--- a/src/tier/coordination/singleton_role.h
+++ b/src/tier/coordination/singleton_role.h
@@ -1,11 +1,11 @@
-// One node's part in a duty that one node at a time does for the whole system. The first live node
-// in an agreed order takes the duty under an epoch, which the taker commits in the control state:
-// the epoch is the revision of the duty's key, and the key's value names the holder. Everything
-// that a holder does is a change of the control state that carries its epoch (Fence), and the
-// control state refuses an epoch below the greatest that it has seen. So it does not matter that a
-// node that was frozen or cut off still takes itself for the holder.
+// One node's side of a singleton role: a task that one node at a time performs for the whole
+// system. The first live node in an agreed order claims the role under an epoch, which it commits
+// in the control state: the epoch is the revision of the role's key, and the key's value is the
+// owner. Everything that an owner does is a change of the control state with its epoch as
+// FencingToken, and the control state rejects an epoch below the greatest that it has seen. So it
+// does no harm that a node that was frozen or partitioned still believes to be the owner.
 //
-// A pure machine: no clock, no transport.
+// A deterministic state machine without clock or transport. Not thread-safe.
 #ifndef PEARREACH_SRC_TIER_COORDINATION_SINGLETON_ROLE_H_
 #define PEARREACH_SRC_TIER_COORDINATION_SINGLETON_ROLE_H_
 
@@ -17,7 +17,7 @@
 
 namespace pearreach::coordination {
 
-// The newest committed state of a duty. Epoch 0: nobody has taken it yet.
+// The newest committed state of a role. Epoch 0: it has never had an owner.
 struct SingletonRoleRecord {
   std::uint64_t epoch = 0;
   std::string owner;
@@ -25,21 +25,21 @@
 
 class SingletonRole {
  public:
-  // `self` names the process, not only the node: a restarted one takes the duty anew. `pause`:
-  // between two claims of this process.
+  // `self` names the process, not only the node: a restarted one claims the role anew.
+  // `claim_interval`: the least time between two claims of this process.
   SingletonRole(std::string self, Micros claim_interval);
 
   // Whether this node is the first live one in the agreed order, as far as it knows.
   void SetCandidate(bool candidate) { is_candidate_ = candidate; }
-  // What the control state says; an older record than one that is known is passed over.
+  // The record in the control state; one that is older than what is known is ignored.
   void Observe(const SingletonRoleRecord& record);
 
-  // The epoch that a claim must follow, if one is due: the caller sets the duty's key to `self`
-  // where its revision is this one, and says how that ended.
+  // The epoch that a claim must follow, if one is due: the caller sets the role's key to `self`
+  // where its revision is this one, and calls OnClaimCompleted with the outcome.
   std::optional<std::uint64_t> NextClaim(Micros now);
   void OnClaimCompleted(ChangeStatus status, std::uint64_t revision);
 
-  // The epoch under which this process may act; none: it may not.
+  // The epoch under which this process may act; none: it is not the owner.
   std::optional<std::uint64_t> owned_epoch() const;
   const SingletonRoleRecord& record() const { return record_; }
 
--- a/src/tier/coordination/update_queue.h
+++ b/src/tier/coordination/update_queue.h
@@ -1,5 +1,6 @@
-// The changes that a node still passes on with its packets: each a bounded number of times, those
-// that were sent least first and, among these, the newest first.
+// The members whose changed records a node still disseminates with its packets: each a bounded
+// number of times, those that were sent least often first and, among these, the newest first. Owned
+// by PacketSender; not thread-safe.
 #ifndef PEARREACH_SRC_TIER_COORDINATION_UPDATE_QUEUE_H_
 #define PEARREACH_SRC_TIER_COORDINATION_UPDATE_QUEUE_H_
 
@@ -13,14 +14,15 @@
 
 class UpdateQueue {
  public:
-  // What became of a change that was offered to a packet.
+  // What became of an update that was offered to a packet.
   enum class OfferResult { kIncluded, kTooLarge, kObsolete };
 
-  // The member has changed: its former change is replaced.
+  // The member has changed: an earlier update of it is replaced.
   void Add(const std::string& name);
   bool empty() const { return order_.empty(); }
   std::size_t size() const { return order_.size(); }
-  // Offers the changes in order until one is too large; one that was taken `limit` times is done.
+  // Offers the updates in order until one is too large; one that was included `limit` times is
+  // removed.
   void Offer(int limit, const std::function<OfferResult(const std::string& name)>& take);
 
  private:
--- a/src/tier/coordination/view_agreement.h
+++ b/src/tier/coordination/view_agreement.h
@@ -1,11 +1,11 @@
 // Single-decree Paxos that decides the view after a given one, without I/O: the acceptor's durable
-// state, the proposer's count of answers and what makes a quorum.
+// state, the proposer's count of responses and what makes a quorum. Not thread-safe.
 //
-// A quorum is a majority of the acceptors, or all acceptors but those that are gone for certain,
-// where these are at most `tolerance` and at most half of the acceptors. An acceptor is gone for
-// certain when the node of its name has answered this very ballot from another disk: the old disk's
-// process had ended before, and its identity can never answer again. Why any two quorums that
-// matter have an acceptor in common:
+// A quorum is a majority of the acceptors, or all acceptors but those that are certainly lost,
+// where these are at most `tolerance` and at most half of the acceptors. An acceptor is certainly
+// lost when the node of its name has responded to this very proposal number from another disk: the
+// old disk's process had ended before, and its identity can never respond again. Why any two
+// quorums that matter have an acceptor in common:
 //   - a majority has more than half, the gone at most half, so a majority meets every set of
 //     survivors, and two majorities meet;
 //   - two sets of survivors without a common acceptor would each consist of acceptors that the
@@ -38,7 +38,7 @@
 // What an acceptor has promised and accepted for the view after `epoch`.
 class Acceptor {
  public:
-  // Records of an agreement after another epoch are passed over.
+  // Records of an agreement after another epoch are ignored.
   Acceptor(std::uint64_t epoch, const Records& records);
 
   bool sealed() const { return promised_.round > 0; }
@@ -46,7 +46,7 @@
   const ProposalNumber& accepted_number() const { return accepted_number_; }
   const Proposal& accepted() const { return accepted_; }
 
-  // False: a greater ballot is promised.
+  // False: a greater proposal number is promised.
   bool Promise(const ProposalNumber& proposal_number);
   bool Accept(const ProposalNumber& proposal_number, const Proposal& proposal);
   // `held`: the version whose map this replica holds anyway, so that it is not written again.
@@ -58,7 +58,7 @@
   Proposal accepted_;
 };
 
-// One ballot of one proposer.
+// One proposer's attempt with one proposal number.
 class Proposer {
  public:
   // `own`: the proposer's newest state.
@@ -68,7 +68,7 @@
   const ProposalNumber& proposal_number() const { return proposal_number_; }
   const Version& own() const { return own_; }
   const std::vector<ReplicaId>& acceptors() const { return acceptors_; }
-  // Null until the phase of accepting.
+  // Null before the accept phase.
   const Proposal* proposal() const { return proposal_ ? &*proposal_ : nullptr; }
 
   void OnPromise(const ReplicaId& from, const Promise& promise);
@@ -77,11 +77,11 @@
 
   bool MayPropose() const;
   bool IsDecided() const;
-  // Enters the phase of accepting: what a former ballot may have decided, else `members` with the
-  // newest state that a promise told of.
+  // Enters the accept phase. The proposal is what a lower proposal number may have decided, else
+  // `members` with the newest state of all promises. REQUIRES: MayPropose().
   void Choose(std::uint64_t epoch, std::vector<ReplicaId> members);
   std::vector<ReplicaId> Unanswered() const;
-  // That acceptor holds the proposal's map already.
+  // That acceptor has the proposal's map already.
   bool HasMap(const ReplicaId& acceptor) const;
 
  private:
--- a/src/tier/coordination/view_target.cpp
+++ b/src/tier/coordination/view_target.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Of the Z greatest counts.
+// The sum of the `number` largest counts.
 int SumOfLargest(const std::map<std::string, int>& counts, int number) {
   std::vector<int> sorted;
   sorted.reserve(counts.size());
@@ -20,7 +20,8 @@
   return sum;
 }
 
-// Copies in `have` places outlast the loss of `tolerance` of them, or are in all that there are.
+// Replicas in `have` domains survive the loss of `tolerance` of them, or are in all `possible`
+// ones.
 bool SurvivesLosses(std::size_t have, std::size_t possible, int tolerance) {
   return have >= std::min(possible, static_cast<std::size_t>(std::max(tolerance, 0)) + 1);
 }
@@ -31,7 +32,7 @@
                        const RemovalDelays& removal_delays)
     : self_(std::move(self)), tolerance_(tolerance), removal_delays_(removal_delays) {}
 
-// Members whose place is not known are in none.
+// Members whose location is not known are in no domain.
 std::map<std::string, int> ViewTarget::CountByDomain(const std::vector<ReplicaId>& members,
                                                      std::string Location::*domain) const {
   std::map<std::string, int> counts;
@@ -101,7 +102,7 @@
   return added;
 }
 
-// Membership may be wrong about a member, so what it sent itself counts for some while.
+// Membership may be wrong about a member, so its own messages count for a while.
 Micros ViewTarget::RemovalTime(Micros now, const ReplicaId& member) {
   const Micros since = down_since_.try_emplace(member, now).first->second;
   Micros removal = std::max(since + removal_delays_.after_down, removal_delays_.not_before);
@@ -133,8 +134,8 @@
     staying.push_back(member);
   }
   live.insert(live.end(), added.begin(), added.end());
-  if (!IsSpreadOverDomains(
-          live, members)) {  // too few live ones: only those that are replaced are dropped
+  if (!IsSpreadOverDomains(live,
+                           members)) {  // too few live ones: only replaced members are removed
     staying.clear();
     for (const ReplicaId& member : members) {
       if (!IsReplaced(member)) staying.push_back(member);
--- a/src/tier/coordination/view_target.h
+++ b/src/tier/coordination/view_target.h
@@ -1,4 +1,5 @@
-// Which members the next view should have, from the present one and what membership says.
+// Which members the next view should have, from the present view and what membership reports about
+// its members. Owned by ChainReplica; not thread-safe.
 #ifndef PEARREACH_SRC_TIER_COORDINATION_VIEW_TARGET_H_
 #define PEARREACH_SRC_TIER_COORDINATION_VIEW_TARGET_H_
 
@@ -14,14 +15,14 @@
 
 struct Target {
   std::vector<ReplicaId> members;
-  Micros next_change = kNever;  // when it becomes another one with no further news
+  Micros next_change = kNever;  // when the target changes without a further event
 };
 
 class ViewTarget {
  public:
   struct RemovalDelays {
-    Micros after_down = 0;     // a member is dropped once it has been down for so long,
-    Micros after_contact = 0;  // so long after this replica heard from it itself,
+    Micros after_down = 0;     // a member is removed once it has been down for so long,
+    Micros after_contact = 0;  // so long after its last message to this replica,
     Micros not_before = 0;     // and not before this time
   };
   ViewTarget(ReplicaId self, const Tolerance& tolerance, const RemovalDelays& removal_delays);
