--- a/src/tier/coordination/chain_replication.cpp
+++ b/src/tier/coordination/chain_replication.cpp
@@ -83,8 +83,8 @@
 // been committed in this view only. A key and the fence on it never change together.
 void ChainReplica::Impl::AppendQueued(Micros now) {
   if (queued_.empty() || state_.pending() || !state_.started()) return;
-  if (!target_.IsSufficientlyReplicated(state_.view().members))
-    return;  // the next view has more members
+  // Else the next view has more members, and it takes the changes.
+  if (!target_.IsSufficientlyReplicated(state_.view().members)) return;
   std::vector<chain::KeyChange> changes;
   std::set<std::string> keys, fences;
   std::deque<QueuedChange> later;
--- a/src/tier/coordination/member_table.h
+++ b/src/tier/coordination/member_table.h
@@ -60,7 +60,7 @@
   // False: nothing changed, or the name or the number of versions is too large to be sent.
   bool SetOwnVersion(const std::string& name, std::uint64_t version);
   // This process ends on purpose.
-  void MarkSelfLeft() { MutableSelf().status = MemberStatus::kLeft; }
+  void SetSelfLeft() { MutableSelf().status = MemberStatus::kLeft; }
 
   MemberRecord MakeRecord(Micros now, const Member& member) const;
 
--- a/src/tier/coordination/membership.cpp
+++ b/src/tier/coordination/membership.cpp
@@ -58,7 +58,7 @@
 
 void Membership::AnnounceShutdown(Micros now, std::vector<Datagram>* out) {
   latest_time_ = std::max(latest_time_, now);
-  table_.MarkSelfLeft();
+  table_.SetSelfLeft();
   for (const std::string& name : table_.RandomLive(kShutdownReceivers, "")) {
     const Member& to = table_.members().at(name);
     MemberPacket packet = sender_.NewPacket(PacketKind::kUpdate, &to);
--- a/tests/tier/coordination/chain_cluster.h
+++ b/tests/tier/coordination/chain_cluster.h
@@ -1,6 +1,6 @@
 // Chain replicas in virtual time: a network that loses, delays, doubles and reorders, disks that
-// sync late, machines that crash, freeze, lose their disks or are replaced, links that are cut, and
-// clients that race. What must never be seen is collected as findings.
+// sync late, machines that crash, freeze, lose their disks or are replaced, links that fail, and
+// concurrent clients. Violated invariants are collected as findings.
 #ifndef PEARREACH_TESTS_TIER_COORDINATION_CHAIN_CLUSTER_H_
 #define PEARREACH_TESTS_TIER_COORDINATION_CHAIN_CLUSTER_H_
 
@@ -27,11 +27,11 @@
   int machines = 3;
   int tolerance = 1;
   std::uint64_t seed = 1;
-  double loss = 0, doubling = 0, late = 0;  // shares of the messages
+  double loss = 0, doubling = 0, late = 0;  // fractions of the messages
   bool slow_disks = false;
 };
 
-// What clients have been told and have seen, and what contradicts it.
+// What clients were acknowledged and have read, and what contradicts it.
 class History {
  public:
   using Revisions = std::map<std::string, std::uint64_t>;
@@ -70,16 +70,16 @@
   struct Machine {
     std::string name, disk_id;
     bool bootstrap = false;
-    bool gone = false;  // replaced for good
+    bool gone = false;  // replaced permanently
     bool frozen = false;
     Micros changed = 0;  // when it last went up or down
     std::map<std::string, std::string> disk;
     std::unique_ptr<ChainReplica> replica;  // null: down
     std::uint64_t incarnation = 0;
     std::deque<DiskWrite> writes;
-    std::deque<std::function<void()>> thaw;  // what came while it was frozen
+    std::deque<std::function<void()>> thaw;  // events that arrived while it was frozen
     Version greatest;
-    std::map<std::string, Peer> peers;  // as membership tells it, by name
+    std::map<std::string, Peer> peers;  // as membership reports them, by name
     bool up() const { return replica != nullptr; }
   };
 
@@ -107,10 +107,10 @@
     blocked_links_.insert({from, to});
   }
   void Heal();
-  // Membership at `observer` takes the peer for dead, whatever it is, until the next change.
+  // Membership at `observer` reports the peer dead, whatever it is, until the next change.
   void MisreportDead(const std::string& observer, const std::string& peer);
 
-  // Tries one change at `name`; the outcome lands in the history. Returns the value.
+  // Submits one change at `name`; the outcome is added to the history. Returns the value.
   std::string SubmitChange(const std::string& name, const std::string& key, std::uint64_t expected);
   // Values must be unique.
   void SubmitRequest(const std::string& name, ChangeRequest request);
@@ -121,7 +121,7 @@
   std::string HeadName() const;  // of the greatest view anywhere
   // All machines are members of the greatest view, up on their disks, and have committed in it.
   bool IsRepaired() const;
-  // All maps that any replica has taken for committed.
+  // All maps that any replica reported as committed.
   const std::map<Version, std::shared_ptr<const Map>>& maps() const { return maps_; }
   std::uint64_t sent() const { return sent_; }
   std::uint64_t ticks() const { return ticks_; }
--- a/tests/tier/coordination/chain_messages_test.cpp
+++ b/tests/tier/coordination/chain_messages_test.cpp
@@ -1,4 +1,4 @@
-// Chain messages as bytes: what goes in comes out, and damaged bytes do not get in.
+// The encoding of chain messages: round trips, and the rejection of corrupt bytes.
 #include "tier/coordination/chain_messages.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/tier/coordination/chain_replica_test.cpp
+++ b/tests/tier/coordination/chain_replica_test.cpp
@@ -1,4 +1,4 @@
-// Chain replicas through hostile days, and on ordinary ones.
+// Clusters of chain replicas, without faults and under random ones.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -18,19 +18,21 @@
   return text;
 }
 
-// One seeded day: clients all the while, faults one after the other, then calm and the reckoning.
+// A seeded run: clients all the time, random faults one after the other, then recovery and the
+// checks.
 class FaultScenario {
  public:
-  // On a reckless day, disks are lost as soon as the newest view is whole, although a next one may
-  // have been decided with fewer machines: then it may stand still, but nothing may be lost.
-  FaultScenario(const ClusterOptions& options, bool reckless)
+  // With `disk_losses_overlap`, disks are lost as soon as the newest view is complete, although a
+  // next one may have been decided with fewer machines: then changes may stop, but nothing may be
+  // lost.
+  FaultScenario(const ClusterOptions& options, bool disk_losses_overlap)
       : options_(options),
-        reckless_(reckless),
+        disk_losses_overlap_(disk_losses_overlap),
         cluster_(options),
         random_(options.seed * 7919 + 1) {}
 
-  // Empty: nothing is wrong.
-  std::string Play() {
+  // The violations found; empty: none.
+  std::string Run() {
     if (!cluster_.CommitsWithin(kFounding)) return Finding("no first commit");
     ScheduleClients();
     const Micros end = cluster_.now() + kFaultSpan;
@@ -41,7 +43,7 @@
     if (RandomFraction() < 0.5) FinalFault();
     Calm();
     if (!cluster_.CommitsWithin(kRecovery)) {
-      return Finding(reckless_ ? "" : "no commit after the calm");
+      return Finding(disk_losses_overlap_ ? "" : "no commit after the calm");
     }
     cluster_.RunFor(5 * kSecond);
     CheckNothingLost();
@@ -145,7 +147,7 @@
     }
   }
 
-  // At most `tolerance` disks, and only when those lost before are made up for.
+  // At most `tolerance` disks, and only when those lost before have been replaced.
   void LoseDisks(bool all_lose_power) {
     const bool allowed = MayLoseDisks();
     auto names = cluster_.Names();
@@ -172,11 +174,11 @@
     cluster_.Replace(name);
   }
 
-  // Machines that were down, frozen or cut off count as lost for some time after their return.
+  // Machines that were down, frozen or partitioned count as lost for some time after their return.
   bool MayLoseDisks() {
     constexpr Micros kSyncing = 2500 * kMillisecond;
     if (options_.tolerance == 0) return false;
-    if (reckless_) return cluster_.IsRepaired();
+    if (disk_losses_overlap_) return cluster_.IsRepaired();
     RestoreAll();
     cluster_.RunUntil(8 * kSecond, [&] { return cluster_.IsRepaired(); });
     cluster_.RunFor(kSyncing);
@@ -202,7 +204,7 @@
   void CheckNothingLost() {
     const std::string head = cluster_.HeadName();
     const View view = cluster_.machine(head).replica->view();
-    if (!reckless_ && view.members.size() != cluster_.Names().size()) {
+    if (!disk_losses_overlap_ && view.members.size() != cluster_.Names().size()) {
       cluster_.history().AddFinding("not all machines are members again");
     }
     for (const ReplicaId& member : view.members) {
@@ -219,7 +221,7 @@
   }
 
   const ClusterOptions options_;
-  const bool reckless_;
+  const bool disk_losses_overlap_;
   ChainCluster cluster_;
   std::mt19937_64 random_;
 };
@@ -380,7 +382,7 @@
         options.late = seed % 4 == 0 ? 0.1 : 0;
         options.slow_disks = seed % 5 == 0;
         FaultScenario played(options, seed % 7 == 0);
-        const std::string finding = played.Play();
+        const std::string finding = played.Run();
         CPPUNIT_ASSERT_EQUAL_MESSAGE(finding, std::string(), finding);
         commits += played.history().commits();
         reads += played.history().reads();
--- a/tests/tier/coordination/chain_rules_test.cpp
+++ b/tests/tier/coordination/chain_rules_test.cpp
@@ -1,5 +1,5 @@
-// The rules of the messages, as a table: what a member of a view answers to each kind, by whom it
-// comes from, of which epoch, and whether the member has promised a next view.
+// How a member of a view responds to each type of message, as a table: by the sender, the epoch,
+// and whether the member has promised a next view.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "tier/coordination/chain_messages.h"
@@ -10,10 +10,11 @@
 constexpr Micros kNow = 10'000'000;
 constexpr std::uint64_t kEpoch = 5;
 
-const char* const kKinds[] = {"Append",      "CommitNotice",   "ViewProbe",       "ViewNotice",
-                              "ViewRequest", "ViewResponse",   "Prepare",         "Promise",
-                              "Reject",      "AcceptorGone",   "Accept",          "Accepted",
-                              "ReadRequest", "ConfirmRequest", "ConfirmResponse", "ReadResponse"};
+const char* const kMessageTypes[] = {
+    "Append",      "CommitNotice",   "ViewProbe",       "ViewNotice",
+    "ViewRequest", "ViewResponse",   "Prepare",         "Promise",
+    "Reject",      "AcceptorGone",   "Accept",          "Accepted",
+    "ReadRequest", "ConfirmRequest", "ConfirmResponse", "ReadResponse"};
 
 ReplicaId Id(const std::string& text) { return {text.substr(0, 1), text.substr(1)}; }
 
@@ -30,7 +31,7 @@
     Deliver("c1", kEpoch, CommitNotice{0});
   }
 
-  // The answers as "to:Kind" in order, with all disk writes done at once.
+  // The responses as "to:Type" in order, with all disk writes done at once.
   std::string Deliver(const std::string& from, std::uint64_t epoch, Body body) {
     Effects out;
     const Envelope envelope{{Id(from), epoch}, std::move(body)};
@@ -47,7 +48,7 @@
       const auto envelope = DecodeEnvelope(message.bytes);
       CPPUNIT_ASSERT(envelope.ok());
       responses +=
-          (responses.empty() ? "" : " ") + message.to + ":" + kKinds[envelope->body.index()];
+          (responses.empty() ? "" : " ") + message.to + ":" + kMessageTypes[envelope->body.index()];
     }
     return responses;
   }
@@ -94,11 +95,11 @@
         {"notice", false, "c1", kEpoch + 1, ViewNotice{}, "c:ViewRequest"},
         {"notice of the same", false, "c1", kEpoch, ViewNotice{}, ""},
         {"notice of an older", false, "c1", kEpoch - 1, ViewNotice{}, ""},
-        {"ask", false, "z9", 0, ViewRequest{}, "z:ViewResponse"},
-        {"ask of the same", false, "c1", kEpoch, ViewRequest{}, ""},
+        {"view request", false, "z9", 0, ViewRequest{}, "z:ViewResponse"},
+        {"view request of the same", false, "c1", kEpoch, ViewRequest{}, ""},
         {"prepare", false, "a1", kEpoch, Prepare{proposal_number, members, {}}, "a:Promise"},
         {"prepare again", true, "a1", kEpoch, Prepare{proposal_number, members, {}}, "a:Promise"},
-        {"prepare of a lower ballot", true, "a1", kEpoch, Prepare{lower, members, {}}, "a:Reject"},
+        {"prepare of a lower number", true, "a1", kEpoch, Prepare{lower, members, {}}, "a:Reject"},
         {"prepare of another view", false, "a1", kEpoch - 1, Prepare{proposal_number, members, {}},
          "a:ViewNotice"},
         {"prepare naming an old disk", false, "a1", kEpoch, Prepare{proposal_number, other, {}},
@@ -106,16 +107,17 @@
         {"accept", true, "a1", kEpoch, Accept{proposal_number, next}, "a:Accepted"},
         {"accept without a prepare", false, "a1", kEpoch, Accept{proposal_number, next},
          "a:Accepted"},
-        {"accept of a lower ballot", true, "a1", kEpoch, Accept{lower, next}, "a:Reject"},
+        {"accept of a lower number", true, "a1", kEpoch, Accept{lower, next}, "a:Reject"},
         {"accept of a map not held", true, "a1", kEpoch, Accept{proposal_number, unknown}, ""},
         {"read elsewhere than the tail", false, "a1", kEpoch, ReadRequest{1, 1, {}}, ""},
-        {"question of the tail", false, "c1", kEpoch, ConfirmRequest{3}, "c:ConfirmResponse"},
-        {"question when sealed", true, "c1", kEpoch, ConfirmRequest{3}, ""},
-        {"question of another", false, "a1", kEpoch, ConfirmRequest{3}, ""},
-        {"question of an older view", false, "c1", kEpoch - 1, ConfirmRequest{3}, "c:ViewNotice"},
-        {"promise not asked for", false, "c1", kEpoch, Promise{proposal_number, {}, {}, {}, {}},
-         ""},
-        {"accepted not asked for", false, "c1", kEpoch, Accepted{proposal_number}, ""},
+        {"confirm request of the tail", false, "c1", kEpoch, ConfirmRequest{3},
+         "c:ConfirmResponse"},
+        {"confirm request when sealed", true, "c1", kEpoch, ConfirmRequest{3}, ""},
+        {"confirm request of another", false, "a1", kEpoch, ConfirmRequest{3}, ""},
+        {"confirm request of an older view", false, "c1", kEpoch - 1, ConfirmRequest{3},
+         "c:ViewNotice"},
+        {"unexpected promise", false, "c1", kEpoch, Promise{proposal_number, {}, {}, {}, {}}, ""},
+        {"unexpected accepted", false, "c1", kEpoch, Accepted{proposal_number}, ""},
     };
     for (const auto& test : cases) {
       MiddleMember member;
--- a/tests/tier/coordination/chain_views_test.cpp
+++ b/tests/tier/coordination/chain_views_test.cpp
@@ -1,4 +1,4 @@
-// What makes a quorum, which members the next view has, and what an acceptor says.
+// What makes a quorum, how acceptor and proposer behave, and which members the next view has.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "tier/coordination/view_agreement.h"
@@ -123,7 +123,7 @@
   CPPUNIT_TEST(RemovesDrainingMembers);
   CPPUNIT_TEST(RemovesMemberOnlyAfterDelay);
   CPPUNIT_TEST(KeepsReplicasInEnoughFailureDomains);
-  CPPUNIT_TEST(CountsLossesOfWholeDomains);
+  CPPUNIT_TEST(CountsLossesOfFailureDomains);
   CPPUNIT_TEST(JudgesSufficientReplication);
   CPPUNIT_TEST_SUITE_END();
 
@@ -156,7 +156,7 @@
     }
   }
 
-  // At once, where the others suffice; `leaving` are alive.
+  // At once, where the others suffice; the draining ones are alive.
   void RemovesDrainingMembers() {
     const struct {
       std::string view, alive, draining, dead;
@@ -201,10 +201,10 @@
     CPPUNIT_ASSERT_EQUAL(std::string("a1 b1"), Text(dropped.members));
   }
 
-  // The places are given as "a=z1/r1"; the target is that of a with everybody else as told.
+  // Locations are given as "a=zone/region"; the target is that of replica a.
   void KeepsReplicasInEnoughFailureDomains() {
     const struct {
-      std::string view, alive, dead, places;
+      std::string view, alive, dead, locations;
       Tolerance tolerance;
       std::string target;
     } cases[] = {
@@ -216,36 +216,36 @@
          "a=x/r b=x/r c=y/r d=y/r e=z/r f=z/r",
          {0, 1, 0},
          "a1 b1 c1 d1"},
-        // What is left stands in one zone: nobody is dropped.
+        // What is left stands in one zone: nobody is removed.
         {"a1 b1 c1", "b1", "c1", "a=x/r b=x/r c=z/r", {0, 1, 0}, "a1 b1 c1"},
         {"a1 b1 c1", "b1", "c1", "a=x/r b=x/r c=z/r", {1, 0, 0}, "a1 b1"},
         // All are in one zone anyway.
         {"a1 b1 c1", "b1", "c1", "a=x/r b=x/r c=x/r", {1, 1, 0}, "a1 b1"},
-        // Regions: the second one is lost but for a machine, then whole.
+        // Regions: the second one is lost but for a machine, then completely.
         {"a1 b1 c1 d1", "b1 c1", "d1", "a=x/r b=y/r c=z/s d=w/s", {1, 0, 1}, "a1 b1 c1"},
         {"a1 b1 c1 d1", "b1", "c1 d1", "a=x/r b=y/r c=z/s d=w/s", {1, 0, 1}, "a1 b1 c1 d1"},
-        // A machine in the lost zone's place counts.
+        // A machine that joins in the lost zone counts.
         {"a1 b1 c1", "b1 d1", "c1", "a=x/r b=x/r c=z/r d=z/r", {0, 1, 0}, "a1 b1 d1"},
     };
     for (const auto& test : cases) {
       ViewTarget target({"a", "1"}, test.tolerance, {2 * kRetry, kTimeout, kStart});
-      target.SetPeers(kStart, Peers("a1 " + test.alive, test.dead, test.places));
+      target.SetPeers(kStart, Peers("a1 " + test.alive, test.dead, test.locations));
       target.Compute(kStart, Ids(test.view));
       const auto later = target.Compute(kStart + 3 * kRetry, Ids(test.view));
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(test.view + " with " + test.alive + " at " + test.places,
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(test.view + " with " + test.alive + " at " + test.locations,
                                    test.target, Text(later.members));
     }
   }
 
-  void CountsLossesOfWholeDomains() {
-    const std::string places = "a=x/r b=x/r c=y/r d=z/s";
+  void CountsLossesOfFailureDomains() {
+    const std::string locations = "a=x/r b=x/r c=y/r d=z/s";
     const struct {
       Tolerance tolerance;
       int lost;
     } cases[] = {{{1, 0, 0}, 1}, {{0, 1, 0}, 2}, {{0, 2, 0}, 3}, {{0, 0, 1}, 3}, {{4, 1, 0}, 4}};
     for (const auto& test : cases) {
       ViewTarget target({"a", "1"}, test.tolerance, {2 * kRetry, kTimeout, kStart});
-      target.SetPeers(kStart, Peers("a1 b1 c1 d1", "", places));
+      target.SetPeers(kStart, Peers("a1 b1 c1 d1", "", locations));
       CPPUNIT_ASSERT_EQUAL(test.lost, target.MaxSimultaneousLosses(Ids("a1 b1 c1 d1")));
     }
   }
@@ -265,13 +265,13 @@
 
  private:
   static std::vector<Peer> Peers(const std::string& alive, const std::string& dead,
-                                 const std::string& places) {
+                                 const std::string& locations) {
     std::vector<Peer> peers = Peers(alive, dead);
     for (Peer& peer : peers) {
-      const std::size_t at = (" " + places).find(" " + peer.id.name + "=");
+      const std::size_t at = (" " + locations).find(" " + peer.id.name + "=");
       CPPUNIT_ASSERT(at != std::string::npos);
-      peer.zone = places.substr(at + 2, 1);
-      peer.region = places.substr(at + 4, 1);
+      peer.zone = locations.substr(at + 2, 1);
+      peer.region = locations.substr(at + 4, 1);
     }
     return peers;
   }
--- a/tests/tier/coordination/change_history_test.cpp
+++ b/tests/tier/coordination/change_history_test.cpp
@@ -1,4 +1,4 @@
-// The record of a key's changes: what it says of a mark, how much it keeps, and what it costs.
+// The history of a key's changes: which changes it finds, how many it keeps, and its size.
 #include "tier/coordination/change_history.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -16,7 +16,7 @@
   return {number, digest, digest};
 }
 
-// Sets the key with a mark, as a head does.
+// Sets the key and records the change, as a head does.
 void Commit(Map* map, const ChangeId& change_id) {
   const std::uint64_t revision = (*map)[kKey].revision + 1;
   auto [page_key, page] = ChangeHistoryPageWith(*map, kKey, revision, change_id);
@@ -77,7 +77,8 @@
     CPPUNIT_ASSERT(!IsChangeHistoryKey(kKey));
   }
 
-  // Uneven numbers, three times around: of each state all that must be kept is, and no more.
+  // Numbers with gaps, three times around the ring: at least the guaranteed changes are kept, and
+  // no more than the maximum.
   void DiscardsOldestPage() {
     Map map;
     std::vector<std::uint64_t> numbers;
@@ -123,7 +124,7 @@
                          Text(FindInChangeHistory(map, kKey, MakeChangeId(10))));
   }
 
-  // Whoever has the change has its mark, whatever is lost in between.
+  // Whoever has the change has its identity, whatever fails in between.
   void IsCommittedWithTheChange() {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       ChainCluster cluster({3, 1, seed, 0.05, 0.02, 0.05, true});
@@ -167,7 +168,7 @@
     }
   }
 
-  // Every machine loses its disk in its turn; what was recorded first is known after the last.
+  // Every machine loses its disk in its turn; all that was recorded is still found after that.
   void SurvivesRestartsAndLostDisks() {
     ChainCluster cluster({3, 1, 4, 0, 0, 0, false});
     CPPUNIT_ASSERT(cluster.CommitsWithin(20 * kSecond));
--- a/tests/tier/coordination/membership_cluster.h
+++ b/tests/tier/coordination/membership_cluster.h
@@ -1,5 +1,5 @@
-// A cluster of membership machines in virtual time over a network that loses, delays, doubles and
-// cuts. Everything follows from the seed.
+// A cluster of Membership objects in virtual time over a network that loses, delays and duplicates
+// datagrams and whose links can fail. Deterministic for a seed.
 #ifndef PEARREACH_TESTS_TIER_COORDINATION_MEMBERSHIP_CLUSTER_H_
 #define PEARREACH_TESTS_TIER_COORDINATION_MEMBERSHIP_CLUSTER_H_
 
@@ -34,7 +34,7 @@
   void Kill(int i);
   void AnnounceShutdown(int i);
   void Freeze(int i);
-  // What came meanwhile is read then, or was lost.
+  // Datagrams that arrived meanwhile are received now, or `lost`.
   void Thaw(int i, bool lost = false);
   void BlockLink(int from, int to);  // one way
   void BlockBothDirections(int a, int b);
@@ -51,7 +51,7 @@
   Membership& At(int i) { return *nodes_.at(i).machine; }
   MemberStatus StatusAt(int observer, int target) const;
   bool Knows(int observer, int target) const;
-  // Nodes that hold `target` live, of the running ones.
+  // The running nodes that see `target` as live.
   int CountSeeingLive(int target) const;
   Micros now() const { return now_; }
 
@@ -65,8 +65,8 @@
   MembershipOptions defaults;  // all but self and seeds
   std::uint64_t sent = 0, sent_bytes = 0, ticks = 0, largest = 0;
   std::vector<std::string> violations;
-  // Longest time that a running, reachable, thawed node was held dead by another one since the
-  // last event, and how often a running one was held dead at all.
+  // Longest time that a running, reachable, thawed node was seen as dead by another one since
+  // the last event, and how often a running one was seen as dead at all.
   Micros longest_false_death = 0;
   int false_deaths = 0;
 
--- a/tests/tier/coordination/membership_test.cpp
+++ b/tests/tier/coordination/membership_test.cpp
@@ -1,4 +1,4 @@
-// Clusters of membership machines in virtual time.
+// Clusters of Membership objects in virtual time.
 #include "tier/coordination/membership.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -168,7 +168,7 @@
       cluster.RunFor(span);
       cluster.Thaw(6);
       cluster.RunFor(300 * kMilli);
-      // What it saw before stands: it does not take its own stillness for that of others.
+      // It keeps its view: it does not mistake its own stall for that of others.
       CPPUNIT_ASSERT_EQUAL(kNodes - 1, LiveOthers(&cluster, 6));
       AssertAgreement(&cluster, 5 * kSecond, "thaw after " + std::to_string(span));
       CPPUNIT_ASSERT_EQUAL(kNodes - 1, LiveOthers(&cluster, 6));
@@ -176,7 +176,7 @@
     }
   }
 
-  // A suspicion that was running when this node froze is not over when it wakes.
+  // A suspicion that was pending when this node froze has not timed out when it thaws.
   void FrozenNodeExtendsSuspicions() {
     for (const Micros span : {450 * kMilli, 700 * kMilli, 5 * kSecond}) {
       MembershipCluster cluster(19);
@@ -213,7 +213,7 @@
     }
   }
 
-  // Its time of day has been set back meanwhile.
+  // Its wall clock has been set back meanwhile.
   void RestartWithEarlierClockRejoins() {
     for (const Micros span : {Micros{0}, 500 * kMilli, 10 * kSecond, 90 * kSecond}) {
       for (const bool left : {false, true}) {
@@ -232,7 +232,7 @@
     }
   }
 
-  // At another address it is a namesake, and the earlier one stays.
+  // At another address it is another node of the same name, and the earlier one stays.
   void SameNameAtOtherAddressKeepsIncarnation() {
     MembershipCluster cluster(6);
     cluster.StartAll(kNodes);
@@ -265,7 +265,7 @@
     cluster.RunFor(60 * kSecond);
     CPPUNIT_ASSERT(cluster.Agreed());
     CPPUNIT_ASSERT_EQUAL(0, cluster.false_deaths);
-    // The second opinions keep it from being suspected at all.
+    // The indirect probes keep it from being suspected at all.
     for (const int i : {2, 3}) {
       CPPUNIT_ASSERT_EQUAL(0u,
                            cluster.At(i).members().at(MembershipCluster::NameOf(i)).refutations);
@@ -331,7 +331,7 @@
     AssertAgreement(&cluster, 6 * kSecond, "heal");
   }
 
-  // A node that was away while another joined learns of it sooner than by its turn to be probed.
+  // A node that was away while another joined learns of it before it is probed by it.
   void AntiEntropyRepairsMissedJoin() {
     MembershipCluster cluster(21);
     cluster.StartAll(60);
@@ -385,18 +385,18 @@
           std::uint64_t{17},
           cluster.At(i).members().at(MembershipCluster::NameOf(4)).versions.at("map"));
     }
-    cluster.At(4).Announce(std::string(100, 'x'), 1);  // too long a name is passed over
+    cluster.At(4).Announce(std::string(100, 'x'), 1);  // too long a name is ignored
     CPPUNIT_ASSERT_EQUAL(std::size_t{1},
                          cluster.At(4).members().at(MembershipCluster::NameOf(4)).versions.size());
-    // The first ones hear of a change long before a round of probes is over.
+    // The first ones receive an update long before a round of probes is over.
     cluster.At(4).Announce("map", 18);
     cluster.RunFor(200 * kMilli);
-    int heard = 0;
+    int informed = 0;
     for (int i = 0; i < kNodes; ++i) {
       if (cluster.At(i).members().at(MembershipCluster::NameOf(4)).versions.at("map") == 18)
-        ++heard;
+        ++informed;
     }
-    CPPUNIT_ASSERT(heard >= 3);  // itself and those of the push
+    CPPUNIT_ASSERT(informed >= 3);  // itself and the receivers of the update
   }
 
   void ReportsContactWithMajority() {
@@ -455,7 +455,7 @@
     return count;
   }
 
-  // Random troubles, then calm: all agree again, and nothing unsound was seen.
+  // Random faults, then recovery: all agree again, and no invariant was violated.
   static void InjectFault(std::uint64_t seed) {
     std::mt19937_64 random(seed);
     MembershipCluster cluster(seed, {.loss = static_cast<double>(random() % 15) / 100,
--- a/tests/tier/coordination/membership_wire_test.cpp
+++ b/tests/tier/coordination/membership_wire_test.cpp
@@ -1,4 +1,4 @@
-// The rules of merging, the datagrams' format and the queue of changes.
+// The rules of merging records, the encoding of datagrams and the queue of updates.
 #include "tier/coordination/membership_wire.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -77,7 +77,7 @@
         // the same
         {{5, kAlive, 0}, {5, kAlive, 0}, false},
         {{5, kDead, 1}, {5, kDead, 1}, false},
-        // worse news of the same version hold
+        // the more severe status of the same version wins
         {{5, kAlive, 1}, {5, kSuspect, 1}, true},
         {{5, kSuspect, 1}, {5, kDead, 1}, true},
         {{5, kAlive, 1}, {5, kDead, 1}, true},
@@ -204,10 +204,10 @@
     changes.Offer(2, take);
     CPPUNIT_ASSERT_EQUAL(std::string("cb"), taken);
     capacity = 2;
-    changes.Offer(2, take);  // the one never sent, then the newest of the others, for the last time
+    changes.Offer(2, take);  // the one never sent, then the newest of the others for the last time
     CPPUNIT_ASSERT_EQUAL(std::string("cbac"), taken);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, changes.size());
-    changes.Add("b");  // anew
+    changes.Add("b");  // queued again
     capacity = 10;
     for (int i = 0; i < 5; ++i) changes.Offer(2, take);
     CPPUNIT_ASSERT_EQUAL(std::string("cbacbab"), taken);
--- a/tests/tier/coordination/singleton_role_test.cpp
+++ b/tests/tier/coordination/singleton_role_test.cpp
@@ -1,5 +1,5 @@
-// A duty under an epoch: the rules of a holder alone, and days on which nodes are wrong about who
-// is the first live one, frozen, cut off or killed. Checked: an epoch has one doer, and none acts
+// A singleton role: one node's rules alone, and runs in which nodes are wrong about who is the
+// first live one, frozen, partitioned or killed. Invariants: an epoch has one actor, and none acts
 // below the greatest epoch that the control state has seen.
 #include "tier/coordination/singleton_role.h"
 
@@ -14,17 +14,17 @@
 namespace {
 
 constexpr Micros kClaimInterval = 200 * kMillisecond;
-constexpr char kRoleKey[] = "duty/test", kTableKey[] = "table";
+constexpr char kRoleKey[] = "role/test", kTableKey[] = "table";
 
-// Nodes that do a duty over a chain cluster. Each is told who is the first live one and acts as
-// long as it takes itself for the holder; a claim and an action reach the head some time after they
+// Nodes that compete for a role over a chain cluster. Each is given the first live node and acts as
+// long as it believes to be the owner; a claim and an action reach the head some time after they
 // were decided, as over a relay.
 class SingletonRoleScenario {
  public:
   SingletonRoleScenario(std::uint64_t seed, double loss = 0) : cluster_(OptionsOf(seed, loss)) {}
 
   ChainCluster& cluster() { return cluster_; }
-  // What each node takes for the first live one.
+  // The first live node as each node sees it.
   std::function<std::string(const std::string&)> first = [this](const std::string& node) {
     return FirstLive(node);
   };
@@ -36,7 +36,7 @@
   }
   void RunFor(Micros span) { cluster_.RunFor(span); }
 
-  // The holder by the newest map that anybody has: node, or nothing.
+  // The owner by the newest map that any replica has; empty: none.
   std::string Owner() const {
     const SingletonRoleRecord record = Newest();
     return record.owner.substr(0, record.owner.find('#'));
@@ -48,7 +48,7 @@
     return actions;
   }
 
-  // Empty: nothing is wrong.
+  // The violations found; empty: none.
   std::string Check() {
     std::string wrong;
     for (const std::string& finding : cluster_.history().findings()) wrong += finding + "; ";
@@ -61,7 +61,7 @@
       }
     }
     for (const auto& [epoch, names] : actors) {
-      if (names.size() > 1) wrong += "two doers of epoch " + std::to_string(epoch) + "; ";
+      if (names.size() > 1) wrong += "two actors of epoch " + std::to_string(epoch) + "; ";
     }
     return wrong;
   }
@@ -86,7 +86,7 @@
   static SingletonRoleRecord RecordOf(const Map& map) {
     const auto found = map.find(kRoleKey);
     if (found == map.end()) return {};
-    const std::string& value = found->second.value;  // "HOLDER CLAIM"
+    const std::string& value = found->second.value;  // "OWNER CLAIM"
     return {found->second.revision, value.substr(0, value.find(' '))};
   }
 
@@ -98,7 +98,7 @@
       const auto found = map->find(kTableKey);
       if (found == map->end() || found->second.revision <= last) continue;
       last = found->second.revision;
-      const std::string& value = found->second.value;  // "EPOCH DOER NUMBER"
+      const std::string& value = found->second.value;  // "EPOCH ACTOR NUMBER"
       const std::size_t space = value.find(' ');
       actions.push_back({std::stoull(value), RecordOf(*map).epoch,
                          value.substr(space + 1, value.rfind(' ') - space - 1)});
@@ -106,7 +106,7 @@
     return actions;
   }
 
-  // By the peers as membership tells them, in the order of names.
+  // By the peers as membership reports them, in the order of names.
   std::string FirstLive(const std::string& node) {
     for (const auto& [name, peer] : cluster_.machine(node).peers) {
       if (name < node && peer.alive) return name;
@@ -125,7 +125,7 @@
     return *role;
   }
 
-  // One look of a node; a frozen one looks when it thaws.
+  // One step of a node; a frozen one continues when it thaws.
   void Step(const std::string& node) {
     cluster_.At(cluster_.now() + Between(20, 60) * kMillisecond, [this, node] { Step(node); });
     ChainCluster::Machine& machine = cluster_.machine(node);
@@ -138,7 +138,7 @@
     if (role.owned_epoch() && map) Act(node, *role.owned_epoch(), *map);
   }
 
-  // A claim's outcome is lost on its way back now and then: it shows in the record then.
+  // The outcome of a claim never reaches the node: the record shows it.
   void Claim(const std::string& node, std::uint64_t epoch) {
     const std::uint64_t incarnation = cluster_.machine(node).incarnation;
     const std::string value =
@@ -264,7 +264,7 @@
       ChangeRequest request;
       ChangeStatus status;
     } cases[] = {
-        // A state in which the duty was never taken is that of epoch 0.
+        // Before the first claim the epoch is 0.
         {{0, kTableKey, 0, "t1", {kRoleKey, 0}}, ChangeStatus::kCommitted},
         {{0, kRoleKey, 0, "a", {}}, ChangeStatus::kCommitted},
         {{0, kTableKey, 1, "t2", {kRoleKey, 0}}, ChangeStatus::kFenced},
@@ -351,7 +351,7 @@
     }
   }
 
-  // All take themselves for the first: each epoch still has one doer.
+  // All believe to be the first: each epoch still has one actor.
   void OneActorPerEpochWhenAllClaim() {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       SingletonRoleScenario scenario(seed, 0.05);
@@ -363,7 +363,7 @@
     }
   }
 
-  // Every node takes another one for dead now and then.
+  // Every node believes another one to be dead now and then.
   void OneActorPerEpochWithFalseSuspicions() {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       SingletonRoleScenario scenario(seed, 0.02);
