--- a/lab/hollow/membership.cpp
+++ b/lab/hollow/membership.cpp
@@ -14,18 +14,21 @@
 
 using coordination::MemberStatus;
 
-constexpr Micros kIdle = 3 * kSecond;
-constexpr Micros kBound = 60 * kSecond;
+constexpr Micros kIdleSpan = 3 * kSecond;         // measured while nothing changes
+constexpr Micros kMaxConvergence = 60 * kSecond;  // a longer one is reported as not reached
+constexpr Micros kSettleSpan = 5 * kSecond;       // between the start and the idle measurement
+constexpr Micros kPollInterval = 50 * kMs;
 constexpr Micros kStartSpread = kSecond;  // nodes start within it
 constexpr int kSeeds = 3;
 
+// The nodes of a fleet with nothing but membership, in virtual time.
 struct Fleet {
   explicit Fleet(const FleetSize& size);
   bool AllSee(std::size_t live) const;
 
   VirtualTime time;
   VirtualNetwork network;
-  // Null: has ended.
+  // Null: the node has ended.
   std::vector<std::unique_ptr<VirtualMesh>> meshes;
   std::vector<std::unique_ptr<VirtualTimeSource>> sources;
   std::vector<std::unique_ptr<control::MembershipDriver>> drivers;
@@ -77,34 +80,35 @@
   Figures figures;
   const ProcessCost before;
   Fleet fleet(size);
-  const double n = size.nodes;
+  const double nodes = size.nodes;
   const auto ms = [](Micros span) { return static_cast<double>(span) / kMs; };
-  ProcessCost change_id;
+  ProcessCost cost;
   const Micros started = fleet.time.now();
-  const auto all = [&] { return fleet.AllSee(fleet.drivers.size()); };
-  if (fleet.time.RunUntil(all, kBound, 50 * kMs))
+  const auto all_know = [&] { return fleet.AllSee(fleet.drivers.size()); };
+  if (fleet.time.RunUntil(all_know, kMaxConvergence, kPollInterval))
     figures.all_know_ms = ms(fleet.time.now() - started);
-  figures.start_processor_ms = change_id.ProcessorMs() / n;
-  figures.start_kb = static_cast<double>(fleet.network.total.bytes) / n / 1e3;
-  figures.start_messages = static_cast<double>(fleet.network.total.messages) / n;
+  figures.start_processor_ms = cost.ProcessorMs() / nodes;
+  figures.start_kb = static_cast<double>(fleet.network.total.bytes) / nodes / 1e3;
+  figures.start_messages = static_cast<double>(fleet.network.total.messages) / nodes;
 
-  fleet.time.RunFor(5 * kSecond);
-  change_id = ProcessCost();
-  const Traffic at_idle = fleet.network.total;
-  fleet.time.RunFor(kIdle);
-  const double seconds = static_cast<double>(kIdle) / kSecond;
-  figures.idle_processor_percent = change_id.ProcessorMs() / n / seconds / 10;
+  fleet.time.RunFor(kSettleSpan);
+  cost = ProcessCost();
+  const Traffic before_idle = fleet.network.total;
+  fleet.time.RunFor(kIdleSpan);
+  const double seconds = static_cast<double>(kIdleSpan) / kSecond;
+  figures.idle_processor_percent = cost.ProcessorMs() / nodes / seconds / 10;
   figures.idle_bytes_s =
-      static_cast<double>(fleet.network.total.bytes - at_idle.bytes) / n / seconds;
+      static_cast<double>(fleet.network.total.bytes - before_idle.bytes) / nodes / seconds;
   figures.idle_messages_s =
-      static_cast<double>(fleet.network.total.messages - at_idle.messages) / n / seconds;
-  figures.memory_kb = (ProcessCost().ResidentKb() - before.ResidentKb()) / n;
+      static_cast<double>(fleet.network.total.messages - before_idle.messages) / nodes / seconds;
+  figures.memory_kb = (ProcessCost().ResidentKb() - before.ResidentKb()) / nodes;
 
   const Micros ended = fleet.time.now();
   fleet.drivers.back() = nullptr;
   fleet.meshes.back() = nullptr;
-  const auto seen = [&] { return fleet.AllSee(fleet.drivers.size() - 1); };
-  if (fleet.time.RunUntil(seen, kBound, 50 * kMs)) figures.death_ms = ms(fleet.time.now() - ended);
+  const auto all_know_death = [&] { return fleet.AllSee(fleet.drivers.size() - 1); };
+  if (fleet.time.RunUntil(all_know_death, kMaxConvergence, kPollInterval))
+    figures.death_ms = ms(fleet.time.now() - ended);
   return figures;
 }
 
--- a/tests/fuzz/tier_state_fuzz.cpp
+++ b/tests/fuzz/tier_state_fuzz.cpp
@@ -13,6 +13,7 @@
 #include "tier/batch/batch_job_state.h"
 #include "tier/batch/leases.h"
 #include "tier/batch/placement.h"
+#include "tier/batch/store_simulation.h"
 #include "tier/codec/archive.h"
 #include "tier/control/config_change_id.h"
 #include "tier/control/snapshot_store.h"
@@ -20,7 +21,6 @@
 #include "tier/coordination/chain_messages.h"
 #include "tier/coordination/change_history.h"
 #include "tier/registry/worker_state.h"
-#include "tier/server/batch/store_simulation.h"
 
 namespace {
 
@@ -213,7 +213,7 @@
     case 1:
       return CommitNotice{number()};
     case 2:
-      return Probe{};
+      return ViewProbe{};
     case 3:
       return ViewNotice{};
     case 4:
@@ -243,8 +243,8 @@
   }
 }
 
-// A replica that starts from any records and is told anything by its peers.
-void Chain(FuzzedDataProvider* input) {
+// A chain replica that starts from any records and receives any messages from its peers.
+void FuzzChainReplica(FuzzedDataProvider* input) {
   std::map<std::string, std::string> records;
   coordination::ChainOptions options;
   options.self = {"a", "a"};
@@ -302,21 +302,21 @@
   }
 }
 
-// The record of changes over pages of any bytes, and over its own.
-void Marks(FuzzedDataProvider* input) {
+// The history of changes over pages of any bytes, and over its own.
+void FuzzChangeHistory(FuzzedDataProvider* input) {
   constexpr char kKey[] = "config";
   const auto change_id = [&](std::uint64_t number) {
     return coordination::ChangeId{number, input->ConsumeIntegral<std::uint64_t>(), 0};
   };
-  coordination::Map spoiled;
-  spoiled[kKey].revision = input->ConsumeIntegral<std::uint16_t>();
+  coordination::Map corrupt;
+  corrupt[kKey].revision = input->ConsumeIntegral<std::uint16_t>();
   while (input->remaining_bytes() > 0 && input->ConsumeBool()) {
     const std::uint64_t revision = input->ConsumeIntegralInRange<std::uint64_t>(1, 1 << 16);
     auto [key, page] =
-        coordination::ChangeHistoryPageWith(spoiled, kKey, revision, change_id(revision));
+        coordination::ChangeHistoryPageWith(corrupt, kKey, revision, change_id(revision));
     if (input->ConsumeBool()) page.value = input->ConsumeRandomLengthString(80);
-    spoiled[key] = page;
-    coordination::FindInChangeHistory(spoiled, kKey,
+    corrupt[key] = page;
+    coordination::FindInChangeHistory(corrupt, kKey,
                                       change_id(input->ConsumeIntegral<std::uint16_t>()));
   }
   coordination::Map map;
@@ -339,7 +339,8 @@
 }
 
 using Machine = void (*)(FuzzedDataProvider*);
-constexpr Machine kMachines[] = {Lots, Placement, Workers, Chain, Snapshots, Marks, Digests};
+constexpr Machine kMachines[] = {Lots,      Placement,         Workers, FuzzChainReplica,
+                                 Snapshots, FuzzChangeHistory, Digests};
 
 }  // namespace
 
