--- a/src/tier/coordination/chain_proposals.cpp
+++ b/src/tier/coordination/chain_proposals.cpp
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-void ChainReplica::Impl::On(Micros, const chain::Header& header, const chain::Promise& promise) {
-  if (proposer_) proposer_->OnPromise(header.from, promise);
+void ChainReplica::Impl::On(Micros, const chain::Header& header, const chain::Promise& response) {
+  if (proposer_) proposer_->OnPromise(header.from, response);
 }
 
 void ChainReplica::Impl::On(Micros now, const chain::Header& header, const chain::Reject& reject) {
@@ -173,8 +173,8 @@
 void ChainReplica::Impl::AbandonProposal(Micros now) {
   proposer_.reset();
   failed_proposals_ = std::min(failed_proposals_ + 1, kMaxBackoffDoublings);
-  const Micros most = (kStaggerRetries * options_.retry) << failed_proposals_;
-  std::uniform_int_distribution<Micros> wait(options_.retry, most);
+  const Micros max_wait = (kStaggerRetries * options_.retry) << failed_proposals_;
+  std::uniform_int_distribution<Micros> wait(options_.retry, max_wait);
   backoff_until_ = std::max(backoff_until_, now + wait(random_));
 }
 
--- a/src/tier/coordination/chain_replica.h
+++ b/src/tier/coordination/chain_replica.h
@@ -126,7 +126,7 @@
   void Install(Micros now, const chain::Proposal& proposal);
   void AfterInstall(Micros now);
   void ReplyIfReplaced(const chain::Header& header, const chain::Prepare& prepare);
-  chain::Promise MakePromise(const chain::Prepare& prepare) const;
+  chain::Promise ResponseToPrepare(const chain::Prepare& prepare) const;
   void On(Micros now, const chain::Header& header, const chain::Prepare& prepare);
   void On(Micros now, const chain::Header& header, const chain::Accept& accept);
   // Of the own epoch these mean nothing.
@@ -148,7 +148,7 @@
   void OnDecided(Micros now);
   void DeferOwnProposal(Micros now);
   void AbandonProposal(Micros now);
-  void On(Micros now, const chain::Header& header, const chain::Promise& promise);
+  void On(Micros now, const chain::Header& header, const chain::Promise& response);
   void On(Micros now, const chain::Header& header, const chain::Reject& reject);
   void On(Micros now, const chain::Header& header, const chain::AcceptorGone& gone);
   void On(Micros now, const chain::Header& header, const chain::Accepted& accepted);
--- a/src/tier/coordination/chain_views.cpp
+++ b/src/tier/coordination/chain_views.cpp
@@ -110,26 +110,26 @@
   if (before != prepare.proposal_number) Sync(acceptor_.Save(state_.latest().version));
   if (header.from != options_.self) DeferOwnProposal(now);
   if (proposer_ && proposer_->proposal_number() < prepare.proposal_number) AbandonProposal(now);
-  Send(header.from.name, MakePromise(prepare));
+  Send(header.from.name, ResponseToPrepare(prepare));
 }
 
 // Maps that the proposer has, or gets with this promise, are left out.
-chain::Promise ChainReplica::Impl::MakePromise(const chain::Prepare& prepare) const {
+chain::Promise ChainReplica::Impl::ResponseToPrepare(const chain::Prepare& prepare) const {
   const chain::State& latest = state_.latest();
-  chain::Promise promise{prepare.proposal_number,
-                         latest.version,
-                         {},
-                         acceptor_.accepted_number(),
-                         acceptor_.accepted()};
-  if (latest.version > prepare.have) promise.map.map = latest.map;
-  const Version& base = promise.accepted.base;
+  chain::Promise response{prepare.proposal_number,
+                          latest.version,
+                          {},
+                          acceptor_.accepted_number(),
+                          acceptor_.accepted()};
+  if (latest.version > prepare.have) response.map.map = latest.map;
+  const Version& base = response.accepted.base;
   const bool receiver_has_map = base == prepare.have || base == latest.version;
   if (receiver_has_map) {
-    promise.accepted.map = {};
-  } else if (promise.accepted_number.round > 0 && !promise.accepted.map.map) {
-    promise.accepted.map.map = state_.MapAt(base);
+    response.accepted.map = {};
+  } else if (response.accepted_number.round > 0 && !response.accepted.map.map) {
+    response.accepted.map.map = state_.MapAt(base);
   }
-  return promise;
+  return response;
 }
 
 void ChainReplica::Impl::On(Micros now, const chain::Header& header, const chain::Accept& accept) {
--- a/src/tier/coordination/view_agreement.cpp
+++ b/src/tier/coordination/view_agreement.cpp
@@ -87,24 +87,24 @@
       newest_(own),
       newest_map_(own_map_) {}
 
-void Proposer::OnPromise(const ReplicaId& from, const Promise& promise) {
-  if (promise.proposal_number != proposal_number_ || proposal_ || !Contains(acceptors_, from))
+void Proposer::OnPromise(const ReplicaId& from, const Promise& response) {
+  if (response.proposal_number != proposal_number_ || proposal_ || !Contains(acceptors_, from))
     return;
-  if (promise.latest > own_ && !promise.map.map) return;
-  Proposal accepted = promise.accepted;
-  if (promise.accepted_number.round > 0 && !accepted.map.map) {
+  if (response.latest > own_ && !response.map.map) return;
+  Proposal accepted = response.accepted;
+  if (response.accepted_number.round > 0 && !accepted.map.map) {
     if (accepted.base == own_) accepted.map.map = own_map_;
-    if (accepted.base == promise.latest && promise.map.map) accepted.map.map = promise.map.map;
+    if (accepted.base == response.latest && response.map.map) accepted.map.map = response.map.map;
     if (!accepted.map.map) return;
   }
   answered_.insert(from);
-  promised_[from] = promise.latest;
-  if (promise.latest > newest_) {
-    newest_ = promise.latest;
-    newest_map_ = promise.map.map;
+  promised_[from] = response.latest;
+  if (response.latest > newest_) {
+    newest_ = response.latest;
+    newest_map_ = response.map.map;
   }
-  if (promise.accepted_number > former_number_) {
-    former_number_ = promise.accepted_number;
+  if (response.accepted_number > former_number_) {
+    former_number_ = response.accepted_number;
     former_ = std::move(accepted);
   }
 }
--- a/src/tier/coordination/view_agreement.h
+++ b/src/tier/coordination/view_agreement.h
@@ -71,7 +71,7 @@
   // Null before the accept phase.
   const Proposal* proposal() const { return proposal_ ? &*proposal_ : nullptr; }
 
-  void OnPromise(const ReplicaId& from, const Promise& promise);
+  void OnPromise(const ReplicaId& from, const Promise& response);
   void OnAcceptorGone(const ReplicaId& from, const ProposalNumber& proposal_number);
   void OnAccepted(const ReplicaId& from, const ProposalNumber& proposal_number);
 
--- a/tests/tier/coordination/chain_cluster.h
+++ b/tests/tier/coordination/chain_cluster.h
@@ -142,8 +142,8 @@
   };
 
   double RandomFraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
-  Micros Between(Micros least, Micros most) {
-    return std::uniform_int_distribution<Micros>(least, most)(random_);
+  Micros Between(Micros min, Micros max) {
+    return std::uniform_int_distribution<Micros>(min, max)(random_);
   }
   void Schedule(Micros time, std::function<void()> what) { At(time, std::move(what)); }
   void Call(const std::string& name, const std::function<void(ChainReplica&, Effects*)>& call);
--- a/tests/tier/coordination/chain_replica_test.cpp
+++ b/tests/tier/coordination/chain_replica_test.cpp
@@ -56,8 +56,8 @@
                           kRecovery = 15 * kSecond;
 
   double RandomFraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
-  Micros Between(Micros least, Micros most) {
-    return std::uniform_int_distribution<Micros>(least, most)(random_);
+  Micros Between(Micros min, Micros max) {
+    return std::uniform_int_distribution<Micros>(min, max)(random_);
   }
   std::string Pick() {
     const auto names = cluster_.Names();
@@ -166,11 +166,11 @@
   }
 
   void ReplaceOne() {
-    constexpr std::size_t kLeast = 3;
+    constexpr std::size_t kMinMachines = 3;
     if (!MayLoseDisks()) return;
     const std::string name = Pick();
     const auto& members = cluster_.machine(name).replica->view().members;
-    if (cluster_.Names().size() < kLeast || members.size() < kLeast) return;
+    if (cluster_.Names().size() < kMinMachines || members.size() < kMinMachines) return;
     cluster_.Replace(name);
   }
 
--- a/tests/tier/coordination/change_history_test.cpp
+++ b/tests/tier/coordination/change_history_test.cpp
@@ -82,12 +82,12 @@
   void DiscardsOldestPage() {
     Map map;
     std::vector<std::uint64_t> numbers;
-    std::size_t most = 0;
+    std::size_t max_bytes = 0;
     for (std::size_t i = 1; i <= 3 * kMaxRecordedChanges; ++i) {
       numbers.push_back(3 * i + i % 2);
       Commit(&map, MakeChangeId(numbers.back()));
       if (i % 1009 != 0) continue;
-      most = std::max(most, BytesOf(map));
+      max_bytes = std::max(max_bytes, BytesOf(map));
       const std::size_t sure = std::min(i, kMaxRecordedChanges - kChangesPerHistoryPage + 1);
       for (const std::size_t back : {std::size_t{1}, sure / 2 + 1, sure}) {
         const std::uint64_t number = numbers[i - back];
@@ -106,7 +106,7 @@
                            Text(FindInChangeHistory(map, kKey, MakeChangeId(numbers[i - 1] + 1))));
     }
     CPPUNIT_ASSERT_EQUAL(kChangeHistoryPages + 1, map.size());
-    CPPUNIT_ASSERT(most < kMaxRecordedChanges * 25);
+    CPPUNIT_ASSERT(max_bytes < kMaxRecordedChanges * 25);
   }
 
   void ContinuesAfterChangeWithoutId() {
--- a/tests/tier/coordination/membership_cluster.cpp
+++ b/tests/tier/coordination/membership_cluster.cpp
@@ -112,9 +112,9 @@
     for (int copy = 0; copy < copies; ++copy) {
       if (RandomFraction() < network.loss) continue;
       const double fraction = RandomFraction();
-      const Micros delay =
-          network.shortest +
-          static_cast<Micros>(fraction * static_cast<double>(network.longest - network.shortest));
+      const Micros delay = network.min_delay +
+                           static_cast<Micros>(fraction * static_cast<double>(network.max_delay -
+                                                                              network.min_delay));
       flights_.emplace(now_ + delay, Flight{from, datagram.to, datagram.bytes});
     }
   }
@@ -160,19 +160,18 @@
     if (member.info.incarnation < seen) violations.push_back("an incarnation goes back: " + name);
     seen = member.info.incarnation;
     const int target = IndexOf(name);
-    const bool wrong = Running(target) && member.info.incarnation == IncarnationOf(target) &&
-                       !IsLive(member.status);
-    if (wrong && !false_death_since_.contains({i, target})) {
+    const bool falsely_dead = Running(target) && member.info.incarnation == IncarnationOf(target) &&
+                              !IsLive(member.status);
+    if (falsely_dead && !false_death_since_.contains({i, target})) {
       ++false_deaths;
       false_death_since_[{i, target}] = now_;
     }
-    if (!wrong) false_death_since_.erase({i, target});
+    if (!falsely_dead) false_death_since_.erase({i, target});
   }
   for (const auto& [pair, since] : false_death_since_) {
     const auto& [observer, target] = pair;
     const bool counts = Running(observer) && Running(target) && blocked_links_.empty();
-    if (counts)
-      longest_false_death = std::max(longest_false_death, now_ - std::max(since, last_event_));
+    if (counts) max_false_death = std::max(max_false_death, now_ - std::max(since, last_event_));
   }
 }
 
--- a/tests/tier/coordination/membership_cluster.h
+++ b/tests/tier/coordination/membership_cluster.h
@@ -20,7 +20,7 @@
 
 struct NetworkConditions {
   double loss = 0, doubled = 0;
-  Micros shortest = 1 * kMilli, longest = 30 * kMilli;  // delay of a datagram
+  Micros min_delay = 1 * kMilli, max_delay = 30 * kMilli;  // delay of a datagram
 };
 
 class MembershipCluster {
@@ -67,7 +67,7 @@
   std::vector<std::string> violations;
   // Longest time that a running, reachable, thawed node was seen as dead by another one since
   // the last event, and how often a running one was seen as dead at all.
-  Micros longest_false_death = 0;
+  Micros max_false_death = 0;
   int false_deaths = 0;
 
  private:
--- a/tests/tier/coordination/membership_test.cpp
+++ b/tests/tier/coordination/membership_test.cpp
@@ -144,7 +144,7 @@
 
   void ConvergesUnderHeavyLoss() {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-      MembershipCluster cluster(seed, {.loss = 0.2, .doubled = 0.05, .longest = 80 * kMilli});
+      MembershipCluster cluster(seed, {.loss = 0.2, .doubled = 0.05, .max_delay = 80 * kMilli});
       cluster.StartAll(kNodes);
       AssertAgreement(&cluster, 10 * kSecond, "join");
       cluster.Kill(4);
@@ -154,7 +154,7 @@
       AssertAgreement(&cluster, 10 * kSecond, "restart");
       cluster.RunFor(60 * kSecond);
       AssertAgreement(&cluster, 10 * kSecond, "end");
-      CPPUNIT_ASSERT(cluster.longest_false_death <= 5 * kSecond);
+      CPPUNIT_ASSERT(cluster.max_false_death <= 5 * kSecond);
       AssertSound(cluster, "loss");
     }
   }
@@ -312,7 +312,7 @@
       cluster.RunFor(span);
       cluster.Heal();
       AssertAgreement(&cluster, 6 * kSecond, "heal after " + std::to_string(span));
-      CPPUNIT_ASSERT(cluster.longest_false_death <= 6 * kSecond);
+      CPPUNIT_ASSERT(cluster.max_false_death <= 6 * kSecond);
       AssertSound(cluster, "partition");
     }
   }
@@ -458,10 +458,11 @@
   // Random faults, then recovery: all agree again, and no invariant was violated.
   static void InjectFault(std::uint64_t seed) {
     std::mt19937_64 random(seed);
-    MembershipCluster cluster(seed, {.loss = static_cast<double>(random() % 15) / 100,
-                                     .doubled = static_cast<double>(random() % 10) / 100,
-                                     .shortest = 1 * kMilli,
-                                     .longest = static_cast<Micros>(20 + random() % 80) * kMilli});
+    MembershipCluster cluster(seed,
+                              {.loss = static_cast<double>(random() % 15) / 100,
+                               .doubled = static_cast<double>(random() % 10) / 100,
+                               .min_delay = 1 * kMilli,
+                               .max_delay = static_cast<Micros>(20 + random() % 80) * kMilli});
     const int count = static_cast<int>(4 + random() % 12);
     std::set<int> frozen;
     cluster.StartAll(count);
@@ -504,11 +505,11 @@
     for (const int k : {0, 1, 2}) {
       if (!cluster.Up(k)) cluster.Start(k);  // at least the seeds are there
     }
-    cluster.longest_false_death = 0;
+    cluster.max_false_death = 0;
     AssertAgreement(&cluster, 15 * kSecond, "seed " + std::to_string(seed));
     cluster.RunFor(20 * kSecond);
     AssertAgreement(&cluster, 5 * kSecond, "seed " + std::to_string(seed) + " later");
-    CPPUNIT_ASSERT(cluster.longest_false_death <= 8 * kSecond);
+    CPPUNIT_ASSERT(cluster.max_false_death <= 8 * kSecond);
     AssertSound(cluster, "seed " + std::to_string(seed));
   }
 
--- a/tests/tier/coordination/singleton_role_test.cpp
+++ b/tests/tier/coordination/singleton_role_test.cpp
@@ -50,20 +50,20 @@
 
   // The violations found; empty: none.
   std::string Check() {
-    std::string wrong;
-    for (const std::string& finding : cluster_.history().findings()) wrong += finding + "; ";
+    std::string violations;
+    for (const std::string& finding : cluster_.history().findings()) violations += finding + "; ";
     std::map<std::uint64_t, std::set<std::string>> actors;
     for (const Action& action : Actions()) {
       actors[action.epoch].insert(action.actor);
       if (action.epoch != action.greatest) {
-        wrong += "epoch " + std::to_string(action.epoch) + " acted below " +
-                 std::to_string(action.greatest) + "; ";
+        violations += "epoch " + std::to_string(action.epoch) + " acted below " +
+                      std::to_string(action.greatest) + "; ";
       }
     }
     for (const auto& [epoch, names] : actors) {
-      if (names.size() > 1) wrong += "two actors of epoch " + std::to_string(epoch) + "; ";
+      if (names.size() > 1) violations += "two actors of epoch " + std::to_string(epoch) + "; ";
     }
-    return wrong;
+    return violations;
   }
 
  private:
@@ -177,8 +177,8 @@
     });
   }
 
-  Micros Between(Micros least, Micros most) {
-    return std::uniform_int_distribution<Micros>(least, most)(cluster_.random());
+  Micros Between(Micros min, Micros max) {
+    return std::uniform_int_distribution<Micros>(min, max)(cluster_.random());
   }
 
   ChainCluster cluster_;
