--- a/src/tier/coordination/chain_replication.cpp
+++ b/src/tier/coordination/chain_replication.cpp
@@ -26,6 +26,10 @@
   return found == map->end() ? 0 : found->second.revision;
 }
 
+bool ChainReplica::Impl::IsUnconfirmed(const QueuedChange& change) const {
+  return CommittedRevision(change.key) < change.expected && !change.confirmed_newest;
+}
+
 bool ChainReplica::Impl::IsFenced(const QueuedChange& change) const {
   return !change.fencing_token.key.empty() &&
          CommittedRevision(change.fencing_token.key) > change.fencing_token.revision;
@@ -45,17 +49,24 @@
   if (state_.pending() && synced_token_ >= pending_token_ && IsSynced()) {
     const Version version = state_.pending()->version;
     if (!predecessors_have_start_) {
-      if (push_.Due(now)) Send(Neighbour(-1)->name, chain::ViewProbe{});
+      if (append_timer_.Due(now)) Send(Neighbour(-1)->name, chain::ViewProbe{});
     } else if (IsTail()) {
       Commit();
-    } else if (push_.Due(now)) {
+    } else if (append_timer_.Due(now)) {
       Send(Neighbour(1)->name, chain::Append{version.sequence, state_.PendingChanges()});
     }
-    if (state_.pending()) WakeAt(push_.at());
+    if (state_.pending()) ScheduleTick(append_timer_.at());
   }
   if (IsHead()) AppendQueued(now);
 }
 
+// The pending state was handed to the disk just now.
+void ChainReplica::Impl::StartPending(Micros now) {
+  pending_token_ = last_token_;
+  pending_since_ = now;
+  append_timer_.Restart();
+}
+
 void ChainReplica::Impl::ExpireChanges(Micros now) {
   const auto expired = [&](const QueuedChange& change) {
     if (change.deadline > now) return false;
@@ -64,30 +75,29 @@
   };
   queued_.erase(std::remove_if(queued_.begin(), queued_.end(), expired), queued_.end());
   in_flight_.erase(std::remove_if(in_flight_.begin(), in_flight_.end(), expired), in_flight_.end());
-  for (const QueuedChange& change : queued_) WakeAt(change.deadline);
-  for (const QueuedChange& change : in_flight_) WakeAt(change.deadline);
+  for (const QueuedChange& change : queued_) ScheduleTick(change.deadline);
+  for (const QueuedChange& change : in_flight_) ScheduleTick(change.deadline);
 }
 
 // A change on top of one that is not committed yet stays in the queue, and is judged by what has
 // been committed in this view only. A key and the fence on it never change together.
 void ChainReplica::Impl::AppendQueued(Micros now) {
   if (queued_.empty() || state_.pending() || !state_.started()) return;
-  if (!target_.IsWide(state_.view().members)) return;  // the next view has more members
+  // Else the next view has more members, and it takes the changes.
+  if (!target_.IsSufficientlyReplicated(state_.view().members)) return;
   std::vector<chain::KeyChange> changes;
   std::set<std::string> keys, fences;
   std::deque<QueuedChange> later;
   for (QueuedChange& change : queued_) {
     const std::uint64_t revision = CommittedRevision(change.key);
-    const bool unsure = revision < change.expected && !change.is_newest;
-    if (unsure) {
+    if (IsUnconfirmed(change)) {
       later.push_back(std::move(change));
     } else if (revision != change.expected) {
       FinishChange(change, ChangeStatus::kConflict, revision);
     } else if (IsFenced(change)) {
       FinishChange(change, ChangeStatus::kFenced, revision);
-    } else if (keys.count(change.key) + keys.count(change.fencing_token.key) +
-                   fences.count(change.key) >
-               0) {
+    } else if (keys.contains(change.key) || keys.contains(change.fencing_token.key) ||
+               fences.contains(change.key)) {
       later.push_back(std::move(change));
     } else {
       keys.insert(change.key);
@@ -97,16 +107,14 @@
     }
   }
   queued_ = std::move(later);
-  MakeSureOfNewest(now);
+  ConfirmNewestState(now);
   if (changes.empty()) return;
   Sync(state_.Append(changes));
-  pending_token_ = last_token_;
-  pending_since_ = now;
-  push_.Restart();
+  StartPending(now);
 }
 
-// Of a marked change, with the page that records its mark: they are committed together or not at
-// all.
+// Adds the change and, where it has an identity, the page of the key's history that records it:
+// they are committed together or not at all.
 void ChainReplica::Impl::AddChange(const QueuedChange& change, std::uint64_t revision,
                                    std::vector<chain::KeyChange>* changes) const {
   changes->push_back({change.key, {change.value, revision}});
@@ -117,23 +125,24 @@
 }
 
 // A change that expects a later revision than this head knows: either this head is out of date, and
-// then it must not say that there is a conflict, or the change is wrong.
-void ChainReplica::Impl::MakeSureOfNewest(Micros now) {
-  if (!unsure_.empty()) return;
+// then it must not report a conflict, or the change is wrong.
+void ChainReplica::Impl::ConfirmNewestState(Micros now) {
+  if (!unconfirmed_tickets_.empty()) return;
   for (const QueuedChange& change : queued_) {
-    const bool unsure = CommittedRevision(change.key) < change.expected && !change.is_newest;
-    if (unsure) unsure_.push_back(change.ticket);
+    if (IsUnconfirmed(change)) unconfirmed_tickets_.push_back(change.ticket);
   }
-  if (unsure_.empty()) return;
-  asked_.push_back({random_(), now + options_.call_timeout, Resender(options_.retry), true});
+  if (unconfirmed_tickets_.empty()) return;
+  pending_reads_.push_back(
+      {random_(), now + options_.call_timeout, RetransmitTimer(options_.retry), true});
 }
 
-void ChainReplica::Impl::OnMadeSure(const Version& newest) {
-  const auto tickets = std::exchange(unsure_, {});
+void ChainReplica::Impl::OnNewestStateConfirmed(const Version& newest) {
+  const auto tickets = std::exchange(unconfirmed_tickets_, {});
   if (state_.committed().version < newest) return;
   for (QueuedChange& change : queued_) {
-    const bool asked = std::find(tickets.begin(), tickets.end(), change.ticket) != tickets.end();
-    change.is_newest = change.is_newest || asked;
+    const bool confirmed =
+        std::find(tickets.begin(), tickets.end(), change.ticket) != tickets.end();
+    change.confirmed_newest = change.confirmed_newest || confirmed;
   }
 }
 
@@ -145,7 +154,7 @@
   }
   Sync(state_.CommitPending());  // no message waits for this but later ones
   out_->committed.push_back({state_.committed().version, state_.committed().map});
-  failures_ = 0;
+  failed_proposals_ = 0;
   if (sequence == 0) {
     ResolveAfterViewChange();
     return;
@@ -187,7 +196,7 @@
     return;
   }
   if (state_.pending() && append.sequence == state_.pending()->version.sequence) {
-    if (!predecessors_have_start_) push_.Restart();
+    if (!predecessors_have_start_) append_timer_.Restart();
     predecessors_have_start_ = true;
     return;
   }
@@ -200,9 +209,7 @@
                     append.sequence == state_.committed().version.sequence + 1;
   if (!next || append.changes.empty()) return;
   Sync(state_.Append(append.changes));
-  pending_token_ = last_token_;
-  pending_since_ = now;
-  push_.Restart();
+  StartPending(now);
 }
 
 void ChainReplica::Impl::On(Micros, const chain::Header& header,
@@ -219,7 +226,8 @@
   if (state_.started()) {
     Send(header.from.name, chain::CommitNotice{state_.committed().version.sequence});
   }
-  if (predecessors_have_start_) push_.Restart();  // the successor is ready for what is pending
+  if (predecessors_have_start_)
+    append_timer_.Restart();  // the successor is ready for what is pending
 }
 
 }  // namespace pearreach::coordination
--- a/tests/tier/coordination/chain_cluster.h
+++ b/tests/tier/coordination/chain_cluster.h
@@ -1,6 +1,6 @@
 // Chain replicas in virtual time: a network that loses, delays, doubles and reorders, disks that
-// sync late, machines that crash, freeze, lose their disks or are replaced, links that are cut, and
-// clients that race. What must never be seen is collected as findings.
+// sync late, machines that crash, freeze, lose their disks or are replaced, links that fail, and
+// concurrent clients. Violated invariants are collected as findings.
 #ifndef PEARREACH_TESTS_TIER_COORDINATION_CHAIN_CLUSTER_H_
 #define PEARREACH_TESTS_TIER_COORDINATION_CHAIN_CLUSTER_H_
 
@@ -27,11 +27,11 @@
   int machines = 3;
   int tolerance = 1;
   std::uint64_t seed = 1;
-  double loss = 0, doubling = 0, late = 0;  // shares of the messages
+  double loss = 0, doubling = 0, late = 0;  // fractions of the messages
   bool slow_disks = false;
 };
 
-// What clients have been told and have seen, and what contradicts it.
+// What clients were acknowledged and have read, and what contradicts it.
 class History {
  public:
   using Revisions = std::map<std::string, std::uint64_t>;
@@ -42,7 +42,7 @@
   void OnReadDone(const std::string& where, const Revisions& floor, const Map& map);
   const Revisions& floor() const { return floor_; }  // what a read that begins now must show
   const Revisions& acknowledged() const { return acknowledged_; }
-  void Find(std::string what) { findings_.push_back(std::move(what)); }
+  void AddFinding(std::string what) { findings_.push_back(std::move(what)); }
   const std::vector<std::string>& findings() const { return findings_; }
   int commits() const { return commits_; }
   int reads() const { return reads_; }
@@ -70,16 +70,16 @@
   struct Machine {
     std::string name, disk_id;
     bool bootstrap = false;
-    bool gone = false;  // replaced for good
+    bool gone = false;  // replaced permanently
     bool frozen = false;
     Micros changed = 0;  // when it last went up or down
     std::map<std::string, std::string> disk;
     std::unique_ptr<ChainReplica> replica;  // null: down
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::deque<DiskWrite> writes;
-    std::deque<std::function<void()>> thaw;  // what came while it was frozen
+    std::deque<std::function<void()>> thaw;  // events that arrived while it was frozen
     Version greatest;
-    std::map<std::string, Peer> peers;  // as membership tells it, by name
+    std::map<std::string, Peer> peers;  // as membership reports them, by name
     bool up() const { return replica != nullptr; }
   };
 
@@ -103,23 +103,25 @@
   std::string Add();                             // an empty machine
   void Freeze(const std::string& name);
   void Thaw(const std::string& name);
-  void Cut(const std::string& from, const std::string& to) { cuts_.insert({from, to}); }
+  void BlockLink(const std::string& from, const std::string& to) {
+    blocked_links_.insert({from, to});
+  }
   void Heal();
-  // Membership at `observer` takes the peer for dead, whatever it is, until the next change.
+  // Membership at `observer` reports the peer dead, whatever it is, until the next change.
   void MisreportDead(const std::string& observer, const std::string& peer);
 
-  // Tries one change at `name`; the outcome lands in the history. Returns the value.
-  std::string TryChange(const std::string& name, const std::string& key, std::uint64_t expected);
+  // Submits one change at `name`; the outcome is added to the history. Returns the value.
+  std::string SubmitChange(const std::string& name, const std::string& key, std::uint64_t expected);
   // Values must be unique.
-  void TryRequest(const std::string& name, ChangeRequest request);
-  void TryRead(const std::string& name);
+  void SubmitRequest(const std::string& name, ChangeRequest request);
+  void SubmitRead(const std::string& name);
   std::optional<ChangeResult> ResultOf(const std::string& value) const;
   // A change through whoever is head commits within the span.
   bool CommitsWithin(Micros span);
   std::string HeadName() const;  // of the greatest view anywhere
   // All machines are members of the greatest view, up on their disks, and have committed in it.
   bool IsRepaired() const;
-  // All maps that any replica has taken for committed.
+  // All maps that any replica reported as committed.
   const std::map<Version, std::shared_ptr<const Map>>& maps() const { return maps_; }
   std::uint64_t sent() const { return sent_; }
   std::uint64_t ticks() const { return ticks_; }
@@ -139,29 +141,29 @@
     std::uint64_t expected;
   };
 
-  double Share() { return std::uniform_real_distribution<double>(0, 1)(random_); }
-  Micros Between(Micros least, Micros most) {
-    return std::uniform_int_distribution<Micros>(least, most)(random_);
+  double RandomFraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  Micros Between(Micros min, Micros max) {
+    return std::uniform_int_distribution<Micros>(min, max)(random_);
   }
   void Schedule(Micros time, std::function<void()> what) { At(time, std::move(what)); }
   void Call(const std::string& name, const std::function<void(ChainReplica&, Effects*)>& call);
-  void CarryOut(Machine* machine, Effects effects);
+  void ApplyEffects(Machine* machine, Effects effects);
   void Deliver(const std::string& from, const SendMessage& message);
   void StartWrite(Machine* machine, const Persist& persist);
-  void OnWritten(const std::string& name, std::uint64_t life, std::uint64_t token);
-  void TellAllOfChange();
-  void TellPeers(const std::string& observer);
+  void OnWritten(const std::string& name, std::uint64_t incarnation, std::uint64_t token);
+  void SchedulePeerUpdates();
+  void UpdatePeers(const std::string& observer);
   bool Reaches(const std::string& from, const std::string& to) const;
   void Tick();
 
   ClusterOptions options_;
   std::mt19937_64 random_;
   Micros now_ = kSecond;
-  std::uint64_t order_ = 0, disks_ = 0, names_ = 0, lives_ = 0, tickets_ = 0, values_ = 0;
+  std::uint64_t order_ = 0, disks_ = 0, names_ = 0, incarnations_ = 0, tickets_ = 0, values_ = 0;
   std::uint64_t sent_ = 0, ticks_ = 0;
   std::priority_queue<Event> events_;
   std::map<std::string, Machine> machines_;
-  std::set<std::pair<std::string, std::string>> cuts_;
+  std::set<std::pair<std::string, std::string>> blocked_links_;
   std::vector<ReplicaId> founders_;
   History history_;
   std::map<Version, std::shared_ptr<const Map>> maps_;
--- a/tests/tier/coordination/chain_views_test.cpp
+++ b/tests/tier/coordination/chain_views_test.cpp
@@ -1,4 +1,4 @@
-// What makes a quorum, which members the next view has, and what an acceptor says.
+// What makes a quorum, how acceptor and proposer behave, and which members the next view has.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "tier/coordination/view_agreement.h"
@@ -32,9 +32,9 @@
 class QuorumTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(QuorumTest);
   CPPUNIT_TEST(MajorityOrAllSurvivors);
-  CPPUNIT_TEST(AnyTwoQuorumsMeet);
-  CPPUNIT_TEST(AnAcceptorKeepsToTheGreatestBallot);
-  CPPUNIT_TEST(AProposerTakesUpWhatWasAccepted);
+  CPPUNIT_TEST(AnyTwoQuorumsIntersect);
+  CPPUNIT_TEST(AcceptorHonoursGreatestProposalNumber);
+  CPPUNIT_TEST(ProposerAdoptsAcceptedProposal);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -66,16 +66,16 @@
   }
 
   // Of a majority and the survivors of any permitted loss.
-  void AnyTwoQuorumsMeet() {
+  void AnyTwoQuorumsIntersect() {
     for (std::size_t members = 1; members <= 9; ++members) {
       for (int tolerance = 0; tolerance <= 4; ++tolerance) {
-        const std::size_t survivors = members - MostGone(members, tolerance);
+        const std::size_t survivors = members - MaxGoneAcceptors(members, tolerance);
         CPPUNIT_ASSERT(survivors + MajorityOf(members) > members);
       }
     }
   }
 
-  void AnAcceptorKeepsToTheGreatestBallot() {
+  void AcceptorHonoursGreatestProposalNumber() {
     const ProposalNumber low{1, {"a", "1"}}, middle{1, {"b", "1"}}, high{2, {"a", "1"}};
     const Proposal proposal{{6, Ids("a1 b1")}, {5, 3}, {std::make_shared<const Map>()}};
     Acceptor acceptor(5, {});
@@ -95,7 +95,7 @@
     CPPUNIT_ASSERT(!Acceptor(6, records).sealed());
   }
 
-  void AProposerTakesUpWhatWasAccepted() {
+  void ProposerAdoptsAcceptedProposal() {
     const auto map = std::make_shared<const Map>();
     const ProposalNumber proposal_number{3, {"a", "1"}};
     const Proposal former{{6, Ids("c1")}, {5, 1}, {map}};
@@ -119,16 +119,16 @@
 
 class ViewTargetTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ViewTargetTest);
-  CPPUNIT_TEST(FollowsTheLiveOnes);
-  CPPUNIT_TEST(DoesWithoutThoseThatLeave);
-  CPPUNIT_TEST(DropsNobodyTooSoon);
-  CPPUNIT_TEST(KeepsEnoughZonesAndRegions);
-  CPPUNIT_TEST(CountsWhatAZoneTakesWithIt);
-  CPPUNIT_TEST(KnowsWhatIsWideEnough);
+  CPPUNIT_TEST(TargetFollowsLiveMembers);
+  CPPUNIT_TEST(RemovesDrainingMembers);
+  CPPUNIT_TEST(RemovesMemberOnlyAfterDelay);
+  CPPUNIT_TEST(KeepsReplicasInEnoughFailureDomains);
+  CPPUNIT_TEST(CountsLossesOfFailureDomains);
+  CPPUNIT_TEST(JudgesSufficientReplication);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void FollowsTheLiveOnes() {
+  void TargetFollowsLiveMembers() {
     const struct {
       std::string view, alive, dead;
       int tolerance;
@@ -156,10 +156,10 @@
     }
   }
 
-  // At once, where the others suffice; `leaving` are alive.
-  void DoesWithoutThoseThatLeave() {
+  // At once, where the others suffice; the draining ones are alive.
+  void RemovesDrainingMembers() {
     const struct {
-      std::string view, alive, leaving, dead;
+      std::string view, alive, draining, dead;
       int tolerance;
       std::string target;
     } cases[] = {
@@ -179,14 +179,14 @@
     for (const auto& test : cases) {
       ViewTarget target({"a", "1"}, {test.tolerance}, {2 * kRetry, kTimeout, kStart});
       auto peers = Peers(test.alive, test.dead);
-      for (const ReplicaId& id : Ids(test.leaving)) peers.push_back({id, true, {}, {}, true});
+      for (const ReplicaId& id : Ids(test.draining)) peers.push_back({id, true, {}, {}, true});
       target.SetPeers(kStart, peers);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(test.view + " without " + test.leaving, test.target,
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(test.view + " without " + test.draining, test.target,
                                    Text(target.Compute(kStart, Ids(test.view)).members));
     }
   }
 
-  void DropsNobodyTooSoon() {
+  void RemovesMemberOnlyAfterDelay() {
     ViewTarget target({"a", "1"}, {1}, {2 * kRetry, kTimeout, kStart});
     const auto view = Ids("a1 b1 c1");
     CPPUNIT_ASSERT(target.Compute(kStart, view).members == view);
@@ -194,17 +194,17 @@
     const Target soon = target.Compute(kStart, view);
     CPPUNIT_ASSERT(soon.members == view);
     CPPUNIT_ASSERT_EQUAL(kStart + 2 * kRetry, soon.next_change);
-    target.Heard(kStart + kRetry, {"c", "1"});
+    target.OnContact(kStart + kRetry, {"c", "1"});
     CPPUNIT_ASSERT_EQUAL(kStart + kRetry + kTimeout,
                          target.Compute(soon.next_change, view).next_change);
     const auto dropped = target.Compute(kStart + kRetry + kTimeout, view);
     CPPUNIT_ASSERT_EQUAL(std::string("a1 b1"), Text(dropped.members));
   }
 
-  // The places are given as "a=z1/r1"; the target is that of a with everybody else as told.
-  void KeepsEnoughZonesAndRegions() {
+  // Locations are given as "a=zone/region"; the target is that of replica a.
+  void KeepsReplicasInEnoughFailureDomains() {
     const struct {
-      std::string view, alive, dead, places;
+      std::string view, alive, dead, locations;
       Tolerance tolerance;
       std::string target;
     } cases[] = {
@@ -216,62 +216,62 @@
          "a=x/r b=x/r c=y/r d=y/r e=z/r f=z/r",
          {0, 1, 0},
          "a1 b1 c1 d1"},
-        // What is left stands in one zone: nobody is dropped.
+        // What is left stands in one zone: nobody is removed.
         {"a1 b1 c1", "b1", "c1", "a=x/r b=x/r c=z/r", {0, 1, 0}, "a1 b1 c1"},
         {"a1 b1 c1", "b1", "c1", "a=x/r b=x/r c=z/r", {1, 0, 0}, "a1 b1"},
         // All are in one zone anyway.
         {"a1 b1 c1", "b1", "c1", "a=x/r b=x/r c=x/r", {1, 1, 0}, "a1 b1"},
-        // Regions: the second one is lost but for a machine, then whole.
+        // Regions: the second one is lost but for a machine, then completely.
         {"a1 b1 c1 d1", "b1 c1", "d1", "a=x/r b=y/r c=z/s d=w/s", {1, 0, 1}, "a1 b1 c1"},
         {"a1 b1 c1 d1", "b1", "c1 d1", "a=x/r b=y/r c=z/s d=w/s", {1, 0, 1}, "a1 b1 c1 d1"},
-        // A machine in the lost zone's place counts.
+        // A machine that joins in the lost zone counts.
         {"a1 b1 c1", "b1 d1", "c1", "a=x/r b=x/r c=z/r d=z/r", {0, 1, 0}, "a1 b1 d1"},
     };
     for (const auto& test : cases) {
       ViewTarget target({"a", "1"}, test.tolerance, {2 * kRetry, kTimeout, kStart});
-      target.SetPeers(kStart, Peers("a1 " + test.alive, test.dead, test.places));
+      target.SetPeers(kStart, Peers("a1 " + test.alive, test.dead, test.locations));
       target.Compute(kStart, Ids(test.view));
       const auto later = target.Compute(kStart + 3 * kRetry, Ids(test.view));
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(test.view + " with " + test.alive + " at " + test.places,
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(test.view + " with " + test.alive + " at " + test.locations,
                                    test.target, Text(later.members));
     }
   }
 
-  void CountsWhatAZoneTakesWithIt() {
-    const std::string places = "a=x/r b=x/r c=y/r d=z/s";
+  void CountsLossesOfFailureDomains() {
+    const std::string locations = "a=x/r b=x/r c=y/r d=z/s";
     const struct {
       Tolerance tolerance;
       int lost;
     } cases[] = {{{1, 0, 0}, 1}, {{0, 1, 0}, 2}, {{0, 2, 0}, 3}, {{0, 0, 1}, 3}, {{4, 1, 0}, 4}};
     for (const auto& test : cases) {
       ViewTarget target({"a", "1"}, test.tolerance, {2 * kRetry, kTimeout, kStart});
-      target.SetPeers(kStart, Peers("a1 b1 c1 d1", "", places));
-      CPPUNIT_ASSERT_EQUAL(test.lost, target.MostLost(Ids("a1 b1 c1 d1")));
+      target.SetPeers(kStart, Peers("a1 b1 c1 d1", "", locations));
+      CPPUNIT_ASSERT_EQUAL(test.lost, target.MaxSimultaneousLosses(Ids("a1 b1 c1 d1")));
     }
   }
 
-  void KnowsWhatIsWideEnough() {
+  void JudgesSufficientReplication() {
     ViewTarget target({"a", "1"}, {1, 1, 0}, {2 * kRetry, kTimeout, kStart});
-    CPPUNIT_ASSERT(target.IsWide(Ids("a1")));  // nothing is known yet
+    CPPUNIT_ASSERT(target.IsSufficientlyReplicated(Ids("a1")));  // nothing is known yet
     target.SetPeers(kStart, Peers("a1", "", "a=x/r"));
-    CPPUNIT_ASSERT(target.IsWide(Ids("a1")));  // there is no other machine
+    CPPUNIT_ASSERT(target.IsSufficientlyReplicated(Ids("a1")));  // there is no other machine
     target.SetPeers(kStart, Peers("a1 b1", "c1", "a=x/r b=x/r c=y/r"));
-    CPPUNIT_ASSERT(!target.IsWide(Ids("a1")));
-    CPPUNIT_ASSERT(target.IsWide(Ids("a1 b1")));
+    CPPUNIT_ASSERT(!target.IsSufficientlyReplicated(Ids("a1")));
+    CPPUNIT_ASSERT(target.IsSufficientlyReplicated(Ids("a1 b1")));
     target.SetPeers(kStart, Peers("a1 b1 c1", "", "a=x/r b=x/r c=y/r"));
-    CPPUNIT_ASSERT(!target.IsWide(Ids("a1 b1")));
-    CPPUNIT_ASSERT(target.IsWide(Ids("a1 c1")));
+    CPPUNIT_ASSERT(!target.IsSufficientlyReplicated(Ids("a1 b1")));
+    CPPUNIT_ASSERT(target.IsSufficientlyReplicated(Ids("a1 c1")));
   }
 
  private:
   static std::vector<Peer> Peers(const std::string& alive, const std::string& dead,
-                                 const std::string& places) {
+                                 const std::string& locations) {
     std::vector<Peer> peers = Peers(alive, dead);
     for (Peer& peer : peers) {
-      const std::size_t at = (" " + places).find(" " + peer.id.name + "=");
+      const std::size_t at = (" " + locations).find(" " + peer.id.name + "=");
       CPPUNIT_ASSERT(at != std::string::npos);
-      peer.zone = places.substr(at + 2, 1);
-      peer.region = places.substr(at + 4, 1);
+      peer.zone = locations.substr(at + 2, 1);
+      peer.region = locations.substr(at + 4, 1);
     }
     return peers;
   }
