--- a/src/tier/coordination/chain.h
+++ b/src/tier/coordination/chain.h
@@ -101,7 +101,8 @@
   Version version;
 };
 
-// What the caller must do, in order.
+// What the caller must do, each list in its order: sync the persists, send the messages, and pass
+// on the results. A message may be lost, duplicated, delayed or reordered.
 struct SendMessage {
   std::string to;  // node name
   std::string bytes;
@@ -131,12 +132,11 @@
   ReplicaId self;
   bool bootstrap = false;  // the cluster starts for the first time
   Tolerance tolerance;
-  Micros call_timeout = 1'000'000;
-  Micros retry = 100'000;
+  Micros call_timeout = 1'000'000;  // of a change or a read
+  Micros retry = 100'000;           // interval of retransmissions
 };
 
-// The nodes that this one believes to be live quorum members, each with its present disk identity:
-// input from membership.
+// A quorum member as membership sees it, with its present disk identity.
 struct Peer {
   ReplicaId id;
   bool alive = false;
@@ -147,6 +147,7 @@
 class ChainReplica {
  public:
   // `records`: what Persist effects left on disk (all keys of this machine), empty on a new disk.
+  // `seed` of the random choices: equal seeds and inputs give equal effects.
   ChainReplica(ChainOptions options, const std::map<std::string, std::string>& records,
                std::uint64_t seed, Micros now);
   ~ChainReplica();
@@ -154,12 +155,15 @@
   // The members as membership sees them. The first live member of the view in its order (at
   // bootstrap: the first by name) repairs the view, never one that cannot reach a quorum.
   void SetPeers(Micros now, const std::vector<Peer>& peers, Effects* out);
-  // At bootstrap: those whose majority forms the first view, the same set at all founders. Another
-  // set may be given until this node has taken part in an agreement; then the first one holds. Of
-  // no effect once there is a view.
+  // At bootstrap: those whose majority forms the first view, the same set at all founders. The set
+  // may be replaced until this node has taken part in an agreement. No effect once there is a view.
   void SetFounders(Micros now, std::vector<ReplicaId> founders, Effects* out);
+  // `from`: the sender's node name; empty: not checked against the message. Malformed bytes are
+  // ignored.
   void Receive(Micros now, const std::string& from, std::string_view bytes, Effects* out);
+  // The records of Persist `token` are synced. Tokens may be reported in any order.
   void OnPersisted(Micros now, std::uint64_t token, Effects* out);
+  // When Tick must be called next, at the latest.
   Micros NextTick() const;
   void Tick(Micros now, Effects* out);
 
--- a/src/tier/coordination/change_history.cpp
+++ b/src/tier/coordination/change_history.cpp
@@ -11,7 +11,7 @@
 namespace pearreach::coordination {
 namespace {
 
-constexpr std::string_view kPrefix = "marks/";
+constexpr std::string_view kPrefix = "marks/";  // of stored keys: never change it
 
 // The identities of the changes to consecutive revisions.
 struct ChangeHistoryPage {
