--- a/lab/hollow/registry.cpp
+++ b/lab/hollow/registry.cpp
@@ -26,7 +26,7 @@
   std::shared_ptr<const control::ControlSnapshot> Current() const override { return nullptr; }
   void OnChange(std::function<void()>) override {}
   void Change(control::ControlChange, Micros, ChangeDone) override {}
-  void StrictRead(Micros, ReadDone) override {}
+  void LinearizableRead(Micros, ReadDone) override {}
   bool IsSingletonRoleCandidate() const override { return false; }
   const std::map<std::string, coordination::Member>& members() const override { return known; }
   std::map<std::string, coordination::Member> known;
--- a/lab/hollow/virtual_network.cpp
+++ b/lab/hollow/virtual_network.cpp
@@ -68,7 +68,7 @@
                        Micros timeout, rpc::Done done) {
   VirtualNetwork* network = network_;
   VirtualTime* time = network->time();
-  Count(rpc::kFrameHead + body.size());
+  Count(rpc::kFrameHeaderBytes + body.size());
   peers.insert(address);
   auto open = std::make_shared<OpenCall>();
   open->done = std::move(done);
@@ -84,7 +84,7 @@
     handler->second(from, body, [=](absl::StatusOr<std::string> answer) {
       VirtualMesh* back = network->Find(address);
       if (back == nullptr) return;
-      back->Count(rpc::kFrameHead + (answer.ok() ? answer->size() : 0));
+      back->Count(rpc::kFrameHeaderBytes + (answer.ok() ? answer->size() : 0));
       if (network->Loses()) return;
       time->After(VirtualNetwork::kDelay,
                   [open, answer = std::move(answer)] { open->End(answer); });
--- a/src/tier/batch/batch_job_store.cpp
+++ b/src/tier/batch/batch_job_store.cpp
@@ -107,7 +107,7 @@
                            [this](CreateBatchJob message, Respond respond) {
                              changes_.OnCreate(std::move(message), std::move(respond));
                            });
-  Register<OfferBatchJob>(MessageType::kBatchJobOffer,
+  Register<OfferBatchJob>(MessageType::kBatchJobAdmission,
                           [this](const OfferBatchJob& message, Respond respond) {
                             changes_.OnOffer(message, std::move(respond));
                           });
@@ -231,12 +231,12 @@
   }
 }
 
-void StoreServer::StrictRead() {
+void StoreServer::LinearizableRead() {
   if (reading_) return;
   reading_ = true;
   auto waiting = std::make_shared<std::vector<std::function<void(bool)>>>(std::move(next_read_));
   next_read_.clear();
-  control_->StrictRead(
+  control_->LinearizableRead(
       kStrictTimeout,
       [this, waiting, alive = std::weak_ptr<bool>(alive_)](
           const absl::StatusOr<std::shared_ptr<const control::ControlSnapshot>>& snapshot) {
@@ -244,14 +244,14 @@
         reading_ = false;
         if (snapshot.ok()) AdoptTable(**snapshot);
         for (const auto& done : *waiting) done(snapshot.ok());
-        if (!next_read_.empty()) StrictRead();
+        if (!next_read_.empty()) LinearizableRead();
       });
 }
 
 void StoreServer::RefreshTable() {
   if (refresh_timer_ != 0) return;
   refresh_timer_ = After(kRefreshPause, [this] { refresh_timer_ = 0; });
-  StrictRead();
+  LinearizableRead();
 }
 
 void StoreServer::ConfirmEpoch(std::uint32_t partition, std::uint64_t epoch,
@@ -259,7 +259,7 @@
   next_read_.push_back([this, partition, epoch, done = std::move(done)](bool ok) {
     done(ok && replicas_[partition]->epoch() == epoch);
   });
-  After(0, [this] { StrictRead(); });
+  After(0, [this] { LinearizableRead(); });
 }
 
 void StoreServer::OnActive(std::uint32_t partition) {
--- a/src/tier/batch/batch_job_store.h
+++ b/src/tier/batch/batch_job_store.h
@@ -74,7 +74,7 @@
   void SendLocal(rpc::MessageType type, std::string body, rpc::Done done);
   std::string AddressOf(const StoreId& store) const;
   void AdoptTable(const control::ControlSnapshot& snapshot);
-  void StrictRead();
+  void LinearizableRead();
   void ReportFilled();
   void PaceRepair(bool urgent, RepairThrottle::Send send) override;
   std::uint64_t Room() const override { return room_.Own(disk_->space()); }
--- a/src/tier/batch/retire_api.cpp
+++ b/src/tier/batch/retire_api.cpp
@@ -87,15 +87,16 @@
     return;
   }
   using Snapshot = std::shared_ptr<const control::ControlSnapshot>;
-  control_->StrictRead(std::min(left, kStepTime),
-                       [this, alive = alive_, order](const absl::StatusOr<Snapshot>& snapshot) {
-                         if (!*alive) return;
-                         if (snapshot.ok() && *snapshot != nullptr) {
-                           Decide(order, **snapshot);
-                         } else {
-                           Again(order);
-                         }
-                       });
+  control_->LinearizableRead(
+      std::min(left, kStepTime),
+      [this, alive = alive_, order](const absl::StatusOr<Snapshot>& snapshot) {
+        if (!*alive) return;
+        if (snapshot.ok() && *snapshot != nullptr) {
+          Decide(order, **snapshot);
+        } else {
+          Again(order);
+        }
+      });
 }
 
 void RetireApi::Decide(const std::shared_ptr<Order>& order,
--- a/src/tier/batch/store_client.cpp
+++ b/src/tier/batch/store_client.cpp
@@ -275,7 +275,7 @@
     message.placement_epoch = asking.placement_epoch;
     return codec::Encode(message);
   };
-  return Start(rpc::MessageType::kBatchJobOffer, batch_job_id, time, std::move(encode),
+  return Start(rpc::MessageType::kBatchJobAdmission, batch_job_id, time, std::move(encode),
                [done = std::move(done)](absl::StatusOr<std::string> bytes, bool) {
                  done(Decoded<OfferBatchJobResponse>(std::move(bytes)));
                });
--- a/src/tier/batch/store_path.cpp
+++ b/src/tier/batch/store_path.cpp
@@ -22,7 +22,7 @@
 
 constexpr std::array<MessageType, 7> kRelayed = {
     MessageType::kBatchJobCreate, MessageType::kBatchJobRead, MessageType::kItemBody,
-    MessageType::kBatchJobCancel, MessageType::kItemResult,   MessageType::kBatchJobOffer,
+    MessageType::kBatchJobCancel, MessageType::kItemResult,   MessageType::kBatchJobAdmission,
     MessageType::kQuotaQuery};
 
 bool MayBeRelayed(std::uint8_t type) {
--- a/src/tier/control/config_api.cpp
+++ b/src/tier/control/config_api.cpp
@@ -25,7 +25,7 @@
 
 void ConfigApi::Read(const std::shared_ptr<http_server::Exchange>& exchange) {
   const Micros left = exchange->arrived() + kConfigAnswerWithin - now_();
-  client_->StrictRead(
+  client_->LinearizableRead(
       left, [exchange](absl::StatusOr<std::shared_ptr<const ControlSnapshot>> snapshot) {
         if (!snapshot.ok()) {
           AnswerUnavailable(exchange.get(), "the newest configuration is not known for sure");
--- a/src/tier/control/control_client.h
+++ b/src/tier/control/control_client.h
@@ -66,7 +66,7 @@
   // Passed on to the head, wherever it is. kUnavailable: it may come into force or not.
   virtual void Change(ControlChange change, Micros timeout, ChangeDone done) = 0;
   // A read that no older state can answer.
-  virtual void StrictRead(Micros timeout, ReadDone done) = 0;
+  virtual void LinearizableRead(Micros timeout, ReadDone done) = 0;
   // The same, and whether the configuration of that mark has been taken. A client that keeps no
   // record is sure of nothing.
   virtual void ReadWithHistory(const coordination::ChangeId& change_id, Micros timeout,
--- a/src/tier/control/control_node.cpp
+++ b/src/tier/control/control_node.cpp
@@ -147,7 +147,7 @@
   });
 }
 
-void ControlNode::StrictRead(Micros timeout, ReadDone done) {
+void ControlNode::LinearizableRead(Micros timeout, ReadDone done) {
   reader_.Read(std::nullopt, timeout,
                [done = std::move(done)](absl::StatusOr<ChangeHistoryRead> reading) {
                  if (!reading.ok()) return done(reading.status());
--- a/src/tier/control/control_node.h
+++ b/src/tier/control/control_node.h
@@ -55,7 +55,7 @@
   std::shared_ptr<const ControlSnapshot> Current() const override { return snapshots_.current(); }
   void OnChange(std::function<void()> listener) override;
   void Change(ControlChange change, Micros timeout, ChangeDone done) override;
-  void StrictRead(Micros timeout, ReadDone done) override;
+  void LinearizableRead(Micros timeout, ReadDone done) override;
   void ReadWithHistory(const coordination::ChangeId& change_id, Micros timeout,
                        HistoryReadDone done) override;
   bool IsSingletonRoleCandidate() const override {
@@ -66,7 +66,7 @@
   void OnMembersChanged(MembershipDriver::Listener listener);
   // Called once if this node's disk turns out to have been put back in time: its contents must go,
   // and the process must start anew as on an empty disk.
-  void OnDiskIsOld(std::function<void()> listener) { disk_is_old_ = std::move(listener); }
+  void OnDiskRolledBack(std::function<void()> listener) { disk_is_old_ = std::move(listener); }
   // What rides on this node's membership messages under that name.
   void Announce(const std::string& name, std::uint64_t version);
 
@@ -104,7 +104,7 @@
   StatePoller poller_;
   AnnouncedFetch fetch_;
   ChangeRelay relay_;
-  StrictReader reader_;
+  LinearizableReader reader_;
   FirstState first_state_;
   std::map<std::string, Presence> roster_;
   std::vector<MembershipDriver::Listener> member_listeners_;
--- a/src/tier/control/first_state.cpp
+++ b/src/tier/control/first_state.cpp
@@ -4,7 +4,7 @@
 
 namespace pearreach::control {
 
-FirstState::FirstState(TimeSource* time, SnapshotStore* snapshots, StrictReader* reader,
+FirstState::FirstState(TimeSource* time, SnapshotStore* snapshots, LinearizableReader* reader,
                        const ControlTiming& timing)
     : time_(time),
       snapshots_(snapshots),
--- a/src/tier/control/first_state.h
+++ b/src/tier/control/first_state.h
@@ -12,7 +12,7 @@
 
 class FirstState {
  public:
-  FirstState(TimeSource* time, SnapshotStore* snapshots, StrictReader* reader,
+  FirstState(TimeSource* time, SnapshotStore* snapshots, LinearizableReader* reader,
              const ControlTiming& timing);
   // Begins to ask; does nothing where a state is known.
   void Start();
@@ -22,7 +22,7 @@
 
   TimeSource* time_;
   SnapshotStore* snapshots_;
-  StrictReader* reader_;
+  LinearizableReader* reader_;
   const Micros read_timeout_;
   const Micros pause_;  // after a read that was not answered
   CallbackOwner callbacks_;
--- a/src/tier/control/strict_reader.cpp
+++ b/src/tier/control/strict_reader.cpp
@@ -16,7 +16,7 @@
   return result.map != nullptr ? result.map : std::make_shared<const coordination::Map>();
 }
 
-coordination::ChangeHistoryStatus HistoryStatusOf(const StrictReader::Mark& change_id,
+coordination::ChangeHistoryStatus HistoryStatusOf(const LinearizableReader::Mark& change_id,
                                                   const coordination::Map& map) {
   if (!change_id) return coordination::ChangeHistoryStatus::kForgotten;
   return coordination::FindInChangeHistory(map, kConfigKey, *change_id);
@@ -24,9 +24,10 @@
 
 }  // namespace
 
-StrictReader::StrictReader(TimeSource* time, rpc::Transport* transport, SnapshotStore* snapshots,
-                           const MemberDirectory* directory, ReplicaDriver* replica,
-                           const QuorumConnectivity* connectivity)
+LinearizableReader::LinearizableReader(TimeSource* time, rpc::Transport* transport,
+                                       SnapshotStore* snapshots, const MemberDirectory* directory,
+                                       ReplicaDriver* replica,
+                                       const QuorumConnectivity* connectivity)
     : time_(time),
       transport_(transport),
       snapshots_(snapshots),
@@ -39,7 +40,7 @@
                              const rpc::Respond& respond) { Serve(body, respond); }));
 }
 
-void StrictReader::Serve(std::string_view body, const rpc::Respond& respond) {
+void LinearizableReader::Serve(std::string_view body, const rpc::Respond& respond) {
   const auto request = codec::Decode<ReadRequest>(body);
   if (!request.ok()) return respond(request.status());
   if (replica_ == nullptr) return ServeForCutOff(*request, respond);
@@ -54,7 +55,7 @@
 }
 
 // A node outside the quorum reads for a member that does not reach the others.
-void StrictReader::ServeForCutOff(const ReadRequest& request, const rpc::Respond& respond) {
+void LinearizableReader::ServeForCutOff(const ReadRequest& request, const rpc::Respond& respond) {
   if (!request.passed_on) return respond(absl::FailedPreconditionError("not a quorum member"));
   Read(request.change_id, request.timeout,
        [respond, known = request.revisions](const absl::StatusOr<ChangeHistoryRead>& reading) {
@@ -66,11 +67,11 @@
        });
 }
 
-bool StrictReader::IsCutOff() const {
+bool LinearizableReader::IsCutOff() const {
   return replica_ != nullptr && replica_->InView() && connectivity_->HasLostMajority();
 }
 
-void StrictReader::Read(const Mark& change_id, Micros timeout, Done done) {
+void LinearizableReader::Read(const Mark& change_id, Micros timeout, Done done) {
   auto attempt = std::make_shared<Attempt>();
   attempt->change_id = change_id;
   attempt->deadline = time_->Now() + timeout;
@@ -78,7 +79,7 @@
   Try(attempt);
 }
 
-void StrictReader::Try(const AttemptPtr& attempt) {
+void LinearizableReader::Try(const AttemptPtr& attempt) {
   const Micros left = attempt->deadline - time_->Now();
   if (left <= 0) return attempt->done(absl::UnavailableError("no sure answer in time"));
   const Micros timeout = std::min(left, std::max(left / 2, kMinTry));
@@ -94,7 +95,7 @@
   Failed(attempt);
 }
 
-void StrictReader::TryHere(const AttemptPtr& attempt, Micros timeout) {
+void LinearizableReader::TryHere(const AttemptPtr& attempt, Micros timeout) {
   replica_->Read(timeout, callbacks_.Bind([this, attempt](const coordination::ReadResult& result) {
     if (!result.ok) return Failed(attempt);
     const auto map = MapOf(result);
@@ -104,7 +105,7 @@
   }));
 }
 
-void StrictReader::Ask(const AttemptPtr& attempt, const Contact& contact, Micros timeout) {
+void LinearizableReader::Ask(const AttemptPtr& attempt, const Contact& contact, Micros timeout) {
   const ReadRequest request{RevisionsOf(*snapshots_->current()), timeout, attempt->change_id,
                             IsCutOff()};
   transport_->Call(
@@ -118,7 +119,7 @@
       }));
 }
 
-void StrictReader::Failed(const AttemptPtr& attempt) {
+void LinearizableReader::Failed(const AttemptPtr& attempt) {
   const Micros left = attempt->deadline - time_->Now();
   time_->After(std::min(kPause, std::max<Micros>(left, 0)),
                callbacks_.Bind([this, attempt] { Try(attempt); }));
--- a/src/tier/control/strict_reader.h
+++ b/src/tier/control/strict_reader.h
@@ -18,15 +18,15 @@
 
 namespace pearreach::control {
 
-class StrictReader {
+class LinearizableReader {
  public:
   using Done = std::function<void(absl::StatusOr<ChangeHistoryRead>)>;
   using Mark = std::optional<coordination::ChangeId>;
 
   // `replica`: null on nodes outside the quorum.
-  StrictReader(TimeSource* time, rpc::Transport* transport, SnapshotStore* snapshots,
-               const MemberDirectory* directory, ReplicaDriver* replica,
-               const QuorumConnectivity* connectivity);
+  LinearizableReader(TimeSource* time, rpc::Transport* transport, SnapshotStore* snapshots,
+                     const MemberDirectory* directory, ReplicaDriver* replica,
+                     const QuorumConnectivity* connectivity);
   // `done` is called exactly once, within `timeout`. `mark`: of a configuration, whose standing the
   // reading tells.
   void Read(const Mark& change_id, Micros timeout, Done done);
--- a/src/tier/registry/anti_entropy.cpp
+++ b/src/tier/registry/anti_entropy.cpp
@@ -97,7 +97,7 @@
   if (!wanted.items.empty()) {
     SpreadRequest request;
     request.update = codec::Encode(wanted);
-    transport_->Call(address, rpc::MessageType::kWorkerSpread, codec::Encode(request),
+    transport_->Call(address, rpc::MessageType::kWorkerUpdate, codec::Encode(request),
                      kAnswerTimeout, [](absl::StatusOr<std::string>) {});
   }
   if (answer.more) return Ask(address);
--- a/src/tier/registry/spreader.cpp
+++ b/src/tier/registry/spreader.cpp
@@ -40,7 +40,7 @@
 Spreader::Spreader(control::TimeSource* time, rpc::Transport* transport, EdgeNodes* nodes,
                    Take take)
     : time_(time), transport_(transport), nodes_(nodes), take_(std::move(take)) {
-  transport_->Handle(rpc::MessageType::kWorkerSpread,
+  transport_->Handle(rpc::MessageType::kWorkerUpdate,
                      callbacks_.Bind([this](const std::string&, std::string_view body,
                                             rpc::Respond respond) { OnSpread(body, respond); }));
 }
@@ -171,7 +171,7 @@
   // A node that came back may listen elsewhere.
   std::string address = nodes_->AddressOf(to->name);
   if (address.empty()) address = to->address;
-  transport_->Call(address, rpc::MessageType::kWorkerSpread, codec::Encode(request), timeout,
+  transport_->Call(address, rpc::MessageType::kWorkerUpdate, codec::Encode(request), timeout,
                    callbacks_.Bind(std::move(done)));
 }
 
--- a/src/tier/registry/worker_messages.h
+++ b/src/tier/registry/worker_messages.h
@@ -30,7 +30,7 @@
   }
 };
 
-// kWorkerSpread: records for the receiver and, through it, for all edge nodes whose place in the
+// kWorkerUpdate: records for the receiver and, through it, for all edge nodes whose place in the
 // common order is from `first` to `last`.
 struct SpreadRequest {
   std::string first, last;     // EdgeNode::key; empty: the receiver alone
--- a/src/tier/registry/worker_registry.cpp
+++ b/src/tier/registry/worker_registry.cpp
@@ -58,7 +58,7 @@
                 [this](const WorkerUpdate& update) { Import(update); }),
       anti_entropy_(time_.get(), transport, &nodes_, &state_, period_,
                     [this](const WorkerUpdate& update) { Import(update); }) {
-  transport_->Handle(rpc::MessageType::kWorkerPass,
+  transport_->Handle(rpc::MessageType::kWorkerHeartbeat,
                      callbacks_.Bind([this](const std::string&, std::string_view body,
                                             rpc::Respond respond) { OnPassed(body, respond); }));
   time_->After(period_, callbacks_.Bind([this] { Tick(); }));
@@ -160,7 +160,7 @@
   WorkerUpdate update;
   update.items.push_back(
       {record, std::max<Micros>(0, record.warm_at - time_->Now()) / kMs, 0, false});
-  transport_->Call(nodes_.AddressOf(record.taker), rpc::MessageType::kWorkerPass,
+  transport_->Call(nodes_.AddressOf(record.taker), rpc::MessageType::kWorkerHeartbeat,
                    codec::Encode(update), kPassTimeout,
                    callbacks_.Bind([this, id](absl::StatusOr<std::string> answer) {
                      if (answer.ok()) return;
@@ -203,9 +203,9 @@
 
 // Nodes that are cut off together take all others for dead, and would be sure that all have it.
 void WorkerRegistry::ConfirmContact(LeavingTold done) {
-  control_->StrictRead(kContactBound, callbacks_.Bind([done = std::move(done)](const auto& newest) {
-    done(newest.ok());
-  }));
+  control_->LinearizableRead(
+      kContactBound,
+      callbacks_.Bind([done = std::move(done)](const auto& newest) { done(newest.ok()); }));
 }
 
 void WorkerRegistry::QueueTelling(const std::string& worker_id) {
--- a/src/tier/rpc/frame.cpp
+++ b/src/tier/rpc/frame.cpp
@@ -22,7 +22,7 @@
 }  // namespace
 
 void AppendFrame(const Frame& frame, std::string* out) {
-  out->reserve(out->size() + kFrameHead + frame.body.size());
+  out->reserve(out->size() + kFrameHeaderBytes + frame.body.size());
   AppendNumber(static_cast<std::uint32_t>(frame.body.size()), out);
   out->push_back(static_cast<char>(frame.kind));
   out->push_back(static_cast<char>(frame.type));
@@ -40,17 +40,17 @@
 
 FrameReader::State FrameReader::Next(Frame* frame) {
   const std::size_t have = buffer_.size() - read_;
-  if (have < kFrameHead) return State::kMore;
+  if (have < kFrameHeaderBytes) return State::kMore;
   const char* head = buffer_.data() + read_;
   const auto length = ReadNumber<std::uint32_t>(head);
   const auto kind = static_cast<unsigned char>(head[4]);
   if (length > kMaxFrameBytes || kind < 1 || kind > 3) return State::kBad;
-  if (have < kFrameHead + length) return State::kMore;
+  if (have < kFrameHeaderBytes + length) return State::kMore;
   frame->kind = static_cast<FrameKind>(kind);
   frame->type = static_cast<std::uint8_t>(head[5]);
   frame->call = ReadNumber<std::uint64_t>(head + 6);
-  frame->body = std::string_view(head + kFrameHead, length);
-  read_ += kFrameHead + length;
+  frame->body = std::string_view(head + kFrameHeaderBytes, length);
+  read_ += kFrameHeaderBytes + length;
   return State::kFrame;
 }
 
--- a/src/tier/rpc/frame.h
+++ b/src/tier/rpc/frame.h
@@ -8,16 +8,16 @@
 
 namespace pearreach::rpc {
 
-enum class FrameKind : std::uint8_t { kCall = 1, kAnswer = 2, kError = 3 };
+enum class FrameKind : std::uint8_t { kRequest = 1, kResponse = 2, kError = 3 };
 
 struct Frame {
-  FrameKind kind = FrameKind::kCall;
+  FrameKind kind = FrameKind::kRequest;
   std::uint8_t type = 0;  // MessageType of a call; absl::StatusCode of an error
   std::uint64_t call = 0;
   std::string_view body;  // valid until the reader's next Feed or Next
 };
 
-constexpr std::size_t kFrameHead = 14;
+constexpr std::size_t kFrameHeaderBytes = 14;
 constexpr std::size_t kMaxFrameBytes = 32u
                                        << 20;  // bytes of a body; a longer one ends the connection
 
--- a/src/tier/rpc/transport.cpp
+++ b/src/tier/rpc/transport.cpp
@@ -53,7 +53,7 @@
       return;
     }
     std::string frame;
-    AppendFrame({FrameKind::kCall, static_cast<std::uint8_t>(type), id, body}, &frame);
+    AppendFrame({FrameKind::kRequest, static_cast<std::uint8_t>(type), id, body}, &frame);
     if (!stream_->Write(frame)) ScheduleBreak();
   }
 
@@ -100,7 +100,7 @@
   }
 
   void OnFrame(const Frame& frame) {
-    if (frame.kind == FrameKind::kAnswer) return End(frame.call, std::string(frame.body));
+    if (frame.kind == FrameKind::kResponse) return End(frame.call, std::string(frame.body));
     if (frame.kind == FrameKind::kError)
       End(frame.call,
           absl::Status(static_cast<absl::StatusCode>(frame.type), std::string(frame.body)));
@@ -171,7 +171,7 @@
     std::string frame;
     const std::string message(answer.status().message());
     if (answer.ok())
-      AppendFrame({FrameKind::kAnswer, 0, call, *answer}, &frame);
+      AppendFrame({FrameKind::kResponse, 0, call, *answer}, &frame);
     else
       AppendFrame(
           {FrameKind::kError, static_cast<std::uint8_t>(answer.status().code()), call, message},
@@ -234,7 +234,7 @@
     for (;;) {
       const FrameReader::State state = connection->reader.Next(&frame);
       if (state == FrameReader::State::kMore) return;
-      if (state == FrameReader::State::kBad || frame.kind != FrameKind::kCall) {
+      if (state == FrameReader::State::kBad || frame.kind != FrameKind::kRequest) {
         connection->stream->Close();
         return Forget(connection);
       }
--- a/src/tier/server/node.cpp
+++ b/src/tier/server/node.cpp
@@ -142,7 +142,7 @@
   if (settings_.Serves("control"))
     if (const absl::Status status = StartControl(); !status.ok()) return status;
   control_->OnChange([this] { OnControlChange(); });
-  control_->OnDiskIsOld([this] { EndOnOldDisk(); });
+  control_->OnDiskRolledBack([this] { EndOnOldDisk(); });
   logging::Info(kModule, "started",
                 {logging::F("class", settings_.machine_class), logging::F("zone", settings_.zone),
                  logging::F("disk", disk_ == nullptr ? std::string("none") : disk_->disk_id()),
--- a/tests/fuzz/tier_fuzz.cpp
+++ b/tests/fuzz/tier_fuzz.cpp
@@ -83,7 +83,7 @@
   while (reader.Next(&frame) == rpc::FrameReader::State::kFrame) {
     std::string again;
     rpc::AppendFrame(frame, &again);
-    if (again.size() != rpc::kFrameHead + frame.body.size()) std::abort();
+    if (again.size() != rpc::kFrameHeaderBytes + frame.body.size()) std::abort();
   }
 }
 
--- a/tests/tier/batch/edge_batch_job_api_test.cpp
+++ b/tests/tier/batch/edge_batch_job_api_test.cpp
@@ -55,7 +55,7 @@
   // The stores answer that the lot may come.
   void Admit() {
     transport_.Next(MessageType::kQuotaQuery).Reply(QuotaResponse{QuotaDecision::kGranted, 0});
-    transport_.Next(MessageType::kBatchJobOffer)
+    transport_.Next(MessageType::kBatchJobAdmission)
         .Reply(OfferBatchJobResponse{OfferVerdict::kWelcome});
   }
 
@@ -162,7 +162,8 @@
   void RefusesWhatWasNeverSent() {
     const auto exchange = Submit(kLot, "250");
     transport_.Next(MessageType::kQuotaQuery).Reply(QuotaResponse{QuotaDecision::kGranted, 0});
-    transport_.Next(MessageType::kBatchJobOffer).done(absl::FailedPreconditionError("not primary"));
+    transport_.Next(MessageType::kBatchJobAdmission)
+        .done(absl::FailedPreconditionError("not primary"));
     control_.member_map["s0"].status = coordination::MemberStatus::kDead;
     CPPUNIT_ASSERT(TurnUntil([&] { return exchange->status != 0; }));
     CPPUNIT_ASSERT_EQUAL(503, exchange->status);
--- a/tests/tier/batch/edge_batch_job_submission_test.cpp
+++ b/tests/tier/batch/edge_batch_job_submission_test.cpp
@@ -50,7 +50,7 @@
     return hand_in;
   }
   void AnswerOffer(OfferVerdict verdict) {
-    transport_.Next(MessageType::kBatchJobOffer).Reply(OfferBatchJobResponse{verdict});
+    transport_.Next(MessageType::kBatchJobAdmission).Reply(OfferBatchJobResponse{verdict});
   }
   void AnswerQuota(QuotaDecision verdict) {
     transport_.Next(MessageType::kQuotaQuery).Reply(QuotaResponse{verdict, 0});
@@ -115,10 +115,10 @@
   void SendsNothingToAStoreThatDoesNotAnswer() {
     const auto hand_in = Begin(100, 250 * kMs);
     AnswerQuota(QuotaDecision::kGranted);
-    transport_.Next(MessageType::kBatchJobOffer).done(absl::DeadlineExceededError("silence"));
+    transport_.Next(MessageType::kBatchJobAdmission).done(absl::DeadlineExceededError("silence"));
     CPPUNIT_ASSERT(Ended());
     CPPUNIT_ASSERT(absl::IsUnavailable(result_->status()));
-    CPPUNIT_ASSERT(transport_.Has(MessageType::kBatchJobOffer));
+    CPPUNIT_ASSERT(transport_.Has(MessageType::kBatchJobAdmission));
     CPPUNIT_ASSERT(!transport_.Has(MessageType::kBatchJobCreate));
   }
 
@@ -174,7 +174,7 @@
   void SendsAtOnceWhereOffersAreOff() {
     offers_ = false;
     const auto hand_in = Begin();
-    CPPUNIT_ASSERT(!transport_.Has(MessageType::kBatchJobOffer));
+    CPPUNIT_ASSERT(!transport_.Has(MessageType::kBatchJobAdmission));
     CPPUNIT_ASSERT(transport_.Has(MessageType::kBatchJobCreate));
   }
 };
--- a/tests/tier/batch/edge_fakes.h
+++ b/tests/tier/batch/edge_fakes.h
@@ -128,7 +128,7 @@
     Set(std::move(next));
     return {coordination::ChangeStatus::kCommitted, revision + 1};
   }
-  void StrictRead(Micros, ReadDone done) override { done(snapshot); }
+  void LinearizableRead(Micros, ReadDone done) override { done(snapshot); }
   bool IsSingletonRoleCandidate() const override { return is_duty_holder; }
   const std::map<std::string, coordination::Member>& members() const override { return member_map; }
 
--- a/tests/tier/batch/edge_store_path_test.cpp
+++ b/tests/tier/batch/edge_store_path_test.cpp
@@ -29,7 +29,7 @@
     member.status = coordination::MemberStatus::kAlive;
   }
   void Call(StorePath* path) {
-    path->Call(kStore, MessageType::kBatchJobOffer, "body", kSecond,
+    path->Call(kStore, MessageType::kBatchJobAdmission, "body", kSecond,
                [this](const absl::StatusOr<std::string>& answer) { last_ = answer.status(); });
   }
   FakeCall Made() {
--- a/tests/tier/control/config_api_test.cpp
+++ b/tests/tier/control/config_api_test.cpp
@@ -61,7 +61,7 @@
     }
     done({matches ? ChangeStatus::kCommitted : ChangeStatus::kConflict, revision()});
   }
-  void StrictRead(Micros timeout, ReadDone done) override {
+  void LinearizableRead(Micros timeout, ReadDone done) override {
     ++reads;
     if (!readable || timeout <= 0) return done(absl::UnavailableError("not sure"));
     if (version_.epoch == 0) version_.epoch = 1;
@@ -70,7 +70,7 @@
   }
   void ReadWithHistory(const coordination::ChangeId& change_id, Micros timeout,
                        HistoryReadDone done) override {
-    StrictRead(timeout, [&](const auto& snapshot) {
+    LinearizableRead(timeout, [&](const auto& snapshot) {
       if (!snapshot.ok()) return done(snapshot.status());
       done(ChangeHistoryRead{*snapshot,
                              coordination::FindInChangeHistory(map_, kConfigKey, change_id)});
--- a/tests/tier/control/control_faults_test.cpp
+++ b/tests/tier/control/control_faults_test.cpp
@@ -497,7 +497,7 @@
         for (const std::size_t other : members) {
           const std::string a = fleet->AddressOf(kind == 2 ? other : victim);
           const std::string b = fleet->AddressOf(kind == 2 ? victim : other);
-          if (other != victim) fleet->network().CutOneWay(a, b);
+          if (other != victim) fleet->network().PartitionOneWay(a, b);
         }
         return;
       default:  // together with some machines that do not count
--- a/tests/tier/control/control_fleet.cpp
+++ b/tests/tier/control/control_fleet.cpp
@@ -79,7 +79,7 @@
 // ---------------------------------------------------------------- machines
 
 ControlFleet::ControlFleet(const FleetOptions& options) : options_(options), random_(options.seed) {
-  if (options.loss > 0) network_.Lose(options.loss, options.seed);
+  if (options.loss > 0) network_.SetLoss(options.loss, options.seed);
   for (int i = 0; i < options.members + options.plain; ++i) Add(i < options.members);
   for (std::size_t i = 0; i < machines_.size(); ++i) Start(i);
 }
@@ -125,7 +125,7 @@
   Machine& machine = *machines_[number];
   if (machine.node != nullptr || machine.gone) return;
   machine.floor = book_.newest();
-  machine.transport = std::make_unique<VirtualMesh>(&network_, AddressOf(number));
+  machine.transport = std::make_unique<VirtualTransport>(&network_, AddressOf(number));
   machine.node = std::make_unique<ControlNode>(std::make_unique<VirtualTimeSource>(&time_),
                                                machine.transport.get(), machine.disk.get(),
                                                SettingsOf(machine), ++incarnation_);
@@ -135,7 +135,7 @@
   machine.api->Register(machine.router.get());
   Watch(&machine);
   // As the program does: the contents go, and the platform starts the next process.
-  machine.node->OnDiskIsOld([this, number] {
+  machine.node->OnDiskRolledBack([this, number] {
     ++old_disks_found_;
     time_.After(0, [this, number] {
       Stop(number);
@@ -221,7 +221,7 @@
                           const std::set<std::size_t>& others) {
   for (const std::size_t a : island) {
     for (const std::size_t b : others) {
-      if (island.count(b) == 0) network_.Cut(AddressOf(a), AddressOf(b));
+      if (island.count(b) == 0) network_.Partition(AddressOf(a), AddressOf(b));
     }
   }
 }
--- a/tests/tier/control/control_fleet.h
+++ b/tests/tier/control/control_fleet.h
@@ -16,7 +16,7 @@
 #include "tier/control/config_api.h"
 #include "tier/control/control_node.h"
 #include "tier/control/fake_exchange.h"
-#include "tier/control/virtual_world.h"
+#include "tier/control/virtual_environment.h"
 
 namespace pearreach::control {
 
@@ -123,7 +123,7 @@
     std::unique_ptr<VirtualDisk> disk;
     std::map<std::string, std::string> copy;
     std::vector<std::unique_ptr<VirtualDisk>> lost_disks;  // writes under way still end on them
-    std::unique_ptr<VirtualMesh> transport;
+    std::unique_ptr<VirtualTransport> transport;
     std::unique_ptr<ControlNode> node;
     std::unique_ptr<ConfigApi> api;
     std::unique_ptr<ApiRouter> router;
--- a/tests/tier/control/control_node_test.cpp
+++ b/tests/tier/control/control_node_test.cpp
@@ -7,7 +7,7 @@
 #include "tier/control/config_api.h"
 #include "tier/control/fake_exchange.h"
 #include "tier/control/sample_config.h"
-#include "tier/control/virtual_world.h"
+#include "tier/control/virtual_environment.h"
 
 namespace pearreach::control {
 namespace {
@@ -130,7 +130,7 @@
     Change(4, 0, SampleConfig(1));
     const int head = Head();
     for (int i = 0; i < kQuorum; ++i) {
-      if (i != head) network_->Cut(AddressOf(head), AddressOf(i));
+      if (i != head) network_->Partition(AddressOf(head), AddressOf(i));
     }
     // Nodes that still reach the old head are not kept back by it.
     time_->RunFor(15 * kSecond);
@@ -172,7 +172,7 @@
                        CPPUNIT_ASSERT_EQUAL(int(ChangeStatus::kUnavailable), int(outcome.status));
                        changed = time_->now() - begin;
                      });
-      Node(i).StrictRead(600 * kMs, [&](const auto& snapshot) {
+      Node(i).LinearizableRead(600 * kMs, [&](const auto& snapshot) {
         CPPUNIT_ASSERT(!snapshot.ok());
         read = time_->now() - begin;
       });
@@ -253,7 +253,7 @@
   ControlNode& Node(int index) { return *nodes_[index]; }
 
   void Start(int index, bool bootstrap) {
-    meshes_[index] = std::make_unique<VirtualMesh>(network_.get(), AddressOf(index));
+    meshes_[index] = std::make_unique<VirtualTransport>(network_.get(), AddressOf(index));
     VirtualDisk* disk = index < kQuorum ? disks_[index].get() : nullptr;
     nodes_[index] = std::make_unique<ControlNode>(std::make_unique<VirtualTimeSource>(time_.get()),
                                                   meshes_[index].get(), disk,
@@ -296,7 +296,7 @@
   }
   std::int64_t StrictVersion(int index) {
     auto version = std::make_shared<std::int64_t>(-1);
-    Node(index).StrictRead(900 * kMs, [version](const auto& snapshot) {
+    Node(index).LinearizableRead(900 * kMs, [version](const auto& snapshot) {
       if (snapshot.ok()) *version = (*snapshot)->routes ? (*snapshot)->routes->version() : 0;
     });
     time_->RunFor(kSecond);
@@ -306,7 +306,7 @@
   std::unique_ptr<VirtualTime> time_;
   std::unique_ptr<VirtualNetwork> network_;
   std::unique_ptr<VirtualDisk> disks_[kQuorum];
-  std::unique_ptr<VirtualMesh> meshes_[kNodes];
+  std::unique_ptr<VirtualTransport> meshes_[kNodes];
   std::unique_ptr<ControlNode> nodes_[kNodes];
   std::uint64_t incarnation_ = 0;
 };
--- a/tests/tier/control/control_shapes_test.cpp
+++ b/tests/tier/control/control_shapes_test.cpp
@@ -7,7 +7,7 @@
 #include "tier/control/control_node.h"
 #include "tier/control/control_timing.h"
 #include "tier/control/sample_config.h"
-#include "tier/control/virtual_world.h"
+#include "tier/control/virtual_environment.h"
 
 namespace pearreach::control {
 namespace {
@@ -40,7 +40,7 @@
   int ZoneOf(int index) const { return index % shape_.zones; }
   bool IsFar(int index) const { return ZoneOf(index) >= shape_.zones - shape_.far_zones; }
   void Start(int index, bool bootstrap) {
-    meshes_[index] = std::make_unique<VirtualMesh>(&network_, AddressOf(index));
+    meshes_[index] = std::make_unique<VirtualTransport>(&network_, AddressOf(index));
     nodes_[index] = std::make_unique<ControlNode>(std::make_unique<VirtualTimeSource>(&time_),
                                                   meshes_[index].get(), disks_[index].get(),
                                                   SettingsOf(index, bootstrap), ++incarnation_);
@@ -79,7 +79,7 @@
       if (node == nullptr) continue;
       auto version = std::make_shared<int>(0);
       auto done = std::make_shared<bool>(false);
-      node->StrictRead(900 * kMs, [version, done](const auto& snapshot) {
+      node->LinearizableRead(900 * kMs, [version, done](const auto& snapshot) {
         *done = true;
         if (snapshot.ok() && (*snapshot)->routes) *version = (*snapshot)->routes->version();
       });
@@ -117,7 +117,7 @@
   VirtualTime time_;
   VirtualNetwork network_{&time_};
   std::vector<std::unique_ptr<VirtualDisk>> disks_, wiped_;
-  std::vector<std::unique_ptr<VirtualMesh>> meshes_;
+  std::vector<std::unique_ptr<VirtualTransport>> meshes_;
   std::vector<std::unique_ptr<ControlNode>> nodes_;
   std::uint64_t incarnation_ = 0;
   int disk_ids_ = 0;
--- a/tests/tier/control/state_poller_test.cpp
+++ b/tests/tier/control/state_poller_test.cpp
@@ -8,7 +8,7 @@
 #include "tier/control/announced_fetch.h"
 #include "tier/control/poll_server.h"
 #include "tier/control/sample_config.h"
-#include "tier/control/virtual_world.h"
+#include "tier/control/virtual_environment.h"
 
 namespace pearreach::control {
 namespace {
@@ -24,7 +24,7 @@
   Server(VirtualTime* time, VirtualNetwork* network, const std::string& name)
       : source(time), transport(network, AddressOf(name)), polls(&source, &transport, &snapshots) {}
   VirtualTimeSource source;
-  VirtualMesh transport;
+  VirtualTransport transport;
   SnapshotStore snapshots;
   PollServer polls;
 };
@@ -261,7 +261,7 @@
   VirtualTime time_;
   VirtualNetwork network_{&time_};
   VirtualTimeSource source_{&time_};
-  VirtualMesh transport_{&network_, AddressOf("n9")};
+  VirtualTransport transport_{&network_, AddressOf("n9")};
   SnapshotStore snapshots_;
   MemberMap members_;
   MemberDirectory directory_{&members_, "n9", {AddressOf("n1"), AddressOf("n2")}};
--- a/tests/tier/control/virtual_world.cpp
+++ b/tests/tier/control/virtual_environment.cpp
@@ -1,4 +1,4 @@
-#include "tier/control/virtual_world.h"
+#include "tier/control/virtual_environment.h"
 
 #include <algorithm>
 
@@ -21,15 +21,15 @@
 
 }  // namespace
 
-VirtualMesh::VirtualMesh(VirtualNetwork* network, std::string address)
+VirtualTransport::VirtualTransport(VirtualNetwork* network, std::string address)
     : network_(network), address_(std::move(address)) {
   network_->Join(address_, this);
 }
 
-VirtualMesh::~VirtualMesh() { network_->Part(address_, this); }
+VirtualTransport::~VirtualTransport() { network_->Part(address_, this); }
 
-void VirtualMesh::Call(const std::string& address, rpc::MessageType type, std::string body,
-                       Micros timeout, rpc::Done done) {
+void VirtualTransport::Call(const std::string& address, rpc::MessageType type, std::string body,
+                            Micros timeout, rpc::Done done) {
   calls.push_back({address, type});
   VirtualNetwork* network = network_;
   VirtualTime* time = network->time();
@@ -39,31 +39,31 @@
   open->timer =
       time->After(timeout, [open] { open->End(absl::DeadlineExceededError("no answer in time")); });
   time->After(network->DelayOf(address_, address), [=, from = address_, body = std::move(body)] {
-    if (!network->Passes(from, address) || network->Loses()) return;
-    VirtualMesh* to = network->Find(address);
+    if (!network->IsConnected(from, address) || network->DropsMessage()) return;
+    VirtualTransport* to = network->Find(address);
     if (to == nullptr) return open->End(absl::UnavailableError("refused"));
     const auto handler = to->handlers.find(type);
     if (handler == to->handlers.end()) return open->End(absl::UnimplementedError("no such call"));
     handler->second(IpPart(from), body, [=](absl::StatusOr<std::string> answer) {
       time->After(network->DelayOf(from, address), [=, answer = std::move(answer)] {
-        if (network->Passes(address, from) && !network->Loses()) open->End(answer);
+        if (network->IsConnected(address, from) && !network->DropsMessage()) open->End(answer);
       });
     });
   });
 }
 
-void VirtualMesh::SendDatagram(const std::string& address, std::string_view body) {
+void VirtualTransport::SendDatagram(const std::string& address, std::string_view body) {
   VirtualNetwork* network = network_;
-  network->time()->After(network->DelayOf(address_, address),
-                         [=, from = address_, bytes = std::string(body)] {
-                           VirtualMesh* to = network->Find(address);
-                           if (to == nullptr || !network->Passes(from, address) || network->Loses())
-                             return;
-                           if (to->datagrams) to->datagrams(IpPart(from), bytes);
-                         });
+  network->time()->After(
+      network->DelayOf(address_, address), [=, from = address_, bytes = std::string(body)] {
+        VirtualTransport* to = network->Find(address);
+        if (to == nullptr || !network->IsConnected(from, address) || network->DropsMessage())
+          return;
+        if (to->datagrams) to->datagrams(IpPart(from), bytes);
+      });
 }
 
-std::size_t VirtualMesh::CallsTo(const std::string& address, rpc::MessageType type) const {
+std::size_t VirtualTransport::CallsTo(const std::string& address, rpc::MessageType type) const {
   return std::count_if(calls.begin(), calls.end(), [&](const CallRecord& call) {
     return call.to == address && call.type == type;
   });
--- a/tests/tier/control/virtual_world.h
+++ b/tests/tier/control/virtual_environment.h
@@ -1,6 +1,6 @@
 // Time, a network and disks in memory, in virtual order: nothing here sleeps or opens a socket.
-#ifndef PEARREACH_TESTS_TIER_CONTROL_VIRTUAL_WORLD_H_
-#define PEARREACH_TESTS_TIER_CONTROL_VIRTUAL_WORLD_H_
+#ifndef PEARREACH_TESTS_TIER_CONTROL_VIRTUAL_ENVIRONMENT_H_
+#define PEARREACH_TESTS_TIER_CONTROL_VIRTUAL_ENVIRONMENT_H_
 
 #include <map>
 #include <memory>
@@ -75,14 +75,14 @@
 
 class VirtualNetwork;
 
-class VirtualMesh : public rpc::Transport {
+class VirtualTransport : public rpc::Transport {
  public:
   struct CallRecord {
     std::string to;
     rpc::MessageType type;
   };
-  VirtualMesh(VirtualNetwork* network, std::string address);
-  ~VirtualMesh() override;
+  VirtualTransport(VirtualNetwork* network, std::string address);
+  ~VirtualTransport() override;
   void Handle(rpc::MessageType type, rpc::Handler handler) override {
     handlers[type] = std::move(handler);
   }
@@ -107,11 +107,13 @@
 
   explicit VirtualNetwork(VirtualTime* time) : time_(time) {}
   VirtualTime* time() const { return time_; }
-  void Join(const std::string& address, VirtualMesh* transport) { nodes_[address] = transport; }
-  void Part(const std::string& address, VirtualMesh* transport) {
+  void Join(const std::string& address, VirtualTransport* transport) {
+    nodes_[address] = transport;
+  }
+  void Part(const std::string& address, VirtualTransport* transport) {
     if (Find(address) == transport) nodes_.erase(address);
   }
-  VirtualMesh* Find(const std::string& address) const {
+  VirtualTransport* Find(const std::string& address) const {
     const auto found = nodes_.find(address);
     return found == nodes_.end() ? nullptr : found->second;
   }
@@ -123,9 +125,11 @@
   Micros far_delay = kDelay;
 
   // Between these two nothing comes through, and nobody is told.
-  void Cut(const std::string& a, const std::string& b) { cuts_.insert(std::minmax(a, b)); }
+  void Partition(const std::string& a, const std::string& b) { cuts_.insert(std::minmax(a, b)); }
   // The same for what is sent that way alone.
-  void CutOneWay(const std::string& from, const std::string& to) { one_way_.insert({from, to}); }
+  void PartitionOneWay(const std::string& from, const std::string& to) {
+    one_way_.insert({from, to});
+  }
   void Isolate(const std::string& address) { isolated_.insert(address); }
   void Heal() {
     cuts_.clear();
@@ -133,13 +137,13 @@
     isolated_.clear();
   }
   // From now on each message is lost with that probability.
-  void Lose(double probability, std::uint64_t seed) {
+  void SetLoss(double probability, std::uint64_t seed) {
     loss_ = probability;
     random_.seed(seed);
   }
-  bool Loses() { return loss_ > 0 && std::bernoulli_distribution(loss_)(random_); }
+  bool DropsMessage() { return loss_ > 0 && std::bernoulli_distribution(loss_)(random_); }
   // What `a` sends to `b`.
-  bool Passes(const std::string& a, const std::string& b) const {
+  bool IsConnected(const std::string& a, const std::string& b) const {
     if (a == b) return true;
     const bool isolated = isolated_.count(a) + isolated_.count(b) > 0;
     return !isolated && one_way_.count({a, b}) == 0 && cuts_.count(std::minmax(a, b)) == 0;
@@ -147,7 +151,7 @@
 
  private:
   VirtualTime* time_;
-  std::map<std::string, VirtualMesh*> nodes_;
+  std::map<std::string, VirtualTransport*> nodes_;
   std::set<std::pair<std::string, std::string>> cuts_, one_way_;
   std::set<std::string> isolated_;
   double loss_ = 0;
@@ -210,4 +214,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_TESTS_TIER_CONTROL_VIRTUAL_WORLD_H_
+#endif  // PEARREACH_TESTS_TIER_CONTROL_VIRTUAL_ENVIRONMENT_H_
--- a/tests/tier/gateway/doubles.h
+++ b/tests/tier/gateway/doubles.h
@@ -138,7 +138,7 @@
     listeners_.push_back(std::move(listener));
   }
   void Change(control::ControlChange, Micros, ChangeDone) override {}
-  void StrictRead(Micros, ReadDone) override {}
+  void LinearizableRead(Micros, ReadDone) override {}
   bool IsSingletonRoleCandidate() const override { return false; }
   const std::map<std::string, coordination::Member>& members() const override { return members_; }
 
--- a/tests/tier/golden/samples_values.cpp
+++ b/tests/tier/golden/samples_values.cpp
@@ -39,9 +39,9 @@
       return "control_write";
     case MessageType::kControlRead:
       return "control_read";
-    case MessageType::kWorkerSpread:
+    case MessageType::kWorkerUpdate:
       return "worker_spread";
-    case MessageType::kWorkerPass:
+    case MessageType::kWorkerHeartbeat:
       return "worker_pass";
     case MessageType::kWorkerDigest:
       return "worker_digest";
@@ -61,7 +61,7 @@
       return "item_result";
     case MessageType::kItemRenew:
       return "item_renew";
-    case MessageType::kBatchJobOffer:
+    case MessageType::kBatchJobAdmission:
       return "lot_offer";
     case MessageType::kReplicate:
       return "replicate";
@@ -176,8 +176,8 @@
   const auto add = [&](const char* name, const rpc::Frame& frame) {
     samples.push_back({std::string("frame.") + name, FrameBytes(frame), RewriteFrame});
   };
-  add("call", {FrameKind::kCall, 20, 0x0102030405060708, "question"});
-  add("answer", {FrameKind::kAnswer, 21, 0x1112131415161718, "reply"});
+  add("call", {FrameKind::kRequest, 20, 0x0102030405060708, "question"});
+  add("answer", {FrameKind::kResponse, 21, 0x1112131415161718, "reply"});
   add("error", {FrameKind::kError, 14, 0x2122232425262728, "what is wrong"});
   return samples;
 }
--- a/tests/tier/proxy/proxy_rig.h
+++ b/tests/tier/proxy/proxy_rig.h
@@ -204,7 +204,7 @@
   std::shared_ptr<const control::ControlSnapshot> Current() const override { return snapshot_; }
   void OnChange(std::function<void()>) override {}
   void Change(control::ControlChange, Micros, ChangeDone) override {}
-  void StrictRead(Micros, ReadDone) override {}
+  void LinearizableRead(Micros, ReadDone) override {}
   bool IsSingletonRoleCandidate() const override { return false; }
   const std::map<std::string, coordination::Member>& members() const override { return members_; }
 
--- a/tests/tier/registry/registry_cluster.cpp
+++ b/tests/tier/registry/registry_cluster.cpp
@@ -43,7 +43,7 @@
 
 RegistryCluster::RegistryCluster(ClusterOptions options)
     : options_(options), random_(options.seed) {
-  if (options_.loss > 0) network.Lose(options_.loss, options_.seed);
+  if (options_.loss > 0) network.SetLoss(options_.loss, options_.seed);
   for (int i = 0; i < options_.nodes; ++i) {
     auto node = std::make_unique<Node>();
     node->name = fmt::format("node-{:04}", i);
@@ -72,7 +72,7 @@
       member.info.roles |= MemberInfo::kQuorumMember;
   }
   node.members.in_touch = [this, &node] { return ReachesMajority(node); };
-  node.transport = std::make_unique<control::VirtualMesh>(&network, node.address);
+  node.transport = std::make_unique<control::VirtualTransport>(&network, node.address);
   settings::NodeSettings settings;
   settings.node_name = node.name;
   settings.beat_ms = static_cast<double>(kBeat) / kMs;
@@ -91,7 +91,7 @@
 bool RegistryCluster::ReachesMajority(const Node& node) const {
   int reached = 0;
   for (int i = 0; i < options_.quorum && i < options_.nodes; ++i) {
-    reached += network.Passes(node.address, nodes[i]->address) ? 1 : 0;
+    reached += network.IsConnected(node.address, nodes[i]->address) ? 1 : 0;
   }
   return 2 * reached > std::min(options_.quorum, options_.nodes);
 }
@@ -100,7 +100,7 @@
   for (std::size_t a = 0; a < nodes.size(); ++a) {
     for (std::size_t b = 0; b < nodes.size(); ++b) {
       if (island.count(a) == island.count(b)) continue;
-      network.Cut(nodes[a]->address, nodes[b]->address);
+      network.Partition(nodes[a]->address, nodes[b]->address);
       nodes[a]->members.known[nodes[b]->name].status = MemberStatus::kDead;
     }
   }
--- a/tests/tier/registry/registry_cluster.h
+++ b/tests/tier/registry/registry_cluster.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "tier/control/fake_exchange.h"
-#include "tier/control/virtual_world.h"
+#include "tier/control/virtual_environment.h"
 #include "tier/registry/worker_registry.h"
 
 namespace pearreach::registry {
@@ -21,7 +21,7 @@
   std::shared_ptr<const control::ControlSnapshot> Current() const override { return snapshot_; }
   void OnChange(std::function<void()>) override {}
   void Change(control::ControlChange, Micros, ChangeDone) override {}
-  void StrictRead(Micros, ReadDone done) override {
+  void LinearizableRead(Micros, ReadDone done) override {
     if (!in_touch()) return done(absl::UnavailableError("no majority in reach"));
     done(snapshot_);
   }
@@ -51,7 +51,7 @@
 
   struct Node {
     std::string name, address;
-    std::unique_ptr<control::VirtualMesh> transport;
+    std::unique_ptr<control::VirtualTransport> transport;
     FakeMembers members;
     std::unique_ptr<WorkerRegistry> registry;
     int beats = 0;  // heartbeats that came here
--- a/tests/tier/registry/registry_cluster_test.cpp
+++ b/tests/tier/registry/registry_cluster_test.cpp
@@ -70,7 +70,7 @@
       cluster.Run(12 * kSecond);
       for (std::size_t i = 0; i < 10; ++i) cluster.Drain(i);
       cluster.Run(10 * kSecond);
-      cluster.network.Lose(0, seed);
+      cluster.network.SetLoss(0, seed);
       cluster.Run(6 * kSecond);
       CPPUNIT_ASSERT_MESSAGE(Seeded(seed, "tables differ"), cluster.Converged(100));
     }
--- a/tests/tier/rpc/transport_test.cpp
+++ b/tests/tier/rpc/transport_test.cpp
@@ -26,7 +26,7 @@
  public:
   void FramesAreReadWhereverTheyAreCut() {
     std::string bytes;
-    AppendFrame({FrameKind::kCall, 7, 42, "first"}, &bytes);
+    AppendFrame({FrameKind::kRequest, 7, 42, "first"}, &bytes);
     AppendFrame({FrameKind::kError, 3, 43, ""}, &bytes);
     for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
       FrameReader reader;
@@ -43,7 +43,7 @@
 
   void BadFramesAreToldApart() {
     std::string good;
-    AppendFrame({FrameKind::kAnswer, 0, 1, "x"}, &good);
+    AppendFrame({FrameKind::kResponse, 0, 1, "x"}, &good);
     std::string bad_kind = good, bad_length = good;
     bad_kind[4] = 9;
     bad_length[3] = '\x7f';
