--- a/src/tier/codec/archive.h
+++ b/src/tier/codec/archive.h
@@ -49,7 +49,7 @@
     char* const begin = const_cast<char*>(bytes.data());  // a get area is never written to
     setg(begin, begin, begin + bytes.size());
   }
-  std::size_t left() const { return static_cast<std::size_t>(egptr() - gptr()); }
+  std::size_t remaining() const { return static_cast<std::size_t>(egptr() - gptr()); }
 };
 
 class BoundedInput;
@@ -69,7 +69,7 @@
   }
   void load_override(boost::serialization::collection_size_type& count) {
     BoundedInputBase::load_override(count);
-    Check(count);
+    CheckLength(count);
   }
 
   template <class Value>
@@ -79,24 +79,24 @@
   void load(bool& flag) {
     unsigned char byte = 0;
     BoundedInputBase::load(byte);
-    if (byte > 1) Refuse();
+    if (byte > 1) ThrowInvalidInput();
     flag = byte == 1;
   }
   void load(std::string& text) {
     std::size_t length = 0;
     BoundedInputBase::load(length);
-    Check(length);
+    CheckLength(length);
     text.resize(length);
     if (length > 0) load_binary(text.data(), length);
   }
 
  private:
-  [[noreturn]] static void Refuse() {
+  [[noreturn]] static void ThrowInvalidInput() {
     using boost::archive::archive_exception;
     throw archive_exception(archive_exception::input_stream_error);
   }
-  void Check(std::size_t length) const {
-    if (length > buffer_->left()) Refuse();
+  void CheckLength(std::size_t length) const {
+    if (length > buffer_->remaining()) ThrowInvalidInput();
   }
 
   MemoryBuffer* buffer_;
--- a/src/tier/control/announced_fetch.h
+++ b/src/tier/control/announced_state_fetcher.h
@@ -1,8 +1,8 @@
 // Fetches from a member that has announced a newer version than this node has for a while: the way
 // to the newest state where both polls stand at members that are cut off. Not before the first
 // state is known.
-#ifndef PEARREACH_SRC_TIER_CONTROL_ANNOUNCED_FETCH_H_
-#define PEARREACH_SRC_TIER_CONTROL_ANNOUNCED_FETCH_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_ANNOUNCED_STATE_FETCHER_H_
+#define PEARREACH_SRC_TIER_CONTROL_ANNOUNCED_STATE_FETCHER_H_
 
 #include <map>
 #include <string>
@@ -16,31 +16,31 @@
 namespace pearreach::control {
 
 // The name under which versions of the control state are announced.
-inline constexpr char kAnnouncedName[] = "control";
+inline constexpr char kControlVersionName[] = "control";
 
-class AnnouncedFetch {
+class AnnouncedStateFetcher {
  public:
-  AnnouncedFetch(TimeSource* time, rpc::Transport* transport, SnapshotStore* snapshots,
-                 const MemberDirectory* directory);
-  ~AnnouncedFetch();
+  AnnouncedStateFetcher(TimeSource* time, rpc::Transport* transport, SnapshotStore* snapshots,
+                        const MemberDirectory* directory);
+  ~AnnouncedStateFetcher();
   void MembersChanged(const std::vector<std::string>& names);
 
  private:
-  struct Tried {
+  struct FetchAttempt {
     std::uint64_t version = 0;  // what it had announced
-    Micros again = 0;           // not before
+    Micros retry_after = 0;     // not before
   };
   bool IsAhead(const coordination::Member& member) const;
-  const coordination::Member* Choose() const;
-  void Arm(Micros delay);
-  void Check();
-  void Answered(const std::string& name, absl::StatusOr<std::string> answer);
+  const coordination::Member* ChooseMember() const;
+  void StartTimer(Micros delay);
+  void FetchNewest();
+  void OnResponse(const std::string& name, absl::StatusOr<std::string> response);
 
   TimeSource* time_;
   rpc::Transport* transport_;
   SnapshotStore* snapshots_;
   const MemberDirectory* directory_;
-  std::map<std::string, Tried> tried_;  // by name
+  std::map<std::string, FetchAttempt> attempts_;  // by name
   Timers::Id timer_ = 0;
   bool fetching_ = false;
   CallbackOwner callbacks_;
@@ -48,4 +48,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_TIER_CONTROL_ANNOUNCED_FETCH_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_ANNOUNCED_STATE_FETCHER_H_
--- a/src/tier/control/api_answers.cpp
+++ b/src/tier/control/api_responses.cpp
@@ -1,4 +1,4 @@
-#include "tier/control/api_answers.h"
+#include "tier/control/api_responses.h"
 
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
@@ -16,28 +16,28 @@
 
 }  // namespace
 
-void AnswerJson(http_server::Exchange* exchange, int status, std::string_view json,
-                std::vector<http::Header> headers) {
+void RespondJson(http_server::Exchange* exchange, int status, std::string_view json,
+                 std::vector<http::Header> headers) {
   headers.push_back({"Content-Type", "application/json"});
   exchange->Respond(status, std::move(headers), json);
 }
 
-void AnswerError(http_server::Exchange* exchange, int status, std::string_view text,
-                 std::vector<http::Header> headers) {
+void RespondError(http_server::Exchange* exchange, int status, std::string_view text,
+                  std::vector<http::Header> headers) {
   rapidjson::StringBuffer buffer;
   JsonWriter writer(buffer);
   writer.StartObject();
   writer.Key("error");
   PutString(&writer, text);
   writer.EndObject();
-  AnswerJson(exchange, status, {buffer.GetString(), buffer.GetSize()}, std::move(headers));
+  RespondJson(exchange, status, {buffer.GetString(), buffer.GetSize()}, std::move(headers));
 }
 
-void AnswerUnavailable(http_server::Exchange* exchange, std::string_view text) {
-  AnswerError(exchange, 503, text, {{"Retry-After", kRetryAfterSeconds}});
+void RespondUnavailable(http_server::Exchange* exchange, std::string_view text) {
+  RespondError(exchange, 503, text, {{"Retry-After", kRetryAfterSeconds}});
 }
 
-void AnswerFindings(http_server::Exchange* exchange, std::string_view text) {
+void RespondFindings(http_server::Exchange* exchange, std::string_view text) {
   rapidjson::StringBuffer buffer;
   JsonWriter writer(buffer);
   writer.StartObject();
@@ -50,7 +50,7 @@
   }
   writer.EndArray();
   writer.EndObject();
-  AnswerJson(exchange, 400, {buffer.GetString(), buffer.GetSize()});
+  RespondJson(exchange, 400, {buffer.GetString(), buffer.GetSize()});
 }
 
 }  // namespace pearreach::control
--- a/src/tier/control/api_router.cpp
+++ b/src/tier/control/api_router.cpp
@@ -4,7 +4,7 @@
 #include <optional>
 #include <utility>
 
-#include "tier/control/api_answers.h"
+#include "tier/control/api_responses.h"
 
 namespace pearreach::control {
 namespace {
@@ -97,14 +97,14 @@
   const std::string_view path = PathOf(request.target);
   std::string_view captured;
   const Node* leaf = path.empty() || path.front() != '/' ? nullptr : root_->Find(path, &captured);
-  if (leaf == nullptr) return AnswerError(exchange.get(), 404, "no such call");
+  if (leaf == nullptr) return RespondError(exchange.get(), 404, "no such call");
   const auto found = leaf->methods.find(request.method);
   if (found == leaf->methods.end()) {
-    return AnswerError(exchange.get(), 405, "no such method here", {{"Allow", leaf->Allowed()}});
+    return RespondError(exchange.get(), 405, "no such method here", {{"Allow", leaf->Allowed()}});
   }
   const std::optional<std::string> argument = Decoded(captured);
   if (!argument.has_value()) {
-    return AnswerError(exchange.get(), 400, "the path's last part is not encoded properly");
+    return RespondError(exchange.get(), 400, "the path's last part is not encoded properly");
   }
   found->second(std::move(exchange), *argument);
 }
--- /dev/null
+++ b/src/tier/control/change_forwarder.h
@@ -0,0 +1,60 @@
+// Brings a change to the head of the chain, over other nodes where needed, within a bounded time.
+// A change is sent again only where the answer says that surely nothing was changed.
+#ifndef PEARREACH_SRC_TIER_CONTROL_CHANGE_FORWARDER_H_
+#define PEARREACH_SRC_TIER_CONTROL_CHANGE_FORWARDER_H_
+
+#include <functional>
+#include <memory>
+#include <string>
+
+#include "tier/control/member_directory.h"
+#include "tier/control/messages.h"
+#include "tier/control/replica_driver.h"
+#include "tier/control/time_source.h"
+#include "tier/rpc/transport.h"
+
+namespace pearreach::control {
+
+class ChangeForwarder {
+ public:
+  using Done = std::function<void(const WriteResponse&)>;
+
+  // `replica`: null on nodes outside the quorum.
+  ChangeForwarder(TimeSource* time, rpc::Transport* transport, const MemberDirectory* directory,
+                  ReplicaDriver* replica, const QuorumConnectivity* connectivity);
+  // `done` is called exactly once, within `request.timeout`.
+  void Change(WriteRequest request, Done done);
+
+ private:
+  struct PendingChange {
+    WriteRequest request;
+    Micros deadline = 0;
+    Done done;
+    std::string hint;
+    std::size_t attempts = 0;
+    std::size_t forwarded_attempt = 0;  // the try that another node has now; 0: none
+  };
+  using PendingChangePtr = std::shared_ptr<PendingChange>;
+  void StartAttempt(const PendingChangePtr& pending);
+  void ChangeLocally(const PendingChangePtr& pending, Micros time_left);
+  void Forward(const PendingChangePtr& pending, const Contact& to, Micros time_left);
+  void WatchTarget(const PendingChangePtr& pending, std::size_t number, const std::string& to);
+  bool IsReachable(const std::string& name) const;
+  void Finish(const PendingChangePtr& pending, const WriteResponse& response);
+  bool CanChangeLocally() const;
+  bool IsIsolated() const;
+  Contact ChooseTarget(const PendingChangePtr& pending) const;
+  void HandleResponse(const PendingChangePtr& pending, const WriteResponse& response);
+  void ScheduleRetry(const PendingChangePtr& pending);
+
+  TimeSource* time_;
+  rpc::Transport* transport_;
+  const MemberDirectory* directory_;
+  ReplicaDriver* replica_;
+  const QuorumConnectivity* connectivity_;
+  CallbackOwner callbacks_;
+};
+
+}  // namespace pearreach::control
+
+#endif  // PEARREACH_SRC_TIER_CONTROL_CHANGE_FORWARDER_H_
--- a/src/tier/control/config_api.h
+++ b/src/tier/control/config_api.h
@@ -14,7 +14,7 @@
 // The longest body of Config.Replace. The front must let as much through.
 inline constexpr std::size_t kMaxConfigBytes = 4U << 20;
 // Callers move on after a second of silence.
-inline constexpr Micros kConfigAnswerWithin = 900 * kMs;
+inline constexpr Micros kConfigResponseTimeout = 900 * kMs;
 
 class ConfigApi {
  public:
--- a/src/tier/control/config_change_id.cpp
+++ b/src/tier/control/config_change_id.cpp
@@ -31,14 +31,14 @@
     if (value.IsObject()) {
       AddObject(value);
     } else if (value.IsArray()) {
-      AddHead('a', value.Size());
+      AddHeader('a', value.Size());
       for (const rapidjson::Value& element : value.GetArray()) Add(element);
     } else if (value.IsString()) {
       AddString(value);
     } else if (value.IsNumber()) {
       AddNumber(value);
     } else {
-      AddHead(value.IsNull() ? 'n' : 'b', value.IsTrue() ? 1 : 0);
+      AddHeader(value.IsNull() ? 'n' : 'b', value.IsTrue() ? 1 : 0);
     }
   }
 
@@ -48,12 +48,12 @@
   void AddBytes(const void* bytes, std::size_t size) {
     XXH3_128bits_update(state_.get(), bytes, size);
   }
-  void AddHead(char tag, std::uint64_t number) {
+  void AddHeader(char tag, std::uint64_t number) {
     AddBytes(&tag, sizeof(tag));
     AddBytes(&number, sizeof(number));
   }
   void AddString(const rapidjson::Value& text) {
-    AddHead('s', text.GetStringLength());
+    AddHeader('s', text.GetStringLength());
     AddBytes(text.GetString(), text.GetStringLength());
   }
   void AddObject(const rapidjson::Value& object) {
@@ -64,22 +64,22 @@
     std::stable_sort(members.begin(), members.end(), [](const Member& left, const Member& right) {
       return NameOf(left) < NameOf(right);
     });
-    AddHead('o', members.size());
+    AddHeader('o', members.size());
     for (const Member& member : members) {
       AddString(member->name);
       Add(member->value);
     }
   }
   void AddNumber(const rapidjson::Value& number) {
-    if (number.IsInt64()) return AddHead('i', static_cast<std::uint64_t>(number.GetInt64()));
-    if (number.IsUint64()) return AddHead('u', number.GetUint64());
+    if (number.IsInt64()) return AddHeader('i', static_cast<std::uint64_t>(number.GetInt64()));
+    if (number.IsUint64()) return AddHeader('u', number.GetUint64());
     const double value = number.GetDouble();
     if (std::trunc(value) == value && std::fabs(value) <= kMaxExact) {
-      return AddHead('i', static_cast<std::uint64_t>(static_cast<std::int64_t>(value)));
+      return AddHeader('i', static_cast<std::uint64_t>(static_cast<std::int64_t>(value)));
     }
     std::uint64_t bits = 0;
     std::memcpy(&bits, &value, sizeof(bits));
-    AddHead('d', bits);
+    AddHeader('d', bits);
   }
   static std::string_view NameOf(const Member& member) {
     return {member->name.GetString(), member->name.GetStringLength()};
--- a/src/tier/control/replace_call.h
+++ b/src/tier/control/config_replace_request.h
@@ -2,8 +2,8 @@
 // what is or was in force, 400 and 412 only for what never will be, 503 for all that is not sure in
 // time. Whether a configuration has been taken before stands in the record of marks that the
 // control state keeps (coordination/change_marks.h), which is the same at every node.
-#ifndef PEARREACH_SRC_TIER_CONTROL_REPLACE_CALL_H_
-#define PEARREACH_SRC_TIER_CONTROL_REPLACE_CALL_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_CONFIG_REPLACE_REQUEST_H_
+#define PEARREACH_SRC_TIER_CONTROL_CONFIG_REPLACE_REQUEST_H_
 
 #include <cstdint>
 #include <functional>
@@ -15,30 +15,30 @@
 
 namespace pearreach::control {
 
-class ReplaceCall : public std::enable_shared_from_this<ReplaceCall> {
+class ConfigReplaceRequest : public std::enable_shared_from_this<ConfigReplaceRequest> {
  public:
-  ReplaceCall(ControlClient* client, std::function<Micros()> now,
-              std::shared_ptr<http_server::Exchange> exchange, Micros deadline);
+  ConfigReplaceRequest(ControlClient* client, std::function<Micros()> now,
+                       std::shared_ptr<http_server::Exchange> exchange, Micros deadline);
   void Start();
 
  private:
-  using Next = void (ReplaceCall::*)(const ChangeHistoryRead&);
+  using Next = void (ConfigReplaceRequest::*)(const ChangeHistoryRead&);
 
   // False: answered already.
-  bool ReadRequest();
+  bool ParseRequest();
   void Read(Micros timeout, Next next);
   // By a strict reading.
-  void Decide(const ChangeHistoryRead& reading);
+  void OnInitialRead(const ChangeHistoryRead& history_read);
   // The same after a conflict or an unclear outcome.
-  void Resolve(const ChangeHistoryRead& reading);
+  void OnReadAfterChange(const ChangeHistoryRead& history_read);
   // True: the reading alone gives the answer, which has been sent.
-  bool IsSettled(const ChangeHistoryRead& reading);
+  bool RespondIfDecided(const ChangeHistoryRead& history_read);
   void Change(const ControlSnapshot& snapshot);
-  void Changed(const ChangeOutcome& outcome);
+  void OnChangeOutcome(const ChangeOutcome& outcome);
   bool IsCurrent(const ControlSnapshot& snapshot) const;
-  Micros Left() const { return deadline_ - now_(); }
-  void AnswerTaken();
-  void AnswerOtherVersion(const ControlSnapshot& snapshot);
+  Micros TimeLeft() const { return deadline_ - now_(); }
+  void RespondCommitted();
+  void RespondVersionConflict(const ControlSnapshot& snapshot);
 
   ControlClient* client_;
   std::function<Micros()> now_;
@@ -47,10 +47,10 @@
   std::string body_;
   std::int64_t parent_ = 0, version_ = 0;
   coordination::ChangeId change_id_;
-  bool unclear_ = false;  // nothing is known of the change that was sent last
-  bool again_ = false;    // the change has been sent a second time
+  bool outcome_unknown_ = false;  // nothing is known of the change that was sent last
+  bool retried_ = false;          // the change has been sent a second time
 };
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_TIER_CONTROL_REPLACE_CALL_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_CONFIG_REPLACE_REQUEST_H_
--- a/src/tier/control/control_client.h
+++ b/src/tier/control/control_client.h
@@ -80,8 +80,8 @@
 
 inline void ControlClient::ReadWithHistory(const coordination::ChangeId&, Micros,
                                            HistoryReadDone done) {
-  const HistoryReadDone tell = std::move(done);
-  tell(absl::UnimplementedError("no record of changes is kept here"));
+  const HistoryReadDone callback = std::move(done);
+  callback(absl::UnimplementedError("no record of changes is kept here"));
 }
 
 }  // namespace pearreach::control
--- a/src/tier/control/control_node.cpp
+++ b/src/tier/control/control_node.cpp
@@ -6,7 +6,7 @@
 #include <functional>
 #include <utility>
 
-#include "tier/control/founders.h"
+#include "tier/control/bootstrap_members.h"
 #include "tier/logging/log.h"
 
 namespace pearreach::control {
@@ -78,15 +78,15 @@
       replica_(MakeReplica(transport, store, settings, SeedOf(self_))),
       poll_server_(time_.get(), transport, &snapshots_),
       poller_(time_.get(), transport, &snapshots_, &directory_),
-      fetch_(time_.get(), transport, &snapshots_, &directory_),
-      relay_(time_.get(), transport, &directory_, replica_.get(), &connectivity_),
+      state_fetcher_(time_.get(), transport, &snapshots_, &directory_),
+      change_forwarder_(time_.get(), transport, &directory_, replica_.get(), &connectivity_),
       reader_(time_.get(), transport, &snapshots_, &directory_, replica_.get(), &connectivity_),
-      first_state_(time_.get(), &snapshots_, &reader_, timing_),
-      founding_(settings.bootstrap && replica_ != nullptr) {
+      initial_state_reader_(time_.get(), &snapshots_, &reader_, timing_),
+      bootstrapping_(settings.bootstrap && replica_ != nullptr) {
   Start();
 }
 
-ControlNode::~ControlNode() { time_->Cancel(&founder_timer_); }
+ControlNode::~ControlNode() { time_->Cancel(&seed_wait_timer_); }
 
 std::unique_ptr<ReplicaDriver> ControlNode::MakeReplica(rpc::Transport* transport,
                                                         storage::TableStore* store,
@@ -108,21 +108,22 @@
   snapshots_.OnChange([this] { SnapshotChanged(); });
   membership_.OnChange([this](const std::vector<std::string>& names) { MembersChanged(names); });
   if (replica_ != nullptr) replica_->OnStep([this] { ReplicaStepped(); });
-  if (founding_) {
-    founder_timer_ = time_->After(kFounderWait, [this] {
-      founder_timer_ = 0;
-      founder_wait_over_ = true;
-      if (founding_) Found(true);
+  if (bootstrapping_) {
+    seed_wait_timer_ = time_->After(kSeedWaitTimeout, [this] {
+      seed_wait_timer_ = 0;
+      seed_wait_over_ = true;
+      if (bootstrapping_) TryBootstrap(true);
     });
   }
   if (replica_ != nullptr) ReplicaStepped();
   membership_.Start();
-  first_state_.Start();
+  initial_state_reader_.Start();
   if (replica_ == nullptr) return;
   replica_->MembersChanged();
   connectivity_.Start([this] {
     replica_->MembersChanged();
-    if (connectivity_.disk().is_old() && disk_is_old_) std::exchange(disk_is_old_, nullptr)();
+    if (connectivity_.disk().is_rolled_back() && disk_rolled_back_)
+      std::exchange(disk_rolled_back_, nullptr)();
   });
 }
 
@@ -142,16 +143,17 @@
   WriteRequest request;
   request.change = std::move(change);
   request.timeout = timeout;
-  relay_.Change(std::move(request), [done = std::move(done)](const WriteResponse& answer) {
-    done({static_cast<coordination::ChangeStatus>(answer.status), answer.revision});
-  });
+  change_forwarder_.Change(
+      std::move(request), [done = std::move(done)](const WriteResponse& response) {
+        done({static_cast<coordination::ChangeStatus>(response.status), response.revision});
+      });
 }
 
 void ControlNode::LinearizableRead(Micros timeout, ReadDone done) {
   reader_.Read(std::nullopt, timeout,
-               [done = std::move(done)](absl::StatusOr<ChangeHistoryRead> reading) {
-                 if (!reading.ok()) return done(reading.status());
-                 done(std::move(reading->snapshot));
+               [done = std::move(done)](absl::StatusOr<ChangeHistoryRead> history_read) {
+                 if (!history_read.ok()) return done(history_read.status());
+                 done(std::move(history_read->snapshot));
                });
 }
 
@@ -161,7 +163,7 @@
 }
 
 void ControlNode::PrepareToShutDown() {
-  connectivity_.SetLeaving();
+  connectivity_.SetDraining();
   if (replica_ != nullptr) replica_->MembersChanged();
 }
 
@@ -169,10 +171,10 @@
 bool ControlNode::MayShutDown() const {
   if (replica_ == nullptr) return true;
   const bool begun = Current()->version.epoch >= replica_->view().epoch;
-  if (!replica_->InView() && begun && connectivity_.IsReleased()) return true;
+  if (!replica_->InView() && begun && connectivity_.IsDrained()) return true;
   const auto contacts = directory_.QuorumContacts();
   return std::all_of(contacts.begin(), contacts.end(), [this](const Contact& contact) {
-    return connectivity_.IsLeaving(contact.name);
+    return connectivity_.IsDraining(contact.name);
   });
 }
 
@@ -195,25 +197,25 @@
 void ControlNode::MembersChanged(const std::vector<std::string>& names) {
   if (RosterChanged(names)) {
     if (replica_ != nullptr) {
-      if (!connectivity_.IsDiskChecked()) connectivity_.AskAgain();
+      if (!connectivity_.IsDiskChecked()) connectivity_.SendHeartbeatsNow();
       replica_->MembersChanged();
     }
-    if (founding_) Found(founder_wait_over_);
+    if (bootstrapping_) TryBootstrap(seed_wait_over_);
     poller_.Refresh();
   }
-  fetch_.MembersChanged(names);
+  state_fetcher_.MembersChanged(names);
   for (std::size_t i = 0; i < member_listeners_.size(); ++i) member_listeners_[i](names);
 }
 
-void ControlNode::Found(bool waited) {
-  auto founders = ChooseFounders(members(), seeds_, waited);
-  if (!founders.has_value()) return;
-  founding_ = false;
-  time_->Cancel(&founder_timer_);
+void ControlNode::TryBootstrap(bool seed_wait_over) {
+  auto bootstrap_members = ChooseBootstrapMembers(members(), seeds_, seed_wait_over);
+  if (!bootstrap_members.has_value()) return;
+  bootstrapping_ = false;
+  time_->Cancel(&seed_wait_timer_);
   std::string names;
-  for (const auto& founder : *founders) names += founder.name + " ";
+  for (const auto& member : *bootstrap_members) names += member.name + " ";
   logging::Info("control", "founders of the first view", {logging::F("names", names)});
-  replica_->SetFounders(*std::move(founders));
+  replica_->SetFounders(*std::move(bootstrap_members));
 }
 
 void ControlNode::ReplicaStepped() {
@@ -228,7 +230,7 @@
 }
 
 void ControlNode::SnapshotChanged() {
-  membership_.Announce(kAnnouncedName, Packed(Current()->version));
+  membership_.Announce(kControlVersionName, Packed(Current()->version));
   UpdatePolls();
 }
 
--- a/src/tier/control/control_node.h
+++ b/src/tier/control/control_node.h
@@ -8,11 +8,12 @@
 #include <string>
 #include <vector>
 
-#include "tier/control/announced_fetch.h"
-#include "tier/control/change_relay.h"
+#include "tier/control/announced_state_fetcher.h"
+#include "tier/control/change_forwarder.h"
 #include "tier/control/control_client.h"
 #include "tier/control/control_timing.h"
-#include "tier/control/first_state.h"
+#include "tier/control/initial_state_reader.h"
+#include "tier/control/linearizable_reader.h"
 #include "tier/control/member_directory.h"
 #include "tier/control/membership_driver.h"
 #include "tier/control/poll_server.h"
@@ -20,7 +21,6 @@
 #include "tier/control/replica_driver.h"
 #include "tier/control/snapshot_store.h"
 #include "tier/control/state_poller.h"
-#include "tier/control/strict_reader.h"
 #include "tier/control/time_source.h"
 #include "tier/settings/node_settings.h"
 
@@ -66,7 +66,7 @@
   void OnMembersChanged(MembershipDriver::Listener listener);
   // Called once if this node's disk turns out to have been put back in time: its contents must go,
   // and the process must start anew as on an empty disk.
-  void OnDiskRolledBack(std::function<void()> listener) { disk_is_old_ = std::move(listener); }
+  void OnDiskRolledBack(std::function<void()> listener) { disk_rolled_back_ = std::move(listener); }
   // What rides on this node's membership messages under that name.
   void Announce(const std::string& name, std::uint64_t version);
 
@@ -89,7 +89,7 @@
   void ReplicaStepped();
   void UpdatePolls();
   void SnapshotChanged();
-  void Found(bool waited);
+  void TryBootstrap(bool seed_wait_over);
 
   std::unique_ptr<TimeSource> time_;
   const coordination::MemberInfo self_;
@@ -102,16 +102,16 @@
   std::unique_ptr<ReplicaDriver> replica_;  // null: not a quorum member
   PollServer poll_server_;
   StatePoller poller_;
-  AnnouncedFetch fetch_;
-  ChangeRelay relay_;
+  AnnouncedStateFetcher state_fetcher_;
+  ChangeForwarder change_forwarder_;
   LinearizableReader reader_;
-  FirstState first_state_;
+  InitialStateReader initial_state_reader_;
   std::map<std::string, Presence> roster_;
   std::vector<MembershipDriver::Listener> member_listeners_;
-  std::function<void()> disk_is_old_;
-  bool founding_ = false;  // the first view's members are not chosen yet
-  bool founder_wait_over_ = false;
-  Timers::Id founder_timer_ = 0;
+  std::function<void()> disk_rolled_back_;
+  bool bootstrapping_ = false;  // the first view's members are not chosen yet
+  bool seed_wait_over_ = false;
+  Timers::Id seed_wait_timer_ = 0;
 };
 
 }  // namespace pearreach::control
--- a/src/tier/control/control_timing.h
+++ b/src/tier/control/control_timing.h
@@ -17,10 +17,10 @@
   Micros suspicion = kSecond;           // from suspicion to dead
   Micros heartbeat_period = 250 * kMs;  // between questions for a sign among quorum members
   Micros heartbeat_timeout = 500 * kMs;
-  Micros role_candidate_span = kSecond;  // a sign asked for longer ago gives no duty,
-  Micros lost_span = kSecond;            // nor, longer ago than this, a place in the view
-  Micros call_timeout = kSecond;         // of a change or read in the chain
-  Micros retry = 100 * kMs;              // in the chain
+  Micros role_candidate_timeout = kSecond;  // a sign asked for longer ago gives no duty,
+  Micros unreachable_timeout = kSecond;     // nor, longer ago than this, a place in the view
+  Micros call_timeout = kSecond;            // of a change or read in the chain
+  Micros retry = 100 * kMs;                 // in the chain
 };
 
 inline ControlTiming TimingOf(const settings::Bounds& bounds) {
@@ -34,8 +34,8 @@
   timing.suspicion = span;
   timing.heartbeat_period = span / 4;
   timing.heartbeat_timeout = span / 2;
-  timing.role_candidate_span = span;
-  timing.lost_span = span;
+  timing.role_candidate_timeout = span;
+  timing.unreachable_timeout = span;
   timing.call_timeout = std::max(ack / 4, kMinSpan);
   timing.retry = timing.call_timeout / 10;
   return timing;
--- a/src/tier/control/deadline_timer.h
+++ b/src/tier/control/deadline_timer.h
@@ -14,8 +14,8 @@
 class DeadlineTimer {
  public:
   // `wake` is called once for each time that is reached; it sets the next one.
-  DeadlineTimer(TimeSource* time, std::function<void()> wake)
-      : time_(time), wake_(std::move(wake)) {}
+  DeadlineTimer(TimeSource* time, std::function<void()> callback)
+      : time_(time), callback_(std::move(callback)) {}
   ~DeadlineTimer() { Stop(); }
   DeadlineTimer(const DeadlineTimer&) = delete;
   DeadlineTimer& operator=(const DeadlineTimer&) = delete;
@@ -28,14 +28,14 @@
     set_for_ = next;
     timer_ = time_->After(std::max<Micros>(next - time_->Now(), 0), [this] {
       timer_ = 0;
-      wake_();
+      callback_();
     });
   }
   void Stop() { time_->Cancel(&timer_); }
 
  private:
   TimeSource* time_;
-  const std::function<void()> wake_;
+  const std::function<void()> callback_;
   Timers::Id timer_ = 0;
   Micros set_for_ = 0;
 };
--- a/src/tier/control/disk_use.h
+++ b/src/tier/control/disk_use.h
@@ -25,17 +25,17 @@
 // `found`: on disk when the present process started. `own`: of that process. `heard`: what another
 // member has heard of this disk; it may have heard of the present process already, but the writes
 // that it has heard of are the most that it ever has.
-inline bool IsBehind(const DiskUse& found, const DiskUse& own, const DiskUse& heard) {
-  if (heard.starts == 0) return false;
-  if (heard.instance == own.instance) return heard.writes > own.writes;
-  return heard.starts > found.starts || heard.writes > found.writes;
+inline bool IsRolledBack(const DiskUse& found, const DiskUse& own, const DiskUse& reported) {
+  if (reported.starts == 0) return false;
+  if (reported.instance == own.instance) return reported.writes > own.writes;
+  return reported.starts > found.starts || reported.writes > found.writes;
 }
 
 // What is known after `told` has been heard as well.
-inline DiskUse Later(const DiskUse& known, const DiskUse& told) {
-  const bool same = told.starts == known.starts && told.instance == known.instance;
-  DiskUse later = told.starts > known.starts || same ? told : known;
-  later.writes = std::max(known.writes, told.writes);
+inline DiskUse MergeDiskUse(const DiskUse& known, const DiskUse& reported) {
+  const bool same = reported.starts == known.starts && reported.instance == known.instance;
+  DiskUse later = reported.starts > known.starts || same ? reported : known;
+  later.writes = std::max(known.writes, reported.writes);
   return later;
 }
 
--- a/src/tier/control/first_state.h
+++ b/src/tier/control/initial_state_reader.h
@@ -1,33 +1,33 @@
 // Gets the first state of this process's life: by strict reads, one after another until one is
 // answered, so that nothing older than what was in force before comes into force here.
-#ifndef PEARREACH_SRC_TIER_CONTROL_FIRST_STATE_H_
-#define PEARREACH_SRC_TIER_CONTROL_FIRST_STATE_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_INITIAL_STATE_READER_H_
+#define PEARREACH_SRC_TIER_CONTROL_INITIAL_STATE_READER_H_
 
 #include "tier/control/control_timing.h"
+#include "tier/control/linearizable_reader.h"
 #include "tier/control/snapshot_store.h"
-#include "tier/control/strict_reader.h"
 #include "tier/control/time_source.h"
 
 namespace pearreach::control {
 
-class FirstState {
+class InitialStateReader {
  public:
-  FirstState(TimeSource* time, SnapshotStore* snapshots, LinearizableReader* reader,
-             const ControlTiming& timing);
+  InitialStateReader(TimeSource* time, SnapshotStore* snapshots, LinearizableReader* reader,
+                     const ControlTiming& timing);
   // Begins to ask; does nothing where a state is known.
   void Start();
 
  private:
-  void Ask();
+  void ReadState();
 
   TimeSource* time_;
   SnapshotStore* snapshots_;
   LinearizableReader* reader_;
   const Micros read_timeout_;
-  const Micros pause_;  // after a read that was not answered
+  const Micros retry_backoff_;  // after a read that was not answered
   CallbackOwner callbacks_;
 };
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_TIER_CONTROL_FIRST_STATE_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_INITIAL_STATE_READER_H_
--- a/src/tier/control/strict_reader.h
+++ b/src/tier/control/linearizable_reader.h
@@ -1,8 +1,8 @@
 // Reads of the control state that no older state can answer: by this node's replica or, where it
 // has none or cannot be sure, by another quorum member's. A quorum member that is cut off from the
 // others asks through a node outside the quorum.
-#ifndef PEARREACH_SRC_TIER_CONTROL_STRICT_READER_H_
-#define PEARREACH_SRC_TIER_CONTROL_STRICT_READER_H_
+#ifndef PEARREACH_SRC_TIER_CONTROL_LINEARIZABLE_READER_H_
+#define PEARREACH_SRC_TIER_CONTROL_LINEARIZABLE_READER_H_
 
 #include <absl/status/statusor.h>
 
@@ -21,7 +21,7 @@
 class LinearizableReader {
  public:
   using Done = std::function<void(absl::StatusOr<ChangeHistoryRead>)>;
-  using Mark = std::optional<coordination::ChangeId>;
+  using OptionalChangeId = std::optional<coordination::ChangeId>;
 
   // `replica`: null on nodes outside the quorum.
   LinearizableReader(TimeSource* time, rpc::Transport* transport, SnapshotStore* snapshots,
@@ -29,23 +29,23 @@
                      const QuorumConnectivity* connectivity);
   // `done` is called exactly once, within `timeout`. `mark`: of a configuration, whose standing the
   // reading tells.
-  void Read(const Mark& change_id, Micros timeout, Done done);
+  void Read(const OptionalChangeId& change_id, Micros timeout, Done done);
 
  private:
-  struct Attempt {
-    Mark change_id;
+  struct PendingRead {
+    OptionalChangeId change_id;
     Micros deadline = 0;
     Done done;
     std::size_t attempts = 0;
   };
-  using AttemptPtr = std::shared_ptr<Attempt>;
+  using PendingReadPtr = std::shared_ptr<PendingRead>;
   void Serve(std::string_view body, const rpc::Respond& respond);
-  void ServeForCutOff(const ReadRequest& request, const rpc::Respond& respond);
-  bool IsCutOff() const;
-  void Try(const AttemptPtr& attempt);
-  void TryHere(const AttemptPtr& attempt, Micros timeout);
-  void Ask(const AttemptPtr& attempt, const Contact& contact, Micros timeout);
-  void Failed(const AttemptPtr& attempt);
+  void ServeForIsolatedMember(const ReadRequest& request, const rpc::Respond& respond);
+  bool IsIsolated() const;
+  void StartAttempt(const PendingReadPtr& read);
+  void ReadLocally(const PendingReadPtr& read, Micros timeout);
+  void ReadRemotely(const PendingReadPtr& read, const Contact& contact, Micros timeout);
+  void ScheduleRetry(const PendingReadPtr& read);
 
   TimeSource* time_;
   rpc::Transport* transport_;
@@ -58,4 +58,4 @@
 
 }  // namespace pearreach::control
 
-#endif  // PEARREACH_SRC_TIER_CONTROL_STRICT_READER_H_
+#endif  // PEARREACH_SRC_TIER_CONTROL_LINEARIZABLE_READER_H_
--- a/src/tier/control/member_directory.h
+++ b/src/tier/control/member_directory.h
@@ -40,7 +40,7 @@
   // Live other quorum members, most preferred first, suspects last.
   std::vector<Contact> QuorumContacts() const;
   // Live other members outside the quorum, in the same way.
-  std::vector<Contact> PlainContacts() const { return Ranked(false); }
+  std::vector<Contact> NonQuorumContacts() const { return Ranked(false); }
   // Quorum members, then all other live members, then the seeds.
   std::vector<Contact> AllContacts() const;
   // All quorum members as the chain wants to know them, this node among them.
--- a/src/tier/control/messages.h
+++ b/src/tier/control/messages.h
@@ -23,10 +23,10 @@
 struct PollRequest {
   coordination::Version version;
   Revisions revisions;
-  bool hold = true;
+  bool wait_for_update = true;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& version.epoch& version.sequence& revisions& hold;
+    archive& version.epoch& version.sequence& revisions& wait_for_update;
   }
 };
 
@@ -35,10 +35,10 @@
   Revisions revisions;
   std::int64_t timeout = 0;
   std::optional<coordination::ChangeId> change_id;  // whether that configuration has been taken
-  bool passed_on = false;  // by a quorum member that is cut off from the others
+  bool forwarded = false;  // by a quorum member that is cut off from the others
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& revisions& timeout& change_id& passed_on;
+    archive& revisions& timeout& change_id& forwarded;
   }
 };
 
@@ -89,29 +89,29 @@
 // kChain: a message between chain replicas, or a question for a sign; `from` is the sender's name.
 struct ChainEnvelope {
   std::string from, bytes{};
-  bool sign = false;  // answered with HeartbeatResponse
+  bool is_heartbeat = false;  // answered with HeartbeatResponse
   // Of a question:
-  bool leaving = false;  // the sender's process ends on purpose
-  std::string disk_id;   // the sender's disk
-  DiskUse use;           // as far as that is synced
+  bool draining = false;  // the sender's process ends on purpose
+  std::string disk_id;    // the sender's disk
+  DiskUse use;            // as far as that is synced
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& from& bytes& sign& leaving& disk_id& use;
+    archive& from& bytes& is_heartbeat& draining& disk_id& use;
   }
 };
 
 struct HeartbeatResponse {
   std::string name;                            // of the answering node
   std::vector<std::string> reachable_members;  // quorum members that it has lately heard directly
-  bool leaving = false;                        // its process ends on purpose
+  bool draining = false;                       // its process ends on purpose
   std::uint64_t epoch = 0;                     // of the view that it is in
   bool agreeing = false;                       // it takes part in an agreement on the next one
   std::string disk_id;                         // its disk
   DiskUse use;                                 // as far as that is synced
-  DiskUse heard;                               // of the asker's disk, before this question
+  DiskUse requester_disk_use;                  // of the asker's disk, before this question
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& name& reachable_members& leaving& epoch& agreeing& disk_id& use& heard;
+    archive& name& reachable_members& draining& epoch& agreeing& disk_id& use& requester_disk_use;
   }
 };
 
--- a/src/tier/control/poll_server.cpp
+++ b/src/tier/control/poll_server.cpp
@@ -11,25 +11,25 @@
   transport->Handle(
       rpc::MessageType::kControlPoll,
       callbacks_.Bind([this](const std::string&, std::string_view body, rpc::Respond respond) {
-        Take(body, std::move(respond));
+        HandlePoll(body, std::move(respond));
       }));
-  snapshots_->OnChange(callbacks_.Bind([this] { AnswerHeld(); }));
+  snapshots_->OnChange(callbacks_.Bind([this] { RespondToPending(); }));
 }
 
 PollServer::~PollServer() { time_->Cancel(&timer_); }
 
-void PollServer::Take(std::string_view body, rpc::Respond respond) {
+void PollServer::HandlePoll(std::string_view body, rpc::Respond respond) {
   auto request = codec::Decode<PollRequest>(body);
   if (!request.ok()) return respond(request.status());
   // Nobody gets a first state from here: this node may be cut off and not know it yet.
   if (request->version == coordination::Version()) return respond(codec::Encode(StateUpdate()));
-  if (snapshots_->current()->version > request->version) return respond(Encoded(*request));
-  if (!request->hold) return respond(codec::Encode(StateUpdate()));
-  held_.push_back({*std::move(request), std::move(respond), time_->Now() + kPollHold});
-  Arm();
+  if (snapshots_->current()->version > request->version) return respond(EncodedUpdate(*request));
+  if (!request->wait_for_update) return respond(codec::Encode(StateUpdate()));
+  pending_.push_back({*std::move(request), std::move(respond), time_->Now() + kMaxPollWait});
+  StartTimer();
 }
 
-const std::string& PollServer::Encoded(const PollRequest& request) {
+const std::string& PollServer::EncodedUpdate(const PollRequest& request) {
   const auto current = snapshots_->current();
   if (encoded_for_ != current->version) {
     encoded_.clear();
@@ -42,15 +42,15 @@
   return bytes;
 }
 
-void PollServer::AnswerHeld() {
-  std::list<Held> held = std::move(held_);
-  held_.clear();
+void PollServer::RespondToPending() {
+  std::list<PendingPoll> pending = std::move(pending_);
+  pending_.clear();
   const coordination::Version version = snapshots_->current()->version;
-  for (Held& call : held) {
+  for (PendingPoll& call : pending) {
     if (version > call.request.version) {
-      call.respond(Encoded(call.request));
+      call.respond(EncodedUpdate(call.request));
     } else {
-      held_.push_back(std::move(call));
+      pending_.push_back(std::move(call));
     }
   }
 }
@@ -58,17 +58,17 @@
 void PollServer::Expire() {
   timer_ = 0;
   const Micros now = time_->Now();
-  while (!held_.empty() && held_.front().until <= now) {
-    const rpc::Respond respond = std::move(held_.front().respond);
-    held_.pop_front();
+  while (!pending_.empty() && pending_.front().deadline <= now) {
+    const rpc::Respond respond = std::move(pending_.front().respond);
+    pending_.pop_front();
     respond(codec::Encode(StateUpdate()));
   }
-  Arm();
+  StartTimer();
 }
 
-void PollServer::Arm() {
-  if (timer_ != 0 || held_.empty()) return;
-  timer_ = time_->After(held_.front().until - time_->Now(), [this] { Expire(); });
+void PollServer::StartTimer() {
+  if (timer_ != 0 || pending_.empty()) return;
+  timer_ = time_->After(pending_.front().deadline - time_->Now(), [this] { Expire(); });
 }
 
 }  // namespace pearreach::control
--- a/src/tier/control/poll_server.h
+++ b/src/tier/control/poll_server.h
@@ -14,29 +14,29 @@
 namespace pearreach::control {
 
 // Default; an asker adds its own margin for the way.
-inline constexpr Micros kPollHold = 2 * kSecond;
+inline constexpr Micros kMaxPollWait = 2 * kSecond;
 
 class PollServer {
  public:
   PollServer(TimeSource* time, rpc::Transport* transport, SnapshotStore* snapshots);
   ~PollServer();
-  std::size_t held() const { return held_.size(); }
+  std::size_t pending() const { return pending_.size(); }
 
  private:
-  struct Held {
+  struct PendingPoll {
     PollRequest request;
     rpc::Respond respond;
-    Micros until = 0;
+    Micros deadline = 0;
   };
-  void Take(std::string_view body, rpc::Respond respond);
-  void AnswerHeld();
+  void HandlePoll(std::string_view body, rpc::Respond respond);
+  void RespondToPending();
   void Expire();
-  void Arm();
-  const std::string& Encoded(const PollRequest& request);
+  void StartTimer();
+  const std::string& EncodedUpdate(const PollRequest& request);
 
   TimeSource* time_;
   SnapshotStore* snapshots_;
-  std::list<Held> held_;  // in the order of their ends
+  std::list<PendingPoll> pending_;  // in the order of their ends
   Timers::Id timer_ = 0;
   // Askers of one version have the same revisions: each answer is encoded once.
   std::map<coordination::Version, std::string> encoded_;
--- a/src/tier/control/quorum_connectivity.cpp
+++ b/src/tier/control/quorum_connectivity.cpp
@@ -18,9 +18,9 @@
 
 QuorumConnectivity::~QuorumConnectivity() { time_->Cancel(&timer_); }
 
-void QuorumConnectivity::Start(std::function<void()> checked) {
-  checked_ = std::move(checked);
-  AskAll();
+void QuorumConnectivity::Start(std::function<void()> listener) {
+  listener_ = std::move(listener);
+  SendHeartbeats();
 }
 
 void QuorumConnectivity::Update(bool is_head, bool is_agreeing, const coordination::View& view) {
@@ -29,129 +29,133 @@
   if (view.epoch != view_.epoch) view_ = view;
 }
 
-void QuorumConnectivity::AskAll() {
-  const Micros asked = time_->Now();
+void QuorumConnectivity::SendHeartbeats() {
+  const Micros sent_at = time_->Now();
   const DiskUse use = disk_.OwnUse();
-  const std::string question = codec::Encode(ChainEnvelope{
-      directory_->self(), "", true, leaving_since_.has_value(), disk_.disk_id(), use});
-  const bool tells_use = use.starts > 0;
+  const std::string request = codec::Encode(ChainEnvelope{
+      directory_->self(), "", true, draining_since_.has_value(), disk_.disk_id(), use});
+  const bool disk_use_sent = use.starts > 0;
   for (const Contact& contact : directory_->QuorumContacts()) {
-    transport_->Call(contact.address, rpc::MessageType::kChain, question, timing_.heartbeat_timeout,
-                     callbacks_.Bind([this, name = contact.name, asked,
-                                      tells_use](const absl::StatusOr<std::string>& answer) {
-                       Answered(name, asked, tells_use, answer);
+    transport_->Call(contact.address, rpc::MessageType::kChain, request, timing_.heartbeat_timeout,
+                     callbacks_.Bind([this, name = contact.name, sent_at,
+                                      disk_use_sent](const absl::StatusOr<std::string>& response) {
+                       OnHeartbeatResponse(name, sent_at, disk_use_sent, response);
                      }));
   }
   timer_ = time_->After(timing_.heartbeat_period, [this] {
     timer_ = 0;
-    has_heard_majority_ = has_heard_majority_ || (!view_.members.empty() && ReachesMajority());
-    AskAll();
-    checked_();
+    had_majority_ = had_majority_ || (!view_.members.empty() && ReachesMajority());
+    SendHeartbeats();
+    listener_();
   });
 }
 
-void QuorumConnectivity::Answered(const std::string& name, Micros asked, bool told_use,
-                                  const absl::StatusOr<std::string>& answer) {
-  if (!answer.ok()) return;
-  const auto sign = codec::Decode<HeartbeatResponse>(*answer);
-  if (!sign.ok() || sign->name != name) return;  // another node has that address now
+void QuorumConnectivity::OnHeartbeatResponse(const std::string& name, Micros sent_at,
+                                             bool disk_use_sent,
+                                             const absl::StatusOr<std::string>& response) {
+  if (!response.ok()) return;
+  const auto heartbeat = codec::Decode<HeartbeatResponse>(*response);
+  if (!heartbeat.ok() || heartbeat->name != name) return;  // another node has that address now
   const bool was_checked = IsDiskChecked();
-  if (told_use) disk_.Told(name, sign->heard);
-  if (IsDiskChecked() != was_checked) checked_();
-  disk_.Note(name, sign->disk_id, sign->use);
-  Answer& known = answers_[name];
-  if (asked < known.asked) return;
-  known.asked = asked;
-  known.reachable_members = {sign->reachable_members.begin(), sign->reachable_members.end()};
-  known.epoch = sign->epoch;
-  known.agreeing = sign->agreeing;
-  NoteLeaving(name, sign->leaving);
+  if (disk_use_sent) disk_.OnPeerReport(name, heartbeat->requester_disk_use);
+  if (IsDiskChecked() != was_checked) listener_();
+  disk_.RecordPeerDisk(name, heartbeat->disk_id, heartbeat->use);
+  PeerState& peer = peer_states_[name];
+  if (sent_at < peer.sent_at) return;
+  peer.sent_at = sent_at;
+  peer.reachable_members = {heartbeat->reachable_members.begin(),
+                            heartbeat->reachable_members.end()};
+  peer.epoch = heartbeat->epoch;
+  peer.agreeing = heartbeat->agreeing;
+  SetPeerDraining(name, heartbeat->draining);
 }
 
 // A process that starts under the name of one that left says so with its first words.
-void QuorumConnectivity::NoteLeaving(const std::string& name, bool leaving) {
-  const bool changed = leaving ? leaving_.insert(name).second : leaving_.erase(name) > 0;
-  if (changed) checked_();
+void QuorumConnectivity::SetPeerDraining(const std::string& name, bool draining) {
+  const bool changed =
+      draining ? draining_peers_.insert(name).second : draining_peers_.erase(name) > 0;
+  if (changed) listener_();
 }
 
-void QuorumConnectivity::SetLeaving() {
-  if (leaving_since_.has_value()) return;
-  leaving_since_ = time_->Now();
-  AskAgain();
+void QuorumConnectivity::SetDraining() {
+  if (draining_since_.has_value()) return;
+  draining_since_ = time_->Now();
+  SendHeartbeatsNow();
 }
 
-void QuorumConnectivity::AskAgain() {
+void QuorumConnectivity::SendHeartbeatsNow() {
   if (timer_ == 0) return;
   time_->Cancel(&timer_);
-  AskAll();
+  SendHeartbeats();
 }
 
-bool QuorumConnectivity::IsLeaving(const std::string& name) const {
-  if (name == directory_->self()) return leaving_since_.has_value();
-  return leaving_.count(name) > 0;
+bool QuorumConnectivity::IsDraining(const std::string& name) const {
+  if (name == directory_->self()) return draining_since_.has_value();
+  return draining_peers_.count(name) > 0;
 }
 
-bool QuorumConnectivity::IsReleased() const {
-  if (!leaving_since_.has_value()) return false;
+bool QuorumConnectivity::IsDrained() const {
+  if (!draining_since_.has_value()) return false;
   const auto& members = view_.members;
   return std::all_of(members.begin(), members.end(), [this](const coordination::ReplicaId& id) {
-    const auto found = answers_.find(id.name);
-    return found != answers_.end() && found->second.asked >= *leaving_since_ &&
+    const auto found = peer_states_.find(id.name);
+    return found != peer_states_.end() && found->second.sent_at >= *draining_since_ &&
            found->second.epoch == view_.epoch && !found->second.agreeing;
   });
 }
 
-std::string QuorumConnectivity::Sign(const ChainEnvelope& question) {
-  NoteLeaving(question.from, question.leaving);
-  HeartbeatResponse sign;
-  sign.name = directory_->self();
-  sign.leaving = leaving_since_.has_value();
-  sign.epoch = view_.epoch;
-  sign.agreeing = is_agreeing_;
-  sign.disk_id = disk_.disk_id();
-  sign.use = disk_.OwnUse();
-  sign.heard = disk_.Note(question.from, question.disk_id, question.use);
-  for (const auto& [name, answer] : answers_) {
-    if (Fresh(name, timing_.lost_span) != nullptr) sign.reachable_members.push_back(name);
+std::string QuorumConnectivity::HandleHeartbeat(const ChainEnvelope& request) {
+  SetPeerDraining(request.from, request.draining);
+  HeartbeatResponse heartbeat;
+  heartbeat.name = directory_->self();
+  heartbeat.draining = draining_since_.has_value();
+  heartbeat.epoch = view_.epoch;
+  heartbeat.agreeing = is_agreeing_;
+  heartbeat.disk_id = disk_.disk_id();
+  heartbeat.use = disk_.OwnUse();
+  heartbeat.requester_disk_use = disk_.RecordPeerDisk(request.from, request.disk_id, request.use);
+  for (const auto& [name, peer] : peer_states_) {
+    if (FindRecent(name, timing_.unreachable_timeout) != nullptr)
+      heartbeat.reachable_members.push_back(name);
   }
-  return codec::Encode(sign);
+  return codec::Encode(heartbeat);
 }
 
-const QuorumConnectivity::Answer* QuorumConnectivity::Fresh(const std::string& name,
-                                                            Micros span) const {
-  const auto found = answers_.find(name);
-  if (found == answers_.end() || time_->Now() - found->second.asked > span) return nullptr;
+const QuorumConnectivity::PeerState* QuorumConnectivity::FindRecent(const std::string& name,
+                                                                    Micros span) const {
+  const auto found = peer_states_.find(name);
+  if (found == peer_states_.end() || time_->Now() - found->second.sent_at > span) return nullptr;
   return &found->second;
 }
 
-bool QuorumConnectivity::HeardByMembership(const std::string& name, Micros span) const {
+bool QuorumConnectivity::IsReachableByMembership(const std::string& name, Micros span) const {
   const coordination::Member* member = directory_->FindLive(name);
   return member != nullptr && member->heard != 0 && time_->Now() - member->heard <= span;
 }
 
-bool QuorumConnectivity::IsLost(const std::string& name) const {
+bool QuorumConnectivity::IsUnreachable(const std::string& name) const {
   if (name == directory_->self()) return false;
-  std::size_t reports = 0, may_hear = 0;
+  std::size_t reports = 0, may_reach = 0;
   for (const coordination::ReplicaId& id : view_.members) {
     if (id.name == directory_->self()) {
       ++reports;
-      may_hear += Fresh(name, timing_.lost_span) != nullptr ? 1 : 0;
-    } else if (const Answer* answer = Fresh(id.name, timing_.lost_span)) {
+      may_reach += FindRecent(name, timing_.unreachable_timeout) != nullptr ? 1 : 0;
+    } else if (const PeerState* peer = FindRecent(id.name, timing_.unreachable_timeout)) {
       ++reports;
-      may_hear += id.name == name ? 1 : answer->reachable_members.count(name);
+      may_reach += id.name == name ? 1 : peer->reachable_members.count(name);
     } else {
-      ++may_hear;
+      ++may_reach;
     }
   }
   const std::size_t members = view_.members.size();
-  return 2 * reports > members && 2 * may_hear <= members;
+  return 2 * reports > members && 2 * may_reach <= members;
 }
 
 bool QuorumConnectivity::ReachesMajority() const {
   const auto heard = std::count_if(view_.members.begin(), view_.members.end(), [&](const auto& id) {
     return id.name == directory_->self() ||
-           Fresh(id.name, timing_.role_candidate_span) != nullptr ||
-           HeardByMembership(id.name, timing_.role_candidate_span);
+           FindRecent(id.name, timing_.role_candidate_timeout) != nullptr ||
+           IsReachableByMembership(id.name, timing_.role_candidate_timeout);
   });
   return 2 * static_cast<std::size_t>(heard) > view_.members.size();
 }
--- a/src/tier/control/record_writer.cpp
+++ b/src/tier/control/record_writer.cpp
@@ -12,7 +12,7 @@
 constexpr char kUseKey[] = "chain/use";     // of the DiskUse among the records
 constexpr Micros kRetryPeriod = 100 * kMs;  // between two tries of a write that fails
 
-DiskUse UseOn(const storage::TableStore& store) {
+DiskUse ReadDiskUse(const storage::TableStore& store) {
   const auto record = store.Get(kUseKey);
   const auto use = record.ok() ? codec::Decode<DiskUse>(*record) : record.status();
   return use.ok() ? *use : DiskUse();
@@ -21,11 +21,11 @@
 }  // namespace
 
 RecordWriter::RecordWriter(TimeSource* time, storage::TableStore* store, std::uint64_t instance,
-                           Written written)
+                           SyncedCallback synced_callback)
     : time_(time),
       store_(store),
-      written_(std::move(written)),
-      found_(UseOn(*store)),
+      synced_callback_(std::move(synced_callback)),
+      found_(ReadDiskUse(*store)),
       use_{found_.starts + 1, instance, found_.writes} {
   CommitNext();
 }
@@ -33,39 +33,39 @@
 RecordWriter::~RecordWriter() { time_->Cancel(&retry_timer_); }
 
 void RecordWriter::Write(coordination::Persist&& persist) {
-  for (auto& [key, value] : persist.records) waiting_.records[key] = std::move(value);
-  waiting_.tokens.push_back(persist.token);
+  for (auto& [key, value] : persist.records) pending_.records[key] = std::move(value);
+  pending_.tokens.push_back(persist.token);
   if (!is_committing_ && retry_timer_ == 0) CommitNext();
 }
 
 void RecordWriter::CommitNext() {
   is_committing_ = true;
-  committing_ = std::exchange(waiting_, {});
+  committing_ = std::exchange(pending_, {});
   ++use_.writes;
   committing_.records[kUseKey] = codec::Encode(use_);
   std::vector<storage::Write> writes;
   for (const auto& [key, value] : committing_.records) writes.push_back({key, value, false});
   store_->Commit(std::move(writes),
-                 callbacks_.Bind([this](const absl::Status& status) { Committed(status); }));
+                 callbacks_.Bind([this](const absl::Status& status) { OnCommitted(status); }));
 }
 
-void RecordWriter::Committed(const absl::Status& status) {
+void RecordWriter::OnCommitted(const absl::Status& status) {
   is_committing_ = false;
   Batch batch = std::exchange(committing_, {});
   if (status.ok()) {
     if (std::exchange(failing_, false)) logging::Info(kModule, "records can be written again", {});
     synced_ = use_;
-    written_(batch.tokens);
-    if (!waiting_.tokens.empty() && !is_committing_) CommitNext();
+    synced_callback_(batch.tokens);
+    if (!pending_.tokens.empty() && !is_committing_) CommitNext();
     return;
   }
   if (!std::exchange(failing_, true)) {
     logging::Error(kModule, "records cannot be written, trying again",
                    {logging::F("error", status.ToString())});
   }
-  for (auto& [key, value] : waiting_.records) batch.records[key] = std::move(value);
-  batch.tokens.insert(batch.tokens.end(), waiting_.tokens.begin(), waiting_.tokens.end());
-  waiting_ = std::move(batch);
+  for (auto& [key, value] : pending_.records) batch.records[key] = std::move(value);
+  batch.tokens.insert(batch.tokens.end(), pending_.tokens.begin(), pending_.tokens.end());
+  pending_ = std::move(batch);
   retry_timer_ = time_->After(kRetryPeriod, [this] {
     retry_timer_ = 0;
     CommitNext();
--- a/src/tier/control/record_writer.h
+++ b/src/tier/control/record_writer.h
@@ -21,11 +21,11 @@
 class RecordWriter {
  public:
   // The replica's tokens of what is on disk now, in order.
-  using Written = std::function<void(const std::vector<std::uint64_t>& tokens)>;
+  using SyncedCallback = std::function<void(const std::vector<std::uint64_t>& tokens)>;
 
   // `instance`: a random name of this process. Writes at once that it has started.
   RecordWriter(TimeSource* time, storage::TableStore* store, std::uint64_t instance,
-               Written written);
+               SyncedCallback synced_callback);
   ~RecordWriter();
   RecordWriter(const RecordWriter&) = delete;
   RecordWriter& operator=(const RecordWriter&) = delete;
@@ -45,12 +45,12 @@
   };
 
   void CommitNext();
-  void Committed(const absl::Status& status);
+  void OnCommitted(const absl::Status& status);
 
   TimeSource* time_;
   storage::TableStore* store_;
-  const Written written_;
-  Batch waiting_;
+  const SyncedCallback synced_callback_;
+  Batch pending_;
   Batch committing_;
   bool is_committing_ = false;
   const DiskUse found_;
--- a/src/tier/control/replica_driver.cpp
+++ b/src/tier/control/replica_driver.cpp
@@ -16,7 +16,7 @@
 // A message of a whole configuration may take longer than the replica waits: it is not sent again
 // while it is on its way.
 constexpr std::size_t kLargeMessage = 64 << 10;
-constexpr std::size_t kMaxHeld = 64;
+constexpr std::size_t kMaxPendingMessages = 64;
 constexpr std::size_t kMinBytesPerSecond = 1 << 20;
 
 std::map<std::string, std::string> RecordsOf(const storage::TableStore& store) {
@@ -28,11 +28,11 @@
   return records;
 }
 
-std::string Enveloped(const std::string& self, const std::string& bytes) {
+std::string EncodeEnvelope(const std::string& self, const std::string& bytes) {
   return codec::Encode(ChainEnvelope{self, bytes, false, false, {}, {}});
 }
 
-bool Same(const std::vector<coordination::Peer>& a, const std::vector<coordination::Peer>& b) {
+bool SamePeers(const std::vector<coordination::Peer>& a, const std::vector<coordination::Peer>& b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(), [](const auto& x, const auto& y) {
     return x.id == y.id && x.alive == y.alive && x.leaving == y.leaving && x.zone == y.zone &&
            x.region == y.region;
@@ -48,7 +48,7 @@
     : time_(time),
       transport_(transport),
       writer_(time, store, std::mt19937_64(seed)(),
-              [this](const auto& tokens) { Written(tokens); }),
+              [this](const auto& tokens) { OnRecordsSynced(tokens); }),
       snapshots_(snapshots),
       directory_(directory),
       connectivity_(connectivity),
@@ -60,7 +60,8 @@
                                             const rpc::Respond& respond) {
                        const auto envelope = codec::Decode<ChainEnvelope>(body);
                        if (!envelope.ok()) return respond(envelope.status());
-                       if (envelope->sign) return respond(connectivity_->Sign(*envelope));
+                       if (envelope->is_heartbeat)
+                         return respond(connectivity_->HandleHeartbeat(*envelope));
                        respond(std::string());
                        Receive(*envelope);
                      }));
@@ -70,8 +71,8 @@
 }
 
 ReplicaDriver::~ReplicaDriver() {
-  for (auto& [ticket, waiting] : changes_) time_->Cancel(&waiting.timer);
-  for (auto& [ticket, waiting] : reads_) time_->Cancel(&waiting.timer);
+  for (auto& [ticket, pending] : pending_changes_) time_->Cancel(&pending.timer);
+  for (auto& [ticket, pending] : pending_reads_) time_->Cancel(&pending.timer);
 }
 
 bool ReplicaDriver::InView() const {
@@ -80,64 +81,64 @@
 }
 
 void ReplicaDriver::MembersChanged() {
-  if (!held_.empty() && connectivity_->IsDiskChecked()) SendHeld();
+  if (!pending_messages_.empty() && connectivity_->IsDiskChecked()) SendPendingMessages();
   std::vector<coordination::Peer> peers = directory_->Peers();
   for (coordination::Peer& peer : peers) {
-    peer.alive = peer.alive && !connectivity_->IsLost(peer.id.name);
-    peer.leaving = connectivity_->IsLeaving(peer.id.name);
+    peer.alive = peer.alive && !connectivity_->IsUnreachable(peer.id.name);
+    peer.leaving = connectivity_->IsDraining(peer.id.name);
   }
-  if (Same(peers, peers_)) return;
+  if (SamePeers(peers, peers_)) return;
   peers_ = peers;
   coordination::Effects effects;
   replica_.SetPeers(time_->Now(), peers, &effects);
-  CarryOut(std::move(effects));
+  ApplyEffects(std::move(effects));
 }
 
 void ReplicaDriver::SetFounders(std::vector<coordination::ReplicaId> founders) {
   coordination::Effects effects;
   replica_.SetFounders(time_->Now(), std::move(founders), &effects);
-  CarryOut(std::move(effects));
+  ApplyEffects(std::move(effects));
 }
 
 void ReplicaDriver::Change(coordination::ChangeRequest request, Micros timeout, ChangeDone done) {
   const std::uint64_t ticket = ++last_ticket_;
   request.ticket = ticket;
   const Timers::Id timer = time_->After(timeout, [this, ticket] {
-    coordination::ChangeResult late;
-    late.ticket = ticket;
-    Finish(late);
+    coordination::ChangeResult timed_out;
+    timed_out.ticket = ticket;
+    Finish(timed_out);
   });
-  changes_[ticket] = {std::move(done), timer};
+  pending_changes_[ticket] = {std::move(done), timer};
   coordination::Effects effects;
   replica_.Change(time_->Now(), std::move(request), &effects);
-  CarryOut(std::move(effects));
+  ApplyEffects(std::move(effects));
 }
 
 void ReplicaDriver::Read(Micros timeout, ReadDone done) {
   const std::uint64_t ticket = ++last_ticket_;
   const Timers::Id timer = time_->After(timeout, [this, ticket] {
-    coordination::ReadResult late;
-    late.ticket = ticket;
-    Finish(late);
+    coordination::ReadResult timed_out;
+    timed_out.ticket = ticket;
+    Finish(timed_out);
   });
-  reads_[ticket] = {std::move(done), timer};
+  pending_reads_[ticket] = {std::move(done), timer};
   coordination::Effects effects;
   replica_.Read(time_->Now(), ticket, &effects);
-  CarryOut(std::move(effects));
+  ApplyEffects(std::move(effects));
 }
 
 void ReplicaDriver::Finish(const coordination::ChangeResult& result) {
-  auto waiting = changes_.extract(result.ticket);
-  if (waiting.empty()) return;
-  time_->Cancel(&waiting.mapped().timer);
-  waiting.mapped().done(result);
+  auto pending = pending_changes_.extract(result.ticket);
+  if (pending.empty()) return;
+  time_->Cancel(&pending.mapped().timer);
+  pending.mapped().done(result);
 }
 
 void ReplicaDriver::Finish(const coordination::ReadResult& result) {
-  auto waiting = reads_.extract(result.ticket);
-  if (waiting.empty()) return;
-  time_->Cancel(&waiting.mapped().timer);
-  waiting.mapped().done(result);
+  auto pending = pending_reads_.extract(result.ticket);
+  if (pending.empty()) return;
+  time_->Cancel(&pending.mapped().timer);
+  pending.mapped().done(result);
 }
 
 // What is lost here is sent again, as on the network.
@@ -145,20 +146,20 @@
   if (!connectivity_->IsDiskChecked()) return;
   coordination::Effects effects;
   replica_.Receive(time_->Now(), envelope.from, envelope.bytes, &effects);
-  CarryOut(std::move(effects));
+  ApplyEffects(std::move(effects));
 }
 
 void ReplicaDriver::Tick() {
   coordination::Effects effects;
   replica_.Tick(time_->Now(), &effects);
-  CarryOut(std::move(effects));
+  ApplyEffects(std::move(effects));
 }
 
-void ReplicaDriver::CarryOut(coordination::Effects effects) {
+void ReplicaDriver::ApplyEffects(coordination::Effects effects) {
   for (auto& persist : effects.persists) writer_.Write(std::move(persist));
-  for (auto& message : effects.messages) held_.push_back(std::move(message));
-  if (connectivity_->IsDiskChecked()) SendHeld();
-  while (held_.size() > kMaxHeld) held_.pop_front();
+  for (auto& message : effects.messages) pending_messages_.push_back(std::move(message));
+  if (connectivity_->IsDiskChecked()) SendPendingMessages();
+  while (pending_messages_.size() > kMaxPendingMessages) pending_messages_.pop_front();
   for (auto& committed : effects.committed) {
     snapshots_->Apply(committed.version, std::move(committed.map));
   }
@@ -168,16 +169,16 @@
   if (listener_) listener_();
 }
 
-void ReplicaDriver::SendHeld() {
-  for (const auto& message : std::exchange(held_, {})) Send(message);
+void ReplicaDriver::SendPendingMessages() {
+  for (const auto& message : std::exchange(pending_messages_, {})) Send(message);
 }
 
-void ReplicaDriver::Written(const std::vector<std::uint64_t>& tokens) {
+void ReplicaDriver::OnRecordsSynced(const std::vector<std::uint64_t>& tokens) {
   if (!connectivity_->IsDiskChecked())
-    connectivity_->AskAgain();  // the others can be told of this process now
+    connectivity_->SendHeartbeatsNow();  // the others can be told of this process now
   coordination::Effects effects;
   for (const std::uint64_t token : tokens) replica_.Persisted(time_->Now(), token, &effects);
-  CarryOut(std::move(effects));
+  ApplyEffects(std::move(effects));
 }
 
 void ReplicaDriver::Send(const coordination::SendMessage& message) {
@@ -185,17 +186,18 @@
   if (member == nullptr) return;
   if (message.bytes.size() < kLargeMessage) return SendTo(member->info.address, message);
   const std::pair key(message.to, std::hash<std::string>()(message.bytes));
-  if (!large_under_way_.insert(key).second) return;
-  const Micros way = static_cast<Micros>(message.bytes.size()) * kSecond / kMinBytesPerSecond;
+  if (!large_in_flight_.insert(key).second) return;
+  const Micros transfer_time =
+      static_cast<Micros>(message.bytes.size()) * kSecond / kMinBytesPerSecond;
   transport_->Call(member->info.address, rpc::MessageType::kChain,
-                   Enveloped(self_.name, message.bytes), kMessageTimeout + way,
+                   EncodeEnvelope(self_.name, message.bytes), kMessageTimeout + transfer_time,
                    callbacks_.Bind([this, key](const absl::StatusOr<std::string>&) {
-                     large_under_way_.erase(key);
+                     large_in_flight_.erase(key);
                    }));
 }
 
 void ReplicaDriver::SendTo(const std::string& address, const coordination::SendMessage& message) {
-  transport_->Call(address, rpc::MessageType::kChain, Enveloped(self_.name, message.bytes),
+  transport_->Call(address, rpc::MessageType::kChain, EncodeEnvelope(self_.name, message.bytes),
                    kMessageTimeout, [](const absl::StatusOr<std::string>&) {});
 }
 
--- a/src/tier/control/replica_driver.h
+++ b/src/tier/control/replica_driver.h
@@ -52,22 +52,22 @@
   bool InView() const;
 
  private:
-  struct WaitingChange {
+  struct PendingChange {
     ChangeDone done;
     Timers::Id timer = 0;
   };
-  struct WaitingRead {
+  struct PendingRead {
     ReadDone done;
     Timers::Id timer = 0;
   };
   void Receive(const ChainEnvelope& envelope);
   void Tick();
-  void CarryOut(coordination::Effects effects);
-  void Written(const std::vector<std::uint64_t>& tokens);
+  void ApplyEffects(coordination::Effects effects);
+  void OnRecordsSynced(const std::vector<std::uint64_t>& tokens);
   void Send(const coordination::SendMessage& message);
   void SendTo(const std::string& address, const coordination::SendMessage& message);
   // What waited until the disk was checked.
-  void SendHeld();
+  void SendPendingMessages();
   void Finish(const coordination::ChangeResult& result);
   void Finish(const coordination::ReadResult& result);
 
@@ -80,12 +80,12 @@
   const coordination::ReplicaId self_;
   coordination::ChainReplica replica_;
   std::function<void()> listener_;
-  std::vector<coordination::Peer> peers_;       // as last told
-  std::deque<coordination::SendMessage> held_;  // until the disk is checked; the latest
+  std::vector<coordination::Peer> peers_;                   // as last told
+  std::deque<coordination::SendMessage> pending_messages_;  // until the disk is checked; the latest
   // Large messages that their receivers have not taken yet: by receiver and hash of the bytes.
-  std::set<std::pair<std::string, std::size_t>> large_under_way_;
-  std::map<std::uint64_t, WaitingChange> changes_;
-  std::map<std::uint64_t, WaitingRead> reads_;
+  std::set<std::pair<std::string, std::size_t>> large_in_flight_;
+  std::map<std::uint64_t, PendingChange> pending_changes_;
+  std::map<std::uint64_t, PendingRead> pending_reads_;
   std::uint64_t last_ticket_ = 0;
   DeadlineTimer timer_;
   CallbackOwner callbacks_;
--- a/src/tier/control/singleton_role_driver.cpp
+++ b/src/tier/control/singleton_role_driver.cpp
@@ -9,23 +9,23 @@
 
 constexpr char kRoleKeyPrefix[] = "duty/";  // of a duty's key in the control state
 constexpr Micros kClaimTimeout = 1 * kSecond;
-constexpr Micros kClaimPause = 200 * kMs;
+constexpr Micros kClaimBackoff = 200 * kMs;
 
 }  // namespace
 
-SingletonRoleDriver::SingletonRoleDriver(ControlClient* control, const std::string& duty,
+SingletonRoleDriver::SingletonRoleDriver(ControlClient* control, const std::string& role_name,
                                          std::string self, std::function<void()> changed)
     : control_(control),
-      key_(kRoleKeyPrefix + duty),
+      key_(kRoleKeyPrefix + role_name),
       self_(std::move(self)),
       changed_(std::move(changed)),
-      role_(self_, kClaimPause) {}
+      role_(self_, kClaimBackoff) {}
 
 bool SingletonRoleDriver::Update(Micros now) {
   Observe();
   role_.SetFirst(control_->IsSingletonRoleCandidate());
   if (const auto epoch = role_.NextClaim(now)) Claim(*epoch);
-  return holds();
+  return is_owner();
 }
 
 void SingletonRoleDriver::Observe() {
@@ -40,7 +40,7 @@
       {key_, epoch, self_}, kClaimTimeout, [this, alive = alive_](const ChangeOutcome& outcome) {
         if (!*alive) return;
         role_.ClaimEnded(outcome.status, outcome.revision);
-        if (holds()) {
+        if (is_owner()) {
           logging::Info("control", "duty taken",
                         {logging::F("duty", key_), logging::F("epoch", role_.record().epoch)});
         }
--- a/src/tier/control/singleton_role_driver.h
+++ b/src/tier/control/singleton_role_driver.h
@@ -17,7 +17,7 @@
  public:
   // `duty`: its name in the control state. `self`: a name of this process that no other one has.
   // `changed` is called when a claim has ended.
-  SingletonRoleDriver(ControlClient* control, const std::string& duty, std::string self,
+  SingletonRoleDriver(ControlClient* control, const std::string& role_name, std::string self,
                       std::function<void()> changed);
   ~SingletonRoleDriver() { *alive_ = false; }
   SingletonRoleDriver(const SingletonRoleDriver&) = delete;
@@ -26,7 +26,7 @@
   // Takes in what the control state says now, and claims the duty if it is this node's to take.
   // True: this process holds it.
   bool Update(Micros now);
-  bool holds() const { return role_.acting().has_value(); }
+  bool is_owner() const { return role_.acting().has_value(); }
   // Of a change that is refused once another process has taken the duty. The last epoch that this
   // process knows where it does not hold the duty.
   coordination::FencingToken fencing_token() const { return {key_, role_.record().epoch}; }
--- a/src/tier/control/snapshot_store.cpp
+++ b/src/tier/control/snapshot_store.cpp
@@ -10,7 +10,7 @@
 
 constexpr unsigned kSequenceBits = 32;
 
-void TakeConfig(const coordination::Map& map, const ControlSnapshot& previous,
+void CopyConfig(const coordination::Map& map, const ControlSnapshot& previous,
                 ControlSnapshot* next) {
   const auto found = map.find(kConfigKey);
   if (found == map.end() || found->second.revision == 0) return;
@@ -27,7 +27,7 @@
   }
 }
 
-void TakeStores(const coordination::Map& map, ControlSnapshot* next) {
+void CopyStores(const coordination::Map& map, ControlSnapshot* next) {
   const auto found = map.find(kStoresKey);
   if (found == map.end()) return;
   next->stores = found->second.value;
@@ -43,8 +43,8 @@
   if (map == nullptr || version <= current_->version) return false;
   auto next = std::make_shared<ControlSnapshot>();
   next->version = version;
-  TakeConfig(*map, *current_, next.get());
-  TakeStores(*map, next.get());
+  CopyConfig(*map, *current_, next.get());
+  CopyStores(*map, next.get());
   next->map = std::move(map);
   current_ = std::move(next);
   for (std::size_t i = 0; i < listeners_.size(); ++i) listeners_[i]();
--- a/src/tier/control/state_poller.cpp
+++ b/src/tier/control/state_poller.cpp
@@ -9,11 +9,11 @@
 namespace pearreach::control {
 namespace {
 
-constexpr Micros kPollTimeout = kPollHold + kSecond;
+constexpr Micros kPollTimeout = kMaxPollWait + kSecond;
 constexpr Micros kRetryAfterFailure = 300 * kMs;
-constexpr Micros kMinHold = 100 * kMs;  // an empty answer before that counts as a failure
+constexpr Micros kMinPollWait = 100 * kMs;  // an empty answer before that counts as a failure
 
-bool Same(const Contact& a, const Contact& b) { return a.address == b.address; }
+bool SameAddress(const Contact& a, const Contact& b) { return a.address == b.address; }
 
 }  // namespace
 
@@ -29,84 +29,84 @@
   Refresh();
 }
 
-bool StatePoller::Passed(const std::string& address) const {
-  const auto found = failed_.find(address);
-  return found != failed_.end() && found->second > time_->Now();
+bool StatePoller::IsBackedOff(const std::string& address) const {
+  const auto found = backed_off_until_.find(address);
+  return found != backed_off_until_.end() && found->second > time_->Now();
 }
 
-std::vector<Contact> StatePoller::Wanted() const {
-  std::vector<Contact> wanted;
+std::vector<Contact> StatePoller::ChooseContacts() const {
+  std::vector<Contact> chosen;
   for (Contact& contact : directory_->AllContacts()) {
-    if (wanted.size() == slots_.size()) break;
-    if (!Passed(contact.address)) wanted.push_back(std::move(contact));
+    if (chosen.size() == slots_.size()) break;
+    if (!IsBackedOff(contact.address)) chosen.push_back(std::move(contact));
   }
-  return wanted;
+  return chosen;
 }
 
 void StatePoller::Refresh() {
-  std::vector<Contact> wanted = active_ ? Wanted() : std::vector<Contact>();
+  std::vector<Contact> chosen = active_ ? ChooseContacts() : std::vector<Contact>();
   for (Slot& slot : slots_) {
     if (slot.call == 0) continue;
-    const auto kept = std::find_if(wanted.begin(), wanted.end(),
-                                   [&](const Contact& c) { return Same(c, slot.contact); });
-    if (kept == wanted.end()) {
+    const auto kept = std::find_if(chosen.begin(), chosen.end(),
+                                   [&](const Contact& c) { return SameAddress(c, slot.contact); });
+    if (kept == chosen.end()) {
       slot.call = 0;  // what it still answers is taken all the same
     } else {
-      wanted.erase(kept);
+      chosen.erase(kept);
     }
   }
   for (Slot& slot : slots_) {
-    if (slot.call != 0 || wanted.empty()) continue;
-    slot.contact = std::move(wanted.front());
-    wanted.erase(wanted.begin());
-    Ask(&slot);
+    if (slot.call != 0 || chosen.empty()) continue;
+    slot.contact = std::move(chosen.front());
+    chosen.erase(chosen.begin());
+    SendPoll(&slot);
   }
 }
 
-void StatePoller::Ask(Slot* slot) {
+void StatePoller::SendPoll(Slot* slot) {
   const auto current = snapshots_->current();
   slot->call = ++last_call_;
-  slot->asked = time_->Now();
+  slot->sent_at = time_->Now();
   const PollRequest request{current->version, RevisionsOf(*current), true};
   transport_->Call(
       slot->contact.address, rpc::MessageType::kControlPoll, codec::Encode(request), kPollTimeout,
       callbacks_.Bind([this, call = slot->call,
-                       address = slot->contact.address](absl::StatusOr<std::string> answer) {
-        Answered(call, address, std::move(answer));
+                       address = slot->contact.address](absl::StatusOr<std::string> response) {
+        OnResponse(call, address, std::move(response));
       }));
 }
 
-void StatePoller::Answered(std::uint64_t call, const std::string& address,
-                           absl::StatusOr<std::string> answer) {
+void StatePoller::OnResponse(std::uint64_t call, const std::string& address,
+                             absl::StatusOr<std::string> response) {
   absl::StatusOr<StateUpdate> update =
-      answer.ok() ? codec::Decode<StateUpdate>(*answer) : answer.status();
+      response.ok() ? codec::Decode<StateUpdate>(*response) : response.status();
   const bool present = update.ok() && update->present;
   const bool failed_call = !update.ok();
   if (present) snapshots_->Apply(*std::move(update));
   const auto slot =
       std::find_if(slots_.begin(), slots_.end(), [&](const Slot& s) { return s.call == call; });
   if (slot == slots_.end()) return;
-  const bool failed = failed_call || (!present && time_->Now() - slot->asked < kMinHold);
+  const bool failed = failed_call || (!present && time_->Now() - slot->sent_at < kMinPollWait);
   slot->call = 0;
-  if (failed) Fail(address);
+  if (failed) BackOff(address);
   Refresh();
 }
 
-void StatePoller::Fail(const std::string& address) {
+void StatePoller::BackOff(const std::string& address) {
   const Micros now = time_->Now();
-  std::erase_if(failed_, [&](const auto& entry) { return entry.second <= now; });
-  failed_[address] = now + kRetryAfterFailure;
-  ArmRetry();
+  std::erase_if(backed_off_until_, [&](const auto& entry) { return entry.second <= now; });
+  backed_off_until_[address] = now + kRetryAfterFailure;
+  StartRetryTimer();
 }
 
-void StatePoller::ArmRetry() {
+void StatePoller::StartRetryTimer() {
   if (retry_timer_ != 0) return;
   retry_timer_ = time_->After(kRetryAfterFailure, [this] {
     retry_timer_ = 0;
     if (active_) Refresh();
     const Micros now = time_->Now();
-    std::erase_if(failed_, [&](const auto& entry) { return entry.second <= now; });
-    if (!failed_.empty()) ArmRetry();
+    std::erase_if(backed_off_until_, [&](const auto& entry) { return entry.second <= now; });
+    if (!backed_off_until_.empty()) StartRetryTimer();
   });
 }
 
--- a/src/tier/control/state_poller.h
+++ b/src/tier/control/state_poller.h
@@ -30,14 +30,15 @@
   struct Slot {
     Contact contact;
     std::uint64_t call = 0;  // 0: no poll is open
-    Micros asked = 0;
+    Micros sent_at = 0;
   };
-  std::vector<Contact> Wanted() const;
-  bool Passed(const std::string& address) const;
-  void Ask(Slot* slot);
-  void Answered(std::uint64_t call, const std::string& address, absl::StatusOr<std::string> answer);
-  void Fail(const std::string& address);
-  void ArmRetry();
+  std::vector<Contact> ChooseContacts() const;
+  bool IsBackedOff(const std::string& address) const;
+  void SendPoll(Slot* slot);
+  void OnResponse(std::uint64_t call, const std::string& address,
+                  absl::StatusOr<std::string> response);
+  void BackOff(const std::string& address);
+  void StartRetryTimer();
 
   TimeSource* time_;
   rpc::Transport* transport_;
@@ -46,7 +47,7 @@
   bool active_ = false;
   std::array<Slot, 2> slots_;
   std::uint64_t last_call_ = 0;
-  std::map<std::string, Micros> failed_;  // address -> not asked again before
+  std::map<std::string, Micros> backed_off_until_;  // address -> not asked again before
   Timers::Id retry_timer_ = 0;
   CallbackOwner callbacks_;
 };
--- a/src/tier/rpc/datagram_socket.cpp
+++ b/src/tier/rpc/datagram_socket.cpp
@@ -12,10 +12,10 @@
 namespace pearreach::rpc {
 namespace {
 
-constexpr int kReadsAtOnce = 32;  // then the other sources get their turn
-constexpr std::size_t kBuffer = 64 << 10;
+constexpr int kMaxReadsPerWakeup = 32;  // then the other sources get their turn
+constexpr std::size_t kBufferBytes = 64 << 10;
 
-bool ReadAddress(const std::string& ip, int port, sockaddr_in* address) {
+bool ParseAddress(const std::string& ip, int port, sockaddr_in* address) {
   std::memset(address, 0, sizeof *address);
   address->sin_family = AF_INET;
   address->sin_port = htons(static_cast<std::uint16_t>(port));
@@ -32,7 +32,7 @@
 
 std::string DatagramSocket::Open(const std::string& ip, int port) {
   sockaddr_in address;
-  if (!ReadAddress(ip, port, &address)) return "'" + ip + "' is no IPv4 address";
+  if (!ParseAddress(ip, port, &address)) return "'" + ip + "' is no IPv4 address";
   fd_ = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd_ < 0) return std::strerror(errno);
   if (bind(fd_, reinterpret_cast<sockaddr*>(&address), sizeof address) != 0)
@@ -45,15 +45,15 @@
   const std::size_t colon = address.rfind(':');
   if (colon == std::string::npos) return;
   sockaddr_in to;
-  if (!ReadAddress(address.substr(0, colon), std::atoi(address.c_str() + colon + 1), &to)) return;
+  if (!ParseAddress(address.substr(0, colon), std::atoi(address.c_str() + colon + 1), &to)) return;
   // A datagram may be lost anyway: nothing waits for room in the socket's buffer.
   (void)sendto(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL, reinterpret_cast<sockaddr*>(&to),
                sizeof to);
 }
 
 void DatagramSocket::OnReady(std::uint32_t) {
-  static char buffer[kBuffer];
-  for (int i = 0; i < kReadsAtOnce; ++i) {
+  static char buffer[kBufferBytes];
+  for (int i = 0; i < kMaxReadsPerWakeup; ++i) {
     sockaddr_in from;
     socklen_t size = sizeof from;
     const ssize_t n =
--- a/src/tier/rpc/frame.cpp
+++ b/src/tier/rpc/frame.cpp
@@ -39,13 +39,13 @@
 }
 
 FrameReader::State FrameReader::Next(Frame* frame) {
-  const std::size_t have = buffer_.size() - read_;
-  if (have < kFrameHeaderBytes) return State::kMore;
+  const std::size_t available = buffer_.size() - read_;
+  if (available < kFrameHeaderBytes) return State::kIncomplete;
   const char* head = buffer_.data() + read_;
   const auto length = ReadNumber<std::uint32_t>(head);
   const auto kind = static_cast<unsigned char>(head[4]);
-  if (length > kMaxFrameBytes || kind < 1 || kind > 3) return State::kBad;
-  if (have < kFrameHeaderBytes + length) return State::kMore;
+  if (length > kMaxFrameBytes || kind < 1 || kind > 3) return State::kInvalid;
+  if (available < kFrameHeaderBytes + length) return State::kIncomplete;
   frame->kind = static_cast<FrameKind>(kind);
   frame->type = static_cast<std::uint8_t>(head[5]);
   frame->call = ReadNumber<std::uint64_t>(head + 6);
--- a/src/tier/rpc/frame.h
+++ b/src/tier/rpc/frame.h
@@ -26,7 +26,7 @@
 // Cuts frames out of a stream of bytes.
 class FrameReader {
  public:
-  enum class State { kMore, kFrame, kBad };
+  enum class State { kIncomplete, kFrame, kInvalid };
 
   void Feed(std::string_view bytes);
   State Next(Frame* frame);
--- a/src/tier/rpc/transport.cpp
+++ b/src/tier/rpc/transport.cpp
@@ -28,7 +28,7 @@
   return ip;
 }
 
-void BoundSilence(int fd) {
+void SetUserTimeout(int fd) {
   const int value = kUserTimeoutMs;
   (void)setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &value, sizeof value);
 }
@@ -37,28 +37,28 @@
 class Channel {
  public:
   Channel(std::string address, Timers* timers) : address_(std::move(address)), timers_(timers) {}
-  ~Channel() { Drop(); }
+  ~Channel() { Close(); }
 
   void Call(MessageType type, std::string body, Micros timeout, Done done) {
     const std::uint64_t id = ++last_call_;
-    Pending pending{std::move(done), 0, Now()};
+    PendingCall pending{std::move(done), 0, Now()};
     pending.timer = timers_->After(timeout, [this, id] { Expire(id); });
     pending_.emplace(id, std::move(pending));
     if (stream_ == nullptr && !Open()) {
       // The failure is told from the loop, never from inside Call.
-      Pending& failed = pending_.at(id);
+      PendingCall& failed = pending_.at(id);
       timers_->Cancel(&failed.timer);
       failed.timer = timers_->After(
-          0, [this, id] { End(id, absl::UnavailableError("no connection can be made")); });
+          0, [this, id] { Complete(id, absl::UnavailableError("no connection can be made")); });
       return;
     }
     std::string frame;
     AppendFrame({FrameKind::kRequest, static_cast<std::uint8_t>(type), id, body}, &frame);
-    if (!stream_->Write(frame)) ScheduleBreak();
+    if (!stream_->Write(frame)) ScheduleClose();
   }
 
  private:
-  struct Pending {
+  struct PendingCall {
     Done done;
     Timers::Id timer = 0;
     Micros sent = 0;
@@ -69,13 +69,13 @@
     const std::uint64_t generation = ++generation_;
     stream_ = Stream::Connect(
         address_, {[this] { OnConnected(); }, [this](std::string_view bytes) { OnData(bytes); },
-                   [this] { Break(); }});
+                   [this] { CloseAndFailPending(); }});
     if (stream_ == nullptr) return false;
     connected_ = false;
-    BoundSilence(stream_->descriptor());
+    SetUserTimeout(stream_->descriptor());
     connect_timer_ = timers_->After(kConnectTimeout, [this, generation] {
       connect_timer_ = 0;
-      if (generation == generation_ && !connected_) Break();
+      if (generation == generation_ && !connected_) CloseAndFailPending();
     });
     return true;
   }
@@ -93,48 +93,48 @@
     Frame frame;
     while (generation == generation_) {
       const FrameReader::State state = reader_.Next(&frame);
-      if (state == FrameReader::State::kMore) return;
-      if (state == FrameReader::State::kBad) return Break();
+      if (state == FrameReader::State::kIncomplete) return;
+      if (state == FrameReader::State::kInvalid) return CloseAndFailPending();
       OnFrame(frame);
     }
   }
 
   void OnFrame(const Frame& frame) {
-    if (frame.kind == FrameKind::kResponse) return End(frame.call, std::string(frame.body));
+    if (frame.kind == FrameKind::kResponse) return Complete(frame.call, std::string(frame.body));
     if (frame.kind == FrameKind::kError)
-      End(frame.call,
-          absl::Status(static_cast<absl::StatusCode>(frame.type), std::string(frame.body)));
+      Complete(frame.call,
+               absl::Status(static_cast<absl::StatusCode>(frame.type), std::string(frame.body)));
   }
 
   void Expire(std::uint64_t id) {
     const auto found = pending_.find(id);
     if (found == pending_.end()) return;
-    const bool silent = last_received_ < found->second.sent;
-    End(id, absl::DeadlineExceededError("no answer in time"));
+    const bool unresponsive = last_received_ < found->second.sent;
+    Complete(id, absl::DeadlineExceededError("no answer in time"));
     // Nothing at all has come since that call: the way there may be cut, so the next call gets a
     // connection of its own rather than waiting behind what is stuck.
-    if (silent && stream_ != nullptr) Break();
+    if (unresponsive && stream_ != nullptr) CloseAndFailPending();
   }
 
-  void End(std::uint64_t id, absl::StatusOr<std::string> answer) {
+  void Complete(std::uint64_t id, absl::StatusOr<std::string> answer) {
     const auto found = pending_.find(id);
     if (found == pending_.end()) return;
-    Pending pending = std::move(found->second);
+    PendingCall pending = std::move(found->second);
     pending_.erase(found);
     timers_->Cancel(&pending.timer);
     pending.done(std::move(answer));
   }
 
-  void ScheduleBreak() {
+  void ScheduleClose() {
     const std::uint64_t generation = generation_;
     timers_->After(0, [this, generation] {
-      if (generation == generation_) Break();
+      if (generation == generation_) CloseAndFailPending();
     });
   }
 
-  void Break() {
-    Drop();
-    std::unordered_map<std::uint64_t, Pending> failed;
+  void CloseAndFailPending() {
+    Close();
+    std::unordered_map<std::uint64_t, PendingCall> failed;
     failed.swap(pending_);
     for (auto& [id, pending] : failed) {
       timers_->Cancel(&pending.timer);
@@ -142,7 +142,7 @@
     }
   }
 
-  void Drop() {
+  void Close() {
     ++generation_;
     timers_->Cancel(&connect_timer_);
     if (stream_ != nullptr) stream_->Close();
@@ -153,7 +153,7 @@
   Timers* const timers_;
   std::shared_ptr<Stream> stream_;
   FrameReader reader_;
-  std::unordered_map<std::uint64_t, Pending> pending_;
+  std::unordered_map<std::uint64_t, PendingCall> pending_;
   std::uint64_t last_call_ = 0, generation_ = 0;
   Timers::Id connect_timer_ = 0;
   Micros last_received_ = 0;
@@ -166,7 +166,7 @@
   FrameReader reader;
   std::string peer_ip;
 
-  void Answer(std::uint64_t call, const absl::StatusOr<std::string>& answer) {
+  void SendResponse(std::uint64_t call, const absl::StatusOr<std::string>& answer) {
     if (!stream->open()) return;
     std::string frame;
     const std::string message(answer.status().message());
@@ -218,35 +218,37 @@
     auto connection = std::make_shared<ServerConnection>();
     connection->stream = stream;
     connection->peer_ip = PeerIp(stream->descriptor());
-    BoundSilence(stream->descriptor());
+    SetUserTimeout(stream->descriptor());
     connections_.insert(connection);
     ServerConnection* raw = connection.get();
     stream->Listen({nullptr, [this, raw](std::string_view bytes) { OnData(raw, bytes); },
-                    [this, raw] { Forget(raw); }});
+                    [this, raw] { RemoveConnection(raw); }});
   }
 
-  void Forget(ServerConnection* connection) { connections_.erase(connection->shared_from_this()); }
+  void RemoveConnection(ServerConnection* connection) {
+    connections_.erase(connection->shared_from_this());
+  }
 
   void OnData(ServerConnection* connection, std::string_view bytes) {
-    const auto keep = connection->shared_from_this();
+    const auto shared = connection->shared_from_this();
     connection->reader.Feed(bytes);
     Frame frame;
     for (;;) {
       const FrameReader::State state = connection->reader.Next(&frame);
-      if (state == FrameReader::State::kMore) return;
-      if (state == FrameReader::State::kBad || frame.kind != FrameKind::kRequest) {
+      if (state == FrameReader::State::kIncomplete) return;
+      if (state == FrameReader::State::kInvalid || frame.kind != FrameKind::kRequest) {
         connection->stream->Close();
-        return Forget(connection);
+        return RemoveConnection(connection);
       }
-      OnCall(keep, frame);
+      HandleCall(shared, frame);
     }
   }
 
-  void OnCall(const std::shared_ptr<ServerConnection>& connection, const Frame& frame) {
+  void HandleCall(const std::shared_ptr<ServerConnection>& connection, const Frame& frame) {
     const std::weak_ptr<ServerConnection> weak = connection;
     const std::uint64_t call = frame.call;
     const auto respond = [weak, call](absl::StatusOr<std::string> answer) {
-      if (const auto alive = weak.lock()) alive->Answer(call, answer);
+      if (const auto alive = weak.lock()) alive->SendResponse(call, answer);
     };
     const auto found = handlers_.find(frame.type);
     if (found == handlers_.end()) return respond(absl::UnimplementedError("no such call here"));
--- a/src/tier/storage/environment.cpp
+++ b/src/tier/storage/environment.cpp
@@ -3,15 +3,15 @@
 #include <algorithm>
 #include <utility>
 
-#include "tier/storage/file_end.h"
 #include "tier/storage/lmdb_status.h"
+#include "tier/storage/truncation_check.h"
 
 namespace pearreach::storage {
 namespace {
 
 constexpr mdb_mode_t kFileMode = 0600;
 constexpr MDB_dbi kTableCount = 2;
-constexpr const char* kAboutTable = "about";
+constexpr const char* kMetadataTable = "about";
 constexpr const char* kDataTable = "data";
 constexpr std::string_view kDiskIdKey = "disk_id";
 
@@ -73,7 +73,7 @@
   if (code == MDB_SUCCESS) code = mdb_env_set_maxdbs(env_, kTableCount);
   if (code == MDB_SUCCESS) code = mdb_env_open(env_, options_.file.c_str(), kFlags, kFileMode);
   if (code != MDB_SUCCESS) return LmdbStatus(code, action);
-  absl::Status status = CheckFileEnd(env_, {kAboutTable, kDataTable});
+  absl::Status status = CheckTruncation(env_, {kMetadataTable, kDataTable});
   if (status.ok()) status = OpenTables();
   if (status.ok()) status = OpenSnapshot();
   return status;
@@ -83,7 +83,7 @@
   MDB_txn* transaction = nullptr;
   int code = mdb_txn_begin(env_, nullptr, 0, &transaction);
   if (code != MDB_SUCCESS) return LmdbStatus(code, "begin");
-  code = mdb_dbi_open(transaction, kAboutTable, MDB_CREATE, &tables_.about);
+  code = mdb_dbi_open(transaction, kMetadataTable, MDB_CREATE, &tables_.metadata);
   if (code == MDB_SUCCESS) code = mdb_dbi_open(transaction, kDataTable, MDB_CREATE, &tables_.data);
   if (code != MDB_SUCCESS) {
     mdb_txn_abort(transaction);
@@ -103,13 +103,13 @@
 // ---------------------------------------------------------------- writing
 
 std::vector<absl::Status> Environment::Commit(const std::vector<std::vector<Write>>& batches) {
-  std::vector<const std::vector<Write>*> together;
-  together.reserve(batches.size());
-  for (const std::vector<Write>& batch : batches) together.push_back(&batch);
-  const absl::Status status = CommitTogether(together);
+  std::vector<const std::vector<Write>*> batch_pointers;
+  batch_pointers.reserve(batches.size());
+  for (const std::vector<Write>& batch : batches) batch_pointers.push_back(&batch);
+  const absl::Status status = CommitTogether(batch_pointers);
   std::vector<absl::Status> results(batches.size(), status);
-  const bool apart = !status.ok() && failed_.ok();
-  if (!apart) return results;
+  const bool commit_separately = !status.ok() && sync_failure_.ok();
+  if (!commit_separately) return results;
   for (std::size_t i = 0; i < batches.size(); ++i) results[i] = CommitOne(batches[i]);
   return results;
 }
@@ -129,7 +129,7 @@
 
 absl::Status Environment::ApplyAndSync(MDB_dbi table,
                                        const std::vector<const std::vector<Write>*>& batches) {
-  if (!failed_.ok()) return failed_;
+  if (!sync_failure_.ok()) return sync_failure_;
   MDB_txn* transaction = nullptr;
   const int begun = mdb_txn_begin(env_, nullptr, 0, &transaction);
   if (begun != MDB_SUCCESS) return LmdbStatus(begun, "begin");
@@ -145,8 +145,8 @@
 }
 
 absl::Status Environment::Sync() {
-  failed_ = LmdbStatus(mdb_env_sync(env_, 1), "sync " + options_.file);
-  return failed_.ok() ? RenewSnapshot() : failed_;
+  sync_failure_ = LmdbStatus(mdb_env_sync(env_, 1), "sync " + options_.file);
+  return sync_failure_.ok() ? RenewSnapshot() : sync_failure_;
 }
 
 // The snapshot always is the state before the one that is being written, whose pages LMDB keeps.
@@ -163,7 +163,7 @@
 void Environment::CountPages() {
   constexpr MDB_dbi kFreePages = 0, kTablesByName = 1;
   std::size_t bytes = 0;
-  for (const MDB_dbi table : {kFreePages, kTablesByName, tables_.about, tables_.data}) {
+  for (const MDB_dbi table : {kFreePages, kTablesByName, tables_.metadata, tables_.data}) {
     MDB_stat stat;
     if (mdb_stat(snapshot_, table, &stat) != MDB_SUCCESS) return;
     bytes += stat.ms_psize * (stat.ms_branch_pages + stat.ms_leaf_pages + stat.ms_overflow_pages);
@@ -208,19 +208,19 @@
     visit(TextOf(key), TextOf(value));
     code = mdb_cursor_get(opened, &key, &value, MDB_NEXT);
   }
-  const bool whole = code == MDB_SUCCESS || code == MDB_NOTFOUND;
-  return whole ? absl::OkStatus() : LmdbStatus(code, "read");
+  const bool complete = code == MDB_SUCCESS || code == MDB_NOTFOUND;
+  return complete ? absl::OkStatus() : LmdbStatus(code, "read");
 }
 
 // ---------------------------------------------------------------- about the file
 
 absl::Status Environment::SetDiskId(const std::string& disk_id) {
   const std::vector<Write> batch = {{std::string(kDiskIdKey), disk_id, false}};
-  return ApplyAndSync(tables_.about, {&batch});
+  return ApplyAndSync(tables_.metadata, {&batch});
 }
 
 absl::StatusOr<std::string> Environment::ReadDiskId() const {
-  return GetFrom(tables_.about, kDiskIdKey);
+  return GetFrom(tables_.metadata, kDiskIdKey);
 }
 
 }  // namespace pearreach::storage
--- a/src/tier/storage/environment.h
+++ b/src/tier/storage/environment.h
@@ -54,7 +54,7 @@
 
  private:
   struct Tables {
-    MDB_dbi about = 0, data = 0;
+    MDB_dbi metadata = 0, data = 0;
   };
   enum class Limit { kPut, kErase };
 
@@ -75,7 +75,7 @@
   const Options options_;
   MDB_env* env_ = nullptr;
   Tables tables_;
-  absl::Status failed_;                          // writer's thread: the sync that failed
+  absl::Status sync_failure_;                    // writer's thread: the sync that failed
   mutable std::recursive_mutex snapshot_mutex_;  // a visitor may read as well
   MDB_txn* snapshot_ = nullptr;                  // guarded by it
   std::atomic<std::size_t> used_bytes_ = 0;
--- a/src/tier/storage/table_store.cpp
+++ b/src/tier/storage/table_store.cpp
@@ -12,7 +12,7 @@
 
 #include "tier/logging/log.h"
 #include "tier/storage/environment.h"
-#include "tier/storage/writer.h"
+#include "tier/storage/writer_thread.h"
 
 namespace pearreach::storage {
 namespace {
@@ -39,7 +39,7 @@
   absl::Status Start() { return writer_.Start(); }
 
   void Commit(std::vector<Write> batch, std::function<void(absl::Status)> done) override {
-    writer_.Queue(std::move(batch), std::move(done));
+    writer_.Enqueue(std::move(batch), std::move(done));
   }
 
   absl::StatusOr<std::string> Get(std::string_view key) const override {
@@ -60,7 +60,7 @@
 
  private:
   const std::unique_ptr<Environment> environment_;
-  Writer writer_;  // after the environment: it ends first
+  WriterThread writer_;  // after the environment: it ends first
   const std::string disk_id_;
   const bool was_empty_;
 };
@@ -113,9 +113,9 @@
   if (!disk_id.ok()) return disk_id.status();
   auto environment = Environment::Open(OptionsFor(new_file, capacity_bytes));
   if (!environment.ok()) return environment.status();
-  absl::Status named = (*environment)->SetDiskId(*disk_id);
+  absl::Status written = (*environment)->SetDiskId(*disk_id);
   environment->reset();  // closes it
-  if (!named.ok()) return named;
+  if (!written.ok()) return written;
   const std::string file = data_path + "/" + kFileName;
   if (rename(new_file.c_str(), file.c_str()) != 0) return absl::ErrnoToStatus(errno, "rename");
   return SyncFolder(data_path);
--- a/src/tier/storage/file_end.cpp
+++ b/src/tier/storage/truncation_check.cpp
@@ -1,4 +1,4 @@
-#include "tier/storage/file_end.h"
+#include "tier/storage/truncation_check.h"
 
 #include <sys/stat.h>
 #include <unistd.h>
@@ -17,22 +17,22 @@
 constexpr MDB_dbi kFreePages = 0;  // LMDB's own table of pages that are free
 
 // Of LMDB's file format: the head of a page, before its data.
-struct PageHead {
+struct PageHeader {
   std::uint64_t number;
   std::uint16_t padding;
   std::uint16_t flags;
   std::uint32_t page_count;  // of a value with pages of its own
 };
-constexpr std::size_t kPageHeadBytes = 16;
-static_assert(sizeof(PageHead) == kPageHeadBytes);
+constexpr std::size_t kPageHeaderBytes = 16;
+static_assert(sizeof(PageHeader) == kPageHeaderBytes);
 constexpr std::uint16_t kOverflowPage = 0x04;
-constexpr std::size_t kNodeHeadBytes = 8;
+constexpr std::size_t kNodeHeaderBytes = 8;
 
 struct FileSize {
   int descriptor = -1;
   std::size_t page_bytes = 0;
   std::size_t needed_pages = 0;
-  std::size_t held_pages = 0;  // whole ones
+  std::size_t present_pages = 0;  // whole ones
 };
 
 absl::Status ReadFileSize(MDB_env* env, FileSize* size) {
@@ -46,13 +46,13 @@
   if (fstat(size->descriptor, &file) != 0) return LmdbStatus(errno, "size of the file");
   size->page_bytes = stat.ms_psize;
   size->needed_pages = info.me_last_pgno + 1;
-  size->held_pages = static_cast<std::size_t>(file.st_size) / stat.ms_psize;
+  size->present_pages = static_cast<std::size_t>(file.st_size) / stat.ms_psize;
   return absl::OkStatus();
 }
 
 // Zeros from the last whole page on: half a page is none.
-absl::Status FillUp(const FileSize& size) {
-  const auto held = static_cast<off_t>(size.held_pages * size.page_bytes);
+absl::Status ExtendFile(const FileSize& size) {
+  const auto held = static_cast<off_t>(size.present_pages * size.page_bytes);
   const auto needed = static_cast<off_t>(size.needed_pages * size.page_bytes);
   if (ftruncate(size.descriptor, held) != 0) return LmdbStatus(errno, "cut half a page");
   if (ftruncate(size.descriptor, needed) != 0) return LmdbStatus(errno, "fill the file up");
@@ -60,17 +60,17 @@
 }
 
 // Whether LMDB keeps such a value on pages of its own.
-bool HasOwnPages(const MDB_val& key, const MDB_val& value, std::size_t page_bytes) {
-  const std::size_t half = (page_bytes - kPageHeadBytes) / 2;
+bool HasOverflowPages(const MDB_val& key, const MDB_val& value, std::size_t page_bytes) {
+  const std::size_t half = (page_bytes - kPageHeaderBytes) / 2;
   const std::size_t largest_node = half - half % 2 - sizeof(std::uint16_t);
-  return kNodeHeadBytes + key.mv_size + value.mv_size > largest_node;
+  return kNodeHeaderBytes + key.mv_size + value.mv_size > largest_node;
 }
 
-bool OwnPagesHeld(const MDB_val& value, const FileSize& size) {
-  PageHead head;
-  std::memcpy(&head, static_cast<const char*>(value.mv_data) - kPageHeadBytes, sizeof(head));
+bool AreOverflowPagesPresent(const MDB_val& value, const FileSize& size) {
+  PageHeader head;
+  std::memcpy(&head, static_cast<const char*>(value.mv_data) - kPageHeaderBytes, sizeof(head));
   const bool is_head = (head.flags & kOverflowPage) != 0;
-  return is_head && head.number + head.page_count <= size.held_pages;
+  return is_head && head.number + head.page_count <= size.present_pages;
 }
 
 // Walks through one table; MDB_CORRUPTED where something is missing.
@@ -81,7 +81,8 @@
   MDB_val key, value;
   code = mdb_cursor_get(cursor, &key, &value, MDB_FIRST);
   while (code == MDB_SUCCESS) {
-    const bool missing = HasOwnPages(key, value, size.page_bytes) && !OwnPagesHeld(value, size);
+    const bool missing =
+        HasOverflowPages(key, value, size.page_bytes) && !AreOverflowPagesPresent(value, size);
     code = missing ? MDB_CORRUPTED : mdb_cursor_get(cursor, &key, &value, MDB_NEXT);
   }
   mdb_cursor_close(cursor);
@@ -103,22 +104,22 @@
 // there are frames of LMDB's C code and of functions without destructors only.
 std::jmp_buf failed_assertion;
 
-void LeaveWalk(MDB_env*, const char*) { std::longjmp(failed_assertion, 1); }
+void JumpOutOfWalk(MDB_env*, const char*) { std::longjmp(failed_assertion, 1); }
 
 int WalkGuarded(MDB_env* env, MDB_txn* transaction, const std::vector<std::string>& tables,
                 const FileSize& size) {
   if (setjmp(failed_assertion) != 0) return MDB_CORRUPTED;
-  mdb_env_set_assert(env, &LeaveWalk);
+  mdb_env_set_assert(env, &JumpOutOfWalk);
   return WalkTables(transaction, tables, size);
 }
 
 }  // namespace
 
-absl::Status CheckFileEnd(MDB_env* env, const std::vector<std::string>& tables) {
+absl::Status CheckTruncation(MDB_env* env, const std::vector<std::string>& tables) {
   FileSize size;
   absl::Status status = ReadFileSize(env, &size);
-  if (!status.ok() || size.held_pages >= size.needed_pages) return status;
-  status = FillUp(size);
+  if (!status.ok() || size.present_pages >= size.needed_pages) return status;
+  status = ExtendFile(size);
   if (!status.ok()) return status;
   MDB_txn* transaction = nullptr;
   int code = mdb_txn_begin(env, nullptr, MDB_RDONLY, &transaction);
--- a/src/tier/storage/file_end.h
+++ b/src/tier/storage/truncation_check.h
@@ -1,6 +1,6 @@
 // Whether a file that ends before its last page lacks anything.
-#ifndef PEARREACH_SRC_TIER_STORAGE_FILE_END_H_
-#define PEARREACH_SRC_TIER_STORAGE_FILE_END_H_
+#ifndef PEARREACH_SRC_TIER_STORAGE_TRUNCATION_CHECK_H_
+#define PEARREACH_SRC_TIER_STORAGE_TRUNCATION_CHECK_H_
 
 #include <absl/status/status.h>
 #include <lmdb.h>
@@ -14,8 +14,8 @@
 // and given back within one transaction. Where it is that short, it is made as long as its number
 // of pages says, so that no read meets its end (SIGBUS), and all `tables` are walked through:
 // DATA_LOSS where a page that is in use was missing. A file of full length costs nothing.
-absl::Status CheckFileEnd(MDB_env* env, const std::vector<std::string>& tables);
+absl::Status CheckTruncation(MDB_env* env, const std::vector<std::string>& tables);
 
 }  // namespace pearreach::storage
 
-#endif  // PEARREACH_SRC_TIER_STORAGE_FILE_END_H_
+#endif  // PEARREACH_SRC_TIER_STORAGE_TRUNCATION_CHECK_H_
--- a/src/tier/storage/writer.cpp
+++ b/src/tier/storage/writer_thread.cpp
@@ -1,4 +1,4 @@
-#include "tier/storage/writer.h"
+#include "tier/storage/writer_thread.h"
 
 #include <sys/eventfd.h>
 #include <unistd.h>
@@ -23,12 +23,12 @@
 
 }  // namespace
 
-Writer::Writer(Environment* environment) : environment_(environment) {}
+WriterThread::WriterThread(Environment* environment) : environment_(environment) {}
 
-absl::Status Writer::Start() {
-  event_ = eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
-  if (event_ < 0) return absl::ErrnoToStatus(errno, "eventfd");
-  const bool watched = Poller::Default().Set(event_, EPOLLIN, this);
+absl::Status WriterThread::Start() {
+  result_event_ = eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
+  if (result_event_ < 0) return absl::ErrnoToStatus(errno, "eventfd");
+  const bool watched = Poller::Default().Set(result_event_, EPOLLIN, this);
   if (!watched) return absl::ResourceExhaustedError("no more descriptors can be watched");
   try {
     thread_ = std::thread([this] { Run(); });
@@ -38,66 +38,67 @@
   return absl::OkStatus();
 }
 
-Writer::~Writer() {
+WriterThread::~WriterThread() {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    ending_ = true;
+    stopping_ = true;
   }
   queued_.notify_one();
   if (thread_.joinable()) thread_.join();
-  if (event_ < 0) return;
-  Poller::Default().Remove(event_);
-  close(event_);
+  if (result_event_ < 0) return;
+  Poller::Default().Remove(result_event_);
+  close(result_event_);
 }
 
-void Writer::Queue(std::vector<storage::Write> batch, Done done) {
+void WriterThread::Enqueue(std::vector<storage::Write> batch, Done done) {
   bool first = false;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    first = jobs_.empty();
-    jobs_.push_back({std::move(batch), std::move(done)});
+    first = pending_.empty();
+    pending_.push_back({std::move(batch), std::move(done)});
   }
   if (first) queued_.notify_one();
 }
 
-void Writer::Run() {
-  for (std::vector<Job> jobs = TakeJobs(); !jobs.empty(); jobs = TakeJobs()) {
-    Write(std::move(jobs));
+void WriterThread::Run() {
+  for (std::vector<PendingBatch> pending = TakePending(); !pending.empty();
+       pending = TakePending()) {
+    Write(std::move(pending));
   }
 }
 
-std::vector<Writer::Job> Writer::TakeJobs() {
+std::vector<WriterThread::PendingBatch> WriterThread::TakePending() {
   std::unique_lock<std::mutex> lock(mutex_);
-  queued_.wait(lock, [this] { return !jobs_.empty() || ending_; });
-  std::vector<Job> taken;
+  queued_.wait(lock, [this] { return !pending_.empty() || stopping_; });
+  std::vector<PendingBatch> taken;
   std::size_t bytes = 0;
-  while (!jobs_.empty()) {
-    bytes += BytesOf(jobs_.front().batch);
+  while (!pending_.empty()) {
+    bytes += BytesOf(pending_.front().batch);
     if (!taken.empty() && bytes > kTransactionBytes) break;
-    taken.push_back(std::move(jobs_.front()));
-    jobs_.pop_front();
+    taken.push_back(std::move(pending_.front()));
+    pending_.pop_front();
   }
   return taken;
 }
 
-void Writer::Write(std::vector<Job> jobs) {
+void WriterThread::Write(std::vector<PendingBatch> pending) {
   std::vector<std::vector<storage::Write>> batches;
-  batches.reserve(jobs.size());
-  for (Job& job : jobs) batches.push_back(std::move(job.batch));
+  batches.reserve(pending.size());
+  for (PendingBatch& pending_batch : pending) batches.push_back(std::move(pending_batch.batch));
   const std::vector<absl::Status> statuses = environment_->Commit(batches);
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    for (std::size_t i = 0; i < jobs.size(); ++i) {
-      results_.push_back({std::move(jobs[i].done), statuses[i]});
+    for (std::size_t i = 0; i < pending.size(); ++i) {
+      results_.push_back({std::move(pending[i].done), statuses[i]});
     }
   }
   const std::uint64_t one = 1;
-  [[maybe_unused]] const ssize_t written = write(event_, &one, sizeof(one));
+  [[maybe_unused]] const ssize_t written = write(result_event_, &one, sizeof(one));
 }
 
-void Writer::OnReady(std::uint32_t) {
+void WriterThread::OnReady(std::uint32_t) {
   std::uint64_t count = 0;
-  [[maybe_unused]] const ssize_t taken = read(event_, &count, sizeof(count));
+  [[maybe_unused]] const ssize_t taken = read(result_event_, &count, sizeof(count));
   std::vector<Result> results;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
--- a/src/tier/storage/writer.h
+++ b/src/tier/storage/writer_thread.h
@@ -1,7 +1,7 @@
 // The thread that writes: takes what is queued in one go, commits it as one transaction and hands
 // the results back to the main loop. It sleeps while nothing is queued.
-#ifndef PEARREACH_SRC_TIER_STORAGE_WRITER_H_
-#define PEARREACH_SRC_TIER_STORAGE_WRITER_H_
+#ifndef PEARREACH_SRC_TIER_STORAGE_WRITER_THREAD_H_
+#define PEARREACH_SRC_TIER_STORAGE_WRITER_THREAD_H_
 
 #include <absl/status/status.h>
 
@@ -19,21 +19,21 @@
 
 namespace pearreach::storage {
 
-class Writer final : private Poller::Client {
+class WriterThread final : private Poller::Client {
  public:
   using Done = std::function<void(absl::Status)>;
 
-  explicit Writer(Environment* environment);
+  explicit WriterThread(Environment* environment);
   // Waits until all that is queued has been written; the calls that are left are not made.
-  ~Writer();
-  Writer(const Writer&) = delete;
-  Writer& operator=(const Writer&) = delete;
+  ~WriterThread();
+  WriterThread(const WriterThread&) = delete;
+  WriterThread& operator=(const WriterThread&) = delete;
 
   absl::Status Start();
-  void Queue(std::vector<Write> batch, Done done);
+  void Enqueue(std::vector<Write> batch, Done done);
 
  private:
-  struct Job {
+  struct PendingBatch {
     std::vector<Write> batch;
     Done done;
   };
@@ -43,21 +43,21 @@
   };
 
   void Run();
-  std::vector<Job> TakeJobs();  // empty: the end
-  void Write(std::vector<Job> jobs);
+  std::vector<PendingBatch> TakePending();  // empty: the end
+  void Write(std::vector<PendingBatch> pending);
   void OnReady(std::uint32_t events) override;
 
   Environment* const environment_;
-  int event_ = -1;  // readable: results wait
+  int result_event_ = -1;  // readable: results wait
   std::thread thread_;
   std::mutex mutex_;
   std::condition_variable queued_;
   // Guarded by mutex_:
-  std::deque<Job> jobs_;
+  std::deque<PendingBatch> pending_;
   std::vector<Result> results_;
-  bool ending_ = false;
+  bool stopping_ = false;
 };
 
 }  // namespace pearreach::storage
 
-#endif  // PEARREACH_SRC_TIER_STORAGE_WRITER_H_
+#endif  // PEARREACH_SRC_TIER_STORAGE_WRITER_THREAD_H_
--- a/tests/tier/codec/archive_test.cpp
+++ b/tests/tier/codec/archive_test.cpp
@@ -24,13 +24,13 @@
 
 class ArchiveTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ArchiveTest);
-  CPPUNIT_TEST(AMessageReadsBackAsItWas);
-  CPPUNIT_TEST(EveryCutIsRefused);
-  CPPUNIT_TEST(AFalseLengthIsRefused);
+  CPPUNIT_TEST(DecodesWhatWasEncoded);
+  CPPUNIT_TEST(RejectsTruncatedMessage);
+  CPPUNIT_TEST(RejectsLengthBeyondInput);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void AMessageReadsBackAsItWas() {
+  void DecodesWhatWasEncoded() {
     const auto read = Decode<Message>(Encode(sample_));
     CPPUNIT_ASSERT(read.ok());
     CPPUNIT_ASSERT_EQUAL(sample_.text, read->text);
@@ -41,24 +41,24 @@
     CPPUNIT_ASSERT(read->flag);
   }
 
-  void EveryCutIsRefused() {
+  void RejectsTruncatedMessage() {
     const std::string bytes = Encode(sample_);
     for (std::size_t length = 0; length < bytes.size(); ++length)
       CPPUNIT_ASSERT(!Decode<Message>(bytes.substr(0, length)).ok());
   }
 
   // Each run of eight bytes is taken for a length once, and told to be enormous.
-  void AFalseLengthIsRefused() {
+  void RejectsLengthBeyondInput() {
     const std::string bytes = Encode(sample_);
     for (std::size_t at = 0; at + 8 <= bytes.size(); ++at) {
-      std::string lying = bytes;
-      lying.replace(at, 8, std::string("\xff\xff\xff\xff\xff\xff\xff\x3f", 8));
-      (void)Decode<Message>(lying);  // read or refused, but never believed
+      std::string corrupted = bytes;
+      corrupted.replace(at, 8, std::string("\xff\xff\xff\xff\xff\xff\xff\x3f", 8));
+      (void)Decode<Message>(corrupted);  // read or refused, but never believed
     }
-    std::string lying = bytes;
+    std::string corrupted = bytes;
     const std::size_t text = bytes.find("some text");
-    lying.replace(text - 8, 8, std::string("\0\0\0\0\x16\0\0\0", 8));  // 94 GB
-    CPPUNIT_ASSERT(!Decode<Message>(lying).ok());
+    corrupted.replace(text - 8, 8, std::string("\0\0\0\0\x16\0\0\0", 8));  // 94 GB
+    CPPUNIT_ASSERT(!Decode<Message>(corrupted).ok());
   }
 
  private:
--- a/tests/tier/control/api_router_test.cpp
+++ b/tests/tier/control/api_router_test.cpp
@@ -9,8 +9,8 @@
 
 class ApiRouterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ApiRouterTest);
-  CPPUNIT_TEST(TestDispatch);
-  CPPUNIT_TEST(TestAllowNamesMethods);
+  CPPUNIT_TEST(DispatchesByMethodAndPath);
+  CPPUNIT_TEST(AllowHeaderListsMethods);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -22,7 +22,7 @@
     Add("GET", "/Retire.Begin/known", "known");
   }
 
-  void TestDispatch() {
+  void DispatchesByMethodAndPath() {
     struct Case {
       std::string method, target;
       int status;
@@ -64,7 +64,7 @@
     }
   }
 
-  void TestAllowNamesMethods() {
+  void AllowHeaderListsMethods() {
     Add("DELETE", "/Config.Read", "drop");
     auto exchange = std::make_shared<FakeExchange>("PUT", "/Config.Read");
     router_.Dispatch(exchange);
--- a/tests/tier/control/founders_test.cpp
+++ b/tests/tier/control/bootstrap_members_test.cpp
@@ -1,4 +1,4 @@
-#include "tier/control/founders.h"
+#include "tier/control/bootstrap_members.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -7,17 +7,17 @@
 
 using coordination::MemberInfo;
 
-class FoundersTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(FoundersTest);
-  CPPUNIT_TEST(TestChoice);
+class BootstrapMembersTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(BootstrapMembersTest);
+  CPPUNIT_TEST(ChoosesSameMembersOnAllNodes);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void TestChoice() {
+  void ChoosesSameMembersOnAllNodes() {
     struct Case {
       std::string what;
-      std::vector<int> quorum, plain;  // last parts of the IPs that are known
-      bool waited;
+      std::vector<int> quorum, non_members;  // last parts of the IPs that are known
+      bool seed_wait_over;
       std::string expected;  // "?": not decided
     };
     // The seeds are 1, 2 and 3.
@@ -38,9 +38,9 @@
     for (const Case& c : cases) {
       members_.clear();
       for (const int ip : c.quorum) Add(ip, MemberInfo::kQuorumMember);
-      for (const int ip : c.plain) Add(ip, MemberInfo::kServesEdge);
-      const auto chosen =
-          ChooseFounders(members_, {"10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7"}, c.waited);
+      for (const int ip : c.non_members) Add(ip, MemberInfo::kServesEdge);
+      const auto chosen = ChooseBootstrapMembers(
+          members_, {"10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7"}, c.seed_wait_over);
       std::string names = chosen.has_value() ? "" : "?";
       if (chosen.has_value()) {
         for (const auto& id : *chosen) names += id.name + " ";
@@ -62,7 +62,7 @@
   MemberMap members_;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(FoundersTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(BootstrapMembersTest);
 
 }  // namespace
 }  // namespace pearreach::control
--- a/tests/tier/control/config_api_test.cpp
+++ b/tests/tier/control/config_api_test.cpp
@@ -37,12 +37,16 @@
     ++version_.sequence;
     version_.epoch = 1;
   }
-  void See() { seen_.ApplyConfirmed(version_, std::make_shared<const coordination::Map>(map_)); }
+  void ApplyCommitted() {
+    snapshots_.ApplyConfirmed(version_, std::make_shared<const coordination::Map>(map_));
+  }
   std::uint64_t revision() { return map_[kConfigKey].revision; }
   std::string json() { return map_[kConfigKey].value; }
 
-  std::shared_ptr<const ControlSnapshot> Current() const override { return seen_.current(); }
-  void OnChange(std::function<void()> listener) override { seen_.OnChange(std::move(listener)); }
+  std::shared_ptr<const ControlSnapshot> Current() const override { return snapshots_.current(); }
+  void OnChange(std::function<void()> listener) override {
+    snapshots_.OnChange(std::move(listener));
+  }
   void Change(ControlChange change, Micros, ChangeDone done) override {
     CPPUNIT_ASSERT_EQUAL(std::string(kConfigKey), change.key);
     CPPUNIT_ASSERT(change.change_id.has_value());
@@ -65,8 +69,8 @@
     ++reads;
     if (!readable || timeout <= 0) return done(absl::UnavailableError("not sure"));
     if (version_.epoch == 0) version_.epoch = 1;
-    See();
-    done(seen_.current());
+    ApplyCommitted();
+    done(snapshots_.current());
   }
   void ReadWithHistory(const coordination::ChangeId& change_id, Micros timeout,
                        HistoryReadDone done) override {
@@ -77,7 +81,7 @@
     });
   }
   // Of an earlier build, which kept no record, and of a record that has gone on without these.
-  void ForgetMarks() {
+  void ForgetHistory() {
     std::erase_if(map_,
                   [](const auto& entry) { return coordination::IsChangeHistoryKey(entry.first); });
   }
@@ -89,18 +93,18 @@
   int changes = 0, reads = 0;
 
  private:
-  SnapshotStore seen_;
+  SnapshotStore snapshots_;
   coordination::Map map_;
   coordination::Version version_;
   std::map<std::string, coordination::Member> members_;
 };
 
-struct World {
+struct ApiRig {
   FakeClient client;
   Micros now = 1'000'000;
   ConfigApi api{&client, [this] { return now; }};
   ApiRouter router;
-  World() { api.Register(&router); }
+  ApiRig() { api.Register(&router); }
 
   std::shared_ptr<FakeExchange> Send(const std::string& method, const std::string& target,
                                      const std::string& body = "",
@@ -119,19 +123,19 @@
 
 class ConfigApiTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ConfigApiTest);
-  CPPUNIT_TEST(TestReplaceOutcomes);
-  CPPUNIT_TEST(TestFirstConfiguration);
-  CPPUNIT_TEST(TestBadCalls);
-  CPPUNIT_TEST(TestRepeatAfterUnclear);
-  CPPUNIT_TEST(TestRepeatOfOneReplacedSince);
-  CPPUNIT_TEST(TestOutcomesOfRepeats);
-  CPPUNIT_TEST(TestSixtyConfigurations);
-  CPPUNIT_TEST(TestRead);
+  CPPUNIT_TEST(RespondsToReplaceByOutcome);
+  CPPUNIT_TEST(AcceptsFirstConfiguration);
+  CPPUNIT_TEST(RejectsInvalidRequests);
+  CPPUNIT_TEST(RetryAfterUnknownOutcomeSucceeds);
+  CPPUNIT_TEST(AcknowledgesRetryOfReplacedConfiguration);
+  CPPUNIT_TEST(RespondsToRetriesByHistory);
+  CPPUNIT_TEST(AcknowledgesRetriesOfSixtyConfigurations);
+  CPPUNIT_TEST(ReadsCurrentConfiguration);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // Version 5 is in force; the call puts 7 on top of its parent.
-  void TestReplaceOutcomes() {
+  void RespondsToReplaceByOutcome() {
     struct Case {
       std::string what;
       int version;
@@ -165,11 +169,11 @@
         {"pending elsewhere", 7, "5", false, true, ChangeFate::kConflictInPending, 503, false, 1},
     };
     for (const Case& c : cases) {
-      World world;
+      ApiRig world;
       world.client.Commit(SampleConfig(3));
-      world.client.See();
+      world.client.ApplyCommitted();
       world.client.Commit(SampleConfig(5));
-      if (!c.stale) world.client.See();
+      if (!c.stale) world.client.ApplyCommitted();
       world.client.readable = c.readable;
       world.client.fate = c.fate;
       const std::string body = SampleConfig(c.version, "b");
@@ -183,8 +187,8 @@
     }
   }
 
-  void TestFirstConfiguration() {
-    World world;
+  void AcceptsFirstConfiguration() {
+    ApiRig world;
     CPPUNIT_ASSERT_EQUAL(412, world.Replace(SampleConfig(2), "1")->status);
     CPPUNIT_ASSERT_EQUAL(200, world.Replace(SampleConfig(2), "0")->status);
     CPPUNIT_ASSERT_EQUAL(200, world.Replace(SampleConfig(2), "0")->status);
@@ -193,7 +197,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string(R"({"version_no":2})"), other->body);
   }
 
-  void TestBadCalls() {
+  void RejectsInvalidRequests() {
     struct Case {
       std::string what, body;
       std::optional<std::string> parent;
@@ -211,20 +215,20 @@
         {"too large", std::string(kMaxConfigBytes + 1, ' '), "0", 413},
     };
     for (const Case& c : cases) {
-      World world;
+      ApiRig world;
       const auto exchange = world.Send("POST", "/Config.Replace", c.body, c.parent);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(c.what, c.status, exchange->status);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(c.what, 0, world.client.changes);
     }
-    World world;
+    ApiRig world;
     const auto unknown = world.Replace(SampleConfig(1, "nobody"), "0");
     CPPUNIT_ASSERT_EQUAL(std::string(R"({"findings":[)"), unknown->body.substr(0, 13));
   }
 
-  void TestRepeatAfterUnclear() {
-    World world;
+  void RetryAfterUnknownOutcomeSucceeds() {
+    ApiRig world;
     world.client.Commit(SampleConfig(5));
-    world.client.See();
+    world.client.ApplyCommitted();
     world.client.fate = ChangeFate::kLostButCommits;
     world.client.readable = false;
     CPPUNIT_ASSERT_EQUAL(503, world.Replace(SampleConfig(7), "5")->status);
@@ -234,19 +238,19 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), world.client.revision());
   }
 
-  void TestRepeatOfOneReplacedSince() {
-    World world;
+  void AcknowledgesRetryOfReplacedConfiguration() {
+    ApiRig world;
     CPPUNIT_ASSERT_EQUAL(200, world.Replace(SampleConfig(5), "0")->status);
-    world.client.See();
+    world.client.ApplyCommitted();
     CPPUNIT_ASSERT_EQUAL(200, world.Replace(SampleConfig(7), "5")->status);
-    world.client.See();
+    world.client.ApplyCommitted();
     CPPUNIT_ASSERT_EQUAL(200, world.Replace(SampleConfig(5), "0")->status);
     CPPUNIT_ASSERT_EQUAL(SampleConfig(7), world.client.json());
   }
 
   // Versions 3, 5 and 7 were taken one after another, 9 lost against 7. One row of the table in
   // docs/control-under-faults.md each.
-  void TestOutcomesOfRepeats() {
+  void RespondsToRetriesByHistory() {
     struct Case {
       std::string what, body, parent;
       bool readable, forgets;
@@ -275,16 +279,16 @@
         {"not above the newest, no record", SampleConfig(5), "7", true, true, 400},
     };
     for (const Case& c : cases) {
-      World world;
+      ApiRig world;
       CPPUNIT_ASSERT_EQUAL(200, world.Replace(SampleConfig(3), "0")->status);
-      world.client.See();
+      world.client.ApplyCommitted();
       CPPUNIT_ASSERT_EQUAL(200, world.Replace(SampleConfig(5), "3")->status);
-      world.client.See();
+      world.client.ApplyCommitted();
       CPPUNIT_ASSERT_EQUAL(200, world.Replace(SampleConfig(7), "5")->status);
-      world.client.See();
+      world.client.ApplyCommitted();
       CPPUNIT_ASSERT_EQUAL(412, world.Replace(SampleConfig(9, "b"), "5")->status);
       world.client.readable = c.readable;
-      if (c.forgets) world.client.ForgetMarks();
+      if (c.forgets) world.client.ForgetHistory();
       CPPUNIT_ASSERT_EQUAL_MESSAGE(c.what, c.status, world.Replace(c.body, c.parent)->status);
       const bool taken = c.status == 200 && c.parent == "7";
       CPPUNIT_ASSERT_EQUAL_MESSAGE(c.what, std::uint64_t(taken ? 4 : 3), world.client.revision());
@@ -292,13 +296,13 @@
   }
 
   // Sixty one after another; then each again, at a node that has seen the last state only.
-  void TestSixtyConfigurations() {
+  void AcknowledgesRetriesOfSixtyConfigurations() {
     constexpr int kConfigurations = 60;
-    World world;
+    ApiRig world;
     for (int version = 1; version <= kConfigurations; ++version) {
       const auto taken = world.Replace(SampleConfig(version), std::to_string(version - 1));
       CPPUNIT_ASSERT_EQUAL(200, taken->status);
-      world.client.See();
+      world.client.ApplyCommitted();
     }
     ConfigApi other(&world.client, [&] { return world.now; });
     ApiRouter router;
@@ -315,12 +319,12 @@
     }
   }
 
-  void TestRead() {
-    World world;
+  void ReadsCurrentConfiguration() {
+    ApiRig world;
     CPPUNIT_ASSERT_EQUAL(404, world.Send("GET", "/Config.Read")->status);
     const std::string spaced = SampleConfig(5) + " \n";
     world.client.Commit(SampleConfig(3));
-    world.client.See();
+    world.client.ApplyCommitted();
     world.client.Commit(spaced);
     const auto exchange = world.Send("GET", "/Config.Read");
     CPPUNIT_ASSERT_EQUAL(200, exchange->status);
--- a/tests/tier/control/config_change_id_test.cpp
+++ b/tests/tier/control/config_change_id_test.cpp
@@ -7,14 +7,14 @@
 namespace pearreach::control {
 namespace {
 
-class ConfigMarkTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(ConfigMarkTest);
-  CPPUNIT_TEST(TestEqualJsonHasOneMark);
-  CPPUNIT_TEST(TestOtherJsonHasAnother);
+class ConfigChangeIdTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ConfigChangeIdTest);
+  CPPUNIT_TEST(EqualJsonHasSameId);
+  CPPUNIT_TEST(DifferentJsonHasDifferentId);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void TestEqualJsonHasOneMark() {
+  void EqualJsonHasSameId() {
     const struct {
       std::string left, right;
     } cases[] = {
@@ -33,7 +33,7 @@
                    ConfigChangeId(4, SampleConfig(4) + "\r\n "));
   }
 
-  void TestOtherJsonHasAnother() {
+  void DifferentJsonHasDifferentId() {
     const std::string different[] = {
         R"({"a":1})",          R"({"a":2})",          R"({"a":"1"})",
         R"({"b":1})",          R"({"a":[1]})",        R"({"a":[[1]]})",
@@ -52,7 +52,7 @@
     }
   }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(ConfigMarkTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ConfigChangeIdTest);
 
 }  // namespace
 }  // namespace pearreach::control
--- a/tests/tier/control/control_shapes_test.cpp
+++ b/tests/tier/control/control_deployments_test.cpp
@@ -27,7 +27,7 @@
     for (int i = 0; i < shape.machines; ++i) {
       if (IsFar(i)) network_.far.insert(AddressOf(i));
       disks_.push_back(std::make_unique<VirtualDisk>(&time_, DiskId(), shape.sync_time));
-      meshes_.emplace_back();
+      transports_.emplace_back();
       nodes_.emplace_back();
     }
     for (int i = 0; i < shape.machines; ++i) Start(i, true);
@@ -40,14 +40,14 @@
   int ZoneOf(int index) const { return index % shape_.zones; }
   bool IsFar(int index) const { return ZoneOf(index) >= shape_.zones - shape_.far_zones; }
   void Start(int index, bool bootstrap) {
-    meshes_[index] = std::make_unique<VirtualTransport>(&network_, AddressOf(index));
+    transports_[index] = std::make_unique<VirtualTransport>(&network_, AddressOf(index));
     nodes_[index] = std::make_unique<ControlNode>(std::make_unique<VirtualTimeSource>(&time_),
-                                                  meshes_[index].get(), disks_[index].get(),
+                                                  transports_[index].get(), disks_[index].get(),
                                                   SettingsOf(index, bootstrap), ++incarnation_);
   }
   void Stop(int index) {
     nodes_[index].reset();
-    meshes_[index].reset();
+    transports_[index].reset();
   }
   void Wipe(int index) {
     wiped_.push_back(std::move(disks_[index]));  // writes under way still end on it
@@ -117,7 +117,7 @@
   VirtualTime time_;
   VirtualNetwork network_{&time_};
   std::vector<std::unique_ptr<VirtualDisk>> disks_, wiped_;
-  std::vector<std::unique_ptr<VirtualTransport>> meshes_;
+  std::vector<std::unique_ptr<VirtualTransport>> transports_;
   std::vector<std::unique_ptr<ControlNode>> nodes_;
   std::uint64_t incarnation_ = 0;
   int disk_ids_ = 0;
@@ -130,17 +130,17 @@
          "/" + std::to_string(shape.tolerance.regions);
 }
 
-class ControlShapesTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(ControlShapesTest);
-  CPPUNIT_TEST(TestTakesConfigurations);
-  CPPUNIT_TEST(TestGoesOnWithoutAMachine);
-  CPPUNIT_TEST(TestGoesOnWithoutAZone);
-  CPPUNIT_TEST(TestOutlastsALostZone);
-  CPPUNIT_TEST(TestTimesFollowTheBounds);
+class ControlDeploymentsTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ControlDeploymentsTest);
+  CPPUNIT_TEST(CommitsConfigurations);
+  CPPUNIT_TEST(CommitsWithoutAMachine);
+  CPPUNIT_TEST(CommitsWithoutAZone);
+  CPPUNIT_TEST(StateSurvivesLossOfAZone);
+  CPPUNIT_TEST(TimeoutsFollowBounds);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void TestTakesConfigurations() {
+  void CommitsConfigurations() {
     for (const Shape& shape : std::vector<Shape>{{1, 1, 0, 500, 500, {0, 0, 0}},
                                                  {2, 2, 0, 20'000, 500, {1, 0, 0}},
                                                  {3, 1, 0, 5'000, 500, {1, 0, 0}},
@@ -155,7 +155,7 @@
     }
   }
 
-  void TestGoesOnWithoutAMachine() {
+  void CommitsWithoutAMachine() {
     for (const Shape& shape : std::vector<Shape>{{3, 3, 0, 5'000, 500, {1, 0, 0}},
                                                  {5, 2, 0, 20'000, 500, {1, 0, 0}},
                                                  {9, 6, 2, 500, 25'000, {2, 1, 0}}}) {
@@ -170,7 +170,7 @@
     }
   }
 
-  void TestGoesOnWithoutAZone() {
+  void CommitsWithoutAZone() {
     for (const Shape& shape : std::vector<Shape>{{3, 3, 0, 5'000, 500, {1, 1, 0}},
                                                  {9, 3, 0, 20'000, 500, {1, 1, 0}},
                                                  {5, 4, 1, 500, 25'000, {1, 1, 0}}}) {
@@ -186,7 +186,7 @@
 
   // All processes end right after the acknowledgement, and the machines of one zone lose their
   // disks.
-  void TestOutlastsALostZone() {
+  void StateSurvivesLossOfAZone() {
     for (const Shape& shape : std::vector<Shape>{{3, 3, 0, 5'000, 500, {0, 1, 0}},
                                                  {4, 3, 0, 5'000, 500, {0, 1, 0}},
                                                  {9, 3, 0, 500, 500, {1, 1, 0}}}) {
@@ -205,10 +205,10 @@
     }
   }
 
-  void TestTimesFollowTheBounds() {
+  void TimeoutsFollowBounds() {
     settings::Bounds bounds;
     const ControlTiming usual = TimingOf(bounds);
-    CPPUNIT_ASSERT_EQUAL(Micros{kSecond}, usual.lost_span);
+    CPPUNIT_ASSERT_EQUAL(Micros{kSecond}, usual.unreachable_timeout);
     CPPUNIT_ASSERT_EQUAL(Micros{kSecond}, usual.call_timeout);
     bounds.contact_ms = 1500;
     CPPUNIT_ASSERT_EQUAL(Micros{500 * kMs}, TimingOf(bounds).suspicion);
@@ -219,7 +219,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ControlShapesTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ControlDeploymentsTest);
 
 }  // namespace
 }  // namespace pearreach::control
--- a/tests/tier/control/control_faults_test.cpp
+++ b/tests/tier/control/control_faults_test.cpp
@@ -8,7 +8,7 @@
 #include <cstdlib>
 
 #include "tier/control/control_fleet.h"
-#include "tier/control/operators.h"
+#include "tier/control/operator_workload.h"
 
 namespace pearreach::control {
 namespace {
@@ -32,48 +32,48 @@
 
 class ControlFaultsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ControlFaultsTest);
-  CPPUNIT_TEST(TestAMemberIsCutOff);
-  CPPUNIT_TEST(TestACutOffMemberPassesOrdersOn);
-  CPPUNIT_TEST(TestMembersAreSplitInHalves);
-  CPPUNIT_TEST(TestLossesInARow);
-  CPPUNIT_TEST(TestFullStrengthInTime);
-  CPPUNIT_TEST(TestReplacements);
-  CPPUNIT_TEST(TestPlannedReplacements);
-  CPPUNIT_TEST(TestLeavingOfAll);
-  CPPUNIT_TEST(TestSixtyConfigurationsAreNeverRefused);
-  CPPUNIT_TEST(TestADiskGoesBackInTime);
-  CPPUNIT_TEST(TestAMemberMissesHundredsOfChanges);
-  CPPUNIT_TEST(TestPowerAndDisksAreLostTogether);
+  CPPUNIT_TEST(RecoversFromPartitionedMember);
+  CPPUNIT_TEST(IsolatedMemberForwardsChanges);
+  CPPUNIT_TEST(RecoversFromSplitQuorum);
+  CPPUNIT_TEST(SurvivesRepeatedDiskLosses);
+  CPPUNIT_TEST(ReachesFullStrengthInTime);
+  CPPUNIT_TEST(ReplacesLostMembers);
+  CPPUNIT_TEST(ReplacesMembersGracefully);
+  CPPUNIT_TEST(AllMembersMayShutDownTogether);
+  CPPUNIT_TEST(AcknowledgesSixtyConfigurationsAgain);
+  CPPUNIT_TEST(RejectsRolledBackDisk);
+  CPPUNIT_TEST(CatchesUpAfterMissingChanges);
+  CPPUNIT_TEST(SurvivesPowerAndDiskLoss);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // For twenty seconds, in each way; machines restart meanwhile that are told of it first; just
   // after the heal the others may be killed.
-  void TestAMemberIsCutOff() {
+  void RecoversFromPartitionedMember() {
     int stale = 0, restarted = 0, relieved = 0;
     for (std::uint64_t seed = FirstSeed(); seed < FirstSeed() + Seeds(24); ++seed) {
-      ControlFleet fleet({.members = seed % 3 == 0 ? 5 : 3, .plain = 3, .seed = seed});
+      ControlFleet fleet({.members = seed % 3 == 0 ? 5 : 3, .non_members = 3, .seed = seed});
       fleet.RunFor(5 * kSecond);
-      Operators operators(&fleet, 4, 0.2);
+      OperatorWorkload workload(&fleet, 4, 0.2);
       fleet.RunFor(3 * kSecond);
       const std::vector<std::size_t> members = fleet.Members();
       const std::size_t victim = seed % 2 == 0 ? fleet.Head().value_or(members[0])
                                                : members[fleet.random()() % members.size()];
-      Cut(&fleet, victim, seed % 5);
+      PartitionMember(&fleet, victim, seed % 5);
       fleet.RunFor(4 * kSecond);
       // Processes that start now reach the one that is cut off first, or it alone.
       fleet.SetSeeds({victim});
-      for (const std::size_t plain : fleet.Plain()) {
-        fleet.Stop(plain);
+      for (const std::size_t non_member : fleet.NonMembers()) {
+        fleet.Stop(non_member);
         fleet.RunFor(fleet.random()() % (500 * kMs));
-        fleet.Start(plain);
+        fleet.Start(non_member);
         ++restarted;
       }
       fleet.RunFor(4 * kSecond);
       if (seed % 4 == 1) Restart(&fleet, victim);
       fleet.RunFor(10 * kSecond);
       const auto known = fleet.node(victim).Current();
-      stale += known->routes == nullptr || known->routes->version() < fleet.book().newest();
+      stale += known->routes == nullptr || known->routes->version() < fleet.checker().newest();
       fleet.network().Heal();
       fleet.SetSeeds({0, 1, 2});
       if (seed % 3 == 1) {
@@ -83,7 +83,7 @@
         }
         ++relieved;
       }
-      Finish(&fleet, &operators, seed, kRecover);
+      Finish(&fleet, &workload, seed, kRecover);
     }
     CPPUNIT_ASSERT(stale > 0);
     CPPUNIT_ASSERT(restarted > 0);
@@ -92,26 +92,26 @@
 
   // A member that reaches no other one, but machines outside the quorum, has orders taken and reads
   // the newest; one that reaches nobody says 503 within its bound.
-  void TestACutOffMemberPassesOrdersOn() {
+  void IsolatedMemberForwardsChanges() {
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
       const bool alone = seed % 3 == 0;
-      ControlFleet fleet({.members = 3, .plain = 3, .seed = seed});
+      ControlFleet fleet({.members = 3, .non_members = 3, .seed = seed});
       fleet.RunFor(5 * kSecond);
-      CPPUNIT_ASSERT(fleet.TakesAnother(kSecond));
+      CPPUNIT_ASSERT(fleet.CommitsNewConfig(kSecond));
       const std::vector<std::size_t> members = fleet.Members();
       const std::size_t victim = seed % 2 == 0 ? *fleet.Head() : members[seed % members.size()];
-      Cut(&fleet, victim, alone ? 1 : 0);
+      PartitionMember(&fleet, victim, alone ? 1 : 0);
       fleet.RunFor(4 * kSecond);
       int taken = 0, newest = 0, unavailable = 0;
       for (int turn = 0; turn < 6; ++turn) {
-        const std::int64_t parent = fleet.book().newest();
-        Order* order = fleet.book().Add(parent + 1, parent, fleet.NewBody(parent + 1));
+        const std::int64_t parent = fleet.checker().newest();
+        ConfigChange* change = fleet.checker().Add(parent + 1, parent, fleet.NewBody(parent + 1));
         const auto count = [&](int status) {
           unavailable += status == 503 ? 1 : 0;
           return status == 200 ? 1 : 0;
         };
-        fleet.SendOrder(victim, order,
-                        [&](int status, const std::string&) { taken += count(status); });
+        fleet.SendChange(victim, change,
+                         [&](int status, const std::string&) { taken += count(status); });
         fleet.RunFor(kSecond);
         fleet.ReadConfig(victim, [&](int status, const std::string&) { newest += count(status); });
         fleet.RunFor(kSecond);
@@ -124,49 +124,49 @@
     }
   }
 
-  void TestMembersAreSplitInHalves() {
+  void RecoversFromSplitQuorum() {
     int split = 0;
     for (std::uint64_t seed = FirstSeed(); seed < FirstSeed() + Seeds(16); ++seed) {
       const int count = 2 + static_cast<int>(seed % 4);
-      ControlFleet fleet({.members = count, .plain = 3, .seed = seed});
+      ControlFleet fleet({.members = count, .non_members = 3, .seed = seed});
       fleet.RunFor(5 * kSecond);
-      Operators operators(&fleet, 4, 0.2);
+      OperatorWorkload workload(&fleet, 4, 0.2);
       fleet.RunFor(3 * kSecond);
       std::vector<std::size_t> members = fleet.Members();
       std::shuffle(members.begin(), members.end(), fleet.random());
       std::set<std::size_t> half;
       for (int i = 0; i < count / 2; ++i) half.insert(members[i]);
-      fleet.CutOff(half, SetOf(members));
+      fleet.Partition(half, SetOf(members));
       fleet.RunFor(kSecond * (2 + seed % 9));
-      for (const std::size_t plain : fleet.Plain()) Restart(&fleet, plain);
+      for (const std::size_t non_member : fleet.NonMembers()) Restart(&fleet, non_member);
       fleet.RunFor(3 * kSecond);
       // No head at all, or a half that has missed what the other one took.
       bool behind = false;
       for (const std::size_t member : members) {
         const auto routes = fleet.node(member).Current()->routes;
-        behind = behind || routes == nullptr || routes->version() < fleet.book().newest();
+        behind = behind || routes == nullptr || routes->version() < fleet.checker().newest();
       }
       split += behind || !fleet.Head().has_value() ? 1 : 0;
       fleet.network().Heal();
-      Finish(&fleet, &operators, seed, kRecover);
+      Finish(&fleet, &workload, seed, kRecover);
     }
     CPPUNIT_ASSERT(split > 0);
   }
 
   // As many as may be lost at once lose their disks, come back, and the next ones do as soon as all
   // are there again.
-  void TestLossesInARow() {
+  void SurvivesRepeatedDiskLosses() {
     int losses = 0;
     for (std::uint64_t seed = FirstSeed(); seed < FirstSeed() + Seeds(12); ++seed) {
       const int tolerance = 1 + static_cast<int>(seed % 2);
       ControlFleet fleet({.members = 2 * tolerance + 1,
-                          .plain = 2,
+                          .non_members = 2,
                           .tolerance = tolerance,
                           .sync_time = seed % 3 == 0 ? 20 * kMs : 2 * kMs,
                           .loss = 0.05 * static_cast<double>(seed % 2),
                           .seed = seed});
       fleet.RunFor(5 * kSecond);
-      Operators operators(&fleet, 4, 0.2);
+      OperatorWorkload workload(&fleet, 4, 0.2);
       fleet.RunFor(2 * kSecond);
       for (int turn = 0; turn < 5; ++turn) {
         std::vector<std::size_t> members = fleet.Members();
@@ -178,20 +178,20 @@
           fleet.Start(members[i]);
         }
         losses += fleet.IsAtFullStrength() ? 0 : 1;
-        const bool whole = fleet.RunUntil(kRecover, [&] { return fleet.IsAtFullStrength(); });
+        const bool complete = fleet.RunUntil(kRecover, [&] { return fleet.IsAtFullStrength(); });
         CheckFindings(fleet, seed);
         CPPUNIT_ASSERT_MESSAGE(
             fmt::format("seed {}, turn {}: not at full strength: {}", seed, turn, fleet.Describe()),
-            whole);
+            complete);
       }
-      Finish(&fleet, &operators, seed, kRecover);
+      Finish(&fleet, &workload, seed, kRecover);
     }
     CPPUNIT_ASSERT(losses > 0);
   }
 
   // From the return of members with empty disks until all members hold the state again: within half
   // of `sync_s`, the shortest of which is 6 s on the pages. The table goes to standard error.
-  void TestFullStrengthInTime() {
+  void ReachesFullStrengthInTime() {
     constexpr Micros kHalfOfSync = 3 * kSecond;
     for (const int members : {3, 5, 7, 9}) {
       for (const int tolerance : {1, 2}) {
@@ -200,13 +200,13 @@
           std::vector<Micros> times;
           for (std::uint64_t seed = FirstSeed(); seed < FirstSeed() + Seeds(3); ++seed) {
             ControlFleet fleet({.members = members,
-                                .plain = 1,
+                                .non_members = 1,
                                 .tolerance = tolerance,
                                 .sync_time = 5 * kMs,
                                 .loss = loss,
                                 .seed = seed});
             fleet.RunFor(6 * kSecond);
-            CPPUNIT_ASSERT(fleet.TakesAnother(5 * kSecond));
+            CPPUNIT_ASSERT(fleet.CommitsNewConfig(5 * kSecond));
             std::vector<std::size_t> lost = fleet.Members();
             std::shuffle(lost.begin(), lost.end(), fleet.random());
             lost.resize(tolerance);
@@ -217,9 +217,10 @@
               fleet.Start(member);
             }
             const Micros begin = fleet.time().now();
-            const bool whole = fleet.RunUntil(kRecover, [&] { return fleet.IsAtFullStrength(); });
+            const bool complete =
+                fleet.RunUntil(kRecover, [&] { return fleet.IsAtFullStrength(); });
             CheckFindings(fleet, seed);
-            CPPUNIT_ASSERT_MESSAGE(fleet.Describe(), whole);
+            CPPUNIT_ASSERT_MESSAGE(fleet.Describe(), complete);
             times.push_back(fleet.time().now() - begin);
           }
           std::sort(times.begin(), times.end());
@@ -234,12 +235,12 @@
 
   // Members that are gone for good, one after another until none of the first is left; the new one
   // comes before or after.
-  void TestReplacements() {
+  void ReplacesLostMembers() {
     int replaced = 0;
     for (std::uint64_t seed = FirstSeed(); seed < FirstSeed() + Seeds(12); ++seed) {
-      ControlFleet fleet({.members = 3, .plain = 2, .seed = seed});
+      ControlFleet fleet({.members = 3, .non_members = 2, .seed = seed});
       fleet.RunFor(5 * kSecond);
-      Operators operators(&fleet, 4, 0.2);
+      OperatorWorkload workload(&fleet, 4, 0.2);
       fleet.RunFor(2 * kSecond);
       for (const std::size_t old : fleet.Members()) {
         const std::size_t next = fleet.Replace(old);
@@ -247,12 +248,12 @@
         fleet.RunFor(fleet.random()() % (2 * kSecond));
         fleet.Start(next);
         replaced += fleet.IsAtFullStrength() ? 0 : 1;
-        const bool whole = fleet.RunUntil(kRecover, [&] { return fleet.IsAtFullStrength(); });
+        const bool complete = fleet.RunUntil(kRecover, [&] { return fleet.IsAtFullStrength(); });
         CheckFindings(fleet, seed);
         CPPUNIT_ASSERT_MESSAGE(
-            fmt::format("seed {}: not at full strength: {}", seed, fleet.Describe()), whole);
+            fmt::format("seed {}: not at full strength: {}", seed, fleet.Describe()), complete);
       }
-      Finish(&fleet, &operators, seed, kRecover);
+      Finish(&fleet, &workload, seed, kRecover);
     }
     CPPUNIT_ASSERT(replaced > 0);
   }
@@ -260,7 +261,7 @@
   // The new one first, then SIGTERM of the old one, until none of the first is left. A member that
   // leaves before the new one is in the view must wait for it: it may hold the only copy. Seed 68
   // has a new member that does not know yet that the old one leaves.
-  void TestPlannedReplacements() {
+  void ReplacesMembersGracefully() {
     int early = 0;
     std::vector<std::uint64_t> seeds{68};
     for (std::uint64_t i = 0; i < Seeds(16); ++i) seeds.push_back(FirstSeed() + i);
@@ -268,35 +269,35 @@
       const int members[] = {1, 2, 3, 5};
       const int count = members[seed % 4];
       ControlFleet fleet({.members = count,
-                          .plain = 2,
+                          .non_members = 2,
                           .tolerance = count == 1 ? 0 : count / 2,
                           .sync_time = seed % 3 == 0 ? 20 * kMs : 2 * kMs,
                           .loss = 0.1 * static_cast<double>(seed % 3),
                           .seed = seed});
       fleet.RunFor(5 * kSecond);
-      Operators operators(&fleet, 4, 0.2);
+      OperatorWorkload workload(&fleet, 4, 0.2);
       fleet.RunFor(3 * kSecond);
       for (const std::size_t old : fleet.Members()) {
         const std::size_t next = fleet.AddMember();
         fleet.Start(next);
         fleet.RunFor(fleet.random()() % kSecond);
         early += fleet.IsAtFullStrength() ? 0 : 1;
-        fleet.LeaveForGood(old, kGrace);
+        fleet.ShutDownForGood(old, kGrace);
         fleet.SetSeeds(fleet.Members());
-        const bool whole = fleet.RunUntil(kRecover, [&] { return fleet.IsAtFullStrength(); });
+        const bool complete = fleet.RunUntil(kRecover, [&] { return fleet.IsAtFullStrength(); });
         CheckFindings(fleet, seed);
         CPPUNIT_ASSERT_MESSAGE(
-            fmt::format("seed {}: not at full strength: {}", seed, fleet.Describe()), whole);
+            fmt::format("seed {}: not at full strength: {}", seed, fleet.Describe()), complete);
       }
-      Finish(&fleet, &operators, seed, kRecover);
+      Finish(&fleet, &workload, seed, kRecover);
     }
     CPPUNIT_ASSERT(early > 0);
   }
 
   // Where nobody else stays, nobody waits for the end of the grace.
-  void TestLeavingOfAll() {
+  void AllMembersMayShutDownTogether() {
     for (const int count : {1, 2, 3}) {
-      ControlFleet fleet({.members = count, .plain = 1, .tolerance = count - 1});
+      ControlFleet fleet({.members = count, .non_members = 1, .tolerance = count - 1});
       fleet.RunFor(5 * kSecond);
       for (const std::size_t member : fleet.Members()) fleet.node(member).PrepareToShutDown();
       fleet.RunFor(2 * kSecond);
@@ -313,27 +314,27 @@
     CPPUNIT_ASSERT(!fleet.node(head).MayShutDown());
     CPPUNIT_ASSERT(fleet.RunUntil(kSecond, [&] { return fleet.node(head).MayShutDown(); }));
     CPPUNIT_ASSERT(fleet.Head().has_value() && *fleet.Head() != head);
-    CPPUNIT_ASSERT(fleet.TakesAnother(kSecond));
+    CPPUNIT_ASSERT(fleet.CommitsNewConfig(kSecond));
   }
 
   // Sixty, one after another; each again, and other content under its number, at drawn nodes: after
   // a restart of all, after all members were replaced, and after a lost disk.
-  void TestSixtyConfigurationsAreNeverRefused() {
+  void AcknowledgesSixtyConfigurationsAgain() {
     constexpr int kConfigurations = 60;
-    ControlFleet fleet({.members = 3, .plain = 2});
+    ControlFleet fleet({.members = 3, .non_members = 2});
     fleet.RunFor(5 * kSecond);
-    for (int i = 0; i < kConfigurations; ++i) CPPUNIT_ASSERT(fleet.TakesAnother(2 * kSecond));
+    for (int i = 0; i < kConfigurations; ++i) CPPUNIT_ASSERT(fleet.CommitsNewConfig(2 * kSecond));
     const auto again = [&](const std::string& when) {
-      std::vector<Order*> taken;
-      for (const auto& order : fleet.book().orders()) {
-        if (order->acknowledged) taken.push_back(order.get());
+      std::vector<ConfigChange*> taken;
+      for (const auto& change : fleet.checker().changes()) {
+        if (change->acknowledged) taken.push_back(change.get());
       }
       CPPUNIT_ASSERT_EQUAL(std::size_t{kConfigurations}, taken.size());
-      for (Order* order : taken) {
-        Order* other =
-            fleet.book().Add(order->version, order->parent, fleet.NewBody(order->version));
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(when, 200, fleet.SendUntilClear(order, 5 * kSecond));
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(when, 412, fleet.SendUntilClear(other, 5 * kSecond));
+      for (ConfigChange* change : taken) {
+        ConfigChange* other =
+            fleet.checker().Add(change->version, change->parent, fleet.NewBody(change->version));
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(when, 200, fleet.SendUntilDefinite(change, 5 * kSecond));
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(when, 412, fleet.SendUntilDefinite(other, 5 * kSecond));
       }
     };
     again("at once");
@@ -344,7 +345,7 @@
     for (const std::size_t old : fleet.Members()) {
       fleet.Start(fleet.AddMember());
       fleet.RunFor(kSecond);
-      fleet.LeaveForGood(old, kGrace);
+      fleet.ShutDownForGood(old, kGrace);
       fleet.SetSeeds(fleet.Members());
       CPPUNIT_ASSERT(fleet.RunUntil(kRecover, [&] { return fleet.IsAtFullStrength(); }));
     }
@@ -355,21 +356,22 @@
     fleet.Start(head);
     CPPUNIT_ASSERT(fleet.RunUntil(kRecover, [&] { return fleet.IsAtFullStrength(); }));
     again("after the head lost its disk");
-    CPPUNIT_ASSERT(fleet.book().findings().empty());
+    CPPUNIT_ASSERT(fleet.checker().findings().empty());
   }
 
   // An older copy of a member's disk is put back under it, from the same view or an earlier one.
   // The member must not take part with it; it comes back as an empty one.
-  void TestADiskGoesBackInTime() {
-    int put_back = 0, other_view = 0;
+  void RejectsRolledBackDisk() {
+    int rollbacks = 0, other_view = 0;
     for (std::uint64_t seed = FirstSeed(); seed < FirstSeed() + Seeds(16); ++seed) {
-      ControlFleet fleet({.members = 3 + static_cast<int>(seed % 2), .plain = 2, .seed = seed});
+      ControlFleet fleet(
+          {.members = 3 + static_cast<int>(seed % 2), .non_members = 2, .seed = seed});
       fleet.RunFor(5 * kSecond);
-      Operators operators(&fleet, 4, 0.2);
+      OperatorWorkload workload(&fleet, 4, 0.2);
       fleet.RunFor(3 * kSecond);
       const std::vector<std::size_t> members = fleet.Members();
       const std::size_t victim = members[fleet.random()() % members.size()];
-      fleet.CopyDisk(victim);
+      fleet.BackUpDisk(victim);
       const std::uint64_t epoch = fleet.node(victim).view()->epoch;
       if (seed % 3 == 0) {
         const std::size_t other = members[victim == members[0] ? 1 : 0];
@@ -381,19 +383,20 @@
       other_view += fleet.node(victim).view()->epoch > epoch ? 1 : 0;
       fleet.Stop(victim);
       fleet.RunFor(fleet.random()() % (2 * kSecond));
-      fleet.PutBackDisk(victim);
+      fleet.RestoreDisk(victim);
       fleet.Start(victim);
-      ++put_back;
-      Finish(&fleet, &operators, seed, kRecover);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("seed {}", seed), 1, fleet.old_disks_found());
+      ++rollbacks;
+      Finish(&fleet, &workload, seed, kRecover);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("seed {}", seed), 1,
+                                   fleet.rolled_back_disks_found());
     }
-    CPPUNIT_ASSERT(put_back > 0);
+    CPPUNIT_ASSERT(rollbacks > 0);
     CPPUNIT_ASSERT(other_view > 0);
     // No restart, loss of power or lost disk is taken for it.
     for (std::uint64_t seed = FirstSeed(); seed < FirstSeed() + Seeds(8); ++seed) {
-      ControlFleet fleet({.members = 3, .plain = 1, .seed = seed});
+      ControlFleet fleet({.members = 3, .non_members = 1, .seed = seed});
       fleet.RunFor(5 * kSecond);
-      Operators operators(&fleet, 4, 0.2);
+      OperatorWorkload workload(&fleet, 4, 0.2);
       for (int turn = 0; turn < 6; ++turn) {
         fleet.RunFor(kSecond + fleet.random()() % (2 * kSecond));
         for (const std::size_t member : fleet.Members()) {
@@ -402,65 +405,68 @@
         fleet.RunFor(fleet.random()() % kSecond);
         for (const std::size_t member : fleet.Members()) fleet.Start(member);
       }
-      Finish(&fleet, &operators, seed, kRecover);
-      CPPUNIT_ASSERT_EQUAL(0, fleet.old_disks_found());
+      Finish(&fleet, &workload, seed, kRecover);
+      CPPUNIT_ASSERT_EQUAL(0, fleet.rolled_back_disks_found());
     }
   }
 
   // A member is away for some 500 of 1,000 changes (cut off, or its process ended): it catches up
   // at once, and nobody waits for it. A data node that was cut off goes to the newest in one step.
-  void TestAMemberMissesHundredsOfChanges() {
-    for (const bool cut : {false, true}) {
-      ControlFleet fleet({.members = 3, .plain = 2});
+  void CatchesUpAfterMissingChanges() {
+    for (const bool partitioned : {false, true}) {
+      ControlFleet fleet({.members = 3, .non_members = 2});
       fleet.RunFor(5 * kSecond);
-      const std::size_t away = fleet.Members()[1], data = fleet.Plain()[0];
-      int changes = 0, missed = 0, steps = 0;
-      for (; changes < 1000; ++changes) {
-        if (changes == 250) {
+      const std::size_t away = fleet.Members()[1], data = fleet.NonMembers()[0];
+      int change_count = 0, missed = 0, steps = 0;
+      for (; change_count < 1000; ++change_count) {
+        if (change_count == 250) {
           std::set<std::size_t> all;
           for (std::size_t i = 0; i < fleet.size(); ++i) all.insert(i);
-          fleet.CutOff(cut ? std::set<std::size_t>{away, data} : std::set<std::size_t>{data}, all);
-          if (!cut) fleet.Stop(away);
+          fleet.Partition(
+              partitioned ? std::set<std::size_t>{away, data} : std::set<std::size_t>{data}, all);
+          if (!partitioned) fleet.Stop(away);
           fleet.node(data).OnChange([&] { ++steps; });
         }
-        missed += changes >= 250 && changes < 750 ? 1 : 0;
-        if (changes == 750) {
+        missed += change_count >= 250 && change_count < 750 ? 1 : 0;
+        if (change_count == 750) {
           fleet.network().Heal();
-          if (!cut) fleet.Start(away);
-          const bool whole = fleet.RunUntil(3 * kSecond, [&] { return fleet.IsAtFullStrength(); });
-          CPPUNIT_ASSERT_MESSAGE(fleet.Describe(), whole);
-          CPPUNIT_ASSERT_EQUAL(fleet.book().newest(),
+          if (!partitioned) fleet.Start(away);
+          const bool complete =
+              fleet.RunUntil(3 * kSecond, [&] { return fleet.IsAtFullStrength(); });
+          CPPUNIT_ASSERT_MESSAGE(fleet.Describe(), complete);
+          CPPUNIT_ASSERT_EQUAL(fleet.checker().newest(),
                                fleet.node(data).Current()->routes->version());
           CPPUNIT_ASSERT(steps <= 3);  // its view may change once more
         }
-        CPPUNIT_ASSERT_MESSAGE(fmt::format("change {}", changes), fleet.TakesAnother(8 * kSecond));
+        CPPUNIT_ASSERT_MESSAGE(fmt::format("change {}", change_count),
+                               fleet.CommitsNewConfig(8 * kSecond));
       }
       CPPUNIT_ASSERT_EQUAL(500, missed);
       fleet.RunFor(kSecond);
-      for (const auto& order : fleet.book().orders()) {
-        CPPUNIT_ASSERT_EQUAL(200, fleet.SendUntilClear(order.get(), kSecond));
+      for (const auto& change : fleet.checker().changes()) {
+        CPPUNIT_ASSERT_EQUAL(200, fleet.SendUntilDefinite(change.get(), kSecond));
       }
-      CPPUNIT_ASSERT(fleet.book().findings().empty());
-      CPPUNIT_ASSERT_EQUAL(1000, fleet.book().acknowledged());
+      CPPUNIT_ASSERT(fleet.checker().findings().empty());
+      CPPUNIT_ASSERT_EQUAL(1000, fleet.checker().acknowledged());
     }
   }
 
   // Right after an acknowledgement all machines lose power, those that do not count as well, and as
   // many as may be lost lose their disks.
-  void TestPowerAndDisksAreLostTogether() {
+  void SurvivesPowerAndDiskLoss() {
     int lost = 0;
     for (std::uint64_t seed = FirstSeed(); seed < FirstSeed() + Seeds(16); ++seed) {
       const int tolerance = 1 + static_cast<int>(seed % 2);
       ControlFleet fleet({.members = 2 * tolerance + 1 + static_cast<int>(seed % 3 == 0),
-                          .plain = 2,
+                          .non_members = 2,
                           .tolerance = tolerance,
                           .seed = seed});
       fleet.RunFor(5 * kSecond);
-      Operators operators(&fleet, 4, 0.2);
+      OperatorWorkload workload(&fleet, 4, 0.2);
       for (int turn = 0; turn < 3; ++turn) {
         fleet.RunFor(3 * kSecond);
-        const std::int64_t before = fleet.book().newest();
-        fleet.RunUntil(5 * kSecond, [&] { return fleet.book().newest() > before; });
+        const std::int64_t before = fleet.checker().newest();
+        fleet.RunUntil(5 * kSecond, [&] { return fleet.checker().newest() > before; });
         fleet.RunFor(fleet.random()() % (5 * kMs));
         std::vector<std::size_t> members = fleet.Members();
         for (std::size_t i = 0; i < fleet.size(); ++i) fleet.LosePower(i);
@@ -471,27 +477,27 @@
           fleet.Start(i);
         }
         lost += fleet.IsAtFullStrength() ? 0 : 1;
-        const bool whole = fleet.RunUntil(kRecover, [&] { return fleet.IsAtFullStrength(); });
+        const bool complete = fleet.RunUntil(kRecover, [&] { return fleet.IsAtFullStrength(); });
         CheckFindings(fleet, seed);
         CPPUNIT_ASSERT_MESSAGE(
             fmt::format("seed {}, turn {}: not at full strength: {}", seed, turn, fleet.Describe()),
-            whole);
+            complete);
       }
-      Finish(&fleet, &operators, seed, kRecover);
+      Finish(&fleet, &workload, seed, kRecover);
     }
     CPPUNIT_ASSERT(lost > 0);
   }
 
  private:
-  static void Cut(ControlFleet* fleet, std::size_t victim, std::uint64_t kind) {
+  static void PartitionMember(ControlFleet* fleet, std::size_t victim, std::uint64_t kind) {
     std::set<std::size_t> all;
     for (std::size_t i = 0; i < fleet->size(); ++i) all.insert(i);
     const std::set<std::size_t> members = SetOf(fleet->Members());
     switch (kind) {
       case 0:  // from the other members, both ways
-        return fleet->CutOff({victim}, members);
+        return fleet->Partition({victim}, members);
       case 1:  // from all machines
-        return fleet->CutOff({victim}, all);
+        return fleet->Partition({victim}, all);
       case 2:  // it hears nothing of the other members
       case 3:  // they hear nothing of it
         for (const std::size_t other : members) {
@@ -501,7 +507,7 @@
         }
         return;
       default:  // together with some machines that do not count
-        return fleet->CutOff({victim, fleet->Plain()[0], fleet->Plain()[1]}, all);
+        return fleet->Partition({victim, fleet->NonMembers()[0], fleet->NonMembers()[1]}, all);
     }
   }
   static void Restart(ControlFleet* fleet, std::size_t machine) {
@@ -510,21 +516,22 @@
                         [fleet, machine] { fleet->Start(machine); });
   }
   static void CheckFindings(const ControlFleet& fleet, std::uint64_t seed) {
-    const auto& findings = const_cast<ControlFleet&>(fleet).book().findings();
+    const auto& findings = const_cast<ControlFleet&>(fleet).checker().findings();
     if (findings.empty()) return;
     CPPUNIT_FAIL(fmt::format("seed {}: {}", seed, findings.front()));
   }
   // All is well again within the span: the next order is taken, and every node has the newest.
-  static void Finish(ControlFleet* fleet, Operators* operators, std::uint64_t seed, Micros span) {
-    const bool whole = fleet->RunUntil(span, [&] { return fleet->IsAtFullStrength(); });
+  static void Finish(ControlFleet* fleet, OperatorWorkload* workload, std::uint64_t seed,
+                     Micros span) {
+    const bool complete = fleet->RunUntil(span, [&] { return fleet->IsAtFullStrength(); });
     CheckFindings(*fleet, seed);
     CPPUNIT_ASSERT_MESSAGE(
-        fmt::format("seed {}: not at full strength: {}", seed, fleet->Describe()), whole);
+        fmt::format("seed {}: not at full strength: {}", seed, fleet->Describe()), complete);
     fleet->RunFor(2 * kSecond);
-    operators->Stop();
+    workload->Stop();
     fleet->RunFor(2 * kSecond);
     CheckFindings(*fleet, seed);
-    const bool taken = fleet->TakesAnother(span);
+    const bool taken = fleet->CommitsNewConfig(span);
     CheckFindings(*fleet, seed);
     CPPUNIT_ASSERT_MESSAGE(fmt::format("seed {}: no order is taken", seed), taken);
     fleet->RunFor(3 * kSecond);
@@ -533,18 +540,18 @@
       const auto routes = fleet->node(i).Current()->routes;
       CPPUNIT_ASSERT_MESSAGE(fmt::format("seed {}: node {} knows nothing", seed, i),
                              routes != nullptr);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("seed {}: node {}", seed, i), fleet->book().newest(),
-                                   routes->version());
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("seed {}: node {}", seed, i),
+                                   fleet->checker().newest(), routes->version());
     }
     // What was acknowledged once is acknowledged again, at any node.
     int again = 0;
-    for (const auto& order : fleet->book().orders()) {
-      if (!order->acknowledged || again++ > 20) continue;
-      CPPUNIT_ASSERT_EQUAL(200, fleet->SendUntilClear(order.get(), span));
+    for (const auto& change : fleet->checker().changes()) {
+      if (!change->acknowledged || again++ > 20) continue;
+      CPPUNIT_ASSERT_EQUAL(200, fleet->SendUntilDefinite(change.get(), span));
     }
     CheckFindings(*fleet, seed);
-    CPPUNIT_ASSERT(fleet->book().acknowledged() > 3);
-    CPPUNIT_ASSERT(operators->resent_old() > 0);
+    CPPUNIT_ASSERT(fleet->checker().acknowledged() > 3);
+    CPPUNIT_ASSERT(workload->resent_changes() > 0);
   }
 };
 
--- a/tests/tier/control/control_fleet.cpp
+++ b/tests/tier/control/control_fleet.cpp
@@ -11,68 +11,74 @@
 namespace pearreach::control {
 namespace {
 
-constexpr Micros kOperatorWay = 500;       // between an operator and a machine
-constexpr Micros kOperatorWait = kSecond;  // operators move on after a second of silence
-constexpr Micros kOperatorPause = 100 * kMs;
+constexpr Micros kOperatorDelay = 500;        // between an operator and a machine
+constexpr Micros kOperatorTimeout = kSecond;  // operators move on after a second of silence
+constexpr Micros kOperatorBackoff = 100 * kMs;
 
 class ApiCall : public FakeExchange {
  public:
-  using Answered = std::function<void(int, const std::string&)>;
-  ApiCall(const std::string& method, const std::string& target, Micros arrived, Answered answered)
-      : FakeExchange(method, target, arrived), answered_(std::move(answered)) {}
+  using ResponseCallback = std::function<void(int, const std::string&)>;
+  ApiCall(const std::string& method, const std::string& target, Micros arrived,
+          ResponseCallback callback)
+      : FakeExchange(method, target, arrived), callback_(std::move(callback)) {}
   void Respond(int given, std::vector<http::Header> with, std::string_view bytes) override {
     FakeExchange::Respond(given, std::move(with), bytes);
-    if (answered_) std::exchange(answered_, nullptr)(given, std::string(bytes));
+    if (callback_) std::exchange(callback_, nullptr)(given, std::string(bytes));
   }
 
  private:
-  Answered answered_;
+  ResponseCallback callback_;
 };
 
-bool IsClear(int status) { return status >= 200 && status < 500 && status != 408 && status != 429; }
+bool IsDefinite(int status) {
+  return status >= 200 && status < 500 && status != 408 && status != 429;
+}
 
 }  // namespace
 
 // ---------------------------------------------------------------- what operators were told
 
-Order* OrderBook::Add(std::int64_t version, std::int64_t parent, std::string body) {
-  orders_.push_back(std::make_unique<Order>(Order{version, parent, std::move(body)}));
-  return orders_.back().get();
+ConfigChange* ConfigChangeChecker::Add(std::int64_t version, std::int64_t parent,
+                                       std::string body) {
+  changes_.push_back(
+      std::make_unique<ConfigChange>(ConfigChange{version, parent, std::move(body)}));
+  return changes_.back().get();
 }
 
-void OrderBook::OnAnswer(Order* order, int status) {
-  const std::string what = fmt::format("version {} on {}", order->version, order->parent);
+void ConfigChangeChecker::OnResponse(ConfigChange* change, int status) {
+  const std::string what = fmt::format("version {} on {}", change->version, change->parent);
   if (status == 200) {
-    if (order->refused) Find(what + ": acknowledged after it was refused");
-    const auto [winner, first] = winners_.try_emplace(order->parent, order);
-    if (winner->second != order) Find(what + ": two changes of one parent are acknowledged");
+    if (change->rejected) AddFinding(what + ": acknowledged after it was refused");
+    const auto [winner, first] = winners_.try_emplace(change->parent, change);
+    if (winner->second != change) AddFinding(what + ": two changes of one parent are acknowledged");
     if (!first) {
       ++repeated_;
     } else {
       ++acknowledged_;
     }
-    order->acknowledged = true;
-    newest_ = std::max(newest_, order->version);
-    OnInForce("acknowledged", order->version, order->body);
-  } else if (IsClear(status)) {
-    if (order->acknowledged) Find(what + ": refused after it was acknowledged");
-    order->refused = true;
-    ++refused_;
-    refused_bodies_.insert(order->body);
-    const auto known = in_force_.find(order->version);
-    if (known != in_force_.end() && known->second == order->body) {
-      Find(what + ": refused though it was in force");
+    change->acknowledged = true;
+    newest_ = std::max(newest_, change->version);
+    OnInForce("acknowledged", change->version, change->body);
+  } else if (IsDefinite(status)) {
+    if (change->acknowledged) AddFinding(what + ": refused after it was acknowledged");
+    change->rejected = true;
+    ++rejected_;
+    rejected_bodies_.insert(change->body);
+    const auto known = in_force_.find(change->version);
+    if (known != in_force_.end() && known->second == change->body) {
+      AddFinding(what + ": refused though it was in force");
     }
   }
 }
 
-void OrderBook::OnInForce(const std::string& where, std::int64_t version, const std::string& body) {
+void ConfigChangeChecker::OnInForce(const std::string& where, std::int64_t version,
+                                    const std::string& body) {
   const auto [known, first] = in_force_.try_emplace(version, body);
   if (!first && known->second != body) {
-    Find(fmt::format("{}: two configurations under version {}", where, version));
+    AddFinding(fmt::format("{}: two configurations under version {}", where, version));
   }
-  if (refused_bodies_.count(body) > 0) {
-    Find(fmt::format("{}: version {} is in force, though it was refused", where, version));
+  if (rejected_bodies_.count(body) > 0) {
+    AddFinding(fmt::format("{}: version {} is in force, though it was refused", where, version));
   }
 }
 
@@ -80,7 +86,7 @@
 
 ControlFleet::ControlFleet(const FleetOptions& options) : options_(options), random_(options.seed) {
   if (options.loss > 0) network_.SetLoss(options.loss, options.seed);
-  for (int i = 0; i < options.members + options.plain; ++i) Add(i < options.members);
+  for (int i = 0; i < options.members + options.non_members; ++i) Add(i < options.members);
   for (std::size_t i = 0; i < machines_.size(); ++i) Start(i);
 }
 
@@ -124,7 +130,7 @@
 void ControlFleet::Start(std::size_t number) {
   Machine& machine = *machines_[number];
   if (machine.node != nullptr || machine.gone) return;
-  machine.floor = book_.newest();
+  machine.floor = checker_.newest();
   machine.transport = std::make_unique<VirtualTransport>(&network_, AddressOf(number));
   machine.node = std::make_unique<ControlNode>(std::make_unique<VirtualTimeSource>(&time_),
                                                machine.transport.get(), machine.disk.get(),
@@ -136,7 +142,7 @@
   Watch(&machine);
   // As the program does: the contents go, and the platform starts the next process.
   machine.node->OnDiskRolledBack([this, number] {
-    ++old_disks_found_;
+    ++rolled_back_disks_found_;
     time_.After(0, [this, number] {
       Stop(number);
       Wipe(number);
@@ -152,15 +158,16 @@
     const auto snapshot = machine->node->Current();
     const std::int64_t version = snapshot->routes ? snapshot->routes->version() : 0;
     if (version < machine->in_force) {
-      book_.Find(fmt::format("{}: version {} is in force after {}", machine->name, version,
-                             machine->in_force));
+      checker_.AddFinding(fmt::format("{}: version {} is in force after {}", machine->name, version,
+                                      machine->in_force));
     }
     if (version < machine->floor) {
-      book_.Find(fmt::format("{}: version {} is in force, started after the acknowledgement of {}",
-                             machine->name, version, machine->floor));
+      checker_.AddFinding(
+          fmt::format("{}: version {} is in force, started after the acknowledgement of {}",
+                      machine->name, version, machine->floor));
     }
     machine->in_force = std::max(machine->in_force, version);
-    if (version > 0) book_.OnInForce(machine->name, version, snapshot->config_json);
+    if (version > 0) checker_.OnInForce(machine->name, version, snapshot->config_json);
   });
 }
 
@@ -185,12 +192,12 @@
       std::make_unique<VirtualDisk>(&time_, "d" + std::to_string(++disks_), options_.sync_time);
 }
 
-void ControlFleet::CopyDisk(std::size_t number) {
-  machines_[number]->copy = machines_[number]->disk->Copy();
+void ControlFleet::BackUpDisk(std::size_t number) {
+  machines_[number]->backup = machines_[number]->disk->Records();
 }
 
-void ControlFleet::PutBackDisk(std::size_t number) {
-  if (!IsUp(number)) machines_[number]->disk->PutBack(machines_[number]->copy);
+void ControlFleet::RestoreDisk(std::size_t number) {
+  if (!IsUp(number)) machines_[number]->disk->Restore(machines_[number]->backup);
 }
 
 std::size_t ControlFleet::Replace(std::size_t number) {
@@ -205,20 +212,20 @@
   return next;
 }
 
-Micros ControlFleet::LeaveForGood(std::size_t number, Micros grace) {
-  constexpr Micros kLeaveTime = 300 * kMs;  // for the word of it to go out
+Micros ControlFleet::ShutDownForGood(std::size_t number, Micros grace) {
+  constexpr Micros kBroadcastTime = 300 * kMs;  // for the word of it to go out
   const Micros begin = time_.now();
   node(number).PrepareToShutDown();
-  RunUntil(grace - kLeaveTime, [&] { return node(number).MayShutDown(); });
+  RunUntil(grace - kBroadcastTime, [&] { return node(number).MayShutDown(); });
   node(number).Leave();
-  RunFor(kLeaveTime);
+  RunFor(kBroadcastTime);
   Stop(number);
   machines_[number]->gone = true;
   return time_.now() - begin;
 }
 
-void ControlFleet::CutOff(const std::set<std::size_t>& island,
-                          const std::set<std::size_t>& others) {
+void ControlFleet::Partition(const std::set<std::size_t>& island,
+                             const std::set<std::size_t>& others) {
   for (const std::size_t a : island) {
     for (const std::size_t b : others) {
       if (island.count(b) == 0) network_.Partition(AddressOf(a), AddressOf(b));
@@ -234,17 +241,17 @@
   return members;
 }
 
-std::vector<std::size_t> ControlFleet::Plain() const {
-  std::vector<std::size_t> plain;
+std::vector<std::size_t> ControlFleet::NonMembers() const {
+  std::vector<std::size_t> non_members;
   for (std::size_t i = 0; i < machines_.size(); ++i) {
-    if (!machines_[i]->is_member && !machines_[i]->gone) plain.push_back(i);
+    if (!machines_[i]->is_member && !machines_[i]->gone) non_members.push_back(i);
   }
-  return plain;
+  return non_members;
 }
 
 bool ControlFleet::RunUntil(Micros span, const std::function<bool()>& done) {
   const Micros end = time_.now() + span;
-  while (time_.now() < end && book_.findings().empty()) {
+  while (time_.now() < end && checker_.findings().empty()) {
     if (done()) return true;
     time_.RunFor(10 * kMs);
   }
@@ -303,71 +310,72 @@
 }
 
 void ControlFleet::Call(std::size_t number, const std::string& method, const std::string& target,
-                        const std::string& body, std::int64_t parent, Answered answered) {
-  time_.After(kOperatorWay, [=, this, answered = std::move(answered)] {
+                        const std::string& body, std::int64_t parent, ResponseCallback callback) {
+  time_.After(kOperatorDelay, [=, this, callback = std::move(callback)] {
     Machine& machine = *machines_[number];
-    if (machine.router == nullptr) return answered(0, "");
-    auto call = std::make_shared<ApiCall>(method, target, time_.now(), answered);
+    if (machine.router == nullptr) return callback(0, "");
+    auto call = std::make_shared<ApiCall>(method, target, time_.now(), callback);
     call->mutable_request().body = body;
     call->mutable_request().headers.push_back({"x-parent-version", std::to_string(parent)});
     machine.router->Dispatch(call);
   });
 }
 
-void ControlFleet::SendOrder(std::size_t machine, Order* order, Answered answered) {
-  Call(machine, "POST", "/Config.Replace", order->body, order->parent,
-       [this, order, answered = std::move(answered)](int status, const std::string& body) {
-         book_.OnAnswer(order, status);
-         answered(status, body);
+void ControlFleet::SendChange(std::size_t machine, ConfigChange* change,
+                              ResponseCallback callback) {
+  Call(machine, "POST", "/Config.Replace", change->body, change->parent,
+       [this, change, callback = std::move(callback)](int status, const std::string& body) {
+         checker_.OnResponse(change, status);
+         callback(status, body);
        });
 }
 
 // No machine, in touch or not, may show an older one than was acknowledged before the question.
-void ControlFleet::ReadConfig(std::size_t machine, Answered answered) {
-  const std::int64_t floor = book_.newest();
+void ControlFleet::ReadConfig(std::size_t machine, ResponseCallback callback) {
+  const std::int64_t floor = checker_.newest();
   Call(machine, "GET", "/Config.Read", "", 0,
-       [this, floor, answered = std::move(answered)](int status, const std::string& body) {
+       [this, floor, callback = std::move(callback)](int status, const std::string& body) {
          std::int64_t version = 0;
          if (status == 200) {
            rapidjson::Document document;
            document.Parse(body.data(), body.size());
            version = document["version_no"].GetInt64();
-           book_.OnInForce("read", version, body);
+           checker_.OnInForce("read", version, body);
          }
          if ((status == 200 || status == 404) && version < floor) {
-           book_.Find(
+           checker_.AddFinding(
                fmt::format("version {} is read after the acknowledgement of {}", version, floor));
          }
-         answered(status, body);
+         callback(status, body);
        });
 }
 
-int ControlFleet::SendUntilClear(Order* order, Micros span) {
+int ControlFleet::SendUntilDefinite(ConfigChange* change, Micros span) {
   const Micros end = time_.now() + span;
   const auto clear = std::make_shared<int>(0);
-  while (time_.now() < end && *clear == 0 && book_.findings().empty()) {
+  while (time_.now() < end && *clear == 0 && checker_.findings().empty()) {
     const std::size_t machine =
         std::uniform_int_distribution<std::size_t>(0, machines_.size() - 1)(random_);
     if (!IsUp(machine)) continue;
-    const auto answered = std::make_shared<bool>(false);
-    SendOrder(machine, order, [clear, answered](int status, const std::string&) {
-      *answered = true;
-      if (IsClear(status)) *clear = status;
+    const auto responded = std::make_shared<bool>(false);
+    SendChange(machine, change, [clear, responded](int status, const std::string&) {
+      *responded = true;
+      if (IsDefinite(status)) *clear = status;
     });
-    const Micros wait = time_.now() + kOperatorWait;
-    while (time_.now() < wait && !*answered) time_.RunFor(5 * kMs);
-    if (*clear == 0) time_.RunFor(kOperatorPause);
+    const Micros wait = time_.now() + kOperatorTimeout;
+    while (time_.now() < wait && !*responded) time_.RunFor(5 * kMs);
+    if (*clear == 0) time_.RunFor(kOperatorBackoff);
   }
   return *clear;
 }
 
-bool ControlFleet::TakesAnother(Micros span) {
+bool ControlFleet::CommitsNewConfig(Micros span) {
   const Micros end = time_.now() + span;
   while (time_.now() < end) {
-    const std::int64_t parent = book_.newest();
+    const std::int64_t parent = checker_.newest();
     const std::int64_t version = parent + 1 + static_cast<std::int64_t>(bodies_ % 3);
-    Order* order = book_.Add(version, parent, NewBody(version));
-    const int status = SendUntilClear(order, end - time_.now());
+    ConfigChange* change = checker_.Add(version, parent, NewBody(version));
+    const int status = SendUntilDefinite(change, end - time_.now());
     if (status == 200) return true;
     if (status != 412) return false;
     // An order without a clear answer has come into force: the newest is known by a read.
@@ -383,8 +391,9 @@
       time_.RunFor(kSecond);
     }
     if (*read > parent) {
-      for (const auto& earlier : book_.orders()) {
-        if (earlier->version == *read && !earlier->refused) SendUntilClear(earlier.get(), kSecond);
+      for (const auto& earlier : checker_.changes()) {
+        if (earlier->version == *read && !earlier->rejected)
+          SendUntilDefinite(earlier.get(), kSecond);
       }
     }
   }
--- a/tests/tier/control/control_fleet.h
+++ b/tests/tier/control/control_fleet.h
@@ -21,7 +21,7 @@
 namespace pearreach::control {
 
 struct FleetOptions {
-  int members = 3, plain = 2;  // machines with a counted disk, and without
+  int members = 3, non_members = 2;  // machines with a counted disk, and without
   int tolerance = 1;
   Micros sync_time = 2000;
   double loss = 0;  // of messages between machines
@@ -29,36 +29,36 @@
 };
 
 // One configuration that operators have sent, and what they were told of it.
-struct Order {
+struct ConfigChange {
   std::int64_t version = 0, parent = 0;
   std::string body;
-  bool acknowledged = false, refused = false;
+  bool acknowledged = false, rejected = false;
 };
 
 // All orders and answers, and what contradicts them.
-class OrderBook {
+class ConfigChangeChecker {
  public:
-  Order* Add(std::int64_t version, std::int64_t parent, std::string body);
-  void OnAnswer(Order* order, int status);
+  ConfigChange* Add(std::int64_t version, std::int64_t parent, std::string body);
+  void OnResponse(ConfigChange* change, int status);
   // A configuration came into force at a node.
   void OnInForce(const std::string& where, std::int64_t version, const std::string& body);
-  void Find(std::string what) { findings_.push_back(std::move(what)); }
+  void AddFinding(std::string what) { findings_.push_back(std::move(what)); }
 
-  const std::vector<std::unique_ptr<Order>>& orders() const { return orders_; }
+  const std::vector<std::unique_ptr<ConfigChange>>& changes() const { return changes_; }
   const std::vector<std::string>& findings() const { return findings_; }
   std::int64_t newest() const { return newest_; }  // greatest acknowledged version
   int acknowledged() const { return acknowledged_; }
-  int refused() const { return refused_; }
+  int rejected() const { return rejected_; }
   int repeated() const { return repeated_; }  // answers of 200 to orders acknowledged before
 
  private:
-  std::vector<std::unique_ptr<Order>> orders_;
-  std::map<std::int64_t, const Order*> winners_;  // by parent
-  std::map<std::int64_t, std::string> in_force_;  // by version
-  std::set<std::string> refused_bodies_;
+  std::vector<std::unique_ptr<ConfigChange>> changes_;
+  std::map<std::int64_t, const ConfigChange*> winners_;  // by parent
+  std::map<std::int64_t, std::string> in_force_;         // by version
+  std::set<std::string> rejected_bodies_;
   std::vector<std::string> findings_;
   std::int64_t newest_ = 0;
-  int acknowledged_ = 0, refused_ = 0, repeated_ = 0;
+  int acknowledged_ = 0, rejected_ = 0, repeated_ = 0;
 };
 
 class ControlFleet {
@@ -69,14 +69,14 @@
   VirtualTime& time() { return time_; }
   VirtualNetwork& network() { return network_; }
   std::mt19937_64& random() { return random_; }
-  OrderBook& book() { return book_; }
+  ConfigChangeChecker& checker() { return checker_; }
   void RunFor(Micros span) { time_.RunFor(span); }
   bool RunUntil(Micros span, const std::function<bool()>& done);
 
   // Machines by number; those that were replaced keep theirs, and are down.
   std::size_t size() const { return machines_.size(); }
   std::vector<std::size_t> Members() const;  // that are not replaced, up or down
-  std::vector<std::size_t> Plain() const;
+  std::vector<std::size_t> NonMembers() const;
   bool IsUp(std::size_t machine) const { return machines_[machine]->node != nullptr; }
   ControlNode& node(std::size_t machine) { return *machines_[machine]->node; }
   std::string AddressOf(std::size_t machine) const;
@@ -86,18 +86,18 @@
   void LosePower(std::size_t machine);  // what was not synced is lost
   void Wipe(std::size_t machine);       // of one that is down
   // Keeps a copy of the disk; puts it back under a machine that is down.
-  void CopyDisk(std::size_t machine);
-  void PutBackDisk(std::size_t machine);
-  int old_disks_found() const { return old_disks_found_; }
+  void BackUpDisk(std::size_t machine);
+  void RestoreDisk(std::size_t machine);
+  int rolled_back_disks_found() const { return rolled_back_disks_found_; }
   std::size_t Replace(std::size_t machine);
   // SIGTERM: the process ends when it may, or `grace` is over. The machine never comes back.
   // Returns how long that took.
-  Micros LeaveForGood(std::size_t machine, Micros grace);
+  Micros ShutDownForGood(std::size_t machine, Micros grace);
   // An empty machine that counts; not started.
   std::size_t AddMember();
   // The seeds of processes that start from now on.
   void SetSeeds(std::vector<std::size_t> seeds) { seeds_ = std::move(seeds); }
-  void CutOff(const std::set<std::size_t>& island, const std::set<std::size_t>& others);
+  void Partition(const std::set<std::size_t>& island, const std::set<std::size_t>& others);
 
   // All members are up and in the greatest view, which has begun.
   bool IsAtFullStrength() const;
@@ -108,20 +108,20 @@
   // A body of that version which no other call gives.
   std::string NewBody(std::int64_t version);
   // The call's answer, also where it is lost on the way to the caller; 0: none, the process ended.
-  using Answered = std::function<void(int status, const std::string& body)>;
-  void SendOrder(std::size_t machine, Order* order, Answered answered);
-  void ReadConfig(std::size_t machine, Answered answered);
+  using ResponseCallback = std::function<void(int status, const std::string& body)>;
+  void SendChange(std::size_t machine, ConfigChange* change, ResponseCallback callback);
+  void ReadConfig(std::size_t machine, ResponseCallback callback);
   // An operator's: to one machine after another until the answer is clear; 0: it never was.
-  int SendUntilClear(Order* order, Micros span);
+  int SendUntilDefinite(ConfigChange* change, Micros span);
   // Puts a new configuration in force.
-  bool TakesAnother(Micros span);
+  bool CommitsNewConfig(Micros span);
 
  private:
   struct Machine {
     std::string name, ip;
     bool is_member = false, bootstrap = true, gone = false;
     std::unique_ptr<VirtualDisk> disk;
-    std::map<std::string, std::string> copy;
+    std::map<std::string, std::string> backup;
     std::vector<std::unique_ptr<VirtualDisk>> lost_disks;  // writes under way still end on them
     std::unique_ptr<VirtualTransport> transport;
     std::unique_ptr<ControlNode> node;
@@ -135,17 +135,17 @@
   settings::NodeSettings SettingsOf(const Machine& machine) const;
   void Watch(Machine* machine);
   void Call(std::size_t machine, const std::string& method, const std::string& target,
-            const std::string& body, std::int64_t parent, Answered answered);
+            const std::string& body, std::int64_t parent, ResponseCallback callback);
 
   const FleetOptions options_;
   std::mt19937_64 random_;
   VirtualTime time_;
   VirtualNetwork network_{&time_};
-  OrderBook book_;
+  ConfigChangeChecker checker_;
   std::vector<std::unique_ptr<Machine>> machines_;
   std::vector<std::size_t> seeds_{0, 1, 2};
   std::uint64_t incarnation_ = 0, disks_ = 0, bodies_ = 0;
-  int old_disks_found_ = 0;
+  int rolled_back_disks_found_ = 0;
 };
 
 }  // namespace pearreach::control
--- a/tests/tier/control/control_node_test.cpp
+++ b/tests/tier/control/control_node_test.cpp
@@ -14,7 +14,7 @@
 
 using coordination::ChangeStatus;
 
-constexpr int kQuorum = 3, kPlain = 2, kNodes = kQuorum + kPlain;
+constexpr int kQuorum = 3, kNonMembers = 2, kNodes = kQuorum + kNonMembers;
 
 settings::NodeSettings SettingsOf(int index, bool bootstrap) {
   settings::NodeSettings settings;
@@ -34,16 +34,16 @@
 
 class ControlNodeTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ControlNodeTest);
-  CPPUNIT_TEST(TestDescribesItself);
-  CPPUNIT_TEST(TestChangeReachesAll);
-  CPPUNIT_TEST(TestConflict);
-  CPPUNIT_TEST(TestOneDutyHolder);
-  CPPUNIT_TEST(TestAllRestart);
-  CPPUNIT_TEST(TestCutOffHead);
-  CPPUNIT_TEST(TestLostHead);
-  CPPUNIT_TEST(TestUnavailableIsBounded);
-  CPPUNIT_TEST(TestTakesSoonAfterALostHead);
-  CPPUNIT_TEST(TestFullDisk);
+  CPPUNIT_TEST(DescribesItself);
+  CPPUNIT_TEST(ChangeReachesAllNodes);
+  CPPUNIT_TEST(RejectsChangeOfOldRevision);
+  CPPUNIT_TEST(HasOneSingletonRoleCandidate);
+  CPPUNIT_TEST(StateSurvivesRestartOfAllNodes);
+  CPPUNIT_TEST(ReplacesPartitionedHead);
+  CPPUNIT_TEST(ReplacesLostHead);
+  CPPUNIT_TEST(ReportsUnavailableWithinTimeout);
+  CPPUNIT_TEST(CommitsSoonAfterLosingHead);
+  CPPUNIT_TEST(RecoversFromFullDisk);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -61,7 +61,7 @@
     time_.reset();
   }
 
-  void TestDescribesItself() {
+  void DescribesItself() {
     const settings::NodeSettings quorum = SettingsOf(0, true);
     const auto self = DescribeSelf(quorum, disks_[0].get(), 9);
     CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.0:7000"), self.address);
@@ -71,7 +71,7 @@
     CPPUNIT_ASSERT_EQUAL(AddressOf(1), SeedAddresses(quorum)[1]);
   }
 
-  void TestChangeReachesAll() {
+  void ChangeReachesAllNodes() {
     StartAll(true);
     for (int i = 0; i < kNodes; ++i) CPPUNIT_ASSERT(Node(i).Current()->routes == nullptr);
     for (int i = 0; i < kNodes; ++i) {
@@ -86,33 +86,33 @@
     }
   }
 
-  void TestConflict() {
+  void RejectsChangeOfOldRevision() {
     StartAll(true);
     CPPUNIT_ASSERT_EQUAL(int(ChangeStatus::kCommitted), int(Change(3, 0, SampleConfig(1))->status));
     CPPUNIT_ASSERT_EQUAL(int(ChangeStatus::kConflict), int(Change(4, 0, SampleConfig(2))->status));
-    CPPUNIT_ASSERT_EQUAL(std::int64_t(1), StrictVersion(3));
+    CPPUNIT_ASSERT_EQUAL(std::int64_t(1), LinearizableVersion(3));
   }
 
-  void TestOneDutyHolder() {
+  void HasOneSingletonRoleCandidate() {
     StartAll(true);
     time_->RunFor(3 * kSecond);
-    CPPUNIT_ASSERT_EQUAL(1, DutyHolders());
+    CPPUNIT_ASSERT_EQUAL(1, SingletonRoleCandidates());
     const int head = Head();
     network_->Isolate(AddressOf(head));
     time_->RunFor(1500 * kMs);
     CPPUNIT_ASSERT(!Node(head).IsSingletonRoleCandidate());
     time_->RunFor(15 * kSecond);
-    CPPUNIT_ASSERT_EQUAL(1, DutyHolders());
+    CPPUNIT_ASSERT_EQUAL(1, SingletonRoleCandidates());
     CPPUNIT_ASSERT(!Node(head).IsSingletonRoleCandidate());
   }
 
-  void TestAllRestart() {
+  void StateSurvivesRestartOfAllNodes() {
     StartAll(true);
     Change(4, 0, SampleConfig(6));
     for (int i = 0; i < kNodes; ++i) Stop(i);
     time_->RunFor(kSecond);
     StartAll(false);
-    for (int i = 0; i < kNodes; ++i) CPPUNIT_ASSERT_EQUAL(std::int64_t(6), StrictVersion(i));
+    for (int i = 0; i < kNodes; ++i) CPPUNIT_ASSERT_EQUAL(std::int64_t(6), LinearizableVersion(i));
     time_->RunFor(kSecond);
     for (int i = 0; i < kNodes; ++i) {
       CPPUNIT_ASSERT_EQUAL(std::int64_t(6), Node(i).Current()->routes->version());
@@ -125,7 +125,7 @@
     CPPUNIT_ASSERT(Node(4).Current()->routes != nullptr);
   }
 
-  void TestCutOffHead() {
+  void ReplacesPartitionedHead() {
     StartAll(true);
     Change(4, 0, SampleConfig(1));
     const int head = Head();
@@ -144,10 +144,10 @@
     CPPUNIT_ASSERT_EQUAL(std::int64_t(2), Node(head).Current()->routes->version());
     network_->Heal();
     time_->RunFor(15 * kSecond);
-    CPPUNIT_ASSERT_EQUAL(std::int64_t(2), StrictVersion(head));
+    CPPUNIT_ASSERT_EQUAL(std::int64_t(2), LinearizableVersion(head));
   }
 
-  void TestLostHead() {
+  void ReplacesLostHead() {
     StartAll(true);
     Change(4, 0, SampleConfig(1));
     const int head = Head();
@@ -157,11 +157,11 @@
     disks_[head] = std::make_unique<VirtualDisk>(time_.get(), "another");
     Start(head, false);
     time_->RunFor(15 * kSecond);
-    CPPUNIT_ASSERT_EQUAL(std::int64_t(2), StrictVersion(head));
+    CPPUNIT_ASSERT_EQUAL(std::int64_t(2), LinearizableVersion(head));
     CPPUNIT_ASSERT_EQUAL(std::int64_t(2), Node(head).Current()->routes->version());
   }
 
-  void TestUnavailableIsBounded() {
+  void ReportsUnavailableWithinTimeout() {
     StartAll(true);
     for (int i = 0; i < kQuorum; ++i) network_->Isolate(AddressOf(i));
     for (int i = 0; i < kNodes; ++i) {
@@ -183,7 +183,7 @@
   }
 
   // A replica whose disk is full for a while takes part again once it has room: nothing is lost.
-  void TestFullDisk() {
+  void RecoversFromFullDisk() {
     for (int full = 0; full < kQuorum; ++full) {
       tearDown();
       setUp();
@@ -195,7 +195,7 @@
       time_->RunFor(5 * kSecond);
       disks_[full]->SetFull(false);
       time_->RunFor(kSecond);
-      const std::int64_t version = StrictVersion(3);
+      const std::int64_t version = LinearizableVersion(3);
       CPPUNIT_ASSERT(version == 1 || version == 2);
       const int next = static_cast<int>(version) + 1;
       CPPUNIT_ASSERT_EQUAL(int(ChangeStatus::kCommitted),
@@ -204,13 +204,13 @@
       time_->RunFor(kSecond);
       for (int i = 0; i < kQuorum; ++i) Start(i, false);
       time_->RunFor(5 * kSecond);
-      CPPUNIT_ASSERT_EQUAL(std::int64_t(next), StrictVersion(full));
+      CPPUNIT_ASSERT_EQUAL(std::int64_t(next), LinearizableVersion(full));
     }
   }
 
   // The operator sends on to the next node after a second of silence or an error, with a pause.
-  void TestTakesSoonAfterALostHead() {
-    for (const bool silent : {false, true}) {
+  void CommitsSoonAfterLosingHead() {
+    for (const bool isolate : {false, true}) {
       for (int phase = 0; phase < 10; ++phase) {
         tearDown();
         setUp();
@@ -218,14 +218,14 @@
         Change(4, 0, SampleConfig(1));
         time_->RunFor(phase * 50 * kMs);
         const int head = Head();
-        if (silent) {
+        if (isolate) {
           network_->Isolate(AddressOf(head));
         } else {
           Stop(head);
         }
         const Micros took = TimeToReplace(head, 1, SampleConfig(2));
         // Of this, a second passes until the head counts as lost.
-        CPPUNIT_ASSERT(took < (silent ? 2200 : 1800) * kMs);
+        CPPUNIT_ASSERT(took < (isolate ? 2200 : 1800) * kMs);
       }
     }
   }
@@ -253,24 +253,24 @@
   ControlNode& Node(int index) { return *nodes_[index]; }
 
   void Start(int index, bool bootstrap) {
-    meshes_[index] = std::make_unique<VirtualTransport>(network_.get(), AddressOf(index));
+    transports_[index] = std::make_unique<VirtualTransport>(network_.get(), AddressOf(index));
     VirtualDisk* disk = index < kQuorum ? disks_[index].get() : nullptr;
     nodes_[index] = std::make_unique<ControlNode>(std::make_unique<VirtualTimeSource>(time_.get()),
-                                                  meshes_[index].get(), disk,
+                                                  transports_[index].get(), disk,
                                                   SettingsOf(index, bootstrap), ++incarnation_);
   }
   void Stop(int index) {
     nodes_[index].reset();
-    meshes_[index].reset();
+    transports_[index].reset();
   }
   void StartAll(bool bootstrap) {
     for (int i = 0; i < kNodes; ++i) Start(i, bootstrap);
     time_->RunFor(5 * kSecond);
   }
-  int DutyHolders() {
-    int holders = 0;
-    for (int i = 0; i < kNodes; ++i) holders += Node(i).IsSingletonRoleCandidate() ? 1 : 0;
-    return holders;
+  int SingletonRoleCandidates() {
+    int candidates = 0;
+    for (int i = 0; i < kNodes; ++i) candidates += Node(i).IsSingletonRoleCandidate() ? 1 : 0;
+    return candidates;
   }
   int Head() {
     for (int i = 0; i < kNodes; ++i) {
@@ -294,7 +294,7 @@
     }
     return ChangeStatus::kUnavailable;
   }
-  std::int64_t StrictVersion(int index) {
+  std::int64_t LinearizableVersion(int index) {
     auto version = std::make_shared<std::int64_t>(-1);
     Node(index).LinearizableRead(900 * kMs, [version](const auto& snapshot) {
       if (snapshot.ok()) *version = (*snapshot)->routes ? (*snapshot)->routes->version() : 0;
@@ -306,7 +306,7 @@
   std::unique_ptr<VirtualTime> time_;
   std::unique_ptr<VirtualNetwork> network_;
   std::unique_ptr<VirtualDisk> disks_[kQuorum];
-  std::unique_ptr<VirtualTransport> meshes_[kNodes];
+  std::unique_ptr<VirtualTransport> transports_[kNodes];
   std::unique_ptr<ControlNode> nodes_[kNodes];
   std::uint64_t incarnation_ = 0;
 };
--- a/tests/tier/control/disk_use_test.cpp
+++ b/tests/tier/control/disk_use_test.cpp
@@ -9,17 +9,17 @@
 
 class DiskUseTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DiskUseTest);
-  CPPUNIT_TEST(TestFindsADiskThatIsBehind);
-  CPPUNIT_TEST(TestKeepsTheLatest);
+  CPPUNIT_TEST(DetectsRolledBackDisk);
+  CPPUNIT_TEST(MergeKeepsLatestUse);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // Processes are named 1, 2, 3 in the order of their starts; 9 started on a disk put back.
-  void TestFindsADiskThatIsBehind() {
+  void DetectsRolledBackDisk() {
     const struct {
       std::string what;
-      DiskUse found, own, heard;
-      bool behind;
+      DiskUse found, own, reported;
+      bool rolled_back;
     } cases[] = {
         {"first start", {}, {1, 1, 1}, {}, false},
         {"restart, heard of the last process", {1, 1, 50}, {2, 2, 51}, {1, 1, 50}, false},
@@ -32,14 +32,14 @@
         {"heard of the present process already", {1, 1, 30}, {2, 9, 31}, {2, 9, 50}, true},
     };
     for (const auto& test : cases) {
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(test.what, test.behind,
-                                   IsBehind(test.found, test.own, test.heard));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(test.what, test.rolled_back,
+                                   IsRolledBack(test.found, test.own, test.reported));
     }
   }
 
-  void TestKeepsTheLatest() {
+  void MergeKeepsLatestUse() {
     const struct {
-      DiskUse known, told, later;
+      DiskUse known, reported, later;
     } cases[] = {
         {{}, {1, 1, 5}, {1, 1, 5}},           {{1, 1, 5}, {1, 1, 9}, {1, 1, 9}},
         {{1, 1, 9}, {1, 1, 5}, {1, 1, 9}},    {{1, 1, 9}, {2, 2, 10}, {2, 2, 10}},
@@ -48,7 +48,7 @@
         {{2, 2, 50}, {2, 9, 31}, {2, 2, 50}},
     };
     for (const auto& test : cases) {
-      CPPUNIT_ASSERT(Later(test.known, test.told) == test.later);
+      CPPUNIT_ASSERT(MergeDiskUse(test.known, test.reported) == test.later);
     }
   }
 };
