--- a/tests/tier/control/state_poller_test.cpp
+++ b/tests/tier/control/state_poller_test.cpp
@@ -5,7 +5,7 @@
 #include <optional>
 
 #include "tier/codec/archive.h"
-#include "tier/control/announced_fetch.h"
+#include "tier/control/announced_state_fetcher.h"
 #include "tier/control/poll_server.h"
 #include "tier/control/sample_config.h"
 #include "tier/control/virtual_environment.h"
@@ -37,16 +37,16 @@
 
 class StatePollerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StatePollerTest);
-  CPPUNIT_TEST(TestKeepsTwoPollsOpen);
-  CPPUNIT_TEST(TestSeedAnswersBeforeMembersAreKnown);
-  CPPUNIT_TEST(TestCutOffMemberKeepsNobodyBack);
-  CPPUNIT_TEST(TestChoosesAnewAfterDeathAndErrors);
-  CPPUNIT_TEST(TestNeverGoesBack);
-  CPPUNIT_TEST(TestNobodyGetsAFirstStateFromAPoll);
-  CPPUNIT_TEST(TestFirstStateIsAConfirmedOne);
-  CPPUNIT_TEST(TestAnswersLeaveOutWhatIsKnown);
-  CPPUNIT_TEST(TestFetchesWhatIsAnnounced);
-  CPPUNIT_TEST(TestFetchesNothingThatCameInTime);
+  CPPUNIT_TEST(KeepsTwoPollsOpen);
+  CPPUNIT_TEST(PollsSeedsBeforeMembersAreKnown);
+  CPPUNIT_TEST(IsolatedMemberDelaysNobody);
+  CPPUNIT_TEST(ChoosesOtherMembersAfterFailures);
+  CPPUNIT_TEST(VersionNeverDecreases);
+  CPPUNIT_TEST(PollNeverGivesInitialState);
+  CPPUNIT_TEST(InitialStateIsConfirmed);
+  CPPUNIT_TEST(UpdatesOmitKnownEntries);
+  CPPUNIT_TEST(FetchesAnnouncedVersion);
+  CPPUNIT_TEST(DoesNotFetchWhatWasPolledInTime);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -56,50 +56,51 @@
     for (const std::string name : {"n1", "n2", "n3"}) {
       servers_.push_back(std::make_unique<Server>(&time_, &network_, name));
     }
-    Know("n9", MemberInfo::kServesEdge);
+    AddMember("n9", MemberInfo::kServesEdge);
     // All know a first state, without a configuration.
     const auto empty = std::make_shared<const coordination::Map>();
     snapshots_.ApplyConfirmed({1, 0}, empty);
     for (auto& server : servers_) server->snapshots.ApplyConfirmed({1, 0}, empty);
     poller_ = std::make_unique<StatePoller>(&source_, &transport_, &snapshots_, &directory_);
-    fetch_ = std::make_unique<AnnouncedFetch>(&source_, &transport_, &snapshots_, &directory_);
+    state_fetcher_ =
+        std::make_unique<AnnouncedStateFetcher>(&source_, &transport_, &snapshots_, &directory_);
   }
   void tearDown() override {
     poller_.reset();
-    fetch_.reset();
+    state_fetcher_.reset();
     servers_.clear();
   }
 
-  void TestKeepsTwoPollsOpen() {
-    KnowAll();
+  void KeepsTwoPollsOpen() {
+    AddAllMembers();
     poller_->SetActive(true);
     time_.RunFor(10 * kMs);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(2), HeldTogether());
-    time_.RunFor(5 * kPollHold);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(2), HeldTogether());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(2), TotalPendingPolls());
+    time_.RunFor(5 * kMaxPollWait);
+    CPPUNIT_ASSERT_EQUAL(std::size_t(2), TotalPendingPolls());
     CPPUNIT_ASSERT_EQUAL(std::size_t(12), transport_.calls.size());
-    for (auto& server : servers_) CPPUNIT_ASSERT(server->polls.held() <= 1);
+    for (auto& server : servers_) CPPUNIT_ASSERT(server->polls.pending() <= 1);
     for (auto& server : servers_) server->snapshots.Apply({1, 1}, MapWith(4));
     time_.RunFor(2 * VirtualNetwork::kDelay);
     CPPUNIT_ASSERT_EQUAL(std::int64_t(4), snapshots_.current()->routes->version());
     poller_->SetActive(false);
-    time_.RunFor(2 * kPollHold);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(0), HeldTogether());
+    time_.RunFor(2 * kMaxPollWait);
+    CPPUNIT_ASSERT_EQUAL(std::size_t(0), TotalPendingPolls());
   }
 
-  void TestSeedAnswersBeforeMembersAreKnown() {
+  void PollsSeedsBeforeMembersAreKnown() {
     servers_[0]->snapshots.Apply({1, 1}, MapWith(4));
     poller_->SetActive(true);
     time_.RunFor(2 * VirtualNetwork::kDelay);
     CPPUNIT_ASSERT_EQUAL(std::int64_t(4), snapshots_.current()->routes->version());
   }
 
-  void TestCutOffMemberKeepsNobodyBack() {
-    KnowAll();
+  void IsolatedMemberDelaysNobody() {
+    AddAllMembers();
     poller_->SetActive(true);
     time_.RunFor(10 * kMs);
     for (auto& server : servers_) {
-      if (server->polls.held() == 0) continue;
+      if (server->polls.pending() == 0) continue;
       for (auto& other : servers_) {
         if (other != server) other->snapshots.Apply({1, 1}, MapWith(4));
       }
@@ -109,18 +110,18 @@
     CPPUNIT_ASSERT_EQUAL(Version({1, 1}).sequence, snapshots_.current()->version.sequence);
   }
 
-  void TestChoosesAnewAfterDeathAndErrors() {
-    KnowAll();
+  void ChoosesOtherMembersAfterFailures() {
+    AddAllMembers();
     poller_->SetActive(true);
     time_.RunFor(10 * kMs);
-    const std::size_t first = HeldBy(0) ? 0 : 1;
+    const std::size_t first = HasPendingPoll(0) ? 0 : 1;
     const std::string dead = "n" + std::to_string(first + 1);
     network_.Isolate(AddressOf(dead));
     members_[dead].status = MemberStatus::kDead;
     poller_->Refresh();
     time_.RunFor(10 * kMs);
     for (std::size_t i = 0; i < servers_.size(); ++i) {
-      if (i != first) CPPUNIT_ASSERT(HeldBy(i));
+      if (i != first) CPPUNIT_ASSERT(HasPendingPoll(i));
     }
     // Refused calls are not repeated without a pause.
     network_.Heal();
@@ -131,8 +132,8 @@
     CPPUNIT_ASSERT(transport_.calls.size() < 150);
   }
 
-  void TestNeverGoesBack() {
-    KnowAll();
+  void VersionNeverDecreases() {
+    AddAllMembers();
     servers_[0]->snapshots.Apply({2, 1}, MapWith(9));
     servers_[1]->snapshots.Apply({1, 8}, MapWith(8));
     servers_[2]->snapshots.Apply({1, 5}, MapWith(5));
@@ -150,7 +151,7 @@
         members_[name].status = live ? MemberStatus::kAlive : MemberStatus::kDead;
       }
       poller_->Refresh();
-      time_.RunFor(kPollHold);
+      time_.RunFor(kMaxPollWait);
     }
     CPPUNIT_ASSERT(last == Version({2, 1}));
     CPPUNIT_ASSERT(changes <= 3);
@@ -160,10 +161,10 @@
   }
 
   // Also not when something newer comes while the call is held.
-  void TestNobodyGetsAFirstStateFromAPoll() {
+  void PollNeverGivesInitialState() {
     servers_[0]->snapshots.Apply({1, 1}, MapWith(4));
-    for (const bool hold : {false, true}) {
-      const PollRequest request{{}, {}, hold};
+    for (const bool wait_for_update : {false, true}) {
+      const PollRequest request{{}, {}, wait_for_update};
       std::optional<StateUpdate> answer;
       transport_.Call(AddressOf("n1"), rpc::MessageType::kControlPoll, codec::Encode(request),
                       kSecond,
@@ -173,19 +174,19 @@
       CPPUNIT_ASSERT(!answer->present);
     }
     // A node that knows nothing has no poll open either, and takes nothing that was announced.
-    SnapshotStore ignorant;
-    AnnouncedFetch fetch(&source_, &transport_, &ignorant, &directory_);
-    KnowAll();
-    members_["n1"].versions[kAnnouncedName] = Packed({1, 1});
+    SnapshotStore uninitialized;
+    AnnouncedStateFetcher fetch(&source_, &transport_, &uninitialized, &directory_);
+    AddAllMembers();
+    members_["n1"].versions[kControlVersionName] = Packed({1, 1});
     transport_.calls.clear();
     fetch.MembersChanged({"n1"});
     time_.RunFor(5 * kSecond);
     CPPUNIT_ASSERT(transport_.calls.empty());
-    CPPUNIT_ASSERT(!ignorant.known());
+    CPPUNIT_ASSERT(!uninitialized.known());
   }
 
   // What came before is kept aside, and is in force afterwards if it is newer.
-  void TestFirstStateIsAConfirmedOne() {
+  void InitialStateIsConfirmed() {
     for (const int early : {3, 7}) {
       SnapshotStore store;
       int changes = 0;
@@ -204,7 +205,7 @@
     }
   }
 
-  void TestAnswersLeaveOutWhatIsKnown() {
+  void UpdatesOmitKnownEntries() {
     auto map = std::make_shared<coordination::Map>(*MapWith(4));
     (*map)[kStoresKey] = {"placement", 1};
     const StateUpdate whole = UpdateFor({}, {1, 2}, *map);
@@ -218,11 +219,11 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), snapshots_.current()->stores_revision);
   }
 
-  void TestFetchesWhatIsAnnounced() {
-    KnowAll();
+  void FetchesAnnouncedVersion() {
+    AddAllMembers();
     servers_[2]->snapshots.Apply({1, 7}, MapWith(7));
-    members_["n3"].versions[kAnnouncedName] = Packed({1, 7});
-    fetch_->MembersChanged({"n3"});
+    members_["n3"].versions[kControlVersionName] = Packed({1, 7});
+    state_fetcher_->MembersChanged({"n3"});
     time_.RunFor(90 * kMs);
     CPPUNIT_ASSERT(transport_.calls.empty());
     time_.RunFor(20 * kMs);
@@ -231,10 +232,10 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), transport_.calls.size());
   }
 
-  void TestFetchesNothingThatCameInTime() {
-    KnowAll();
-    members_["n3"].versions[kAnnouncedName] = Packed({1, 7});
-    fetch_->MembersChanged({"n3"});
+  void DoesNotFetchWhatWasPolledInTime() {
+    AddAllMembers();
+    members_["n3"].versions[kControlVersionName] = Packed({1, 7});
+    state_fetcher_->MembersChanged({"n3"});
     time_.RunFor(50 * kMs);
     snapshots_.Apply({1, 7}, MapWith(7));
     time_.RunFor(10 * kSecond);
@@ -242,20 +243,20 @@
   }
 
  private:
-  void Know(const std::string& name, std::uint8_t roles) {
+  void AddMember(const std::string& name, std::uint8_t roles) {
     coordination::Member& member = members_[name];
     member.info.name = name;
     member.info.address = AddressOf(name);
     member.info.roles = roles;
   }
-  void KnowAll() {
-    for (const std::string name : {"n1", "n2", "n3"}) Know(name, MemberInfo::kQuorumMember);
+  void AddAllMembers() {
+    for (const std::string name : {"n1", "n2", "n3"}) AddMember(name, MemberInfo::kQuorumMember);
   }
-  bool HeldBy(std::size_t index) const { return servers_[index]->polls.held() > 0; }
-  std::size_t HeldTogether() const {
-    std::size_t held = 0;
-    for (const auto& server : servers_) held += server->polls.held();
-    return held;
+  bool HasPendingPoll(std::size_t index) const { return servers_[index]->polls.pending() > 0; }
+  std::size_t TotalPendingPolls() const {
+    std::size_t pending = 0;
+    for (const auto& server : servers_) pending += server->polls.pending();
+    return pending;
   }
 
   VirtualTime time_;
@@ -267,7 +268,7 @@
   MemberDirectory directory_{&members_, "n9", {AddressOf("n1"), AddressOf("n2")}};
   std::vector<std::unique_ptr<Server>> servers_;
   std::unique_ptr<StatePoller> poller_;
-  std::unique_ptr<AnnouncedFetch> fetch_;
+  std::unique_ptr<AnnouncedStateFetcher> state_fetcher_;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(StatePollerTest);
--- a/tests/tier/control/virtual_environment.h
+++ b/tests/tier/control/virtual_environment.h
@@ -107,10 +107,10 @@
 
   explicit VirtualNetwork(VirtualTime* time) : time_(time) {}
   VirtualTime* time() const { return time_; }
-  void Join(const std::string& address, VirtualTransport* transport) {
+  void Attach(const std::string& address, VirtualTransport* transport) {
     nodes_[address] = transport;
   }
-  void Part(const std::string& address, VirtualTransport* transport) {
+  void Detach(const std::string& address, VirtualTransport* transport) {
     if (Find(address) == transport) nodes_.erase(address);
   }
   VirtualTransport* Find(const std::string& address) const {
@@ -125,15 +125,17 @@
   Micros far_delay = kDelay;
 
   // Between these two nothing comes through, and nobody is told.
-  void Partition(const std::string& a, const std::string& b) { cuts_.insert(std::minmax(a, b)); }
+  void Partition(const std::string& a, const std::string& b) {
+    partitions_.insert(std::minmax(a, b));
+  }
   // The same for what is sent that way alone.
   void PartitionOneWay(const std::string& from, const std::string& to) {
-    one_way_.insert({from, to});
+    one_way_partitions_.insert({from, to});
   }
   void Isolate(const std::string& address) { isolated_.insert(address); }
   void Heal() {
-    cuts_.clear();
-    one_way_.clear();
+    partitions_.clear();
+    one_way_partitions_.clear();
     isolated_.clear();
   }
   // From now on each message is lost with that probability.
@@ -146,13 +148,14 @@
   bool IsConnected(const std::string& a, const std::string& b) const {
     if (a == b) return true;
     const bool isolated = isolated_.count(a) + isolated_.count(b) > 0;
-    return !isolated && one_way_.count({a, b}) == 0 && cuts_.count(std::minmax(a, b)) == 0;
+    return !isolated && one_way_partitions_.count({a, b}) == 0 &&
+           partitions_.count(std::minmax(a, b)) == 0;
   }
 
  private:
   VirtualTime* time_;
   std::map<std::string, VirtualTransport*> nodes_;
-  std::set<std::pair<std::string, std::string>> cuts_, one_way_;
+  std::set<std::pair<std::string, std::string>> partitions_, one_way_partitions_;
   std::set<std::string> isolated_;
   double loss_ = 0;
   std::mt19937_64 random_;
@@ -164,19 +167,19 @@
   VirtualDisk(VirtualTime* time, std::string id, Micros sync_time = 2000)
       : time_(time), id_(std::move(id)), sync_time_(sync_time) {}
   void Commit(std::vector<storage::Write> batch, std::function<void(absl::Status)> done) override {
-    time_->After(sync_time_,
-                 [this, life = life_, batch = std::move(batch), done = std::move(done)] {
-                   if (life != life_) return;
-                   if (full_) return done(absl::ResourceExhaustedError("no space left"));
-                   for (const storage::Write& write : batch) {
-                     if (write.erase) {
-                       records_.erase(write.key);
-                     } else {
-                       records_[write.key] = write.value;
-                     }
-                   }
-                   done(absl::OkStatus());
-                 });
+    time_->After(sync_time_, [this, incarnation = incarnation_, batch = std::move(batch),
+                              done = std::move(done)] {
+      if (incarnation != incarnation_) return;
+      if (full_) return done(absl::ResourceExhaustedError("no space left"));
+      for (const storage::Write& write : batch) {
+        if (write.erase) {
+          records_.erase(write.key);
+        } else {
+          records_[write.key] = write.value;
+        }
+      }
+      done(absl::OkStatus());
+    });
   }
   absl::StatusOr<std::string> Get(std::string_view key) const override {
     const auto found = records_.find(std::string(key));
@@ -193,13 +196,13 @@
   const std::string& disk_id() const override { return id_; }
   bool was_empty() const override { return records_.empty(); }
   // All that is on it, and an earlier copy of that put back in its place.
-  std::map<std::string, std::string> Copy() const { return records_; }
-  void PutBack(std::map<std::string, std::string> records) {
-    ++life_;
+  std::map<std::string, std::string> Records() const { return records_; }
+  void Restore(std::map<std::string, std::string> records) {
+    ++incarnation_;
     records_ = std::move(records);
   }
   // What is not synced yet is lost, and nobody is told.
-  void LosePower() { ++life_; }
+  void LosePower() { ++incarnation_; }
   // While full, each write fails and leaves nothing.
   void SetFull(bool full) { full_ = full; }
 
@@ -207,7 +210,7 @@
   VirtualTime* time_;
   std::string id_;
   bool full_ = false;
-  std::uint64_t life_ = 0;
+  std::uint64_t incarnation_ = 0;
   const Micros sync_time_;
   std::map<std::string, std::string> records_;
 };
--- a/tests/tier/rpc/transport_test.cpp
+++ b/tests/tier/rpc/transport_test.cpp
@@ -19,20 +19,20 @@
 
 class FrameTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FrameTest);
-  CPPUNIT_TEST(FramesAreReadWhereverTheyAreCut);
-  CPPUNIT_TEST(BadFramesAreToldApart);
+  CPPUNIT_TEST(ReadsFramesSplitAnywhere);
+  CPPUNIT_TEST(RejectsInvalidFrames);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void FramesAreReadWhereverTheyAreCut() {
+  void ReadsFramesSplitAnywhere() {
     std::string bytes;
     AppendFrame({FrameKind::kRequest, 7, 42, "first"}, &bytes);
     AppendFrame({FrameKind::kError, 3, 43, ""}, &bytes);
-    for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
+    for (std::size_t split = 0; split <= bytes.size(); ++split) {
       FrameReader reader;
       std::vector<std::string> seen;
       Frame frame;
-      for (const std::string& part : {bytes.substr(0, cut), bytes.substr(cut)}) {
+      for (const std::string& part : {bytes.substr(0, split), bytes.substr(split)}) {
         reader.Feed(part);
         while (reader.Next(&frame) == FrameReader::State::kFrame)
           seen.push_back(std::to_string(frame.call) + std::string(frame.body));
@@ -41,7 +41,7 @@
     }
   }
 
-  void BadFramesAreToldApart() {
+  void RejectsInvalidFrames() {
     std::string good;
     AppendFrame({FrameKind::kResponse, 0, 1, "x"}, &good);
     std::string bad_kind = good, bad_length = good;
@@ -51,18 +51,18 @@
     for (const std::string& bytes : {bad_kind, bad_length}) {
       FrameReader reader;
       reader.Feed(bytes);
-      CPPUNIT_ASSERT(reader.Next(&frame) == FrameReader::State::kBad);
+      CPPUNIT_ASSERT(reader.Next(&frame) == FrameReader::State::kInvalid);
     }
   }
 };
 
-class MeshTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(MeshTest);
-  CPPUNIT_TEST(ACallIsAnsweredAlsoLater);
-  CPPUNIT_TEST(AnErrorComesBackWithItsCode);
-  CPPUNIT_TEST(ACallThatNobodyAnswersEndsInTime);
-  CPPUNIT_TEST(ACallToNobodyIsUnavailableButNeverFromInsideCall);
-  CPPUNIT_TEST(ADatagramNamesItsSender);
+class TransportTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(TransportTest);
+  CPPUNIT_TEST(RespondsImmediatelyOrLater);
+  CPPUNIT_TEST(ReturnsHandlerErrorWithItsCode);
+  CPPUNIT_TEST(CallTimesOutWithoutResponse);
+  CPPUNIT_TEST(FailsUnreachableCallAsynchronously);
+  CPPUNIT_TEST(DatagramCarriesSenderAddress);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -83,14 +83,14 @@
     address_ = "127.0.0.1:" + std::to_string(port_);
   }
 
-  void ACallIsAnsweredAlsoLater() {
-    std::vector<Respond> kept;
+  void RespondsImmediatelyOrLater() {
+    std::vector<Respond> deferred;
     server_->Handle(MessageType::kChain,
                     [&](const std::string& from, std::string_view body, Respond respond) {
                       CPPUNIT_ASSERT_EQUAL(std::string("127.0.0.1"), from);
-                      if (body == "later") return kept.push_back(std::move(respond));
+                      if (body == "later") return deferred.push_back(std::move(respond));
                       respond("now:" + std::string(body));
-                      if (!kept.empty()) kept.front()(std::string("at last"));
+                      if (!deferred.empty()) deferred.front()(std::string("at last"));
                     });
     std::vector<std::string> answers;
     for (const char* body : {"later", "a"})
@@ -100,7 +100,7 @@
     CPPUNIT_ASSERT((answers == std::vector<std::string>{"now:a", "at last"}));
   }
 
-  void AnErrorComesBackWithItsCode() {
+  void ReturnsHandlerErrorWithItsCode() {
     server_->Handle(MessageType::kBatchJobRead,
                     [](const std::string&, std::string_view, Respond respond) {
                       respond(absl::FailedPreconditionError("not the primary"));
@@ -117,7 +117,7 @@
     CPPUNIT_ASSERT(absl::IsUnimplemented(status));
   }
 
-  void ACallThatNobodyAnswersEndsInTime() {
+  void CallTimesOutWithoutResponse() {
     server_->Handle(MessageType::kChain, [](const std::string&, std::string_view, Respond) {});
     absl::Status status;
     client_->Call(address_, MessageType::kChain, "x", 20 * kMs,
@@ -126,7 +126,7 @@
     CPPUNIT_ASSERT(absl::IsDeadlineExceeded(status));
   }
 
-  void ACallToNobodyIsUnavailableButNeverFromInsideCall() {
+  void FailsUnreachableCallAsynchronously() {
     for (const char* address : {"127.0.0.1:1", "no address"}) {
       absl::Status status;
       client_->Call(address, MessageType::kChain, "x", kSecond,
@@ -137,7 +137,7 @@
     }
   }
 
-  void ADatagramNamesItsSender() {
+  void DatagramCarriesSenderAddress() {
     std::string got;
     server_->HandleDatagrams([&](const std::string& from, std::string_view body) {
       got = from + " " + std::string(body);
@@ -155,7 +155,7 @@
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(FrameTest);
-CPPUNIT_TEST_SUITE_REGISTRATION(MeshTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(TransportTest);
 
 }  // namespace
 }  // namespace pearreach::rpc
--- a/tests/tier/storage/power_loss_test.cpp
+++ b/tests/tier/storage/power_loss_test.cpp
@@ -24,24 +24,24 @@
 
 class PowerLossTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PowerLossTest);
-  CPPUNIT_TEST(AnAbandonedStoreIsReadable);
-  CPPUNIT_TEST(LaterPagesWithoutTheirRootAreIgnored);
-  CPPUNIT_TEST(ARootTornAnywhereLeavesOneState);
-  CPPUNIT_TEST(ATornTailIsIgnored);
-  CPPUNIT_TEST(AShortFileWithAllItsPagesIsWhole);
-  CPPUNIT_TEST(AFileCutOffIsReported);
-  CPPUNIT_TEST(DamagedRootsAreReported);
-  CPPUNIT_TEST(AHalfMadeFileIsMadeAnew);
+  CPPUNIT_TEST(ReadsUnclosedStore);
+  CPPUNIT_TEST(IgnoresNewPagesWithoutTheirRoot);
+  CPPUNIT_TEST(TornRootPageLeavesOneState);
+  CPPUNIT_TEST(IgnoresTornTail);
+  CPPUNIT_TEST(AcceptsShortFileWithAllUsedPages);
+  CPPUNIT_TEST(ReportsTruncatedFile);
+  CPPUNIT_TEST(ReportsDamagedRoots);
+  CPPUNIT_TEST(RecreatesHalfCreatedFile);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void AnAbandonedStoreIsReadable() {
+  void ReadsUnclosedStore() {
     const Images images = TwoCommits();
     CPPUNIT_ASSERT_EQUAL(std::string("old"), StateOf(images.before));
     CPPUNIT_ASSERT_EQUAL(std::string("new"), StateOf(images.after));
   }
 
-  void LaterPagesWithoutTheirRootAreIgnored() {
+  void IgnoresNewPagesWithoutTheirRoot() {
     const Images images = TwoCommits();
     std::minstd_rand random(1);
     for (int round = 0; round < 40; ++round) {
@@ -54,7 +54,7 @@
     }
   }
 
-  void ARootTornAnywhereLeavesOneState() {
+  void TornRootPageLeavesOneState() {
     const Images images = TwoCommits();
     const std::size_t roots = kRootPages * kPageBytes;
     const auto first =
@@ -72,14 +72,14 @@
     }
   }
 
-  void ATornTailIsIgnored() {
+  void IgnoresTornTail() {
     const Images images = TwoCommits();
     for (const std::size_t bytes : {std::size_t{1}, kSectorBytes, kPageBytes, 3 * kPageBytes + 7}) {
       CPPUNIT_ASSERT_EQUAL(std::string("new"), StateOf(images.after + std::string(bytes, '\xa5')));
     }
   }
 
-  void AShortFileWithAllItsPagesIsWhole() {
+  void AcceptsShortFileWithAllUsedPages() {
     const Folder folder;
     auto store = Open(folder);
     const std::string value(100000, 'v');
@@ -93,7 +93,7 @@
     CPPUNIT_ASSERT(image.size() < value.size());  // else this shows nothing
   }
 
-  void AFileCutOffIsReported() {
+  void ReportsTruncatedFile() {
     const Images images = TwoCommits();
     const std::size_t pages = images.after.size() / kPageBytes;
     for (std::size_t held = kRootPages; held < pages; ++held) {
@@ -105,7 +105,7 @@
     }
   }
 
-  void DamagedRootsAreReported() {
+  void ReportsDamagedRoots() {
     const Images images = TwoCommits();
     std::string damaged = images.after;
     damaged.replace(0, kRootPages * kPageBytes, kRootPages * kPageBytes, '\xa5');
@@ -119,7 +119,7 @@
     }
   }
 
-  void AHalfMadeFileIsMadeAnew() {
+  void RecreatesHalfCreatedFile() {
     const Folder folder;
     std::ofstream(folder.path() + "/tables.new") << "half of a file";
     auto store = Open(folder);
--- a/tests/tier/storage/table_store_test.cpp
+++ b/tests/tier/storage/table_store_test.cpp
@@ -14,16 +14,16 @@
 class TableStoreTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TableStoreTest);
   CPPUNIT_TEST(ReadsWhatWasCommitted);
-  CPPUNIT_TEST(VisitsAPrefixInOrder);
-  CPPUNIT_TEST(AVisitorMayReadAndCommit);
-  CPPUNIT_TEST(ReportsInTheOrderOfTheCommits);
-  CPPUNIT_TEST(AppliesABatchAsAWholeOrNotAtAll);
-  CPPUNIT_TEST(NamesTheDiskOnce);
-  CPPUNIT_TEST(FinishesQueuedBatchesAtItsEnd);
-  CPPUNIT_TEST(ACallMayDestroyTheStore);
-  CPPUNIT_TEST(KeepsLargeValues);
-  CPPUNIT_TEST(AFullFileRefusesAndIsEmptied);
-  CPPUNIT_TEST(RefusesAFolderThatCannotBe);
+  CPPUNIT_TEST(VisitsKeysOfPrefixInOrder);
+  CPPUNIT_TEST(VisitorMayReadAndCommit);
+  CPPUNIT_TEST(CallsBackInCommitOrder);
+  CPPUNIT_TEST(AppliesBatchAtomically);
+  CPPUNIT_TEST(KeepsDiskIdOverReopening);
+  CPPUNIT_TEST(WritesQueuedBatchesBeforeDestruction);
+  CPPUNIT_TEST(CallbackMayDestroyStore);
+  CPPUNIT_TEST(StoresLargeValues);
+  CPPUNIT_TEST(RejectsPutsWhenFullAndAllowsErases);
+  CPPUNIT_TEST(RejectsInvalidFolder);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -40,7 +40,7 @@
     CPPUNIT_ASSERT(CommitAndWait(store.get(), {}).ok());
   }
 
-  void VisitsAPrefixInOrder() {
+  void VisitsKeysOfPrefixInOrder() {
     const Folder folder;
     auto store = Open(folder);
     CPPUNIT_ASSERT(
@@ -50,7 +50,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), Listed(*store, "d"));
   }
 
-  void AVisitorMayReadAndCommit() {
+  void VisitorMayReadAndCommit() {
     const Folder folder;
     auto store = Open(folder);
     Put(store.get(), "a", "1");
@@ -63,7 +63,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("a=1 b=2 "), Listed(*store, ""));
   }
 
-  void ReportsInTheOrderOfTheCommits() {
+  void CallsBackInCommitOrder() {
     const Folder folder;
     auto store = Open(folder);
     constexpr int kCommits = 500;
@@ -80,7 +80,7 @@
     CPPUNIT_ASSERT_EQUAL(std::to_string(kCommits - 1), ValueOf(*store, "key"));
   }
 
-  void AppliesABatchAsAWholeOrNotAtAll() {
+  void AppliesBatchAtomically() {
     const Folder folder;
     auto store = Open(folder);
     const std::string too_long(5000, 'k');
@@ -96,7 +96,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("a=1 d=1 "), Listed(*store, ""));
   }
 
-  void NamesTheDiskOnce() {
+  void KeepsDiskIdOverReopening() {
     const Folder folder, other;
     auto store = Open(folder);
     const std::string disk_id = store->disk_id();
@@ -111,7 +111,7 @@
     CPPUNIT_ASSERT(Open(other)->disk_id() != disk_id);
   }
 
-  void FinishesQueuedBatchesAtItsEnd() {
+  void WritesQueuedBatchesBeforeDestruction() {
     const Folder folder;
     auto store = Open(folder);
     const auto none = [](absl::Status) { CPPUNIT_FAIL("called after the end"); };
@@ -125,7 +125,7 @@
     }
   }
 
-  void ACallMayDestroyTheStore() {
+  void CallbackMayDestroyStore() {
     const Folder folder;
     auto store = Open(folder);
     store->Commit({{"a", "1"}}, [&](absl::Status) { store.reset(); });
@@ -133,7 +133,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("1"), ValueOf(*Open(folder), "a"));
   }
 
-  void KeepsLargeValues() {
+  void StoresLargeValues() {
     const Folder folder;
     auto store = Open(folder);
     const std::string large(3 << 20, 'x'), larger((3 << 20) + 1, 'y');
@@ -146,7 +146,7 @@
     CPPUNIT_ASSERT(ValueOf(*store, "b") == larger);
   }
 
-  void AFullFileRefusesAndIsEmptied() {
+  void RejectsPutsWhenFullAndAllowsErases() {
     const Folder folder;
     constexpr std::size_t kSmall = 1 << 20;
     auto store = Open(folder, kSmall);
@@ -162,12 +162,12 @@
     const Space full = store->space();
     CPPUNIT_ASSERT(full.used_bytes <= full.limit_bytes && full.limit_bytes < kSmall);
     CPPUNIT_ASSERT(full.used_bytes > full.limit_bytes * 8 / 10);
-    AssertKept(*store, kept, value);
+    AssertStored(*store, kept, value);
     store.reset();
     CPPUNIT_ASSERT(folder.ReadTables().size() <= kSmall);
     store = Open(folder, kSmall);
     CPPUNIT_ASSERT_EQUAL(full.used_bytes, store->space().used_bytes);
-    AssertKept(*store, kept, value);
+    AssertStored(*store, kept, value);
     for (int i = 0; i < kept; ++i) {
       status = CommitAndWait(store.get(), {{"key" + std::to_string(i), "", true}});
       CPPUNIT_ASSERT_MESSAGE(status.ToString(), status.ok());
@@ -178,7 +178,7 @@
     CPPUNIT_ASSERT(folder.ReadTables().size() <= kSmall);
   }
 
-  void RefusesAFolderThatCannotBe() {
+  void RejectsInvalidFolder() {
     CPPUNIT_ASSERT(!OpenTableStore("", kCapacity).ok());
     CPPUNIT_ASSERT(!OpenTableStore("/dev/null/data", kCapacity).ok());
     CPPUNIT_ASSERT(!OpenTableStore("/tmp", 1).ok());
@@ -193,7 +193,7 @@
     return listed;
   }
 
-  static void AssertKept(const TableStore& store, int kept, const std::string& value) {
+  static void AssertStored(const TableStore& store, int kept, const std::string& value) {
     for (int i = 0; i < kept; ++i) {
       CPPUNIT_ASSERT_EQUAL(value, ValueOf(store, "key" + std::to_string(i)));
     }
