--- a/src/tier/control/config_replace_request.cpp
+++ b/src/tier/control/config_replace_request.cpp
@@ -147,7 +147,7 @@
 }
 
 void ConfigReplaceRequest::RespondCommitted() {
-  logging::Info("control", "configuration taken", {logging::F("version_no", version_)});
+  logging::Info("control", "configuration committed", {logging::F("version_no", version_)});
   RespondJson(exchange_.get(), 200, fmt::format("{{\"version_no\":{}}}", version_));
 }
 
--- a/src/tier/control/control_node.cpp
+++ b/src/tier/control/control_node.cpp
@@ -214,7 +214,7 @@
   time_->Cancel(&seed_wait_timer_);
   std::string names;
   for (const auto& member : *bootstrap_members) names += member.name + " ";
-  logging::Info("control", "founders of the first view", {logging::F("names", names)});
+  logging::Info("control", "bootstrap members of the first view", {logging::F("names", names)});
   replica_->SetFounders(*std::move(bootstrap_members));
 }
 
--- a/src/tier/control/disk_rollback_detector.cpp
+++ b/src/tier/control/disk_rollback_detector.cpp
@@ -24,8 +24,8 @@
   reporting_members_.insert(member);
   if (is_rolled_back_ || !IsRolledBack(writer_->found(), OwnUse(), reported)) return;
   is_rolled_back_ = true;
-  logging::Error("control", "the disk was put back in time",
-                 {logging::F("heard_by", member), logging::F("heard_writes", reported.writes),
+  logging::Error("control", "the disk was rolled back to an earlier state",
+                 {logging::F("reported_by", member), logging::F("reported_writes", reported.writes),
                   logging::F("found_writes", writer_->found().writes)});
 }
 
--- a/src/tier/control/record_writer.cpp
+++ b/src/tier/control/record_writer.cpp
@@ -53,14 +53,14 @@
   is_committing_ = false;
   Batch batch = std::exchange(committing_, {});
   if (status.ok()) {
-    if (std::exchange(failing_, false)) logging::Info(kModule, "records can be written again", {});
+    if (std::exchange(failing_, false)) logging::Info(kModule, "records are written again", {});
     synced_ = use_;
     synced_callback_(batch.tokens);
     if (!pending_.tokens.empty() && !is_committing_) CommitNext();
     return;
   }
   if (!std::exchange(failing_, true)) {
-    logging::Error(kModule, "records cannot be written, trying again",
+    logging::Error(kModule, "writing records failed, retrying",
                    {logging::F("error", status.ToString())});
   }
   for (auto& [key, value] : pending_.records) batch.records[key] = std::move(value);
--- a/src/tier/control/singleton_role_driver.cpp
+++ b/src/tier/control/singleton_role_driver.cpp
@@ -41,8 +41,8 @@
         if (!*alive) return;
         role_.ClaimEnded(outcome.status, outcome.revision);
         if (is_owner()) {
-          logging::Info("control", "duty taken",
-                        {logging::F("duty", key_), logging::F("epoch", role_.record().epoch)});
+          logging::Info("control", "singleton role acquired",
+                        {logging::F("role", key_), logging::F("epoch", role_.record().epoch)});
         }
         changed_();
       });
--- a/src/tier/storage/table_store.cpp
+++ b/src/tier/storage/table_store.cpp
@@ -51,7 +51,7 @@
       const override {
     const absl::Status status = environment_->ForEach(prefix, visit);
     if (status.ok()) return;
-    logging::Error("disk", "tables not read to the end", {logging::F("error", status.ToString())});
+    logging::Error("disk", "reading the tables failed", {logging::F("error", status.ToString())});
   }
 
   Space space() const override { return environment_->space(); }
