--- a/src/tier/codec/archive.h
+++ b/src/tier/codec/archive.h
@@ -1,6 +1,6 @@
-// Typed messages between the system's own processes as bytes, by Boost.Serialization. Every message
-// is a struct with a `serialize(Archive&, unsigned version)` member. Decoding never trusts the
-// bytes: anything that does not read whole is an error.
+// Encodes typed messages and records as bytes, by Boost.Serialization. Each is a struct with a
+// `serialize(Archive&, unsigned version)` member, whose order of fields is the format. Decoding
+// does not trust the bytes: whatever is not a complete message is an error. Thread-safe.
 #ifndef PEARREACH_SRC_TIER_CODEC_ARCHIVE_H_
 #define PEARREACH_SRC_TIER_CODEC_ARCHIVE_H_
 
@@ -29,6 +29,7 @@
 
 constexpr unsigned kArchiveFlags = boost::archive::no_header | boost::archive::no_codecvt;
 
+// Never fails.
 template <class Message>
 std::string Encode(const Message& message) {
   std::string bytes;
@@ -42,7 +43,7 @@
 
 namespace internal {
 
-// Reads bytes where they lie.
+// Reads the bytes in place. They must outlive the buffer.
 class MemoryBuffer : public std::streambuf {
  public:
   explicit MemoryBuffer(std::string_view bytes) {
@@ -56,8 +57,8 @@
 using BoundedInputBase =
     boost::archive::binary_iarchive_impl<BoundedInput, char, std::char_traits<char>>;
 
-// A binary archive that believes no length beyond the bytes that are left: the library makes room
-// for what a length tells before it reads.
+// A binary archive that rejects lengths beyond the remaining bytes, as the library allocates memory
+// for a length before it reads.
 class BoundedInput : public BoundedInputBase {
  public:
   explicit BoundedInput(MemoryBuffer* buffer)
@@ -105,11 +106,12 @@
 }  // namespace internal
 }  // namespace pearreach::codec
 
-// Without it lists of numbers would be read in another form than the one they are written in.
+// Without this, vectors of numbers would be read in another form than they are written in.
 BOOST_SERIALIZATION_USE_ARRAY_OPTIMIZATION(pearreach::codec::internal::BoundedInput)
 
 namespace pearreach::codec {
 
+// INVALID_ARGUMENT: `bytes` do not begin with a complete message of that type.
 template <class Message>
 absl::StatusOr<Message> Decode(std::string_view bytes) {
   try {
--- a/src/tier/rpc/datagram_socket.cpp
+++ b/src/tier/rpc/datagram_socket.cpp
@@ -30,15 +30,18 @@
   close(fd_);
 }
 
-std::string DatagramSocket::Open(const std::string& ip, int port) {
+absl::Status DatagramSocket::Open(const std::string& ip, int port) {
   sockaddr_in address;
-  if (!ParseAddress(ip, port, &address)) return "'" + ip + "' is no IPv4 address";
+  if (!ParseAddress(ip, port, &address))
+    return absl::InvalidArgumentError("'" + ip + "' is no IPv4 address");
   fd_ = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd_ < 0) return std::strerror(errno);
+  if (fd_ < 0) return absl::ErrnoToStatus(errno, "socket");
   if (bind(fd_, reinterpret_cast<sockaddr*>(&address), sizeof address) != 0)
-    return std::strerror(errno);
-  if (!Poller::Default().Set(fd_, EPOLLIN, this)) return "the poller takes no more descriptors";
-  return "";
+    return absl::ErrnoToStatus(errno, "bind");
+  if (!Poller::Default().Set(fd_, EPOLLIN, this)) {
+    return absl::ResourceExhaustedError("no more descriptors can be watched");
+  }
+  return absl::OkStatus();
 }
 
 void DatagramSocket::Send(const std::string& address, std::string_view bytes) {
@@ -61,7 +64,7 @@
     if (n < 0) return;
     char ip[INET_ADDRSTRLEN] = "";
     inet_ntop(AF_INET, &from.sin_addr, ip, sizeof ip);
-    if (received) received(ip, std::string_view(buffer, static_cast<std::size_t>(n)));
+    if (receiver_) receiver_(ip, std::string_view(buffer, static_cast<std::size_t>(n)));
   }
 }
 
--- a/src/tier/rpc/frame.h
+++ b/src/tier/rpc/frame.h
@@ -1,4 +1,5 @@
-// Frames on a mesh connection: a fixed head (length, kind, message type, call id), then the body.
+// Frames on a connection between nodes: a header of fixed size (length, kind, message type, call
+// id) and the body. Integers are little-endian. No I/O.
 #ifndef PEARREACH_SRC_TIER_RPC_FRAME_H_
 #define PEARREACH_SRC_TIER_RPC_FRAME_H_
 
@@ -18,17 +19,20 @@
 };
 
 constexpr std::size_t kFrameHeaderBytes = 14;
-constexpr std::size_t kMaxFrameBytes = 32u
-                                       << 20;  // bytes of a body; a longer one ends the connection
+// Of a body; a longer one ends the connection.
+constexpr std::size_t kMaxFrameBytes = 32u << 20;
 
 void AppendFrame(const Frame& frame, std::string* out);
 
-// Cuts frames out of a stream of bytes.
+// Splits a stream of bytes into frames.
 class FrameReader {
  public:
+  // kIncomplete: more bytes are needed.
   enum class State { kIncomplete, kFrame, kInvalid };
 
+  // Appends what was received. Invalidates the bodies of earlier frames.
   void Feed(std::string_view bytes);
+  // Sets `*frame` if the result is kFrame. After kInvalid the stream cannot be read any further.
   State Next(Frame* frame);
 
  private:
--- a/src/tier/rpc/transport.cpp
+++ b/src/tier/rpc/transport.cpp
@@ -16,7 +16,8 @@
 namespace pearreach::rpc {
 namespace {
 
-constexpr int kUserTimeoutMs = 2000;  // bytes that nobody acknowledges for so long end a connection
+// A connection is closed once sent bytes stay unacknowledged for so long.
+constexpr int kUserTimeoutMs = 2000;
 constexpr Micros kConnectTimeout = 500 * kMs;
 
 std::string PeerIp(int fd) {
@@ -33,19 +34,19 @@
   (void)setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &value, sizeof value);
 }
 
-// The calling side of one connection, kept and opened again as calls need it.
+// The client side of the connection to one address, opened again when a call needs it.
 class Channel {
  public:
   Channel(std::string address, Timers* timers) : address_(std::move(address)), timers_(timers) {}
   ~Channel() { Close(); }
 
-  void Call(MessageType type, std::string body, Micros timeout, Done done) {
+  void Call(MessageType type, std::string_view body, Micros timeout, Done done) {
     const std::uint64_t id = ++last_call_;
     PendingCall pending{std::move(done), 0, Now()};
     pending.timer = timers_->After(timeout, [this, id] { Expire(id); });
     pending_.emplace(id, std::move(pending));
     if (stream_ == nullptr && !Open()) {
-      // The failure is told from the loop, never from inside Call.
+      // The failure is reported from the loop, never from inside Call.
       PendingCall& failed = pending_.at(id);
       timers_->Cancel(&failed.timer);
       failed.timer = timers_->After(
@@ -111,18 +112,18 @@
     if (found == pending_.end()) return;
     const bool unresponsive = last_received_ < found->second.sent;
     Complete(id, absl::DeadlineExceededError("no answer in time"));
-    // Nothing at all has come since that call: the way there may be cut, so the next call gets a
-    // connection of its own rather than waiting behind what is stuck.
+    // Nothing at all has arrived since that call: the network may be partitioned, so the next call
+    // gets a new connection rather than waiting behind bytes that are stuck.
     if (unresponsive && stream_ != nullptr) CloseAndFailPending();
   }
 
-  void Complete(std::uint64_t id, absl::StatusOr<std::string> answer) {
+  void Complete(std::uint64_t id, absl::StatusOr<std::string> response) {
     const auto found = pending_.find(id);
     if (found == pending_.end()) return;
     PendingCall pending = std::move(found->second);
     pending_.erase(found);
     timers_->Cancel(&pending.timer);
-    pending.done(std::move(answer));
+    pending.done(std::move(response));
   }
 
   void ScheduleClose() {
@@ -160,21 +161,21 @@
   bool connected_ = false;
 };
 
-// The answering side of one connection.
+// The server side of one connection.
 struct ServerConnection : std::enable_shared_from_this<ServerConnection> {
   std::shared_ptr<Stream> stream;
   FrameReader reader;
   std::string peer_ip;
 
-  void SendResponse(std::uint64_t call, const absl::StatusOr<std::string>& answer) {
+  void SendResponse(std::uint64_t call, const absl::StatusOr<std::string>& response) {
     if (!stream->open()) return;
     std::string frame;
-    const std::string message(answer.status().message());
-    if (answer.ok())
-      AppendFrame({FrameKind::kResponse, 0, call, *answer}, &frame);
+    const std::string message(response.status().message());
+    if (response.ok())
+      AppendFrame({FrameKind::kResponse, 0, call, *response}, &frame);
     else
       AppendFrame(
-          {FrameKind::kError, static_cast<std::uint8_t>(answer.status().code()), call, message},
+          {FrameKind::kError, static_cast<std::uint8_t>(response.status().code()), call, message},
           &frame);
     stream->Write(frame);
   }
@@ -184,15 +185,15 @@
  public:
   explicit SocketTransport(Timers* timers)
       : timers_(timers),
-        listener_([this](std::shared_ptr<Stream> stream) { Accept(std::move(stream)); }) {}
+        listener_([this](const std::shared_ptr<Stream>& stream) { Accept(stream); }) {}
 
   ~SocketTransport() override {
     for (const auto& connection : connections_) connection->stream->Close();
   }
 
-  std::string Open(const std::string& ip, int port) {
-    std::string wrong = listener_.Open(ip + ":" + std::to_string(port));
-    return wrong.empty() ? datagrams_.Open(ip, port) : wrong;
+  absl::Status Open(const std::string& ip, int port) {
+    const std::string error = listener_.Open(ip + ":" + std::to_string(port));
+    return error.empty() ? datagrams_.Open(ip, port) : absl::UnavailableError(error);
   }
 
   void Handle(MessageType type, Handler handler) override {
@@ -203,18 +204,18 @@
             Done done) override {
     std::unique_ptr<Channel>& channel = channels_[address];
     if (channel == nullptr) channel = std::make_unique<Channel>(address, timers_);
-    channel->Call(type, std::move(body), timeout, std::move(done));
+    channel->Call(type, body, timeout, std::move(done));
   }
 
   void HandleDatagrams(DatagramHandler handler) override {
-    datagrams_.received = std::move(handler);
+    datagrams_.SetReceiver(std::move(handler));
   }
   void SendDatagram(const std::string& address, std::string_view body) override {
     datagrams_.Send(address, body);
   }
 
  private:
-  void Accept(std::shared_ptr<Stream> stream) {
+  void Accept(const std::shared_ptr<Stream>& stream) {
     auto connection = std::make_shared<ServerConnection>();
     connection->stream = stream;
     connection->peer_ip = PeerIp(stream->descriptor());
@@ -247,8 +248,8 @@
   void HandleCall(const std::shared_ptr<ServerConnection>& connection, const Frame& frame) {
     const std::weak_ptr<ServerConnection> weak = connection;
     const std::uint64_t call = frame.call;
-    const auto respond = [weak, call](absl::StatusOr<std::string> answer) {
-      if (const auto alive = weak.lock()) alive->SendResponse(call, answer);
+    const auto respond = [weak, call](const absl::StatusOr<std::string>& response) {
+      if (const auto live = weak.lock()) live->SendResponse(call, response);
     };
     const auto found = handlers_.find(frame.type);
     if (found == handlers_.end()) return respond(absl::UnimplementedError("no such call here"));
@@ -268,8 +269,11 @@
 absl::StatusOr<std::unique_ptr<Transport>> OpenTransport(const std::string& ip, int port,
                                                          Timers* timers) {
   auto transport = std::make_unique<SocketTransport>(timers);
-  const std::string wrong = transport->Open(ip, port);
-  if (!wrong.empty()) return absl::UnavailableError(ip + ":" + std::to_string(port) + ": " + wrong);
+  const absl::Status opened = transport->Open(ip, port);
+  if (!opened.ok()) {
+    return absl::UnavailableError(ip + ":" + std::to_string(port) + ": " +
+                                  std::string(opened.message()));
+  }
   return transport;
 }
 
--- a/src/tier/storage/environment.h
+++ b/src/tier/storage/environment.h
@@ -1,6 +1,9 @@
-// One LMDB file with the tables of a process: opening, reading of the last synced state, and
-// transactions of several batches. Without LMDB's locks, which have no effect where this runs: one
-// thread writes, and reads share one snapshot that is renewed, under a mutex, after each sync.
+// One LMDB file with the tables of a process: opens it, reads the last synced state and commits
+// several batches in one transaction. Owned by the table store.
+//
+// Thread safety: Commit and SetDiskId are called by one thread at a time (the writer thread once it
+// runs); reads may come from any thread. LMDB's own locks are off, as they have no effect where
+// this runs: reads share one snapshot, which is renewed under a mutex after each sync.
 #ifndef PEARREACH_SRC_TIER_STORAGE_ENVIRONMENT_H_
 #define PEARREACH_SRC_TIER_STORAGE_ENVIRONMENT_H_
 
@@ -25,8 +28,8 @@
  public:
   struct Options {
     std::string file;
-    // Puts may fill the file up to the first; transactions that only erase may use up to the
-    // second, so that a full file can be emptied.
+    // Puts may fill the file up to the first limit; transactions that only erase may use it up to
+    // the second one, so that a full file can be emptied.
     std::size_t put_limit_bytes = 0, erase_limit_bytes = 0;
   };
 
@@ -35,11 +38,12 @@
   Environment(const Environment&) = delete;
   Environment& operator=(const Environment&) = delete;
 
-  // Writer's thread: applies and syncs `batches`, together if all fit, else each by itself. One
-  // result a batch. After a failed sync all further ones fail: what the file holds is not known.
+  // Writer thread: applies and syncs `batches` in one transaction if all fit, else each in its own.
+  // Returns one status a batch, RESOURCE_EXHAUSTED if it does not fit. After a failed sync all
+  // further batches fail with its status, as the content of the file is not known.
   std::vector<absl::Status> Commit(const std::vector<std::vector<Write>>& batches);
 
-  // Any thread; what was synced last.
+  // Any thread; as of the last sync. NOT_FOUND: no such key.
   absl::StatusOr<std::string> Get(std::string_view key) const;
   absl::Status ForEach(
       std::string_view prefix,
@@ -48,7 +52,7 @@
   // Any thread; as of the last sync.
   Space space() const { return {used_bytes_.load(), options_.put_limit_bytes}; }
 
-  // Of the table about the file itself.
+  // The random id of the disk's contents, in the table with the metadata of the file.
   absl::Status SetDiskId(const std::string& disk_id);
   absl::StatusOr<std::string> ReadDiskId() const;
 
@@ -75,9 +79,10 @@
   const Options options_;
   MDB_env* env_ = nullptr;
   Tables tables_;
-  absl::Status sync_failure_;                    // writer's thread: the sync that failed
-  mutable std::recursive_mutex snapshot_mutex_;  // a visitor may read as well
-  MDB_txn* snapshot_ = nullptr;                  // guarded by it
+  absl::Status sync_failure_;  // writer's thread: the sync that failed
+  // Recursive, as a visitor of ForEach may read as well; Abseil's mutexes are not.
+  mutable std::recursive_mutex snapshot_mutex_;
+  MDB_txn* snapshot_ = nullptr;  // guarded by it
   std::atomic<std::size_t> used_bytes_ = 0;
 };
 
--- a/src/tier/storage/lmdb_status.h
+++ b/src/tier/storage/lmdb_status.h
@@ -8,7 +8,8 @@
 
 namespace pearreach::storage {
 
-// `action` names what was tried: "open /data/tables.mdb".
+// The status for LMDB's `code`: OK for MDB_SUCCESS; otherwise the message is `action`, which names
+// what was attempted ("open /data/tables.mdb"), and LMDB's text for the code.
 absl::Status LmdbStatus(int code, std::string_view action);
 
 }  // namespace pearreach::storage
--- a/src/tier/storage/writer_thread.cpp
+++ b/src/tier/storage/writer_thread.cpp
@@ -11,8 +11,8 @@
 namespace pearreach::storage {
 namespace {
 
-// What one transaction takes at most (a single larger batch is taken whole): bounds the memory for
-// its pages and how long the first batch waits for the last.
+// Size of one transaction's batches at most (a single larger batch is taken as it is): bounds the
+// memory for its pages and how long the first batch waits for the last.
 constexpr std::size_t kTransactionBytes = 4 << 20;
 
 std::size_t BytesOf(const std::vector<Write>& batch) {
@@ -40,10 +40,9 @@
 
 WriterThread::~WriterThread() {
   {
-    const std::lock_guard<std::mutex> lock(mutex_);
+    const absl::MutexLock lock(&mutex_);
     stopping_ = true;
   }
-  queued_.notify_one();
   if (thread_.joinable()) thread_.join();
   if (result_event_ < 0) return;
   Poller::Default().Remove(result_event_);
@@ -51,13 +50,8 @@
 }
 
 void WriterThread::Enqueue(std::vector<storage::Write> batch, Done done) {
-  bool first = false;
-  {
-    const std::lock_guard<std::mutex> lock(mutex_);
-    first = pending_.empty();
-    pending_.push_back({std::move(batch), std::move(done)});
-  }
-  if (first) queued_.notify_one();
+  const absl::MutexLock lock(&mutex_);
+  pending_.push_back({std::move(batch), std::move(done)});
 }
 
 void WriterThread::Run() {
@@ -68,8 +62,7 @@
 }
 
 std::vector<WriterThread::PendingBatch> WriterThread::TakePending() {
-  std::unique_lock<std::mutex> lock(mutex_);
-  queued_.wait(lock, [this] { return !pending_.empty() || stopping_; });
+  const absl::MutexLock lock(&mutex_, absl::Condition(this, &WriterThread::HasWorkOrStops));
   std::vector<PendingBatch> taken;
   std::size_t bytes = 0;
   while (!pending_.empty()) {
@@ -87,7 +80,7 @@
   for (PendingBatch& pending_batch : pending) batches.push_back(std::move(pending_batch.batch));
   const std::vector<absl::Status> statuses = environment_->Commit(batches);
   {
-    const std::lock_guard<std::mutex> lock(mutex_);
+    const absl::MutexLock lock(&mutex_);
     for (std::size_t i = 0; i < pending.size(); ++i) {
       results_.push_back({std::move(pending[i].done), statuses[i]});
     }
@@ -101,10 +94,10 @@
   [[maybe_unused]] const ssize_t taken = read(result_event_, &count, sizeof(count));
   std::vector<Result> results;
   {
-    const std::lock_guard<std::mutex> lock(mutex_);
+    const absl::MutexLock lock(&mutex_);
     results.swap(results_);
   }
-  // A call may destroy the store: nothing of this object is used from here on.
+  // A callback may destroy the store: nothing of this object is used from here on.
   for (Result& result : results) {
     if (result.done) result.done(std::move(result.status));
   }
--- a/src/tier/storage/writer_thread.h
+++ b/src/tier/storage/writer_thread.h
@@ -1,15 +1,19 @@
-// The thread that writes: takes what is queued in one go, commits it as one transaction and hands
-// the results back to the main loop. It sleeps while nothing is queued.
+// The thread that writes to an Environment: takes the queued batches, commits them in one
+// transaction and passes the results back to the main loop through an eventfd. It blocks while
+// nothing is queued. Owned by the table store.
+//
+// Thread safety: constructed, started, used and destroyed on the loop thread; `mutex_` guards what
+// the loop thread and the writer thread share.
 #ifndef PEARREACH_SRC_TIER_STORAGE_WRITER_THREAD_H_
 #define PEARREACH_SRC_TIER_STORAGE_WRITER_THREAD_H_
 
+#include <absl/base/thread_annotations.h>
 #include <absl/status/status.h>
+#include <absl/synchronization/mutex.h>
 
-#include <condition_variable>
 #include <cstddef>
 #include <deque>
 #include <functional>
-#include <mutex>
 #include <thread>
 #include <vector>
 
@@ -24,12 +28,16 @@
   using Done = std::function<void(absl::Status)>;
 
   explicit WriterThread(Environment* environment);
-  // Waits until all that is queued has been written; the calls that are left are not made.
+  // Blocks until all queued batches have been written. Callbacks that are still due are dropped.
   ~WriterThread();
   WriterThread(const WriterThread&) = delete;
   WriterThread& operator=(const WriterThread&) = delete;
 
+  // RESOURCE_EXHAUSTED or the code of errno if the eventfd or the thread cannot be made.
+  // REQUIRES: called once, before Enqueue.
   absl::Status Start();
+  // `done` is called on the loop thread once the batch is synced or has failed, in the order of the
+  // calls. It may destroy this object.
   void Enqueue(std::vector<Write> batch, Done done);
 
  private:
@@ -42,20 +50,22 @@
     absl::Status status;
   };
 
-  void Run();
-  std::vector<PendingBatch> TakePending();  // empty: the end
-  void Write(std::vector<PendingBatch> pending);
+  void Run();  // the thread's function
+  // Blocks until a batch is queued; empty: stopping and nothing is left.
+  std::vector<PendingBatch> TakePending() ABSL_LOCKS_EXCLUDED(mutex_);
+  bool HasWorkOrStops() const ABSL_SHARED_LOCKS_REQUIRED(mutex_) {
+    return !pending_.empty() || stopping_;
+  }
+  void Write(std::vector<PendingBatch> pending) ABSL_LOCKS_EXCLUDED(mutex_);
   void OnReady(std::uint32_t events) override;
 
   Environment* const environment_;
-  int result_event_ = -1;  // readable: results wait
+  int result_event_ = -1;  // eventfd, readable while results wait; owned
   std::thread thread_;
-  std::mutex mutex_;
-  std::condition_variable queued_;
-  // Guarded by mutex_:
-  std::deque<PendingBatch> pending_;
-  std::vector<Result> results_;
-  bool stopping_ = false;
+  absl::Mutex mutex_;
+  std::deque<PendingBatch> pending_ ABSL_GUARDED_BY(mutex_);
+  std::vector<Result> results_ ABSL_GUARDED_BY(mutex_);
+  bool stopping_ ABSL_GUARDED_BY(mutex_) = false;
 };
 
 }  // namespace pearreach::storage
