--- a/src/tier/control/announced_state_fetcher.cpp
+++ b/src/tier/control/announced_state_fetcher.cpp
@@ -30,6 +30,14 @@
   return AnnouncedVersion(member) > Packed(snapshots_->current()->version);
 }
 
+bool AnnouncedStateFetcher::IsAnyMemberAhead() const {
+  const MemberMap& members = directory_->members();
+  return std::any_of(members.begin(), members.end(), [this](const auto& entry) {
+    const auto& [name, member] = entry;
+    return name != directory_->self() && IsLive(member) && IsAhead(member);
+  });
+}
+
 void AnnouncedStateFetcher::MembersChanged(const std::vector<std::string>& names) {
   if (timer_ != 0 || fetching_ || !snapshots_->known()) return;
   const bool behind = std::any_of(names.begin(), names.end(), [&](const std::string& name) {
@@ -85,11 +93,7 @@
     attempts_.erase(name);
     snapshots_->Apply(*std::move(update));
   }
-  bool behind = false;
-  for (const auto& [other, member] : directory_->members()) {
-    behind = behind || (other != directory_->self() && IsLive(member) && IsAhead(member));
-  }
-  if (!behind) {
+  if (!IsAnyMemberAhead()) {
     attempts_.clear();
   } else if (timer_ == 0) {
     StartTimer(ChooseMember() == nullptr ? kRetryAfterFailure : kPollGracePeriod);
--- a/src/tier/control/announced_state_fetcher.h
+++ b/src/tier/control/announced_state_fetcher.h
@@ -1,6 +1,7 @@
-// Fetches from a member that has announced a newer version than this node has for a while: the way
-// to the newest state where both polls stand at members that are cut off. Not before the first
-// state is known.
+// Fetches the state from a member that has announced a newer version than this node has had for a
+// while. It brings the newest state if both open polls are at members that are partitioned. Does
+// nothing before the initial state is known.
+// Owned by the control node. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_CONTROL_ANNOUNCED_STATE_FETCHER_H_
 #define PEARREACH_SRC_TIER_CONTROL_ANNOUNCED_STATE_FETCHER_H_
 
@@ -15,7 +16,7 @@
 
 namespace pearreach::control {
 
-// The name under which versions of the control state are announced.
+// The name under which membership announces versions of the control state.
 inline constexpr char kControlVersionName[] = "control";
 
 class AnnouncedStateFetcher {
@@ -23,14 +24,16 @@
   AnnouncedStateFetcher(TimeSource* time, rpc::Transport* transport, SnapshotStore* snapshots,
                         const MemberDirectory* directory);
   ~AnnouncedStateFetcher();
+  // To be called when members or their announced versions changed.
   void MembersChanged(const std::vector<std::string>& names);
 
  private:
   struct FetchAttempt {
-    std::uint64_t version = 0;  // what it had announced
-    Micros retry_after = 0;     // not before
+    std::uint64_t version = 0;  // that the member had announced
+    Micros retry_after = 0;     // time source's clock
   };
   bool IsAhead(const coordination::Member& member) const;
+  bool IsAnyMemberAhead() const;
   const coordination::Member* ChooseMember() const;
   void StartTimer(Micros delay);
   void FetchNewest();
@@ -40,7 +43,7 @@
   rpc::Transport* transport_;
   SnapshotStore* snapshots_;
   const MemberDirectory* directory_;
-  std::map<std::string, FetchAttempt> attempts_;  // by name
+  std::map<std::string, FetchAttempt> attempts_;  // by member
   Timers::Id timer_ = 0;
   bool fetching_ = false;
   CallbackOwner callbacks_;
--- a/src/tier/control/api_responses.h
+++ b/src/tier/control/api_responses.h
@@ -1,4 +1,5 @@
-// JSON answers of the operator's and the workers' API.
+// JSON responses of the operators' and the workers' API. Stateless. Each sends the one response of
+// `exchange`.
 #ifndef PEARREACH_SRC_TIER_CONTROL_API_RESPONSES_H_
 #define PEARREACH_SRC_TIER_CONTROL_API_RESPONSES_H_
 
@@ -10,15 +11,16 @@
 
 namespace pearreach::control {
 
-// Seconds that a caller should wait after a 503.
+// Seconds that a client should wait after a 503.
 inline constexpr char kRetryAfterSeconds[] = "0.2";
 
+// `json`: the encoded body.
 void RespondJson(http_server::Exchange* exchange, int status, std::string_view json,
                  std::vector<http::Header> headers = {});
 // {"error": text}
 void RespondError(http_server::Exchange* exchange, int status, std::string_view text,
                   std::vector<http::Header> headers = {});
-// A 503 that asks to come again soon.
+// 503 with Retry-After.
 void RespondUnavailable(http_server::Exchange* exchange, std::string_view text);
 // 400 with {"findings": [...]}: one for each line of `text`.
 void RespondFindings(http_server::Exchange* exchange, std::string_view text);
--- a/src/tier/control/api_router.h
+++ b/src/tier/control/api_router.h
@@ -1,6 +1,7 @@
-// The calls of workers and operators as a tree of matchers: each node of the tree tests one part of
-// a call (method, a path segment, a captured last segment) and hands it to its children; leaves
-// answer. Calls that no leaf takes are answered 404 or 405.
+// Routes the requests of workers and operators through a tree of matchers: each node of the tree
+// tests one part of a request (method, a path segment, a captured last segment) and passes it to
+// its children; leaves have the handlers. A request without a handler gets 404 or 405. Loop thread
+// only.
 #ifndef PEARREACH_SRC_TIER_CONTROL_API_ROUTER_H_
 #define PEARREACH_SRC_TIER_CONTROL_API_ROUTER_H_
 
--- a/src/tier/control/bootstrap_members.cpp
+++ b/src/tier/control/bootstrap_members.cpp
@@ -18,8 +18,8 @@
   return bootstrap_members;
 }
 
-// Any majority of the founders is one of all that could be founders, so that another node's choice
-// with other unknown seeds cannot be agreed on too.
+// Any majority of the chosen members intersects any majority of another node's choice, which may
+// include the seeds that are unknown here: no two such choices can both be agreed on.
 bool ExcludesOtherChoices(std::size_t bootstrap_members, std::size_t unknown) {
   const std::size_t majority = bootstrap_members / 2 + 1;
   return bootstrap_members > 0 && 2 * majority > bootstrap_members + unknown;
--- a/src/tier/control/bootstrap_members.h
+++ b/src/tier/control/bootstrap_members.h
@@ -1,5 +1,5 @@
-// Which quorum members make up the first view when the whole system starts for the first time. All
-// nodes must come to the same choice, or to choices of which no two can both find a majority.
+// Chooses the quorum members of the first view when the system starts for the first time. All nodes
+// must make the same choice, or choices of which no two can both find a majority. A pure function.
 #ifndef PEARREACH_SRC_TIER_CONTROL_BOOTSTRAP_MEMBERS_H_
 #define PEARREACH_SRC_TIER_CONTROL_BOOTSTRAP_MEMBERS_H_
 
@@ -12,11 +12,11 @@
 
 namespace pearreach::control {
 
-// Default: how long seeds that do not show up are waited for.
+// How long nodes wait for seeds that are not known yet, in microseconds.
 inline constexpr std::int64_t kSeedWaitTimeout = 2'000'000;
 
-// `seeds`: addresses of the machines that every node was told of; only their IPs count. `waited`:
-// kSeedWaitTimeout is over. Empty: not decided yet.
+// `seeds`: the configured addresses of the seed machines; only their IPs count. `seed_wait_over`:
+// kSeedWaitTimeout has passed. Empty: not decided yet.
 std::optional<std::vector<coordination::ReplicaId>> ChooseBootstrapMembers(
     const MemberMap& members, const std::vector<std::string>& seeds, bool seed_wait_over);
 
--- a/src/tier/control/change_forwarder.cpp
+++ b/src/tier/control/change_forwarder.cpp
@@ -9,9 +9,9 @@
 
 using coordination::ChangeStatus;
 
-constexpr std::uint32_t kMaxHops = 3;
-constexpr Micros kRetryBackoff = 50 * kMs;  // until views have settled
-constexpr Micros kWatchPeriod = 50 * kMs;   // of a node that a change was passed on to
+constexpr std::uint32_t kMaxHops = 3;       // nodes that forward one change
+constexpr Micros kRetryBackoff = 50 * kMs;  // until the members agree on a view
+constexpr Micros kWatchPeriod = 50 * kMs;   // of the node that a change was forwarded to
 
 WriteResponse ResponseOf(ChangeStatus status) {
   WriteResponse response;
@@ -71,15 +71,13 @@
   Forward(pending, to, time_left);
 }
 
-// A head without touch to a majority takes no change: it could only hold it up.
+// A head that does not reach a majority could only delay the change.
 bool ChangeForwarder::CanChangeLocally() const {
   return replica_ != nullptr && replica_->is_head() && connectivity_->IsSingletonRoleCandidate();
 }
 
-// A quorum member that does not hear the others reaches the head through nodes outside the quorum.
-bool ChangeForwarder::IsIsolated() const {
-  return replica_ != nullptr && replica_->InView() && connectivity_->HasLostMajority();
-}
+// An isolated quorum member reaches the head through nodes outside the quorum.
+bool ChangeForwarder::IsIsolated() const { return replica_ != nullptr && replica_->IsIsolated(); }
 
 Contact ChangeForwarder::ChooseTarget(const PendingChangePtr& pending) const {
   if (IsIsolated()) {
@@ -95,7 +93,7 @@
   }
   ++pending->attempts;
   if (IsReachable(preferred)) return {preferred, directory_->FindLive(preferred)->info.address};
-  // A quorum member that passes on for another says that it is not the head rather than search.
+  // A quorum member does not search for the head on behalf of another node: it responds kNotHead.
   if (pending->request.hops > 0 && replica_ != nullptr) return {};
   const std::vector<Contact> contacts = directory_->QuorumContacts();
   if (contacts.empty()) return {};
@@ -122,14 +120,14 @@
         if (pending->forwarded_attempt != number) return;
         pending->forwarded_attempt = 0;
         auto decoded = response.ok() ? codec::Decode<WriteResponse>(*response) : response.status();
-        // It may have been carried out: it must not be sent again.
+        // The change may have been applied: it must not be sent again.
         if (!decoded.ok()) return Finish(pending, ResponseOf(ChangeStatus::kUnavailable));
         HandleResponse(pending, *decoded);
       }));
   if (IsReachable(to.name)) WatchTarget(pending, number, to.name);
 }
 
-// Ends the wait for the answer of a node that is found to be gone.
+// Stops waiting for the response of a node that is found to be unreachable.
 void ChangeForwarder::WatchTarget(const PendingChangePtr& pending, std::size_t number,
                                   const std::string& to) {
   time_->After(kWatchPeriod, callbacks_.Bind([this, pending, number, to] {
--- a/src/tier/control/change_forwarder.h
+++ b/src/tier/control/change_forwarder.h
@@ -1,5 +1,6 @@
-// Brings a change to the head of the chain, over other nodes where needed, within a bounded time.
-// A change is sent again only where the answer says that surely nothing was changed.
+// Delivers a change to the head of the chain, through other nodes if needed, within a bounded time.
+// A change is sent again only if the response says that it certainly was not applied.
+// Owned by the control node. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_CONTROL_CHANGE_FORWARDER_H_
 #define PEARREACH_SRC_TIER_CONTROL_CHANGE_FORWARDER_H_
 
@@ -22,7 +23,8 @@
   // `replica`: null on nodes outside the quorum.
   ChangeForwarder(TimeSource* time, rpc::Transport* transport, const MemberDirectory* directory,
                   ReplicaDriver* replica, const QuorumConnectivity* connectivity);
-  // `done` is called exactly once, within `request.timeout`.
+  // `done` is called exactly once, within `request.timeout` (microseconds). Its status is
+  // kUnavailable if the outcome is unknown.
   void Change(WriteRequest request, Done done);
 
  private:
@@ -32,7 +34,7 @@
     Done done;
     std::string hint;
     std::size_t attempts = 0;
-    std::size_t forwarded_attempt = 0;  // the try that another node has now; 0: none
+    std::size_t forwarded_attempt = 0;  // the attempt that is in flight; 0: none
   };
   using PendingChangePtr = std::shared_ptr<PendingChange>;
   void StartAttempt(const PendingChangePtr& pending);
--- a/src/tier/control/config_api.h
+++ b/src/tier/control/config_api.h
@@ -1,4 +1,5 @@
-// The operator's calls that replace and read the configuration.
+// The operators' requests that replace and read the configuration: Config.Replace and Config.Read.
+// Loop thread only.
 #ifndef PEARREACH_SRC_TIER_CONTROL_CONFIG_API_H_
 #define PEARREACH_SRC_TIER_CONTROL_CONFIG_API_H_
 
@@ -11,9 +12,9 @@
 
 namespace pearreach::control {
 
-// The longest body of Config.Replace. The front must let as much through.
+// Bytes of the longest body of Config.Replace. The HTTP server's limit must not be smaller.
 inline constexpr std::size_t kMaxConfigBytes = 4U << 20;
-// Callers move on after a second of silence.
+// Clients try the next node after a second without a response.
 inline constexpr Micros kConfigResponseTimeout = 900 * kMs;
 
 class ConfigApi {
--- a/src/tier/control/config_replace_request.cpp
+++ b/src/tier/control/config_replace_request.cpp
@@ -17,7 +17,8 @@
 
 using coordination::ChangeStatus;
 
-constexpr Micros kReadAfterChangeReserve = 300 * kMs;  // kept back to look into an unclear outcome
+constexpr Micros kReadAfterChangeReserve =
+    300 * kMs;  // reserved for the read that resolves an unknown outcome
 constexpr Micros kMinChangeTimeout = 100 * kMs;
 
 std::optional<std::int64_t> ParseVersion(const std::string* text) {
@@ -40,8 +41,8 @@
                                            Micros deadline)
     : client_(client), now_(std::move(now)), exchange_(std::move(exchange)), deadline_(deadline) {}
 
-// A state that is out of date does no harm where the call fits it: the change then finds another
-// revision than it expects.
+// An outdated local state does no harm if the request matches it: the change then expects a
+// revision that is not the current one, and conflicts.
 void ConfigReplaceRequest::Start() {
   if (!ParseRequest()) return;
   const std::shared_ptr<const ControlSnapshot> known = client_->Current();
--- a/src/tier/control/config_replace_request.h
+++ b/src/tier/control/config_replace_request.h
@@ -1,7 +1,8 @@
-// One call of Config.Replace, from its checks over the change to an answer that holds: 200 only for
-// what is or was in force, 400 and 412 only for what never will be, 503 for all that is not sure in
-// time. Whether a configuration has been taken before stands in the record of marks that the
-// control state keeps (coordination/change_marks.h), which is the same at every node.
+// One Config.Replace request, from its validation over the change to a response that stays true:
+// 200 only for a configuration that is or was in force, 400 and 412 only for one that never will
+// be, 503 if the outcome is not known in time. Whether a configuration has been committed before is
+// recorded in the control state's change history (coordination/change_history.h), which is the same
+// at every node. Kept alive by the callbacks that it waits for. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_CONTROL_CONFIG_REPLACE_REQUEST_H_
 #define PEARREACH_SRC_TIER_CONTROL_CONFIG_REPLACE_REQUEST_H_
 
@@ -19,19 +20,20 @@
  public:
   ConfigReplaceRequest(ControlClient* client, std::function<Micros()> now,
                        std::shared_ptr<http_server::Exchange> exchange, Micros deadline);
+  // REQUIRES: called once, on an object that a shared_ptr owns.
   void Start();
 
  private:
   using Next = void (ConfigReplaceRequest::*)(const ChangeHistoryRead&);
 
-  // False: answered already.
+  // False: the request is invalid and has been responded to.
   bool ParseRequest();
   void Read(Micros timeout, Next next);
-  // By a strict reading.
+  // Decides by the first linearizable read.
   void OnInitialRead(const ChangeHistoryRead& history_read);
-  // The same after a conflict or an unclear outcome.
+  // Decides by a read after a conflict or an unknown outcome.
   void OnReadAfterChange(const ChangeHistoryRead& history_read);
-  // True: the reading alone gives the answer, which has been sent.
+  // True: the read determined the response, which has been sent.
   bool RespondIfDecided(const ChangeHistoryRead& history_read);
   void Change(const ControlSnapshot& snapshot);
   void OnChangeOutcome(const ChangeOutcome& outcome);
@@ -47,7 +49,7 @@
   std::string body_;
   std::int64_t parent_ = 0, version_ = 0;
   coordination::ChangeId change_id_;
-  bool outcome_unknown_ = false;  // nothing is known of the change that was sent last
+  bool outcome_unknown_ = false;  // of the last change that was sent
   bool retried_ = false;          // the change has been sent a second time
 };
 
--- a/src/tier/control/control_client.h
+++ b/src/tier/control/control_client.h
@@ -1,5 +1,6 @@
 // The control state as every process of the tier sees it: the newest committed snapshot that this
-// node knows, never going back within a process, and the way to change or strictly read it.
+// node knows, whose version never decreases within a process, and the way to change it or to read
+// it linearizably. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_CONTROL_CONTROL_CLIENT_H_
 #define PEARREACH_SRC_TIER_CONTROL_CONTROL_CLIENT_H_
 
@@ -21,11 +22,11 @@
 namespace pearreach::control {
 
 // Keys of the control state.
-inline constexpr char kConfigKey[] = "config";  // the operator's JSON, as it was sent
+inline constexpr char kConfigKey[] = "config";  // the operator's JSON as submitted
 inline constexpr char kStoresKey[] = "stores";  // batch::PlacementTable, encoded
 
 struct ControlSnapshot {
-  coordination::Version version;  // {0, 0}: nothing known yet
+  coordination::Version version;  // {0, 0}: no state known yet
   std::shared_ptr<const coordination::Map> map;
   std::shared_ptr<const routing::RouteTable> routes;  // null: no configuration known yet
   std::string config_json;
@@ -39,7 +40,7 @@
   std::uint64_t expected_revision = 0;
   std::string value;
   coordination::FencingToken
-      fencing_token{};  // refused with kFenced once the fence's key has a later revision
+      fencing_token{};  // rejected with kFenced once the token's key has a later revision
   std::optional<coordination::ChangeId> change_id{};  // recorded in the same commit
 };
 
@@ -48,7 +49,7 @@
   std::uint64_t revision = 0;
 };
 
-// A strict read together with what the record of the configurations' marks says of one.
+// A linearizable read, together with the status of one configuration in the change history.
 struct ChangeHistoryRead {
   std::shared_ptr<const ControlSnapshot> snapshot;
   coordination::ChangeHistoryStatus history_status = coordination::ChangeHistoryStatus::kForgotten;
@@ -63,16 +64,17 @@
   virtual ~ControlClient() = default;
   virtual std::shared_ptr<const ControlSnapshot> Current() const = 0;  // never null
   virtual void OnChange(std::function<void()> listener) = 0;
-  // Passed on to the head, wherever it is. kUnavailable: it may come into force or not.
+  // Forwards the change to the head of the chain. `done` is called exactly once, within `timeout`;
+  // kUnavailable: the change may or may not come into force.
   virtual void Change(ControlChange change, Micros timeout, ChangeDone done) = 0;
-  // A read that no older state can answer.
+  // Reads a state that is not older than any acknowledged change. UNAVAILABLE after `timeout`.
   virtual void LinearizableRead(Micros timeout, ReadDone done) = 0;
-  // The same, and whether the configuration of that mark has been taken. A client that keeps no
-  // record is sure of nothing.
+  // Also reads whether the configuration `change_id` has been committed. UNIMPLEMENTED for a client
+  // without a change history.
   virtual void ReadWithHistory(const coordination::ChangeId& change_id, Micros timeout,
                                HistoryReadDone done);
-  // This node is the first live one in the order of the current view, so that duties of the whole
-  // system are its to take (see SingletonRoleDriver).
+  // This node is the first live one in the order of the current view, and so the one that claims
+  // the system's singleton roles (see SingletonRoleDriver).
   virtual bool IsSingletonRoleCandidate() const = 0;
   // Membership as this node sees it.
   virtual const std::map<std::string, coordination::Member>& members() const = 0;
--- a/src/tier/control/control_node.cpp
+++ b/src/tier/control/control_node.cpp
@@ -80,7 +80,7 @@
       poller_(time_.get(), transport, &snapshots_, &directory_),
       state_fetcher_(time_.get(), transport, &snapshots_, &directory_),
       change_forwarder_(time_.get(), transport, &directory_, replica_.get(), &connectivity_),
-      reader_(time_.get(), transport, &snapshots_, &directory_, replica_.get(), &connectivity_),
+      reader_(time_.get(), transport, &snapshots_, &directory_, replica_.get()),
       initial_state_reader_(time_.get(), &snapshots_, &reader_, timing_),
       bootstrapping_(settings.bootstrap && replica_ != nullptr) {
   Start();
@@ -112,7 +112,7 @@
     seed_wait_timer_ = time_->After(kSeedWaitTimeout, [this] {
       seed_wait_timer_ = 0;
       seed_wait_over_ = true;
-      if (bootstrapping_) TryBootstrap(true);
+      if (bootstrapping_) BootstrapIfDecided(true);
     });
   }
   if (replica_ != nullptr) ReplicaStepped();
@@ -167,7 +167,8 @@
   if (replica_ != nullptr) replica_->MembersChanged();
 }
 
-// A state that is committed in a view is on the disks of all its members.
+// A state that is committed in a view is on the disks of all its members, so a node outside a view
+// that has committed a state is not needed any more.
 bool ControlNode::MayShutDown() const {
   if (replica_ == nullptr) return true;
   const bool begun = Current()->version.epoch >= replica_->view().epoch;
@@ -178,7 +179,7 @@
   });
 }
 
-bool ControlNode::RosterChanged(const std::vector<std::string>& names) {
+bool ControlNode::UpdateRoster(const std::vector<std::string>& names) {
   bool changed = false;
   for (const std::string& name : names) {
     const coordination::Member* member = directory_.Find(name);
@@ -195,19 +196,19 @@
 }
 
 void ControlNode::MembersChanged(const std::vector<std::string>& names) {
-  if (RosterChanged(names)) {
+  if (UpdateRoster(names)) {
     if (replica_ != nullptr) {
       if (!connectivity_.IsDiskChecked()) connectivity_.SendHeartbeatsNow();
       replica_->MembersChanged();
     }
-    if (bootstrapping_) TryBootstrap(seed_wait_over_);
+    if (bootstrapping_) BootstrapIfDecided(seed_wait_over_);
     poller_.Refresh();
   }
   state_fetcher_.MembersChanged(names);
   for (std::size_t i = 0; i < member_listeners_.size(); ++i) member_listeners_[i](names);
 }
 
-void ControlNode::TryBootstrap(bool seed_wait_over) {
+void ControlNode::BootstrapIfDecided(bool seed_wait_over) {
   auto bootstrap_members = ChooseBootstrapMembers(members(), seeds_, seed_wait_over);
   if (!bootstrap_members.has_value()) return;
   bootstrapping_ = false;
@@ -223,7 +224,8 @@
   UpdatePolls();
 }
 
-// A member of the view learns of commits by itself; a node that knows nothing asks strictly.
+// A member of the view learns of commits from the chain; a node without a state waits for the
+// initial linearizable read.
 void ControlNode::UpdatePolls() {
   const bool informed = replica_ != nullptr && replica_->InView();
   poller_.SetActive(snapshots_.known() && !informed);
--- a/src/tier/control/control_node.h
+++ b/src/tier/control/control_node.h
@@ -1,5 +1,6 @@
-// This node's part in the control plane: it runs membership, the chain replica where the node has
-// one, and whatever keeps its snapshot of the control state the newest that it can learn of.
+// This node's part of the control plane: runs membership, the chain replica if the node is a quorum
+// member, and the parts that keep the local snapshot of the control state the newest that it can
+// learn of. Owns them all. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_CONTROL_CONTROL_NODE_H_
 #define PEARREACH_SRC_TIER_CONTROL_CONTROL_NODE_H_
 
@@ -26,16 +27,16 @@
 
 namespace pearreach::control {
 
-// What a node tells others of itself. `store`: null without a disk.
+// What a node announces of itself to the others. `store`: null without a disk.
 coordination::MemberInfo DescribeSelf(const settings::NodeSettings& settings,
                                       const storage::TableStore* store, std::uint64_t incarnation);
-// The mesh addresses of the settings' seed nodes.
+// The transport addresses of the settings' seed nodes.
 std::vector<std::string> SeedAddresses(const settings::NodeSettings& settings);
 
 class ControlNode : public ControlClient {
  public:
-  // Joins at once. `store`: null without a disk. `incarnation` must rise over restarts of the node.
-  // All pointers outlive this.
+  // Joins at once. `store`: null without a disk. `incarnation` must increase over restarts of the
+  // node. All pointers must outlive this.
   ControlNode(Timers* timers, rpc::Transport* transport, storage::TableStore* store,
               const settings::NodeSettings& settings, std::uint64_t incarnation);
   ControlNode(std::unique_ptr<TimeSource> time, rpc::Transport* transport,
@@ -43,13 +44,13 @@
               std::uint64_t incarnation);
   ~ControlNode() override;
 
-  // This process will end on purpose, and its disk may never come back: the view of the control
-  // state should do without it. Everything goes on until Leave.
+  // Starts draining: this process will end, and its disk may never come back, so the members should
+  // agree on a view without it. The node works on until Leave.
   void PrepareToShutDown();
-  // The control state does not need this node: it is in a view that has begun without it, or no
-  // other member is left that could take over.
+  // The control state does not need this node any more: a view without it has committed a state, or
+  // no other member is left that could take over.
   bool MayShutDown() const;
-  // Tells others that this process ends on purpose. Calls are answered on.
+  // Announces to the membership that this process ends. It still responds to calls.
   void Leave() { membership_.Leave(); }
 
   std::shared_ptr<const ControlSnapshot> Current() const override { return snapshots_.current(); }
@@ -64,14 +65,14 @@
   const MemberMap& members() const override { return membership_.members(); }
   // Further listeners for changes of members: status, info or announced versions.
   void OnMembersChanged(MembershipDriver::Listener listener);
-  // Called once if this node's disk turns out to have been put back in time: its contents must go,
-  // and the process must start anew as on an empty disk.
+  // `listener` is called once if this node's disk turns out to be rolled back: its contents must be
+  // removed, and the process must restart with an empty disk.
   void OnDiskRolledBack(std::function<void()> listener) { disk_rolled_back_ = std::move(listener); }
-  // What rides on this node's membership messages under that name.
+  // Announces the version of `name` with this node's membership messages.
   void Announce(const std::string& name, std::uint64_t version);
 
   bool has_replica() const { return replica_ != nullptr; }
-  // As this node's replica knows it; null: it has none.
+  // The view of this node's replica; null if it has none.
   const coordination::View* view() const { return replica_ ? &replica_->view() : nullptr; }
 
  private:
@@ -85,11 +86,13 @@
                                              std::uint64_t seed);
   void Start();
   void MembersChanged(const std::vector<std::string>& names);
-  bool RosterChanged(const std::vector<std::string>& names);
+  // True: a member came, went or restarted.
+  bool UpdateRoster(const std::vector<std::string>& names);
   void ReplicaStepped();
   void UpdatePolls();
   void SnapshotChanged();
-  void TryBootstrap(bool seed_wait_over);
+  // Chooses the first view's members, if that can be decided.
+  void BootstrapIfDecided(bool seed_wait_over);
 
   std::unique_ptr<TimeSource> time_;
   const coordination::MemberInfo self_;
@@ -109,7 +112,7 @@
   std::map<std::string, Presence> roster_;
   std::vector<MembershipDriver::Listener> member_listeners_;
   std::function<void()> disk_rolled_back_;
-  bool bootstrapping_ = false;  // the first view's members are not chosen yet
+  bool bootstrapping_ = false;  // the first view's members are still to be chosen
   bool seed_wait_over_ = false;
   Timers::Id seed_wait_timer_ = 0;
 };
--- a/src/tier/control/control_timing.h
+++ b/src/tier/control/control_timing.h
@@ -1,6 +1,7 @@
-// The times of the control plane, derived from the operator's bounds: a machine counts as calm
-// `contact_ms` after the last trouble, and an order wants its acknowledgement within `ack_ms`. So
-// what is lost must be found, and the chain repaired without it, in a part of either.
+// The times of the control plane, in microseconds, derived from the operator's bounds: a machine
+// counts as calm `contact_ms` after the last fault, and a change must be acknowledged within
+// `ack_ms`. So a failure must be detected, and the chain repaired, in a fraction of either. Plain
+// values.
 #ifndef PEARREACH_SRC_TIER_CONTROL_CONTROL_TIMING_H_
 #define PEARREACH_SRC_TIER_CONTROL_CONTROL_TIMING_H_
 
@@ -12,19 +13,20 @@
 namespace pearreach::control {
 
 struct ControlTiming {
-  Micros probe_period = 200 * kMs;      // membership: one probe each
-  Micros probe_timeout = 250 * kMs;     // until second opinions are asked for, and until suspicion
+  Micros probe_period = 200 * kMs;      // membership: between two health checks
+  Micros probe_timeout = 250 * kMs;     // until indirect health checks, and from them to suspicion
   Micros suspicion = kSecond;           // from suspicion to dead
-  Micros heartbeat_period = 250 * kMs;  // between questions for a sign among quorum members
+  Micros heartbeat_period = 250 * kMs;  // between quorum members
   Micros heartbeat_timeout = 500 * kMs;
-  Micros role_candidate_timeout = kSecond;  // a sign asked for longer ago gives no duty,
-  Micros unreachable_timeout = kSecond;     // nor, longer ago than this, a place in the view
-  Micros call_timeout = kSecond;            // of a change or read in the chain
-  Micros retry = 100 * kMs;                 // in the chain
+  // A peer without contact for longer does not count towards the role candidate's majority.
+  Micros role_candidate_timeout = kSecond;
+  Micros unreachable_timeout = kSecond;  // without contact, until a peer counts as unreachable
+  Micros call_timeout = kSecond;         // of a change or read in the chain
+  Micros retry = 100 * kMs;              // in the chain
 };
 
 inline ControlTiming TimingOf(const settings::Bounds& bounds) {
-  constexpr Micros kMinSpan = 300 * kMs;  // scheduling and the network take their part of less
+  constexpr Micros kMinSpan = 300 * kMs;  // below it, scheduling and network delays dominate
   const Micros contact = static_cast<Micros>(bounds.contact_ms * kMs);
   const Micros ack = static_cast<Micros>(bounds.ack_ms * kMs);
   const Micros span = std::max(std::min(contact / 3, ack / 4), kMinSpan);
--- a/src/tier/control/deadline_timer.h
+++ b/src/tier/control/deadline_timer.h
@@ -1,5 +1,6 @@
-// The one timer of a machine that says when it wants to be called next: set again whenever that is
-// earlier than what it is set for.
+// The single timer of a state machine that names the time of its next tick. It is set again
+// whenever that time is earlier than the one it is set for. Owned by the driver of the state
+// machine. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_CONTROL_DEADLINE_TIMER_H_
 #define PEARREACH_SRC_TIER_CONTROL_DEADLINE_TIMER_H_
 
--- a/src/tier/control/initial_state_reader.h
+++ b/src/tier/control/initial_state_reader.h
@@ -1,5 +1,6 @@
-// Gets the first state of this process's life: by strict reads, one after another until one is
-// answered, so that nothing older than what was in force before comes into force here.
+// Reads the initial state of this process: repeats linearizable reads until one succeeds, so that
+// no state comes into force that is older than what was in force before the process started. Owned
+// by the control node. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_CONTROL_INITIAL_STATE_READER_H_
 #define PEARREACH_SRC_TIER_CONTROL_INITIAL_STATE_READER_H_
 
@@ -14,7 +15,7 @@
  public:
   InitialStateReader(TimeSource* time, SnapshotStore* snapshots, LinearizableReader* reader,
                      const ControlTiming& timing);
-  // Begins to ask; does nothing where a state is known.
+  // Starts reading; does nothing if a state is known.
   void Start();
 
  private:
@@ -24,7 +25,7 @@
   SnapshotStore* snapshots_;
   LinearizableReader* reader_;
   const Micros read_timeout_;
-  const Micros retry_backoff_;  // after a read that was not answered
+  const Micros retry_backoff_;  // after a read that failed
   CallbackOwner callbacks_;
 };
 
--- a/src/tier/control/linearizable_reader.cpp
+++ b/src/tier/control/linearizable_reader.cpp
@@ -8,10 +8,10 @@
 namespace pearreach::control {
 namespace {
 
-constexpr Micros kRetryBackoff = 30 * kMs;
-constexpr Micros kMinAttemptTimeout = 150 * kMs;  // one member gets no less, while time is left
+constexpr Micros kRetryBackoff = 30 * kMs;        // between two attempts
+constexpr Micros kMinAttemptTimeout = 150 * kMs;  // of each member, while time is left
 
-// A sure answer without a map: nothing has ever been set.
+// A confirmed result without a map means that no key has ever been set.
 std::shared_ptr<const coordination::Map> MapOf(const coordination::ReadResult& result) {
   return result.map != nullptr ? result.map : std::make_shared<const coordination::Map>();
 }
@@ -26,14 +26,12 @@
 
 LinearizableReader::LinearizableReader(TimeSource* time, rpc::Transport* transport,
                                        SnapshotStore* snapshots, const MemberDirectory* directory,
-                                       ReplicaDriver* replica,
-                                       const QuorumConnectivity* connectivity)
+                                       ReplicaDriver* replica)
     : time_(time),
       transport_(transport),
       snapshots_(snapshots),
       directory_(directory),
-      replica_(replica),
-      connectivity_(connectivity) {
+      replica_(replica) {
   transport_->Handle(
       rpc::MessageType::kControlRead,
       callbacks_.Bind([this](const std::string&, std::string_view body,
@@ -54,7 +52,7 @@
                  });
 }
 
-// A node outside the quorum reads for a member that does not reach the others.
+// A node outside the quorum reads on behalf of a member that is partitioned from the others.
 void LinearizableReader::ServeForIsolatedMember(const ReadRequest& request,
                                                 const rpc::Respond& respond) {
   if (!request.forwarded) return respond(absl::FailedPreconditionError("not a quorum member"));
@@ -69,7 +67,7 @@
 }
 
 bool LinearizableReader::IsIsolated() const {
-  return replica_ != nullptr && replica_->InView() && connectivity_->HasLostMajority();
+  return replica_ != nullptr && replica_->IsIsolated();
 }
 
 void LinearizableReader::Read(const OptionalChangeId& change_id, Micros timeout, Done done) {
--- a/src/tier/control/linearizable_reader.h
+++ b/src/tier/control/linearizable_reader.h
@@ -1,6 +1,7 @@
-// Reads of the control state that no older state can answer: by this node's replica or, where it
-// has none or cannot be sure, by another quorum member's. A quorum member that is cut off from the
-// others asks through a node outside the quorum.
+// Linearizable reads of the control state, which never return an older state than the newest one
+// that was acknowledged before: from this node's replica or, if it has none or cannot be sure, from
+// another quorum member's. An isolated quorum member reads through a node outside the quorum.
+// Owned by the control node. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_CONTROL_LINEARIZABLE_READER_H_
 #define PEARREACH_SRC_TIER_CONTROL_LINEARIZABLE_READER_H_
 
@@ -25,10 +26,10 @@
 
   // `replica`: null on nodes outside the quorum.
   LinearizableReader(TimeSource* time, rpc::Transport* transport, SnapshotStore* snapshots,
-                     const MemberDirectory* directory, ReplicaDriver* replica,
-                     const QuorumConnectivity* connectivity);
-  // `done` is called exactly once, within `timeout`. `mark`: of a configuration, whose standing the
-  // reading tells.
+                     const MemberDirectory* directory, ReplicaDriver* replica);
+  // `done` is called exactly once, within `timeout`: UNAVAILABLE if no member could confirm a state
+  // in time. `change_id`: of a configuration whose status in the change history is to be read as
+  // well.
   void Read(const OptionalChangeId& change_id, Micros timeout, Done done);
 
  private:
@@ -52,7 +53,6 @@
   SnapshotStore* snapshots_;
   const MemberDirectory* directory_;
   ReplicaDriver* replica_;
-  const QuorumConnectivity* connectivity_;
   CallbackOwner callbacks_;
 };
 
--- a/src/tier/control/member_directory.h
+++ b/src/tier/control/member_directory.h
@@ -1,5 +1,6 @@
-// Whom this node may call for control state: live members in this node's own order of preference,
-// which spreads the callers over the quorum members.
+// The members that this node may call for the control state: live members in this node's own order
+// of preference, which spreads the clients over the quorum members. Owned by the control node. Loop
+// thread only.
 #ifndef PEARREACH_SRC_TIER_CONTROL_MEMBER_DIRECTORY_H_
 #define PEARREACH_SRC_TIER_CONTROL_MEMBER_DIRECTORY_H_
 
@@ -26,24 +27,24 @@
 
 class MemberDirectory {
  public:
-  // `seeds`: mesh addresses to use as long as too few members are known. `regions`: by zone.
+  // `seeds`: transport addresses to use while too few members are known. `regions`: by zone.
   MemberDirectory(const MemberMap* members, std::string self, std::vector<std::string> seeds,
                   std::map<std::string, std::string> regions = {});
 
   const MemberMap& members() const { return *members_; }
   const std::string& self() const { return self_; }
   const std::vector<std::string>& seeds() const { return seeds_; }
-  // Null: not known. Dead ones too.
+  // Also dead members; null: unknown.
   const coordination::Member* Find(const std::string& name) const;
   // A live other member of that name; null: none.
   const coordination::Member* FindLive(const std::string& name) const;
   // Live other quorum members, most preferred first, suspects last.
   std::vector<Contact> QuorumContacts() const;
-  // Live other members outside the quorum, in the same way.
+  // Live other members outside the quorum, in the same order.
   std::vector<Contact> NonQuorumContacts() const { return Ranked(false); }
   // Quorum members, then all other live members, then the seeds.
   std::vector<Contact> AllContacts() const;
-  // All quorum members as the chain wants to know them, this node among them.
+  // All quorum members, including this node, in the form that the chain replica takes.
   std::vector<coordination::Peer> Peers() const;
 
  private:
--- a/src/tier/control/membership_driver.h
+++ b/src/tier/control/membership_driver.h
@@ -1,4 +1,5 @@
-// Runs this node's Membership: its datagrams over the mesh and its ticks on one timer.
+// Runs this node's Membership: sends and receives its datagrams and calls its ticks from one timer.
+// Owned by the control node. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_CONTROL_MEMBERSHIP_DRIVER_H_
 #define PEARREACH_SRC_TIER_CONTROL_MEMBERSHIP_DRIVER_H_
 
@@ -22,7 +23,9 @@
                    coordination::MembershipOptions options, std::uint64_t seed);
 
   void OnChange(Listener listener) { listener_ = std::move(listener); }
+  // Joins.
   void Start();
+  // Announces that this process ends, and stops. Does nothing before Start.
   void Leave();
   void Announce(const std::string& name, std::uint64_t version);
   const std::map<std::string, coordination::Member>& members() const {
--- a/src/tier/control/messages.h
+++ b/src/tier/control/messages.h
@@ -1,4 +1,4 @@
-// What control nodes say to one another over the mesh.
+// The messages that control nodes exchange. The order of the fields in `serialize` is the format.
 #ifndef PEARREACH_SRC_TIER_CONTROL_MESSAGES_H_
 #define PEARREACH_SRC_TIER_CONTROL_MESSAGES_H_
 
@@ -16,10 +16,11 @@
 
 namespace pearreach::control {
 
-// Revision of each key that the asker has; an answer leaves out what is the same.
+// Revision of each key that the client has; a response omits entries of the same revision.
 using Revisions = std::map<std::string, std::uint64_t>;
 
-// kControlPoll: asks for state newer than `version`, waiting for it if `hold` is set.
+// kControlPoll: requests a state newer than `version`, and waits for it if `wait_for_update` is
+// set.
 struct PollRequest {
   coordination::Version version;
   Revisions revisions;
@@ -30,12 +31,12 @@
   }
 };
 
-// kControlRead: a strict read, given up after `timeout`.
+// kControlRead: a linearizable read. `timeout` is in microseconds.
 struct ReadRequest {
   Revisions revisions;
   std::int64_t timeout = 0;
-  std::optional<coordination::ChangeId> change_id;  // whether that configuration has been taken
-  bool forwarded = false;  // by a quorum member that is cut off from the others
+  std::optional<coordination::ChangeId> change_id;  // whose status in the change history is wanted
+  bool forwarded = false;  // by an isolated quorum member, to a node outside the quorum
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& revisions& timeout& change_id& forwarded;
@@ -51,12 +52,12 @@
   }
 };
 
-// The answer to both: `present` is false where there is nothing newer, or nothing sure.
+// The response to both. `present` is false if there is nothing newer, or no confirmed state.
 struct StateUpdate {
   bool present = false;
   coordination::Version version;
-  std::vector<StateEntry> entries;  // those whose revision differs from the asker's
-  // Of the mark that was asked about.
+  std::vector<StateEntry> entries;  // those whose revision differs from the client's
+  // Of the requested change id.
   coordination::ChangeHistoryStatus history_status = coordination::ChangeHistoryStatus::kForgotten;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -64,11 +65,11 @@
   }
 };
 
-// kControlWrite: a change on its way to the head.
+// kControlWrite: a change that is forwarded to the head. `timeout` is in microseconds.
 struct WriteRequest {
   ControlChange change;
   std::int64_t timeout = 0;
-  std::uint32_t hops = 0;  // nodes that have passed it on
+  std::uint32_t hops = 0;  // nodes that have forwarded it
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& change.key& change.value& change.expected_revision& timeout& hops;
@@ -79,19 +80,19 @@
 struct WriteResponse {
   std::uint8_t status = 0;  // coordination::ChangeStatus
   std::uint64_t revision = 0;
-  std::string hint;  // name of the head, as far as known
+  std::string hint;  // name of the head, if known
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& status& revision& hint;
   }
 };
 
-// kChain: a message between chain replicas, or a question for a sign; `from` is the sender's name.
+// kChain: a message between chain replicas, or a heartbeat; `from` is the sender's name.
 struct ChainEnvelope {
   std::string from, bytes{};
-  bool is_heartbeat = false;  // answered with HeartbeatResponse
-  // Of a question:
-  bool draining = false;  // the sender's process ends on purpose
+  bool is_heartbeat = false;  // the response is a HeartbeatResponse
+  // Of a heartbeat:
+  bool draining = false;  // the sender's process will end
   std::string disk_id;    // the sender's disk
   DiskUse use;            // as far as that is synced
   template <class Archive>
@@ -101,14 +102,14 @@
 };
 
 struct HeartbeatResponse {
-  std::string name;                            // of the answering node
-  std::vector<std::string> reachable_members;  // quorum members that it has lately heard directly
-  bool draining = false;                       // its process ends on purpose
+  std::string name;                            // of the responding node
+  std::vector<std::string> reachable_members;  // quorum members with which it had contact lately
+  bool draining = false;                       // its process will end
   std::uint64_t epoch = 0;                     // of the view that it is in
   bool agreeing = false;                       // it takes part in an agreement on the next one
   std::string disk_id;                         // its disk
   DiskUse use;                                 // as far as that is synced
-  DiskUse requester_disk_use;                  // of the asker's disk, before this question
+  DiskUse requester_disk_use;                  // what was known of the sender's disk before
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& name& reachable_members& draining& epoch& agreeing& disk_id& use& requester_disk_use;
--- a/src/tier/control/poll_server.cpp
+++ b/src/tier/control/poll_server.cpp
@@ -21,7 +21,7 @@
 void PollServer::HandlePoll(std::string_view body, rpc::Respond respond) {
   auto request = codec::Decode<PollRequest>(body);
   if (!request.ok()) return respond(request.status());
-  // Nobody gets a first state from here: this node may be cut off and not know it yet.
+  // No initial state is served here: this node may be partitioned without knowing it yet.
   if (request->version == coordination::Version()) return respond(codec::Encode(StateUpdate()));
   if (snapshots_->current()->version > request->version) return respond(EncodedUpdate(*request));
   if (!request->wait_for_update) return respond(codec::Encode(StateUpdate()));
--- a/src/tier/control/poll_server.h
+++ b/src/tier/control/poll_server.h
@@ -1,5 +1,6 @@
-// Answers other nodes' kControlPoll: at once where this node knows something newer, otherwise it
-// holds the call until it does or the hold time is over.
+// Serves other nodes' kControlPoll: responds at once if this node has a newer state, and otherwise
+// when it has one or kMaxPollWait is over.
+// Owned by the control node. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_CONTROL_POLL_SERVER_H_
 #define PEARREACH_SRC_TIER_CONTROL_POLL_SERVER_H_
 
@@ -13,13 +14,14 @@
 
 namespace pearreach::control {
 
-// Default; an asker adds its own margin for the way.
+// The client adds a margin for the network.
 inline constexpr Micros kMaxPollWait = 2 * kSecond;
 
 class PollServer {
  public:
   PollServer(TimeSource* time, rpc::Transport* transport, SnapshotStore* snapshots);
   ~PollServer();
+  // Polls that wait for a newer state.
   std::size_t pending() const { return pending_.size(); }
 
  private:
@@ -36,9 +38,9 @@
 
   TimeSource* time_;
   SnapshotStore* snapshots_;
-  std::list<PendingPoll> pending_;  // in the order of their ends
+  std::list<PendingPoll> pending_;  // by deadline
   Timers::Id timer_ = 0;
-  // Askers of one version have the same revisions: each answer is encoded once.
+  // Clients with the same version have the same revisions, so each response is encoded once.
   std::map<coordination::Version, std::string> encoded_;
   coordination::Version encoded_for_;
   CallbackOwner callbacks_;
--- a/src/tier/control/quorum_connectivity.cpp
+++ b/src/tier/control/quorum_connectivity.cpp
@@ -7,6 +7,7 @@
 #include "tier/control/messages.h"
 
 namespace pearreach::control {
+
 QuorumConnectivity::QuorumConnectivity(TimeSource* time, rpc::Transport* transport,
                                        const MemberDirectory* directory,
                                        const ControlTiming& timing)
@@ -70,7 +71,7 @@
   SetPeerDraining(name, heartbeat->draining);
 }
 
-// A process that starts under the name of one that left says so with its first words.
+// The first message of a process that starts under the name of a drained one resets this.
 void QuorumConnectivity::SetPeerDraining(const std::string& name, bool draining) {
   const bool changed =
       draining ? draining_peers_.insert(name).second : draining_peers_.erase(name) > 0;
@@ -152,12 +153,13 @@
 }
 
 bool QuorumConnectivity::ReachesMajority() const {
-  const auto heard = std::count_if(view_.members.begin(), view_.members.end(), [&](const auto& id) {
-    return id.name == directory_->self() ||
-           FindRecent(id.name, timing_.role_candidate_timeout) != nullptr ||
-           IsReachableByMembership(id.name, timing_.role_candidate_timeout);
-  });
-  return 2 * static_cast<std::size_t>(heard) > view_.members.size();
+  const auto reached =
+      std::count_if(view_.members.begin(), view_.members.end(), [&](const auto& id) {
+        return id.name == directory_->self() ||
+               FindRecent(id.name, timing_.role_candidate_timeout) != nullptr ||
+               IsReachableByMembership(id.name, timing_.role_candidate_timeout);
+      });
+  return 2 * static_cast<std::size_t>(reached) > view_.members.size();
 }
 
 }  // namespace pearreach::control
--- a/src/tier/control/quorum_connectivity.h
+++ b/src/tier/control/quorum_connectivity.h
@@ -1,6 +1,8 @@
-// Which quorum members hear one another directly. Membership knows of a node also through others,
-// so a member that is cut off from the rest of the quorum alone looks alive to everybody; the
-// members of a view therefore ask one another for a sign, and learn with it whom the other hears.
+// Which quorum members reach one another directly. Membership also learns of a node through others,
+// so a member that is partitioned from the rest of the quorum alone still looks alive to everybody.
+// The members of a view therefore exchange heartbeats, whose responses name the members that the
+// responding one reaches.
+// Owned by the control node. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_CONTROL_QUORUM_CONNECTIVITY_H_
 #define PEARREACH_SRC_TIER_CONTROL_QUORUM_CONNECTIVITY_H_
 
@@ -26,46 +28,49 @@
                      const ControlTiming& timing);
   ~QuorumConnectivity();
 
-  // Begins to ask; `checked` is called after each round.
+  // Starts the heartbeats. `listener` is called after each period, and when what is known of a
+  // peer's draining or of this node's disk has changed.
   void Start(std::function<void()> listener);
-  // Asks now instead of at the next time: something has changed that the others should know, or of
-  // whom to ask.
+  // Sends heartbeats now instead of at the next period, as something has changed that the peers
+  // should know, or the peers have. Does nothing before Start.
   void SendHeartbeatsNow();
-  // After each step of the replica.
+  // To be called after each step of the replica.
   void Update(bool is_head, bool is_agreeing, const coordination::View& view);
 
-  // From now on questions and answers tell that this node leaves.
+  // From now on requests and responses announce that this process is draining.
   void SetDraining();
-  // That member has said that it leaves; of this node too.
+  // That member, which may be this one, has announced that it is draining.
   bool IsDraining(const std::string& name) const;
-  // All members of the present view know that this node leaves, and none is about to agree on
-  // another view, into which it might have been taken before they knew.
+  // All members of the current view know that this node is draining, and none takes part in an
+  // agreement on another view, which might still include this node.
   bool IsDrained() const;
-  // What is known of disks rides on the signs.
+  // Fed by the heartbeats, which carry what is known of the members' disks.
   DiskRollbackDetector& disk() { return disk_; }
-  // Until then this node's replica says nothing.
+  // Until then this node's replica neither sends nor processes messages.
   bool IsDiskChecked() { return disk_.IsChecked(view_); }
-  // The answer to another member's question for a sign.
+  // The encoded HeartbeatResponse to another member's heartbeat.
   std::string HandleHeartbeat(const ChainEnvelope& request);
-  // A majority of the view is known to hear less than a majority in common with that member.
+  // A majority of the view has reported lately, and even if all others reached that member, it
+  // would be reached by no majority.
   bool IsUnreachable(const std::string& name) const;
-  // This node has just heard a majority of the view, itself among it where it is a member.
+  // This node has lately had contact with a majority of the view, itself included if it is a
+  // member.
   bool ReachesMajority() const;
-  // It did once in this process's life, and does no longer: it is cut off from the others.
+  // It reached a majority once in this process's lifetime, and does no longer.
   bool HasLostMajority() const { return had_majority_ && !ReachesMajority(); }
-  // The same, and it is the head.
+  // It reaches a majority and is the head.
   bool IsSingletonRoleCandidate() const { return is_head_ && ReachesMajority(); }
 
  private:
   struct PeerState {
-    Micros sent_at = 0;                       // when the last answered question was sent
-    std::set<std::string> reachable_members;  // what that answer says
+    Micros sent_at = 0;                       // when the request of the last response was sent
+    std::set<std::string> reachable_members;  // as in that response
     std::uint64_t epoch = 0;
     bool agreeing = false;
   };
   void SendHeartbeats();
   void SetPeerDraining(const std::string& name, bool draining);
-  // `disk_use_sent`: the question told of this process's start.
+  // `disk_use_sent`: the request contained the disk use of this process.
   void OnHeartbeatResponse(const std::string& name, Micros sent_at, bool disk_use_sent,
                            const absl::StatusOr<std::string>& response);
   const PeerState* FindRecent(const std::string& name, Micros span) const;
--- a/src/tier/control/record_writer.h
+++ b/src/tier/control/record_writer.h
@@ -1,7 +1,8 @@
-// Writes the records of this node's chain replica to disk in the order in which the replica gave
-// them. A write that fails (a full disk) is tried again until it is on disk: the replica goes no
-// further without it, and nothing later may be on disk before it. What is given meanwhile goes
-// along with the next try. Each write also records how far the disk has been used (disk_use.h).
+// Writes the records of this node's chain replica to disk in the order in which the replica
+// produced them. A write that fails (a full disk) is retried until it succeeds: the replica takes
+// no further step without it, and nothing later may be on disk before it. Records that arrive
+// meanwhile join the next attempt. Each write also records how far the disk has been used
+// (disk_use.h). Owned by the replica driver. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_CONTROL_RECORD_WRITER_H_
 #define PEARREACH_SRC_TIER_CONTROL_RECORD_WRITER_H_
 
@@ -20,10 +21,10 @@
 
 class RecordWriter {
  public:
-  // The replica's tokens of what is on disk now, in order.
+  // Called with the replica's tokens of the writes that are synced now, in their order.
   using SyncedCallback = std::function<void(const std::vector<std::uint64_t>& tokens)>;
 
-  // `instance`: a random name of this process. Writes at once that it has started.
+  // `instance`: a random id of this process. Records the start of the process at once.
   RecordWriter(TimeSource* time, storage::TableStore* store, std::uint64_t instance,
                SyncedCallback synced_callback);
   ~RecordWriter();
@@ -38,7 +39,7 @@
   }  // by this process; nothing before its first write
 
  private:
-  // Records that go to disk as a whole; a later value of a key takes an earlier one's place.
+  // Records that are written atomically; a later value of a key replaces an earlier one.
   struct Batch {
     std::map<std::string, std::string> records;
     std::vector<std::uint64_t> tokens;
--- a/src/tier/control/replica_driver.cpp
+++ b/src/tier/control/replica_driver.cpp
@@ -11,13 +11,13 @@
 namespace pearreach::control {
 namespace {
 
-constexpr char kRecordPrefix[] = "chain/";     // all keys of the replica begin so
-constexpr Micros kMessageTimeout = 500 * kMs;  // the replica repeats what matters
-// A message of a whole configuration may take longer than the replica waits: it is not sent again
-// while it is on its way.
+constexpr char kRecordPrefix[] = "chain/";     // of all keys of the replica's records
+constexpr Micros kMessageTimeout = 500 * kMs;  // the replica sends again what matters
+// A message with an entire configuration may take longer than the replica waits: it is not sent
+// again while it is in flight.
 constexpr std::size_t kLargeMessage = 64 << 10;
-constexpr std::size_t kMaxPendingMessages = 64;
-constexpr std::size_t kMinBytesPerSecond = 1 << 20;
+constexpr std::size_t kMaxPendingMessages = 64;      // until the disk is checked
+constexpr std::size_t kMinBytesPerSecond = 1 << 20;  // expected of the network, for large messages
 
 std::map<std::string, std::string> RecordsOf(const storage::TableStore& store) {
   const std::string_view prefix = kRecordPrefix;
@@ -101,47 +101,41 @@
 }
 
 void ReplicaDriver::Change(coordination::ChangeRequest request, Micros timeout, ChangeDone done) {
-  const std::uint64_t ticket = ++last_ticket_;
-  request.ticket = ticket;
-  const Timers::Id timer = time_->After(timeout, [this, ticket] {
-    coordination::ChangeResult timed_out;
-    timed_out.ticket = ticket;
-    Finish(timed_out);
-  });
-  pending_changes_[ticket] = {std::move(done), timer};
+  request.ticket = AddPending(&pending_changes_, timeout, std::move(done));
   coordination::Effects effects;
   replica_.Change(time_->Now(), std::move(request), &effects);
   ApplyEffects(std::move(effects));
 }
 
 void ReplicaDriver::Read(Micros timeout, ReadDone done) {
-  const std::uint64_t ticket = ++last_ticket_;
-  const Timers::Id timer = time_->After(timeout, [this, ticket] {
-    coordination::ReadResult timed_out;
-    timed_out.ticket = ticket;
-    Finish(timed_out);
-  });
-  pending_reads_[ticket] = {std::move(done), timer};
+  const std::uint64_t ticket = AddPending(&pending_reads_, timeout, std::move(done));
   coordination::Effects effects;
   replica_.Read(time_->Now(), ticket, &effects);
   ApplyEffects(std::move(effects));
 }
 
-void ReplicaDriver::Finish(const coordination::ChangeResult& result) {
-  auto pending = pending_changes_.extract(result.ticket);
-  if (pending.empty()) return;
-  time_->Cancel(&pending.mapped().timer);
-  pending.mapped().done(result);
+template <class Result>
+std::uint64_t ReplicaDriver::AddPending(PendingCalls<Result>* calls, Micros timeout,
+                                        std::function<void(const Result&)> done) {
+  const std::uint64_t ticket = ++last_ticket_;
+  const Timers::Id timer = time_->After(timeout, [this, calls, ticket] {
+    Result timed_out;
+    timed_out.ticket = ticket;
+    Complete(calls, timed_out);
+  });
+  (*calls)[ticket] = {std::move(done), timer};
+  return ticket;
 }
 
-void ReplicaDriver::Finish(const coordination::ReadResult& result) {
-  auto pending = pending_reads_.extract(result.ticket);
+template <class Result>
+void ReplicaDriver::Complete(PendingCalls<Result>* calls, const Result& result) {
+  auto pending = calls->extract(result.ticket);
   if (pending.empty()) return;
   time_->Cancel(&pending.mapped().timer);
   pending.mapped().done(result);
 }
 
-// What is lost here is sent again, as on the network.
+// A message that is dropped here is sent again by its sender, like one that the network loses.
 void ReplicaDriver::Receive(const ChainEnvelope& envelope) {
   if (!connectivity_->IsDiskChecked()) return;
   coordination::Effects effects;
@@ -164,8 +158,8 @@
     snapshots_->Apply(committed.version, std::move(committed.map));
   }
   timer_.Set(replica_.NextTick());
-  for (const auto& result : effects.changes) Finish(result);
-  for (const auto& result : effects.reads) Finish(result);
+  for (const auto& result : effects.changes) Complete(&pending_changes_, result);
+  for (const auto& result : effects.reads) Complete(&pending_reads_, result);
   if (listener_) listener_();
 }
 
@@ -174,8 +168,8 @@
 }
 
 void ReplicaDriver::OnRecordsSynced(const std::vector<std::uint64_t>& tokens) {
-  if (!connectivity_->IsDiskChecked())
-    connectivity_->SendHeartbeatsNow();  // the others can be told of this process now
+  // The peers can learn of this process now that its start is on the disk.
+  if (!connectivity_->IsDiskChecked()) connectivity_->SendHeartbeatsNow();
   coordination::Effects effects;
   for (const std::uint64_t token : tokens) replica_.Persisted(time_->Now(), token, &effects);
   ApplyEffects(std::move(effects));
--- a/src/tier/control/replica_driver.h
+++ b/src/tier/control/replica_driver.h
@@ -1,5 +1,6 @@
-// Runs this node's ChainReplica: its messages over the mesh, its records on the disk, its ticks on
-// one timer, and the calls that wait for its results.
+// Runs this node's ChainReplica: sends and receives its messages, writes its records to the disk,
+// calls its ticks from one timer, and completes the calls that wait for its results.
+// Owned by the control node. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_CONTROL_REPLICA_DRIVER_H_
 #define PEARREACH_SRC_TIER_CONTROL_REPLICA_DRIVER_H_
 
@@ -34,42 +35,47 @@
                 std::uint64_t seed);
   ~ReplicaDriver();
 
-  // Called after each step of the replica.
+  // `listener` is called after each step of the replica.
   void OnStep(std::function<void()> listener) { listener_ = std::move(listener); }
-  // Tells the replica of the quorum members, if they changed.
+  // Passes the quorum members to the replica, if they or what is known of them changed.
   void MembersChanged();
   void SetFounders(std::vector<coordination::ReplicaId> founders);
 
-  // `done` is called exactly once, within `timeout`; kUnavailable and not ok if nothing came.
-  // The request's ticket is given here.
+  // `done` is called exactly once, within `timeout`; kUnavailable or not ok if there was no result
+  // by then. The request's ticket is assigned here.
   void Change(coordination::ChangeRequest request, Micros timeout, ChangeDone done);
   void Read(Micros timeout, ReadDone done);
 
   bool is_head() const { return replica_.is_head(); }
   bool is_agreeing() const { return replica_.is_agreeing(); }
   const coordination::View& view() const { return replica_.view(); }
-  // It takes part in the view that it knows, so that it learns of commits by itself.
+  // It is a member of the view that it knows, so that it learns of commits from the chain.
   bool InView() const;
+  // It is a member of its view, but has lost contact with a majority of it.
+  bool IsIsolated() const { return InView() && connectivity_->HasLostMajority(); }
 
  private:
-  struct PendingChange {
-    ChangeDone done;
-    Timers::Id timer = 0;
-  };
-  struct PendingRead {
-    ReadDone done;
+  template <class Result>
+  struct PendingCall {
+    std::function<void(const Result&)> done;
     Timers::Id timer = 0;
   };
+  template <class Result>
+  using PendingCalls = std::map<std::uint64_t, PendingCall<Result>>;  // by ticket
   void Receive(const ChainEnvelope& envelope);
   void Tick();
   void ApplyEffects(coordination::Effects effects);
   void OnRecordsSynced(const std::vector<std::uint64_t>& tokens);
   void Send(const coordination::SendMessage& message);
   void SendTo(const std::string& address, const coordination::SendMessage& message);
-  // What waited until the disk was checked.
+  // Sends the messages that waited until the disk was checked.
   void SendPendingMessages();
-  void Finish(const coordination::ChangeResult& result);
-  void Finish(const coordination::ReadResult& result);
+  // Adds a call that completes with an empty result after `timeout`. Returns its ticket.
+  template <class Result>
+  std::uint64_t AddPending(PendingCalls<Result>* calls, Micros timeout,
+                           std::function<void(const Result&)> done);
+  template <class Result>
+  void Complete(PendingCalls<Result>* calls, const Result& result);
 
   TimeSource* time_;
   rpc::Transport* transport_;
@@ -80,12 +86,13 @@
   const coordination::ReplicaId self_;
   coordination::ChainReplica replica_;
   std::function<void()> listener_;
-  std::vector<coordination::Peer> peers_;                   // as last told
-  std::deque<coordination::SendMessage> pending_messages_;  // until the disk is checked; the latest
-  // Large messages that their receivers have not taken yet: by receiver and hash of the bytes.
+  std::vector<coordination::Peer> peers_;  // as last passed to the replica
+  // The latest ones, until the disk is checked.
+  std::deque<coordination::SendMessage> pending_messages_;
+  // Large messages that are not acknowledged yet, by receiver and hash of the bytes.
   std::set<std::pair<std::string, std::size_t>> large_in_flight_;
-  std::map<std::uint64_t, PendingChange> pending_changes_;
-  std::map<std::uint64_t, PendingRead> pending_reads_;
+  PendingCalls<coordination::ChangeResult> pending_changes_;
+  PendingCalls<coordination::ReadResult> pending_reads_;
   std::uint64_t last_ticket_ = 0;
   DeadlineTimer timer_;
   CallbackOwner callbacks_;
--- a/src/tier/control/singleton_role_driver.cpp
+++ b/src/tier/control/singleton_role_driver.cpp
@@ -7,7 +7,7 @@
 namespace pearreach::control {
 namespace {
 
-constexpr char kRoleKeyPrefix[] = "duty/";  // of a duty's key in the control state
+constexpr char kRoleKeyPrefix[] = "duty/";  // of a role's key in the control state
 constexpr Micros kClaimTimeout = 1 * kSecond;
 constexpr Micros kClaimBackoff = 200 * kMs;
 
--- a/src/tier/control/singleton_role_driver.h
+++ b/src/tier/control/singleton_role_driver.h
@@ -1,6 +1,6 @@
-// Takes a duty of the whole system while this node is the first live one in the order of the
-// control state's view (ControlClient::IsSingletonRoleCandidate), and makes its holder's changes
-// under its epoch. See coordination/duty.h.
+// Claims a singleton role of the system while this node is the first live one in the order of the
+// control state's view (ControlClient::IsSingletonRoleCandidate), and provides the fencing token
+// for the owner's changes. See coordination/singleton_role.h. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_CONTROL_SINGLETON_ROLE_DRIVER_H_
 #define PEARREACH_SRC_TIER_CONTROL_SINGLETON_ROLE_DRIVER_H_
 
@@ -15,20 +15,20 @@
 
 class SingletonRoleDriver {
  public:
-  // `duty`: its name in the control state. `self`: a name of this process that no other one has.
-  // `changed` is called when a claim has ended.
+  // `role_name`: the role's name in the control state. `self`: a name that is unique to this
+  // process. `changed` is called when a claim has succeeded or failed. `control` must outlive this.
   SingletonRoleDriver(ControlClient* control, const std::string& role_name, std::string self,
                       std::function<void()> changed);
   ~SingletonRoleDriver() { *alive_ = false; }
   SingletonRoleDriver(const SingletonRoleDriver&) = delete;
   SingletonRoleDriver& operator=(const SingletonRoleDriver&) = delete;
 
-  // Takes in what the control state says now, and claims the duty if it is this node's to take.
-  // True: this process holds it.
+  // Observes the current control state, and claims the role if this node is the candidate. Returns
+  // whether this process owns the role.
   bool Update(Micros now);
   bool is_owner() const { return role_.acting().has_value(); }
-  // Of a change that is refused once another process has taken the duty. The last epoch that this
-  // process knows where it does not hold the duty.
+  // For a change that must be rejected once another process owns the role. Of the last epoch that
+  // this process knows.
   coordination::FencingToken fencing_token() const { return {key_, role_.record().epoch}; }
 
  private:
--- a/src/tier/control/snapshot_store.cpp
+++ b/src/tier/control/snapshot_store.cpp
@@ -10,8 +10,8 @@
 
 constexpr unsigned kSequenceBits = 32;
 
-void CopyConfig(const coordination::Map& map, const ControlSnapshot& previous,
-                ControlSnapshot* next) {
+void SetConfig(const coordination::Map& map, const ControlSnapshot& previous,
+               ControlSnapshot* next) {
   const auto found = map.find(kConfigKey);
   if (found == map.end() || found->second.revision == 0) return;
   next->config_json = found->second.value;
@@ -27,7 +27,7 @@
   }
 }
 
-void CopyStores(const coordination::Map& map, ControlSnapshot* next) {
+void SetStores(const coordination::Map& map, ControlSnapshot* next) {
   const auto found = map.find(kStoresKey);
   if (found == map.end()) return;
   next->stores = found->second.value;
@@ -43,8 +43,8 @@
   if (map == nullptr || version <= current_->version) return false;
   auto next = std::make_shared<ControlSnapshot>();
   next->version = version;
-  CopyConfig(*map, *current_, next.get());
-  CopyStores(*map, next.get());
+  SetConfig(*map, *current_, next.get());
+  SetStores(*map, next.get());
   next->map = std::move(map);
   current_ = std::move(next);
   for (std::size_t i = 0; i < listeners_.size(); ++i) listeners_[i]();
@@ -80,7 +80,7 @@
   return ApplyConfirmed(update.version, Merged(std::move(update.entries)));
 }
 
-// Revisions only rise, so what an answer left out is still the same in the current map.
+// Revisions only increase, so entries that an update omits are the same in the current map.
 std::shared_ptr<const coordination::Map> SnapshotStore::Merged(
     std::vector<StateEntry> entries) const {
   auto map = current_->map == nullptr ? std::make_shared<coordination::Map>()
--- a/src/tier/control/state_poller.cpp
+++ b/src/tier/control/state_poller.cpp
@@ -11,7 +11,7 @@
 
 constexpr Micros kPollTimeout = kMaxPollWait + kSecond;
 constexpr Micros kRetryAfterFailure = 300 * kMs;
-constexpr Micros kMinPollWait = 100 * kMs;  // an empty answer before that counts as a failure
+constexpr Micros kMinPollWait = 100 * kMs;  // an empty response before that counts as a failure
 
 bool SameAddress(const Contact& a, const Contact& b) { return a.address == b.address; }
 
@@ -50,7 +50,7 @@
     const auto kept = std::find_if(chosen.begin(), chosen.end(),
                                    [&](const Contact& c) { return SameAddress(c, slot.contact); });
     if (kept == chosen.end()) {
-      slot.call = 0;  // what it still answers is taken all the same
+      slot.call = 0;  // its response is applied nevertheless
     } else {
       chosen.erase(kept);
     }
--- a/src/tier/control/state_poller.h
+++ b/src/tier/control/state_poller.h
@@ -1,5 +1,6 @@
-// Keeps a node without a place in the chain up to date: polls held open at two distinct members,
-// so that one that is cut off cannot keep this node back.
+// Keeps a node that is not in the chain up to date by long polls at two distinct members, so that
+// one member that is partitioned cannot delay this node. Owned by the control node. Loop thread
+// only.
 #ifndef PEARREACH_SRC_TIER_CONTROL_STATE_POLLER_H_
 #define PEARREACH_SRC_TIER_CONTROL_STATE_POLLER_H_
 
@@ -21,15 +22,16 @@
               const MemberDirectory* directory);
   ~StatePoller();
 
-  // Off: this node learns of commits itself. Open polls end by themselves.
+  // Inactive: this node learns of commits from the chain. Responses to open polls are still
+  // applied.
   void SetActive(bool active);
-  // Members or their status changed: chooses anew whom to poll.
+  // To be called when members or their status changed: chooses the members to poll again.
   void Refresh();
 
  private:
   struct Slot {
     Contact contact;
-    std::uint64_t call = 0;  // 0: no poll is open
+    std::uint64_t call = 0;  // id of the open poll; 0: none
     Micros sent_at = 0;
   };
   std::vector<Contact> ChooseContacts() const;
@@ -47,7 +49,7 @@
   bool active_ = false;
   std::array<Slot, 2> slots_;
   std::uint64_t last_call_ = 0;
-  std::map<std::string, Micros> backed_off_until_;  // address -> not asked again before
+  std::map<std::string, Micros> backed_off_until_;  // by address, on the time source's clock
   Timers::Id retry_timer_ = 0;
   CallbackOwner callbacks_;
 };
--- a/src/tier/control/time_source.h
+++ b/src/tier/control/time_source.h
@@ -1,5 +1,5 @@
-// Time as the control node sees it: the steady clock and one-shot timers, behind an interface so
-// that tests run it in virtual time.
+// Time as the control node sees it: a monotonic clock and one-shot timers, behind an interface so
+// that tests run it in virtual time. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_CONTROL_TIME_SOURCE_H_
 #define PEARREACH_SRC_TIER_CONTROL_TIME_SOURCE_H_
 
@@ -14,18 +14,21 @@
 class TimeSource {
  public:
   virtual ~TimeSource() = default;
+  // Microseconds of a monotonic clock.
   virtual Micros Now() const = 0;
+  // Calls `callback` once, `delay` microseconds from now. The id is never 0.
   virtual Timers::Id After(Micros delay, std::function<void()> callback) = 0;
-  virtual void Cancel(Timers::Id* id) = 0;  // does nothing for 0; sets *id to 0
+  virtual void Cancel(Timers::Id* id) = 0;  // ignores 0; sets *id to 0
 };
 
-// Ticks from then on never come: what the coordination machines name when there is none.
+// Times from here on mean never: what the state machines return if they need no tick.
 inline constexpr Micros kNoTick = std::numeric_limits<Micros>::max() / 4;
 
 // The process's own clock and timers.
 std::unique_ptr<TimeSource> TimeSourceOf(Timers* timers);
 
-// Drops calls that come back after their owner is gone.
+// Binds callbacks to the lifetime of its owner: a callback that is called after the owner has been
+// destroyed does nothing.
 class CallbackOwner {
  public:
   template <class Callback>
