--- a/src/tier/control/state_poller.h
+++ b/src/tier/control/state_poller.h
@@ -1,5 +1,6 @@
-// Keeps a node without a place in the chain up to date: polls held open at two distinct members,
-// so that one that is cut off cannot keep this node back.
+// Keeps a node that is not in the chain up to date by long polls at two distinct members, so that
+// one member that is partitioned cannot delay this node. Owned by the control node. Loop thread
+// only.
 #ifndef PEARREACH_SRC_TIER_CONTROL_STATE_POLLER_H_
 #define PEARREACH_SRC_TIER_CONTROL_STATE_POLLER_H_
 
@@ -21,23 +22,25 @@
               const MemberDirectory* directory);
   ~StatePoller();
 
-  // Off: this node learns of commits itself. Open polls end by themselves.
+  // Inactive: this node learns of commits from the chain. Responses to open polls are still
+  // applied.
   void SetActive(bool active);
-  // Members or their status changed: chooses anew whom to poll.
+  // To be called when members or their status changed: chooses the members to poll again.
   void Refresh();
 
  private:
   struct Slot {
     Contact contact;
-    std::uint64_t call = 0;  // 0: no poll is open
-    Micros asked = 0;
+    std::uint64_t call = 0;  // id of the open poll; 0: none
+    Micros sent_at = 0;
   };
-  std::vector<Contact> Wanted() const;
-  bool Passed(const std::string& address) const;
-  void Ask(Slot* slot);
-  void Answered(std::uint64_t call, const std::string& address, absl::StatusOr<std::string> answer);
-  void Fail(const std::string& address);
-  void ArmRetry();
+  std::vector<Contact> ChooseContacts() const;
+  bool IsBackedOff(const std::string& address) const;
+  void SendPoll(Slot* slot);
+  void OnResponse(std::uint64_t call, const std::string& address,
+                  absl::StatusOr<std::string> response);
+  void BackOff(const std::string& address);
+  void StartRetryTimer();
 
   TimeSource* time_;
   rpc::Transport* transport_;
@@ -46,7 +49,7 @@
   bool active_ = false;
   std::array<Slot, 2> slots_;
   std::uint64_t last_call_ = 0;
-  std::map<std::string, Micros> failed_;  // address -> not asked again before
+  std::map<std::string, Micros> backed_off_until_;  // by address, on the time source's clock
   Timers::Id retry_timer_ = 0;
   CallbackOwner callbacks_;
 };
--- a/tests/fuzz/tier_calls_fuzz.cpp
+++ b/tests/fuzz/tier_calls_fuzz.cpp
@@ -15,7 +15,7 @@
 #include "tier/batch/batch_job_api.h"
 #include "tier/batch/store_client.h"
 #include "tier/control/api_router.h"
-#include "tier/server/batch/edge_fakes.h"
+#include "tier/batch/edge_fakes.h"
 
 namespace {
 
