--- a/src/tier/batch/batch_job_api.cpp
+++ b/src/tier/batch/batch_job_api.cpp
@@ -150,7 +150,7 @@
     logging::Warning(kModule, "lot not taken", {{"why", std::string(answer.status().message())}});
   if (answer.ok() && answer->status == CreateStatus::kAccepted) {
     Answer(exchange, 202, "{}");
-  } else if (answer.ok() && answer->status == CreateStatus::kNoRoom) {
+  } else if (answer.ok() && answer->status == CreateStatus::kInsufficientCapacity) {
     Refuse(exchange, 503, kNoRoomRetryAfter);
   } else if (answer.ok()) {
     Refuse(exchange, 429, RetryAfterOf(*answer));
--- a/src/tier/batch/batch_job_changes.cpp
+++ b/src/tier/batch/batch_job_changes.cpp
@@ -34,7 +34,7 @@
     return;
   }
   if (!context_->HasDiskCapacity(replica->table(), offer.disk_bytes)) {
-    respond(codec::Encode(OfferBatchJobResponse{OfferVerdict::kNoRoom}));
+    respond(codec::Encode(OfferBatchJobResponse{OfferVerdict::kInsufficientCapacity}));
     return;
   }
   replica->AwaitAll(kOfferSpan, kOfferTimeout, [respond](bool answered) {
@@ -76,7 +76,7 @@
     return;
   }
   if (!context_->HasDiskCapacity(replica->table(), BatchJobBytes(*batch_job))) {
-    respond(codec::Encode(CreateBatchJobResponse{CreateStatus::kNoRoom, 0}));
+    respond(codec::Encode(CreateBatchJobResponse{CreateStatus::kInsufficientCapacity, 0}));
     return;
   }
   creating_[batch_job->batch_job_id] = {batch_job->fingerprint, {std::move(respond)}};
@@ -104,7 +104,7 @@
   }
   if (!context_->ReserveDiskCapacity(replica->table(), BatchJobBytes(*batch_job))) {
     if (batch_job->token_cap > 0) quota_->Drop(batch_job->route);
-    Finish(batch_job->batch_job_id, CreateStatus::kNoRoom);
+    Finish(batch_job->batch_job_id, CreateStatus::kInsufficientCapacity);
     return;
   }
   const std::string batch_job_id = batch_job->batch_job_id;
--- a/src/tier/batch/batch_job_items.cpp
+++ b/src/tier/batch/batch_job_items.cpp
@@ -83,10 +83,10 @@
 }
 
 // Room by route, no more than the node's part of what waits.
-std::map<std::string, int> BatchJobItems::Shares(const std::map<std::string, int>& room) const {
+std::map<std::string, int> BatchJobItems::Shares(const std::map<std::string, int>& capacity) const {
   std::map<std::string, int> shares;
   const std::size_t takers = std::max({std::size_t{1}, takers_.size(), parked_.size()});
-  for (const auto& [route, places] : room) {
+  for (const auto& [route, places] : capacity) {
     const std::size_t waiting = leases_.Waiting(route);
     if (waiting == 0) continue;
     const auto share = static_cast<int>((waiting + takers - 1) / takers);
@@ -112,9 +112,10 @@
 
 PullItemsResponse BatchJobItems::Give(const PullItems& take) {
   PullItemsResponse answer;
-  const std::map<std::string, int> shares = Shares(take.room);
+  const std::map<std::string, int> shares = Shares(take.capacity);
   if (shares.empty()) return answer;
-  for (const TakenItem& taken : leases_.Take(take.node, shares, kMaxTaken, context_->Now())) {
+  for (const ItemLease& taken :
+       leases_.Take(take.node, shares, kMaxItemsPerPull, context_->Now())) {
     LeasedItem item;
     if (Describe(taken, &item)) answer.items.push_back(std::move(item));
   }
@@ -122,7 +123,7 @@
   return answer;
 }
 
-bool BatchJobItems::Describe(const TakenItem& taken, LeasedItem* item) {
+bool BatchJobItems::Describe(const ItemLease& taken, LeasedItem* item) {
   const std::uint32_t partition = PartitionOf(taken.batch_job_id);
   const BatchJob* batch_job = context_->Replica(partition).batch_jobs().Find(taken.batch_job_id);
   if (batch_job == nullptr) return false;
@@ -309,7 +310,7 @@
   RenewLeasesResponse answer;
   const bool current = leases_.Hello(renew.node, renew.process);
   const Micros now = context_->Now();
-  for (const auto& [batch_job_id, item_id] : renew.held) {
+  for (const auto& [batch_job_id, item_id] : renew.leased_items) {
     PartitionReplica* replica = context_->ActiveReplica(batch_job_id);
     if (replica == nullptr) continue;  // its primary will tell
     const BatchJob* batch_job = replica->batch_jobs().Find(batch_job_id);
--- a/src/tier/batch/batch_job_items.h
+++ b/src/tier/batch/batch_job_items.h
@@ -45,8 +45,8 @@
 
   void AddBatchJob(const std::string& batch_job_id, const BatchJob& batch_job, Micros held_until);
   PullItemsResponse Give(const PullItems& take);
-  bool Describe(const TakenItem& taken, LeasedItem* item);
-  std::map<std::string, int> Shares(const std::map<std::string, int>& room) const;
+  bool Describe(const ItemLease& taken, LeasedItem* item);
+  std::map<std::string, int> Shares(const std::map<std::string, int>& capacity) const;
   void Park(PullItems take, rpc::Respond respond);
   void Unpark(const std::string& node);
   void OnWaited(std::uint64_t id);
--- a/src/tier/batch/batch_job_state.cpp
+++ b/src/tier/batch/batch_job_state.cpp
@@ -326,8 +326,8 @@
   }
 }
 
-Operation BatchJobTable::Whole(const storage::TableStore& disk,
-                               const std::string& batch_job_id) const {
+Operation BatchJobTable::ReadSnapshot(const storage::TableStore& disk,
+                                      const std::string& batch_job_id) const {
   Operation operation{batch_job_id, true, {}};
   const std::string prefix = BatchJobPrefix(partition_, batch_job_id);
   disk.ForEach(prefix, [&](std::string_view key, std::string_view value) {
--- a/src/tier/batch/batch_job_state.h
+++ b/src/tier/batch/batch_job_state.h
@@ -53,7 +53,7 @@
   std::size_t Bytes() const;
 };
 
-struct ItemHead {
+struct ItemSummary {
   std::string item_id;
   double tokens = 0;
   template <class Archive>
@@ -69,7 +69,7 @@
   int attempts = 1;
   double due_ms = 0, retain_s = 0, status_s = 0;
   std::int64_t created_wall_ms = 0;  // time of day at the primary that took it
-  std::vector<ItemHead> items;
+  std::vector<ItemSummary> items;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& route& host& fingerprint& token_cap& attempts& due_ms& retain_s& status_s&
@@ -150,7 +150,7 @@
   // Changes memory and returns what is to be written for it.
   std::vector<storage::Write> Apply(const Operation& operation);
   // The whole lot as it is on disk, in place of whatever another replica has of it.
-  Operation Whole(const storage::TableStore& disk, const std::string& batch_job_id) const;
+  Operation ReadSnapshot(const storage::TableStore& disk, const std::string& batch_job_id) const;
 
   BatchJob* Find(const std::string& batch_job_id);
   const std::map<std::string, BatchJob>& batch_jobs() const { return batch_jobs_; }
--- a/src/tier/batch/batch_job_store.cpp
+++ b/src/tier/batch/batch_job_store.cpp
@@ -277,7 +277,7 @@
 
 // A suspect may be gone already, and one that said that it leaves holds nothing for long.
 bool StoreServer::MayShutDown() const {
-  return OthersHoldAll(placement_, self_, [this](const StoreId& store) {
+  return PeersHoldAllData(placement_, self_, [this](const StoreId& store) {
     const auto at = control_->members().find(store.name);
     return at != control_->members().end() && at->second.info.disk_id == store.disk_id &&
            at->second.status == coordination::MemberStatus::kAlive;
@@ -329,7 +329,7 @@
   std::set<std::string> stores;
   for (const auto& replica : replicas_) {
     for (const auto& [batch_job_id, batch_job] : replica->batch_jobs().batch_jobs())
-      owed += OwedBytes(batch_job);
+      owed += PendingResultBytes(batch_job);
     for (const StoreId& store : replica->table().replicas) stores.insert(store.name);
   }
   for (const std::string& name : placement_.retiring) stores.erase(name);
--- a/src/tier/batch/batch_job_submission.cpp
+++ b/src/tier/batch/batch_job_submission.cpp
@@ -105,8 +105,8 @@
 void BatchJobSubmission::Decide() {
   if (create_call_ != 0 || done_ == nullptr) return;
   if (offer_ == OfferVerdict::kKnown) return Create();
-  if (offer_ == OfferVerdict::kNoRoom)
-    return Finish(CreateBatchJobResponse{CreateStatus::kNoRoom, 0});
+  if (offer_ == OfferVerdict::kInsufficientCapacity)
+    return Finish(CreateBatchJobResponse{CreateStatus::kInsufficientCapacity, 0});
   if (!fits_.has_value()) return;
   if (!offer_.has_value()) return AwaitOffer();
   if (IsOver()) return RefuseOverQuota();
--- a/src/tier/batch/disk_capacity.cpp
+++ b/src/tier/batch/disk_capacity.cpp
@@ -47,7 +47,7 @@
   return bytes + OnDisk(header);
 }
 
-std::uint64_t OwedBytes(const BatchJob& batch_job) {
+std::uint64_t PendingResultBytes(const BatchJob& batch_job) {
   if (!batch_job.Open()) return 0;
   std::uint64_t bytes = 0;
   for (std::size_t i = 0; i < batch_job.items.size(); ++i) {
@@ -89,8 +89,8 @@
   for (const StoreId& store : Holders(table)) {
     const auto peer = peers_.find(store);
     const bool known = store == self || peer != peers_.end();
-    const std::uint64_t room = !known ? bytes : store == self ? Own(space) : peer->second;
-    if (room < bytes) return store;
+    const std::uint64_t capacity = !known ? bytes : store == self ? Own(space) : peer->second;
+    if (capacity < bytes) return store;
   }
   return std::nullopt;
 }
--- a/src/tier/batch/disk_capacity.h
+++ b/src/tier/batch/disk_capacity.h
@@ -17,7 +17,7 @@
 // What a lot takes on disk at most, with its results (bytes, whole pages where these count).
 std::uint64_t BatchJobBytes(const BatchJobSpec& batch_job);
 // What the results that are still to come may add.
-std::uint64_t OwedBytes(const BatchJob& batch_job);
+std::uint64_t PendingResultBytes(const BatchJob& batch_job);
 
 class DiskCapacity {
  public:
@@ -29,7 +29,7 @@
   // For further lots on this disk; `space` as it is now.
   std::uint64_t Own(const storage::Space& space) const;
   // As another store told it last.
-  void NotePeer(const StoreId& store, std::uint64_t room) { peers_[store] = room; }
+  void NotePeer(const StoreId& store, std::uint64_t capacity) { peers_[store] = capacity; }
   // A holder of the partition that lacks the room, if one does; one never heard of does not.
   std::optional<StoreId> Lacking(const Partition& table, const StoreId& self,
                                  const storage::Space& space, std::uint64_t bytes) const;
--- a/src/tier/batch/item_puller.cpp
+++ b/src/tier/batch/item_puller.cpp
@@ -26,12 +26,12 @@
 
 int RoomOf(const routing::Route& route, const proxy::RequestRunner& runner) {
   std::set<std::string_view> services;
-  int room = 0;
+  int capacity = 0;
   for (const routing::Target& target : route.targets) {
     if (target.share <= 0 || !services.insert(target.service).second) continue;
-    room += std::max(runner.BulkRoom(target.service), 0);
+    capacity += std::max(runner.BulkRoom(target.service), 0);
   }
-  return std::min(room, kMaxAtOnce);
+  return std::min(capacity, kMaxAtOnce);
 }
 
 bool HasBulk(const routing::RouteTable& routes) {
@@ -74,13 +74,13 @@
 
 // The room by route, a store's share of it.
 std::map<std::string, int> ItemPuller::Room(const routing::RouteTable& routes, int stores) const {
-  std::map<std::string, int> room;
+  std::map<std::string, int> capacity;
   for (const routing::Route& route : routes.routes()) {
     if (route.variant != routing::Variant::kBulk) continue;
     const int here = RoomOf(route, *runner_);
-    if (here > 0) room[route.name] = (here + stores - 1) / stores;
+    if (here > 0) capacity[route.name] = (here + stores - 1) / stores;
   }
-  return room;
+  return capacity;
 }
 
 void ItemPuller::Ask() {
@@ -94,15 +94,15 @@
     return;
   }
   const std::vector<StoreId> primaries = stores_->Primaries();
-  const auto room = Room(*routes, std::max<int>(static_cast<int>(primaries.size()), 1));
-  if (primaries.empty() || room.empty()) {
+  const auto capacity = Room(*routes, std::max<int>(static_cast<int>(primaries.size()), 1));
+  if (primaries.empty() || capacity.empty()) {
     AskLater(next);
     return;
   }
   bool all_open = true;
   for (const StoreId& store : primaries) {
     Asked& asked = asked_[store];
-    if (!asked.open && asked.not_before <= now) AskStore(store, room);
+    if (!asked.open && asked.not_before <= now) AskStore(store, capacity);
     if (asked.open) continue;
     all_open = false;
     next = std::min(next, std::max<Micros>(asked.not_before - now, kMs));
@@ -115,12 +115,12 @@
   return self == control_->members().end() ? process_ : self->second.info.incarnation;
 }
 
-void ItemPuller::AskStore(const StoreId& store, std::map<std::string, int> room) {
+void ItemPuller::AskStore(const StoreId& store, std::map<std::string, int> capacity) {
   asked_[store].open = true;
   PullItems take;
   take.node = node_;
   take.process = Process();
-  take.room = std::move(room);
+  take.capacity = std::move(capacity);
   take.wait_ms = kTakeWaitMs;
   const Micros timeout = kTakeWaitMs * kMs + kAnswerTime;
   stores_->Take(
--- a/src/tier/batch/item_puller.h
+++ b/src/tier/batch/item_puller.h
@@ -44,7 +44,7 @@
   };
 
   std::map<std::string, int> Room(const routing::RouteTable& routes, int stores) const;
-  void AskStore(const StoreId& store, std::map<std::string, int> room);
+  void AskStore(const StoreId& store, std::map<std::string, int> capacity);
   void OnAnswer(const StoreId& store, Micros asked_at, absl::StatusOr<PullItemsResponse> answer);
   void AskLater(Micros delay);
   bool WorkIsKnown(Micros now) const;
--- a/src/tier/batch/item_worker.cpp
+++ b/src/tier/batch/item_worker.cpp
@@ -294,7 +294,7 @@
     RenewLeases renew;
     renew.node = node_;
     renew.process = taker_.Process();
-    renew.held = keys;
+    renew.leased_items = keys;
     stores_->Renew(store, std::move(renew), kRenewTimeout,
                    [this, alive = alive_, keys = std::move(keys),
                     now](const absl::StatusOr<RenewLeasesResponse>& answer) {
--- a/src/tier/batch/leases.cpp
+++ b/src/tier/batch/leases.cpp
@@ -106,7 +106,7 @@
   return true;
 }
 
-TakenItem LeaseTable::TakeFirst(std::uint64_t number, std::uint32_t node, Micros now) {
+ItemLease LeaseTable::TakeFirst(std::uint64_t number, std::uint32_t node, Micros now) {
   BatchJobItems& batch_job = batch_jobs_.at(number);
   while (batch_job.items[batch_job.first].phase != Phase::kWaiting) ++batch_job.first;
   const std::uint32_t item = batch_job.first;
@@ -116,12 +116,12 @@
   return {batch_job.id, item, lease};
 }
 
-std::vector<TakenItem> LeaseTable::Take(const std::string& node,
-                                        const std::map<std::string, int>& room, int most,
+std::vector<ItemLease> LeaseTable::Take(const std::string& node,
+                                        const std::map<std::string, int>& capacity, int most,
                                         Micros now) {
-  std::vector<TakenItem> taken;
+  std::vector<ItemLease> taken;
   const std::uint32_t number = NodeNumber(node);
-  std::map<std::string, int> left = room;
+  std::map<std::string, int> left = capacity;
   while (static_cast<int>(taken.size()) < most) {
     const std::pair<std::int64_t, std::uint64_t>* earliest = nullptr;
     int* room_left = nullptr;
--- a/src/tier/batch/leases.h
+++ b/src/tier/batch/leases.h
@@ -17,9 +17,9 @@
 namespace pearreach::batch {
 
 constexpr Micros kLeaseSpan = 3 * kSecond;  // unless renewed
-constexpr int kMaxTaken = 8;                // items of one answer
+constexpr int kMaxItemsPerPull = 8;         // items of one answer
 
-struct TakenItem {
+struct ItemLease {
   std::string batch_job_id;
   std::uint32_t item = 0;
   std::uint64_t lease = 0;
@@ -42,7 +42,7 @@
   // one.
   bool Hello(const std::string& node, std::uint64_t process);
   // By room per route, the earliest due first, at most `most` in all.
-  std::vector<TakenItem> Take(const std::string& node, const std::map<std::string, int>& room,
+  std::vector<ItemLease> Take(const std::string& node, const std::map<std::string, int>& capacity,
                               int most, Micros now);
   // Whether the node holds the item from now on for another span.
   bool Renew(const std::string& node, const std::string& batch_job_id, std::uint32_t item,
@@ -82,7 +82,7 @@
   void Lease(std::uint64_t number, BatchJobItems* batch_job, std::uint32_t item, std::uint32_t node,
              std::uint64_t lease, Micros expires);
   std::uint32_t NodeNumber(const std::string& node);
-  TakenItem TakeFirst(std::uint64_t number, std::uint32_t node, Micros now);
+  ItemLease TakeFirst(std::uint64_t number, std::uint32_t node, Micros now);
 
   std::uint64_t next_lease_, next_batch_job_ = 1;
   std::unordered_map<std::string, std::uint64_t> numbers_;
--- a/src/tier/batch/messages.h
+++ b/src/tier/batch/messages.h
@@ -104,7 +104,7 @@
 enum class OfferVerdict : std::uint8_t {
   kWelcome,  // not known here; all stores that would have to keep it have just answered
   kKnown,    // handed in before, or being handed in
-  kNoRoom,   // on the disk of a replica
+  kInsufficientCapacity,  // on the disk of a replica
 };
 struct OfferBatchJobResponse {
   OfferVerdict verdict = OfferVerdict::kWelcome;
@@ -116,7 +116,7 @@
 enum class CreateStatus : std::uint8_t {
   kAccepted,  // also when repeated
   kOverQuota,
-  kNoRoom,  // on the disk of a replica
+  kInsufficientCapacity,  // on the disk of a replica
 };
 struct CreateBatchJobResponse {
   CreateStatus status = CreateStatus::kAccepted;
@@ -198,11 +198,11 @@
   std::string node;           // name of the edge node
   std::uint64_t process = 0;  // of its process: leases of an earlier one are void
   std::uint64_t placement_epoch = 0;
-  std::map<std::string, int> room;  // by route name: how many items it would run now
+  std::map<std::string, int> capacity;  // by route name: how many items it would run now
   std::int64_t wait_ms = 0;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& node& process& placement_epoch& room& wait_ms;
+    archive& node& process& placement_epoch& capacity& wait_ms;
   }
 };
 struct LeasedItem {
@@ -247,10 +247,10 @@
 struct RenewLeases {
   std::string node;
   std::uint64_t process = 0;
-  std::vector<std::pair<std::string, std::string>> held;  // lot and item
+  std::vector<std::pair<std::string, std::string>> leased_items;  // batch job and item
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& node& process& held;
+    archive& node& process& leased_items;
   }
 };
 struct RenewLeasesResponse {
@@ -266,10 +266,10 @@
 struct StoreStatus {
   StoreId store;                                                // the joiner
   std::vector<std::pair<std::uint32_t, std::uint64_t>> filled;  // partition, its epoch
-  std::vector<StoreId> silent{};
+  std::vector<StoreId> unresponsive{};
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& store& filled& silent;
+    archive& store& filled& unresponsive;
   }
 };
 
--- a/src/tier/batch/placement_controller.cpp
+++ b/src/tier/batch/placement_controller.cpp
@@ -43,7 +43,7 @@
                       if (*alive) OnStatus(body, respond);
                     });
   control->OnChange([this, alive = alive_] {
-    if (*alive) Look();
+    if (*alive) Reconcile();
   });
   LookLater(0);
 }
@@ -57,7 +57,7 @@
   timers_->Cancel(&timer_);
   timer_ = timers_->After(delay, [this] {
     timer_ = 0;
-    Look();
+    Reconcile();
   });
 }
 
@@ -75,8 +75,8 @@
     filled_.insert({status->store, partition, epoch});
   }
   respond(std::string());
-  for (const StoreId& store : status->silent) PingUnresponsive(store);
-  if (!status->filled.empty()) Look();
+  for (const StoreId& store : status->unresponsive) PingUnresponsive(store);
+  if (!status->filled.empty()) Reconcile();
 }
 
 // A report is no more than a hint: its sender may be the one that is cut off.
@@ -141,7 +141,7 @@
 
 PlacementInput PlacementController::Gather(Micros now) {
   PlacementInput input;
-  input.stores = liveness_.Look(now, control_->members());
+  input.stores = liveness_.Update(now, control_->members());
   input.spread = spread_;
   input.filled = filled_;
   if (table_ != nullptr && now - role_since_ >= kUnknownTime) {
@@ -155,7 +155,7 @@
   return input;
 }
 
-void PlacementController::Look() {
+void PlacementController::Reconcile() {
   const Micros now = Now();
   if (!role_.Update(now)) {
     if (has_role_) OnRoleLost();
@@ -167,12 +167,12 @@
     LookLater(kBusyPeriod);
     return;
   }
-  for (const auto& [store, since] : liveness_.silent()) PingUnresponsive(store);
+  for (const auto& [store, since] : liveness_.unresponsive()) PingUnresponsive(store);
   const PlacementInput input = Gather(now);
   auto next = NextPlacement(table_.get(), input);
   if (next.has_value()) Propose(*std::move(next), revision_);
   const bool calm = !proposing_ && table_ != nullptr && IsSettled(*table_, spread_.replicas);
-  const bool calm_stores = liveness_.silent().empty();
+  const bool calm_stores = liveness_.unresponsive().empty();
   Micros next_look = calm && calm_stores ? kCalmPeriod : kBusyPeriod;
   if (const Micros silence = liveness_.NextSilence(); silence > now)
     next_look = std::min(next_look, silence - now);
--- a/src/tier/batch/placement_controller.h
+++ b/src/tier/batch/placement_controller.h
@@ -35,7 +35,7 @@
   PlacementController& operator=(const PlacementController&) = delete;
 
   // Membership has changed: looks at once.
-  void Look();
+  void Reconcile();
 
  private:
   void OnStatus(std::string_view body, const rpc::Respond& respond);
--- a/src/tier/batch/replication.cpp
+++ b/src/tier/batch/replication.cpp
@@ -353,7 +353,8 @@
   if (scope.process == primary_process_ && scope.attempt < attempt_) {
     return ReplicaVerdict::kSuperseded;
   }
-  if (scope.process == primary_process_ && scope.attempt == attempt_) return ReplicaVerdict::kTaken;
+  if (scope.process == primary_process_ && scope.attempt == attempt_)
+    return ReplicaVerdict::kAccepted;
   if (!starts_attempt) return ReplicaVerdict::kUnsynchronised;
   if (scope.process != primary_process_) {
     former_processes_.insert(primary_process_);
@@ -361,20 +362,20 @@
   }
   attempt_ = scope.attempt;
   stream_open_ = false;
-  return ReplicaVerdict::kTaken;
+  return ReplicaVerdict::kAccepted;
 }
 
 ReplicaVerdict PartitionReplica::JudgeReplicate(const Replicate& message) {
   const ReplicaVerdict verdict = Judge(message.scope, false);
-  if (verdict != ReplicaVerdict::kTaken) return verdict;
+  if (verdict != ReplicaVerdict::kAccepted) return verdict;
   const bool fits = message.fill ? !stream_open_ : stream_open_ && message.first <= next_;
-  return fits ? ReplicaVerdict::kTaken : ReplicaVerdict::kUnsynchronised;
+  return fits ? ReplicaVerdict::kAccepted : ReplicaVerdict::kUnsynchronised;
 }
 
 void PartitionReplica::OnReplicate(Replicate message, rpc::Respond respond) {
   ReplicateResponse answer;
   answer.verdict = JudgeReplicate(message);
-  if (answer.verdict != ReplicaVerdict::kTaken) {
+  if (answer.verdict != ReplicaVerdict::kAccepted) {
     respond(codec::Encode(answer));
     return;
   }
@@ -392,13 +393,13 @@
     next_ = message.first;
   }
   if (batch.empty() && commits_.idle()) {  // nothing to wait for
-    answer.room = environment_->Room();
+    answer.available_bytes = environment_->Room();
     respond(codec::Encode(answer));
     return;
   }
   commits_.Commit(std::move(batch), [this, answer, respond](const absl::Status& status) mutable {
     if (status.ok()) {
-      answer.room = environment_->Room();
+      answer.available_bytes = environment_->Room();
       respond(codec::Encode(answer));
       return;
     }
@@ -411,7 +412,7 @@
 void PartitionReplica::OnRepairDigest(const RepairDigest& message, rpc::Respond respond) {
   RepairDigestResponse answer;
   answer.verdict = Judge(message.scope, !message.buckets.empty());
-  if (answer.verdict == ReplicaVerdict::kTaken) {
+  if (answer.verdict == ReplicaVerdict::kAccepted) {
     const std::vector<std::uint64_t> mine = batch_jobs_.BucketDigests();
     for (std::uint32_t i = 0; i < mine.size() && i < message.buckets.size(); ++i) {
       if (mine[i] != message.buckets[i]) answer.differing.push_back(i);
--- a/src/tier/batch/replication_link.cpp
+++ b/src/tier/batch/replication_link.cpp
@@ -45,7 +45,7 @@
           self->Retry(kRetryDelay);
           return;
         }
-        if (answer->verdict != ReplicaVerdict::kTaken) {
+        if (answer->verdict != ReplicaVerdict::kAccepted) {
           self->OnRefused(answer->verdict);
           return;
         }
@@ -136,7 +136,7 @@
   while (!batch_jobs.empty() && bytes < kFillBytes) {
     message.operations.push_back(
         erases ? MakeForget(batch_jobs.front())
-               : owner_->link_batch_jobs().Whole(environment_->Disk(), batch_jobs.front()));
+               : owner_->link_batch_jobs().ReadSnapshot(environment_->Disk(), batch_jobs.front()));
     bytes += message.operations.back().Bytes();
     batch_jobs.pop_front();
   }
@@ -144,7 +144,7 @@
   Call<ReplicateResponse>(rpc::MessageType::kReplicate, codec::Encode(message), kFillTimeout,
                           [this, held](const ReplicateResponse& answer) {
                             held->reset();
-                            environment_->NoteRoom(peer_, answer.room);
+                            environment_->NoteRoom(peer_, answer.available_bytes);
                             Fill();
                           });
   return bytes;
@@ -159,7 +159,7 @@
   const Micros sent = environment_->Now();
   Call<ReplicateResponse>(rpc::MessageType::kReplicate, codec::Encode(message), kFillTimeout,
                           [this, sent](const ReplicateResponse& answer) {
-                            environment_->NoteRoom(peer_, answer.room);
+                            environment_->NoteRoom(peer_, answer.available_bytes);
                             state_ = State::kStreaming;
                             OnTaken(base_, sent);
                           });
@@ -196,7 +196,7 @@
   Call<ReplicateResponse>(rpc::MessageType::kReplicate, codec::Encode(message),
                           bytes < kMessageBytes / 4 ? kStreamTimeout : kFillTimeout,
                           [this, last, sent](const ReplicateResponse& answer) {
-                            environment_->NoteRoom(peer_, answer.room);
+                            environment_->NoteRoom(peer_, answer.available_bytes);
                             in_flight_ = false;
                             OnTaken(last, sent);
                           });
--- a/src/tier/batch/replication_messages.h
+++ b/src/tier/batch/replication_messages.h
@@ -26,7 +26,7 @@
 };
 
 enum class ReplicaVerdict : std::uint8_t {
-  kTaken,           // durable here
+  kAccepted,        // durable here
   kUnsynchronised,  // not the next of a stream that this replica knows: synchronise first
   kStale,           // the sender's table is an earlier one
   kSuperseded,      // the sender's process or attempt is an earlier one, it seems
@@ -47,11 +47,12 @@
 };
 
 struct ReplicateResponse {
-  ReplicaVerdict verdict = ReplicaVerdict::kTaken;
-  std::uint64_t room = 0;  // bytes that the replica's disk has for further lots; only if taken
+  ReplicaVerdict verdict = ReplicaVerdict::kAccepted;
+  // What the replica's disk has for further batch jobs; only with kAccepted.
+  std::uint64_t available_bytes = 0;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& verdict& room;
+    archive& verdict& available_bytes;
   }
 };
 
@@ -68,7 +69,7 @@
 };
 
 struct RepairDigestResponse {
-  ReplicaVerdict verdict = ReplicaVerdict::kTaken;
+  ReplicaVerdict verdict = ReplicaVerdict::kAccepted;
   std::vector<std::uint32_t> differing;  // buckets
   std::vector<std::string> wanted;       // lots that differ or are missing
   std::vector<std::string> surplus;      // lots that the primary did not list
--- a/src/tier/batch/shutdown_check.cpp
+++ b/src/tier/batch/shutdown_check.cpp
@@ -4,8 +4,8 @@
 
 namespace pearreach::batch {
 
-bool OthersHoldAll(const PlacementTable& table, const StoreId& self,
-                   const std::function<bool(const StoreId&)>& is_live) {
+bool PeersHoldAllData(const PlacementTable& table, const StoreId& self,
+                      const std::function<bool(const StoreId&)>& is_live) {
   return std::all_of(
       table.partitions.begin(), table.partitions.end(), [&](const Partition& partition) {
         const std::vector<StoreId>& replicas = partition.replicas;
--- a/src/tier/batch/shutdown_check.h
+++ b/src/tier/batch/shutdown_check.h
@@ -11,8 +11,8 @@
 
 // Of each partition that `self` holds, another live store holds all that was acknowledged.
 // `is_live`: the store runs, on that disk, and has not said that it leaves.
-bool OthersHoldAll(const PlacementTable& table, const StoreId& self,
-                   const std::function<bool(const StoreId&)>& is_live);
+bool PeersHoldAllData(const PlacementTable& table, const StoreId& self,
+                      const std::function<bool(const StoreId&)>& is_live);
 
 }  // namespace pearreach::batch
 
--- a/src/tier/batch/store_liveness.cpp
+++ b/src/tier/batch/store_liveness.cpp
@@ -46,7 +46,7 @@
   changed_ = now;
 }
 
-std::map<std::string, StoreView> StoreLiveness::Look(
+std::map<std::string, StoreView> StoreLiveness::Update(
     Micros now, const std::map<std::string, coordination::Member>& members) {
   std::map<std::string, StoreView> stores = StoresOf(members);
   for (auto& [name, store] : stores) {
--- a/src/tier/batch/store_liveness.h
+++ b/src/tier/batch/store_liveness.h
@@ -25,8 +25,8 @@
 
   void Reset(Micros now);
   // Takes over what membership says. Returns the stores with a suspect that stays silent as gone.
-  std::map<std::string, StoreView> Look(Micros now,
-                                        const std::map<std::string, coordination::Member>& members);
+  std::map<std::string, StoreView> Update(
+      Micros now, const std::map<std::string, coordination::Member>& members);
   // Adds a store that only the placement table names: it was never heard of and is gone.
   void AddUnheard(Micros now, const StoreId& store, std::map<std::string, StoreView>* stores);
 
@@ -34,7 +34,7 @@
   // until it answers or another disk is at its place.
   void MarkUnresponsive(Micros now, const StoreId& store);
   void MarkResponsive(Micros now, const StoreId& store);
-  const std::map<StoreId, Micros>& silent() const { return silent_; }  // since when
+  const std::map<StoreId, Micros>& unresponsive() const { return silent_; }  // since when
 
   // Since when no store has appeared, gone or changed.
   Micros changed() const { return changed_; }
--- a/src/tier/batch/unresponsive_store_reporter.cpp
+++ b/src/tier/batch/unresponsive_store_reporter.cpp
@@ -24,11 +24,11 @@
   }
 }
 
-void UnresponsiveStoreReporter::Report(const StoreId& silent, Micros now) {
+void UnresponsiveStoreReporter::Report(const StoreId& unresponsive, Micros now) {
   std::erase_if(reported_, [now](const auto& entry) { return now - entry.second >= kReportPause; });
-  if (!reported_.emplace(silent, now).second) return;
+  if (!reported_.emplace(unresponsive, now).second) return;
   StoreStatus status;
-  status.silent.push_back(silent);
+  status.unresponsive.push_back(unresponsive);
   SendToPlacementController(transport_, *control_, status, kReportTime);
 }
 
--- a/src/tier/batch/unresponsive_store_reporter.h
+++ b/src/tier/batch/unresponsive_store_reporter.h
@@ -22,7 +22,7 @@
       : transport_(transport), control_(control) {}
 
   // Each store is reported no more often than it takes to ask it.
-  void Report(const StoreId& silent, Micros now);
+  void Report(const StoreId& unresponsive, Micros now);
 
  private:
   rpc::Transport* const transport_;
--- a/src/tier/server/node.cpp
+++ b/src/tier/server/node.cpp
@@ -219,7 +219,8 @@
                              static_cast<std::size_t>(std::max(tolerance.regions, 0)) + 1,
                              settings_.zones},
       control::TimingOf(settings_.bounds).probe_period, settings_.policy.ask_silent_stores);
-  control_->OnMembersChanged([this](const std::vector<std::string>&) { placement_duty_->Look(); });
+  control_->OnMembersChanged(
+      [this](const std::vector<std::string>&) { placement_duty_->Reconcile(); });
   retire_api_ = std::make_unique<batch::RetireApi>(&timers_, control_.get(), replicas);
   retire_api_->AddTo(&router_);
   control_server_ = std::make_unique<http_server::HttpServer>(
--- a/tests/fuzz/tier_state_fuzz.cpp
+++ b/tests/fuzz/tier_state_fuzz.cpp
@@ -95,7 +95,7 @@
   loaded.Load(disk);
   CheckLots(&loaded);
   batch::BatchJobTable copy(kPartition);
-  for (const auto& [id, batch_job] : loaded.batch_jobs()) copy.Apply(loaded.Whole(disk, id));
+  for (const auto& [id, batch_job] : loaded.batch_jobs()) copy.Apply(loaded.ReadSnapshot(disk, id));
   CheckLots(&copy);
 }
 
--- a/tests/tier/batch/disk_capacity_test.cpp
+++ b/tests/tier/batch/disk_capacity_test.cpp
@@ -27,39 +27,39 @@
     const StoreId self{"a", "1"}, peer{"b", "1"}, joiner{"c", "1"};
     const Partition table{1, {self, peer}, {joiner}};
     const storage::Space space{0, 16'000};
-    DiskCapacity room;
-    CPPUNIT_ASSERT(!room.Lacking(table, self, space, 5000).has_value());
-    room.NotePeer(joiner, 6000);
-    room.Take(table, self, 5000);
-    CPPUNIT_ASSERT(joiner == room.Lacking(table, self, space, 5000));
-    room.NotePeer(joiner, 60'000);
-    CPPUNIT_ASSERT(!room.Lacking(table, self, space, 10'000).has_value());
-    CPPUNIT_ASSERT(self == room.Lacking(table, self, space, 10'001));
-    room.SetOwed(0);  // what was taken may not be on disk yet
-    CPPUNIT_ASSERT(self == room.Lacking(table, self, space, 10'001));
-    room.SetOwed(0);
-    CPPUNIT_ASSERT(!room.Lacking(table, self, space, 10'001).has_value());
+    DiskCapacity capacity;
+    CPPUNIT_ASSERT(!capacity.Lacking(table, self, space, 5000).has_value());
+    capacity.NotePeer(joiner, 6000);
+    capacity.Take(table, self, 5000);
+    CPPUNIT_ASSERT(joiner == capacity.Lacking(table, self, space, 5000));
+    capacity.NotePeer(joiner, 60'000);
+    CPPUNIT_ASSERT(!capacity.Lacking(table, self, space, 10'000).has_value());
+    CPPUNIT_ASSERT(self == capacity.Lacking(table, self, space, 10'001));
+    capacity.SetOwed(0);  // what was taken may not be on disk yet
+    CPPUNIT_ASSERT(self == capacity.Lacking(table, self, space, 10'001));
+    capacity.SetOwed(0);
+    CPPUNIT_ASSERT(!capacity.Lacking(table, self, space, 10'001).has_value());
   }
 
   void RoomStaysForTheLossOfAStore() {
     const storage::Space space{0, 16'000};
-    DiskCapacity room;
-    room.SetStores(3, 2);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{10'000}, room.Own(space));
-    room.SetStores(2, 2);  // one is lost
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{15'000}, room.Own(space));
+    DiskCapacity capacity;
+    capacity.SetStores(3, 2);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{10'000}, capacity.Own(space));
+    capacity.SetStores(2, 2);  // one is lost
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{15'000}, capacity.Own(space));
   }
 
   void ResultsToComeAreCounted() {
     const BatchJobSpec spec = Spec(0);
     BatchJobTable table(PartitionOf(spec.batch_job_id));
     table.Apply(MakeCreate(spec, 1));
-    const std::uint64_t owed = OwedBytes(*table.Find(spec.batch_job_id));
+    const std::uint64_t owed = PendingResultBytes(*table.Find(spec.batch_job_id));
     CPPUNIT_ASSERT(owed > 10 * 4 * 1000 && owed < BatchJobBytes(spec));
     table.Apply(MakeResult(spec.batch_job_id, 0, {3, ItemPhase::kComplete, "text"}));
-    CPPUNIT_ASSERT_EQUAL(owed - owed / 10, OwedBytes(*table.Find(spec.batch_job_id)));
+    CPPUNIT_ASSERT_EQUAL(owed - owed / 10, PendingResultBytes(*table.Find(spec.batch_job_id)));
     table.Apply(MakeEnd(spec.batch_job_id));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, OwedBytes(*table.Find(spec.batch_job_id)));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, PendingResultBytes(*table.Find(spec.batch_job_id)));
   }
 
   // No write ever fails, also while a store that lost its disk is filled; and once lots are old
@@ -105,7 +105,7 @@
 
   static void Turn(Fleet* fleet) {
     fleet->RunUntil(fleet->now + 100 * kMs);
-    fleet->Look();
+    fleet->Reconcile();
   }
 
   void Submit(Fleet* fleet, int number) {
--- a/tests/tier/batch/edge_batch_job_api_test.cpp
+++ b/tests/tier/batch/edge_batch_job_api_test.cpp
@@ -110,7 +110,7 @@
     const std::vector<Case> cases = {
         {codec::Encode(CreateBatchJobResponse{CreateStatus::kAccepted, 0}), 202},
         {codec::Encode(CreateBatchJobResponse{CreateStatus::kOverQuota, 0}), 429},
-        {codec::Encode(CreateBatchJobResponse{CreateStatus::kNoRoom, 0}), 503},
+        {codec::Encode(CreateBatchJobResponse{CreateStatus::kInsufficientCapacity, 0}), 503},
         {absl::InternalError("x"), 504},
     };
     for (const Case& c : cases) {
--- a/tests/tier/batch/edge_batch_job_submission_test.cpp
+++ b/tests/tier/batch/edge_batch_job_submission_test.cpp
@@ -90,7 +90,8 @@
         {"fits", OfferVerdict::kWelcome, QuotaDecision::kGranted, {}},
         {"quota not known", OfferVerdict::kWelcome, QuotaDecision::kUnknown, {}},
         {"over", OfferVerdict::kWelcome, QuotaDecision::kOver, CreateStatus::kOverQuota},
-        {"no room", OfferVerdict::kNoRoom, QuotaDecision::kGranted, CreateStatus::kNoRoom},
+        {"no room", OfferVerdict::kInsufficientCapacity, QuotaDecision::kGranted,
+         CreateStatus::kInsufficientCapacity},
         {"known, over by now", OfferVerdict::kKnown, QuotaDecision::kOver, {}},
     };
     for (const auto& c : kCases) {
--- a/tests/tier/batch/edge_fakes.h
+++ b/tests/tier/batch/edge_fakes.h
@@ -180,13 +180,13 @@
   }
   void Cancel(std::uint64_t job) override { cancelled.push_back(job); }
   int BulkRoom(const std::string& service) const override {
-    const auto found = room.find(service);
-    return found == room.end() ? 0 : found->second;
+    const auto found = capacity.find(service);
+    return found == capacity.end() ? 0 : found->second;
   }
 
   std::vector<Submitted> jobs;
   std::vector<std::uint64_t> cancelled;
-  std::map<std::string, int> room;
+  std::map<std::string, int> capacity;
 };
 
 class FakeExchange final : public http_server::Exchange {
--- a/tests/tier/batch/edge_item_worker_test.cpp
+++ b/tests/tier/batch/edge_item_worker_test.cpp
@@ -70,7 +70,7 @@
     control_.AddStore("s1", "d");
     control_.SetConfig(kBulkConfig);
     control_.SetTable(TableOf({"s0", "d"}, {"s1", "d"}));
-    runner_.room["s1"] = 3;
+    runner_.capacity["s1"] = 3;
   }
 
   void JoinsTheDataOfEvents() {
@@ -114,13 +114,13 @@
   }
 
   void AsksOnlyWithRoom() {
-    runner_.room.clear();
+    runner_.capacity.clear();
     ItemWorker worker(&timers_, &stores_, &control_, &runner_, "edge", 1);
     CPPUNIT_ASSERT(transport_.calls.empty());
-    runner_.room["s1"] = 3;
+    runner_.capacity["s1"] = 3;
     const auto take = transport_.Next(MessageType::kItemPull).As<PullItems>();
     CPPUNIT_ASSERT_EQUAL(std::string("edge"), take.node);
-    CPPUNIT_ASSERT_EQUAL(3, take.room.at("bulk"));
+    CPPUNIT_ASSERT_EQUAL(3, take.capacity.at("bulk"));
     CPPUNIT_ASSERT(take.wait_ms > 0);
   }
 
@@ -204,7 +204,7 @@
     ItemWorker worker(&timers_, &stores_, &control_, &runner_, "edge", 1);
     Lease();
     const FakeCall renew = transport_.Next(MessageType::kItemRenew);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, renew.As<RenewLeases>().held.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, renew.As<RenewLeases>().leased_items.size());
     renew.Reply(RenewLeasesResponse{{{"lot", "i1"}}});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runner_.cancelled.size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, worker.held());
--- a/tests/tier/batch/placement_controller_test.cpp
+++ b/tests/tier/batch/placement_controller_test.cpp
@@ -72,7 +72,7 @@
   void ProposesNothingOffDuty() {
     AddStores(3);
     PlacementController duty(&timers_, &transport_, &control_, "n1#1", {2}, kSilentAfter);
-    duty.Look();
+    duty.Reconcile();
     CPPUNIT_ASSERT(control_.changed_keys.empty());
   }
 
@@ -89,7 +89,7 @@
     table.partitions[5] = {7, {{"s0", "d"}}, {{"s1", "d"}}};
     control_.SetTable(table);
     CPPUNIT_ASSERT(absl::IsFailedPrecondition(Send({{"s1", "d"}, {{5, 7}}}).status()));
-    duty.Look();
+    duty.Reconcile();
     CPPUNIT_ASSERT(control_.fences.empty());
     control_.is_duty_holder = true;
     CPPUNIT_ASSERT(TurnUntil([&] { return Send({{"s1", "d"}, {{5, 7}}}).ok(); }));
@@ -116,14 +116,14 @@
     control_.SetTable(TableOf({"s0", "d"}, {"s1", "d"}));
     PlacementController duty(&timers_, &transport_, &control_, "n1#1", {2}, kSilentAfter);
     StoreStatus status;
-    status.silent = {{"s0", "d"}, {"s1", "d"}};
+    status.unresponsive = {{"s0", "d"}, {"s1", "d"}};
     CPPUNIT_ASSERT(TurnUntil([&] { return Send(status).ok(); }));
     const FakeCall first = transport_.Next(rpc::MessageType::kStorePing);
     const FakeCall second = transport_.Next(rpc::MessageType::kStorePing);
     CPPUNIT_ASSERT_EQUAL(std::string("s0:1"), first.address);
     CPPUNIT_ASSERT_EQUAL(std::string("s1:1"), second.address);
     second.done(std::string());
-    duty.Look();
+    duty.Reconcile();
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, control_.Table().partitions[0].replicas.size());
     first.done(absl::DeadlineExceededError("silence"));
     CPPUNIT_ASSERT(TurnUntil([&] { return control_.Table().partitions[0].replicas.size() == 1; }));
--- a/tests/tier/batch/replication_run.h
+++ b/tests/tier/batch/replication_run.h
@@ -187,7 +187,7 @@
  public:
   explicit SingletonRole(Simulation* simulation) : simulation_(simulation) {}
 
-  void Look() {
+  void Reconcile() {
     Partition next = simulation_->table;
     const auto is_down = [&](const StoreId& id) { return simulation_->Find(id) == nullptr; };
     const bool any_up = !std::all_of(next.replicas.begin(), next.replicas.end(), is_down);
--- a/tests/tier/batch/shutdown_check_test.cpp
+++ b/tests/tier/batch/shutdown_check_test.cpp
@@ -45,11 +45,12 @@
       table.partitions.push_back({1, Ids(test.replicas), Ids(test.joining)});
       const auto ids = Ids(test.live);
       const std::set<StoreId> live(ids.begin(), ids.end());
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(
-          test.what, test.may_leave,
-          OthersHoldAll(table, {"a", "1"}, [&](const StoreId& id) { return live.count(id) > 0; }));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(test.what, test.may_leave,
+                                   PeersHoldAllData(table, {"a", "1"}, [&](const StoreId& id) {
+                                     return live.count(id) > 0;
+                                   }));
     }
-    CPPUNIT_ASSERT(OthersHoldAll({}, {"a", "1"}, [](const StoreId&) { return false; }));
+    CPPUNIT_ASSERT(PeersHoldAllData({}, {"a", "1"}, [](const StoreId&) { return false; }));
   }
 };
 
--- a/tests/tier/batch/store_fleet.h
+++ b/tests/tier/batch/store_fleet.h
@@ -108,7 +108,7 @@
       machines[name] = {{name, name + "-disk0"}, std::make_unique<MemoryDisk>(), nullptr, 0};
       Start(name);
     }
-    Look();
+    Reconcile();
     Tick();
   }
 
@@ -151,7 +151,7 @@
   }
 
   // The placement duty looks, and all stores learn of a new table within a moment.
-  void Look() {
+  void Reconcile() {
     PlacementInput input;
     for (const auto& [name, machine] : machines) {
       const auto condition = machine.store ? StoreCondition::kLive : StoreCondition::kGone;
@@ -231,7 +231,7 @@
   std::set<std::string> stores;
   for (const auto& replica : replicas_) {
     for (const auto& [batch_job_id, batch_job] : replica->batch_jobs().batch_jobs())
-      owed += OwedBytes(batch_job);
+      owed += PendingResultBytes(batch_job);
     for (const StoreId& store : replica->table().replicas) stores.insert(store.name);
   }
   room_.SetOwed(owed);
--- a/tests/tier/batch/store_liveness_test.cpp
+++ b/tests/tier/batch/store_liveness_test.cpp
@@ -36,7 +36,7 @@
 
   StoreLiveness presence_{kSilentAfter};
   StoreCondition At(Micros time, MemberStatus status) {
-    return presence_.Look(kStart + time, One(status)).at("s0").condition;
+    return presence_.Update(kStart + time, One(status)).at("s0").condition;
   }
 
  public:
@@ -72,7 +72,7 @@
   }
 
   void AStoreThatWasNeverHeardIsGone() {
-    auto stores = presence_.Look(kStart, One(MemberStatus::kAlive));
+    auto stores = presence_.Update(kStart, One(MemberStatus::kAlive));
     presence_.AddUnheard(kStart, {"s0", "d"}, &stores);
     presence_.AddUnheard(kStart, {"s9", "d"}, &stores);
     CPPUNIT_ASSERT(stores.at("s0").condition == StoreCondition::kLive);
@@ -92,9 +92,9 @@
   void ANewDiskIsNotTheSilentOne() {
     At(0, MemberStatus::kAlive);
     presence_.MarkUnresponsive(kStart, {"s0", "d"});
-    const auto stores = presence_.Look(kStart + kMs, One(MemberStatus::kAlive, "new"));
+    const auto stores = presence_.Update(kStart + kMs, One(MemberStatus::kAlive, "new"));
     CPPUNIT_ASSERT(stores.at("s0").condition == StoreCondition::kLive);
-    CPPUNIT_ASSERT(presence_.silent().empty());
+    CPPUNIT_ASSERT(presence_.unresponsive().empty());
   }
 };
 
--- a/tests/tier/batch/store_quota_test.cpp
+++ b/tests/tier/batch/store_quota_test.cpp
@@ -181,11 +181,11 @@
     Clients clients(&fleet);
     fleet.RunUntil(fleet.now + 3 * kSecond);
     for (int i = 0; i < 40; ++i) Step(&fleet, &clients, 0.3);
-    std::uint32_t silent = 0;
+    std::uint32_t unresponsive = 0;
     const auto owner = fleet.table.partitions[PartitionOf(kRoute)].replicas.front();
-    while (silent == PartitionOf(kRoute) || !clients.AnyOpenIn(silent)) ++silent;
-    CPPUNIT_ASSERT(silent < kPartitions);
-    fleet.muted = static_cast<int>(silent);
+    while (unresponsive == PartitionOf(kRoute) || !clients.AnyOpenIn(unresponsive)) ++unresponsive;
+    CPPUNIT_ASSERT(unresponsive < kPartitions);
+    fleet.muted = static_cast<int>(unresponsive);
     fleet.Stop(owner.name, false);
     for (int i = 0; i < 20; ++i) Step(&fleet, &clients, 1);
     const int before = clients.accepted;
@@ -233,7 +233,7 @@
     }
     if (fleet->Chance(0.03)) clients->End();
     fleet->RunUntil(fleet->now + 100 * kMs);
-    fleet->Look();
+    fleet->Reconcile();
   }
 
   static void Play(std::uint64_t seed, Fleet* fleet, Clients* clients) {
--- a/tests/tier/batch/store_replication_test.cpp
+++ b/tests/tier/batch/store_replication_test.cpp
@@ -74,11 +74,11 @@
     run.simulation.RunUntil(4 * kSecond);
     CPPUNIT_ASSERT_EQUAL(std::size_t{40}, run.accepted.size());
     run.simulation.stores[0]->Crash(true);
-    duty.Look();
+    duty.Reconcile();
     run.simulation.stores[0]->Start();
     for (int i = 0; i < 60 && !IsWhole(&run.simulation); ++i) {
       run.simulation.RunUntil(run.simulation.now + 200 * kMs);
-      duty.Look();
+      duty.Reconcile();
     }
     run.simulation.RunUntil(run.simulation.now + 1 * kSecond);
     CPPUNIT_ASSERT(IsWhole(&run.simulation));
@@ -184,7 +184,7 @@
       Work(run);
       Trouble(run, &restart, &down);
       if (simulation.now >= look) {
-        duty.Look();
+        duty.Reconcile();
         look = simulation.now + simulation.Between(200 * kMs, 1500 * kMs);
       }
     }
@@ -192,7 +192,7 @@
     if (down != nullptr) down->Start();
     for (int i = 0; i < 100; ++i) {
       simulation.RunUntil(simulation.now + 200 * kMs);
-      if (!IsWhole(&simulation)) duty.Look();
+      if (!IsWhole(&simulation)) duty.Reconcile();
     }
     CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed), IsWhole(&simulation));
     for (const StoreId& id : simulation.table.replicas) run->CheckEnd(simulation.Find(id));
--- a/tests/tier/batch/store_schedules_test.cpp
+++ b/tests/tier/batch/store_schedules_test.cpp
@@ -22,7 +22,7 @@
  public:
   explicit RovingDuty(Simulation* simulation) : simulation_(simulation) {}
 
-  void Look() {
+  void Reconcile() {
     Partition next = simulation_->table;
     Drop(&next);
     Promote(&next);
@@ -209,14 +209,14 @@
       Work(run);
       troubles.Step();
       if (simulation.now < look) continue;
-      duty.Look();
+      duty.Reconcile();
       look = simulation.now + simulation.Between(100 * kMs, 1500 * kMs);
     }
     simulation.loss = 0;
     troubles.End();
     for (int i = 0; i < 100; ++i) {
       simulation.RunUntil(simulation.now + 200 * kMs);
-      if (!IsWhole(&simulation)) duty.Look();
+      if (!IsWhole(&simulation)) duty.Reconcile();
     }
     CPPUNIT_ASSERT(IsWhole(&simulation));
     for (const StoreId& id : simulation.table.replicas) run->CheckEnd(simulation.Find(id));
--- a/tests/tier/batch/store_server_test.cpp
+++ b/tests/tier/batch/store_server_test.cpp
@@ -284,7 +284,7 @@
     fleet.Place({"s0", "s1"});
     int batch_jobs = 0;
     while (Create(&fleet, Large(batch_jobs)) == CreateStatus::kAccepted) ++batch_jobs;
-    CPPUNIT_ASSERT(Create(&fleet, Large(batch_jobs)) == CreateStatus::kNoRoom);
+    CPPUNIT_ASSERT(Create(&fleet, Large(batch_jobs)) == CreateStatus::kInsufficientCapacity);
     CPPUNIT_ASSERT(batch_jobs > 3);
     // The rest of the backup's file is taken otherwise: now writes do fail.
     storage::TableStore* backup = fleet.Disk("s1");
@@ -321,10 +321,10 @@
     CPPUNIT_ASSERT_MESSAGE(answer.status().ToString(), answer.ok());
     return answer->status;
   }
-  static std::vector<LeasedItem> Take(Fleet* fleet, const std::string& node, int room,
+  static std::vector<LeasedItem> Take(Fleet* fleet, const std::string& node, int capacity,
                                       std::int64_t wait_ms) {
     const auto answer = fleet->Ask<PullItemsResponse>(
-        rpc::MessageType::kItemPull, PullItems{node, 1, 0, {{"route", room}}, wait_ms});
+        rpc::MessageType::kItemPull, PullItems{node, 1, 0, {{"route", capacity}}, wait_ms});
     CPPUNIT_ASSERT(answer.ok());
     return answer->items;
   }
--- a/tests/tier/golden/golden_test.cpp
+++ b/tests/tier/golden/golden_test.cpp
@@ -165,7 +165,7 @@
     CheckHeader(table.Find("lot-1")->header);
     CheckProgress(*table.Find("lot-1"));
     CheckReservation(table.Reservations().at("lot-1"));
-    CheckBodies(table.Whole(disk, "lot-1"));
+    CheckBodies(table.ReadSnapshot(disk, "lot-1"));
   }
 
  private:
--- a/tests/tier/golden/samples_batch.cpp
+++ b/tests/tier/golden/samples_batch.cpp
@@ -58,7 +58,7 @@
       Coded("batch.create_lot", CreateBatchJob{1, 2, SomeLot()}),
       Coded("batch.create_lot_answer", CreateBatchJobResponse{CreateStatus::kOverQuota, 3}),
       Coded("batch.offer_lot", OfferBatchJob{4, "lot", 5}),
-      Coded("batch.offer_lot_answer", OfferBatchJobResponse{OfferVerdict::kNoRoom}),
+      Coded("batch.offer_lot_answer", OfferBatchJobResponse{OfferVerdict::kInsufficientCapacity}),
       Coded("batch.item_output", ItemOutput{"i1", ItemPhase::kAbandoned, "content"}),
       Coded("batch.read_lot", ReadBatchJob{6, "lot", 7, 8, 9}),
       Coded(
--- a/tests/tier/golden/samples_values.cpp
+++ b/tests/tier/golden/samples_values.cpp
@@ -126,12 +126,12 @@
   AddValues<OfferVerdict>("offer_verdict",
                           {{"welcome", OfferVerdict::kWelcome},
                            {"known", OfferVerdict::kKnown},
-                           {"no_room", OfferVerdict::kNoRoom}},
+                           {"no_room", OfferVerdict::kInsufficientCapacity}},
                           samples);
   AddValues<CreateStatus>("create_status",
                           {{"accepted", CreateStatus::kAccepted},
                            {"over_quota", CreateStatus::kOverQuota},
-                           {"no_room", CreateStatus::kNoRoom}},
+                           {"no_room", CreateStatus::kInsufficientCapacity}},
                           samples);
   AddValues<ItemPhase>("item_phase",
                        {{"complete", ItemPhase::kComplete}, {"abandoned", ItemPhase::kAbandoned}},
@@ -155,7 +155,7 @@
                          {"result", RecordKind::kResult}},
                         samples);
   AddValues<ReplicaVerdict>("replica_verdict",
-                            {{"taken", ReplicaVerdict::kTaken},
+                            {{"taken", ReplicaVerdict::kAccepted},
                              {"unsynchronised", ReplicaVerdict::kUnsynchronised},
                              {"stale", ReplicaVerdict::kStale},
                              {"superseded", ReplicaVerdict::kSuperseded},
--- a/tests/tier/golden/store_test.cpp
+++ b/tests/tier/golden/store_test.cpp
@@ -49,10 +49,10 @@
   CPPUNIT_ASSERT(answer.status == CreateStatus::kAccepted);
 }
 
-std::vector<LeasedItem> Take(StoreRig* store, int room) {
+std::vector<LeasedItem> Take(StoreRig* store, int capacity) {
   return store
       ->Ask<PullItemsResponse>(MessageType::kItemPull,
-                               PullItems{"edge", 1, 3, {{"route", room}}, 0})
+                               PullItems{"edge", 1, 3, {{"route", capacity}}, 0})
       .items;
 }
 
@@ -231,7 +231,7 @@
     const BatchJobTable table = TableWith("unfinished", *copy.disk());
     const BatchJobSpec expected = BatchJob("unfinished", 3, kCap);
     int items = 0;
-    for (const Record& record : table.Whole(*copy.disk(), "unfinished").records) {
+    for (const Record& record : table.ReadSnapshot(*copy.disk(), "unfinished").records) {
       if (record.kind != static_cast<char>(RecordKind::kItem)) continue;
       const auto item = codec::Decode<ItemSpec>(record.value);
       CPPUNIT_ASSERT(item.ok());
