--- a/src/tier/batch/batch_job_changes.cpp
+++ b/src/tier/batch/batch_job_changes.cpp
@@ -37,7 +37,7 @@
     respond(codec::Encode(OfferBatchJobResponse{OfferVerdict::kInsufficientCapacity}));
     return;
   }
-  replica->AwaitAll(kOfferSpan, kOfferTimeout, [respond](bool answered) {
+  replica->ConfirmAllRequired(kOfferSpan, kOfferTimeout, [respond](bool answered) {
     if (answered) {
       respond(codec::Encode(OfferBatchJobResponse{OfferVerdict::kWelcome}));
     } else {
@@ -81,12 +81,12 @@
   }
   creating_[batch_job->batch_job_id] = {batch_job->fingerprint, {std::move(respond)}};
   if (batch_job->token_cap <= 0) {
-    Stage(batch_job);
+    SubmitCreate(batch_job);
     return;
   }
   quota_->Reserve(*batch_job, [this, batch_job](QuotaDecision verdict) {
     if (verdict == QuotaDecision::kGranted) {
-      Stage(batch_job);
+      SubmitCreate(batch_job);
     } else if (verdict == QuotaDecision::kOver) {
       Finish(batch_job->batch_job_id, CreateStatus::kOverQuota);
     } else {
@@ -96,14 +96,14 @@
   });
 }
 
-void BatchJobChanges::Stage(const std::shared_ptr<const BatchJobSpec>& batch_job) {
+void BatchJobChanges::SubmitCreate(const std::shared_ptr<const BatchJobSpec>& batch_job) {
   PartitionReplica* replica = context_->ActiveReplica(batch_job->batch_job_id);
   if (replica == nullptr) {
     Finish(batch_job->batch_job_id, NotPrimary());
     return;
   }
   if (!context_->ReserveDiskCapacity(replica->table(), BatchJobBytes(*batch_job))) {
-    if (batch_job->token_cap > 0) quota_->Drop(batch_job->route);
+    if (batch_job->token_cap > 0) quota_->CancelReservation(batch_job->route);
     Finish(batch_job->batch_job_id, CreateStatus::kInsufficientCapacity);
     return;
   }
@@ -168,25 +168,25 @@
   quota_->Update(batch_job_id);
 }
 
-void BatchJobChanges::Sweep(bool is_short) {
+void BatchJobChanges::Sweep(bool is_nearly_full) {
   for (std::uint32_t partition = 0; partition < kPartitions; ++partition) {
     PartitionReplica& replica = context_->Replica(partition);
     replica.batch_jobs().StampNew(context_->Now());
-    if (replica.is_active()) SweepPartition(&replica, is_short);
+    if (replica.is_active()) SweepPartition(&replica, is_nearly_full);
   }
 }
 
-void BatchJobChanges::SweepPartition(PartitionReplica* replica, bool is_short) {
+void BatchJobChanges::SweepPartition(PartitionReplica* replica, bool is_nearly_full) {
   std::vector<std::string> over, old;
   const Micros now = context_->Now();
   for (const auto& [batch_job_id, batch_job] : replica->batch_jobs().batch_jobs()) {
     if (MayAbandon(batch_job, now)) over.push_back(batch_job_id);
-    if (MayForget(batch_job, now, is_short)) old.push_back(batch_job_id);
+    if (MayForget(batch_job, now, is_nearly_full)) old.push_back(batch_job_id);
   }
   for (const std::string& batch_job_id : over) items_->Abandon(replica, batch_job_id);
   for (const std::string& batch_job_id : old) {
     items_->OnEnded(batch_job_id);
-    replica->Submit(MakeForget(batch_job_id),
+    replica->Submit(MakeErase(batch_job_id),
                     [this, batch_job_id](const absl::Status&) { reads_->OnVisible(batch_job_id); });
     quota_->Update(batch_job_id);
   }
--- a/src/tier/batch/batch_job_changes.h
+++ b/src/tier/batch/batch_job_changes.h
@@ -27,7 +27,7 @@
   void OnCancel(const CancelBatchJob& cancel, rpc::Respond respond);
   // Gives up items and forgets lots whose time is over, in the partitions that are active here.
   // Where the disk is short of room, lots are forgotten as soon as they may be.
-  void Sweep(bool is_short);
+  void Sweep(bool is_nearly_full);
 
  private:
   struct Creation {
@@ -35,9 +35,9 @@
     std::vector<rpc::Respond> waiting;  // calls for the same lot
   };
 
-  void Stage(const std::shared_ptr<const BatchJobSpec>& batch_job);
+  void SubmitCreate(const std::shared_ptr<const BatchJobSpec>& batch_job);
   void Finish(const std::string& batch_job_id, const absl::StatusOr<CreateStatus>& outcome);
-  void SweepPartition(PartitionReplica* replica, bool is_short);
+  void SweepPartition(PartitionReplica* replica, bool is_nearly_full);
 
   StoreContext* const context_;
   BatchJobItems* const items_;
--- a/src/tier/batch/batch_job_items.cpp
+++ b/src/tier/batch/batch_job_items.cpp
@@ -11,10 +11,11 @@
 
 constexpr std::int64_t kMaxWaitMs = 30'000;
 // Edge nodes renew about every second: those that run an item for an earlier primary have told so.
-constexpr Micros kHoldBack = 1500 * kMs;
-constexpr Micros kTakerSpan = 3 * kSecond;  // a node that asked counts as a taker this long
+constexpr Micros kLeaseAdoptionPeriod = 1500 * kMs;
+constexpr Micros kPullerActivePeriod =
+    3 * kSecond;  // a node that asked counts as a taker this long
 
-std::string Empty() { return {}; }
+std::string Acknowledgement() { return {}; }
 
 }  // namespace
 
@@ -28,7 +29,7 @@
 // ---------------------------------------------------------------- lots
 
 void BatchJobItems::AddBatchJob(const std::string& batch_job_id, const BatchJob& batch_job,
-                                Micros held_until) {
+                                Micros reserved_until) {
   if (!batch_job.Open()) return;
   std::vector<std::uint32_t> open;
   for (std::uint32_t i = 0; i < batch_job.items.size(); ++i) {
@@ -37,7 +38,7 @@
   const std::int64_t due =
       batch_job.header.created_wall_ms + static_cast<std::int64_t>(batch_job.header.due_ms);
   leases_.AddBatchJob(batch_job_id, batch_job.header.route, due, batch_job.items.size(), open,
-                      held_until);
+                      reserved_until);
 }
 
 void BatchJobItems::OnAccepted(const std::string& batch_job_id) {
@@ -46,18 +47,18 @@
       replica == nullptr ? nullptr : replica->batch_jobs().Find(batch_job_id);
   if (batch_job == nullptr) return;
   AddBatchJob(batch_job_id, *batch_job, 0);
-  ServeParked();
+  ServePendingPulls();
 }
 
 void BatchJobItems::OnEnded(const std::string& batch_job_id) { leases_.DropBatchJob(batch_job_id); }
 
 void BatchJobItems::OnActive(std::uint32_t partition) {
-  const Micros held_until = context_->Now() + kHoldBack;
+  const Micros reserved_until = context_->Now() + kLeaseAdoptionPeriod;
   for (const auto& [batch_job_id, batch_job] :
        context_->Replica(partition).batch_jobs().batch_jobs()) {
-    AddBatchJob(batch_job_id, batch_job, held_until);
+    AddBatchJob(batch_job_id, batch_job, reserved_until);
   }
-  ArmExpiry();
+  ScheduleExpiry();
 }
 
 void BatchJobItems::OnInactive(std::uint32_t partition) {
@@ -68,132 +69,134 @@
 }
 
 void BatchJobItems::DropNodes(const std::function<bool(const std::string& node)>& is_gone) {
-  for (const std::string& node : leases_.HoldingNodes()) {
+  for (const std::string& node : leases_.LeaseOwners()) {
     if (is_gone(node)) leases_.DropNode(node);
   }
-  ServeParked();
+  ServePendingPulls();
 }
 
 // ---------------------------------------------------------------- taking
 
-void BatchJobItems::NoteTaker(const std::string& node) {
+void BatchJobItems::RecordPuller(const std::string& node) {
   const Micros now = context_->Now();
-  takers_[node] = now;
-  std::erase_if(takers_, [&](const auto& entry) { return now - entry.second > kTakerSpan; });
+  pullers_[node] = now;
+  std::erase_if(pullers_,
+                [&](const auto& entry) { return now - entry.second > kPullerActivePeriod; });
 }
 
 // Room by route, no more than the node's part of what waits.
-std::map<std::string, int> BatchJobItems::Shares(const std::map<std::string, int>& capacity) const {
-  std::map<std::string, int> shares;
-  const std::size_t takers = std::max({std::size_t{1}, takers_.size(), parked_.size()});
-  for (const auto& [route, places] : capacity) {
-    const std::size_t waiting = leases_.Waiting(route);
+std::map<std::string, int> BatchJobItems::LimitToFairShare(
+    const std::map<std::string, int>& capacity) const {
+  std::map<std::string, int> limits;
+  const std::size_t pullers = std::max({std::size_t{1}, pullers_.size(), pending_pulls_.size()});
+  for (const auto& [route, route_limit] : capacity) {
+    const std::size_t waiting = leases_.CountWaiting(route);
     if (waiting == 0) continue;
-    const auto share = static_cast<int>((waiting + takers - 1) / takers);
-    shares[route] = std::min(places, share);
+    const auto share = static_cast<int>((waiting + pullers - 1) / pullers);
+    limits[route] = std::min(route_limit, share);
   }
-  return shares;
+  return limits;
 }
 
-void BatchJobItems::OnTake(PullItems take, rpc::Respond respond) {
-  if (!leases_.Hello(take.node, take.process)) {
+void BatchJobItems::OnPullItems(PullItems pull, rpc::Respond respond) {
+  if (!leases_.RegisterProcess(pull.node, pull.process)) {
     respond(codec::Encode(PullItemsResponse{}));
     return;
   }
-  NoteTaker(take.node);
-  Unpark(take.node);
-  PullItemsResponse answer = Give(take);
-  if (answer.items.empty() && take.wait_ms > 0) {
-    Park(std::move(take), std::move(respond));
+  RecordPuller(pull.node);
+  EndPendingPull(pull.node);
+  PullItemsResponse response = LeaseItems(pull);
+  if (response.items.empty() && pull.wait_ms > 0) {
+    AddPendingPull(std::move(pull), std::move(respond));
     return;
   }
-  respond(codec::Encode(answer));
+  respond(codec::Encode(response));
 }
 
-PullItemsResponse BatchJobItems::Give(const PullItems& take) {
-  PullItemsResponse answer;
-  const std::map<std::string, int> shares = Shares(take.capacity);
-  if (shares.empty()) return answer;
-  for (const ItemLease& taken :
-       leases_.Take(take.node, shares, kMaxItemsPerPull, context_->Now())) {
+PullItemsResponse BatchJobItems::LeaseItems(const PullItems& pull) {
+  PullItemsResponse response;
+  const std::map<std::string, int> limits = LimitToFairShare(pull.capacity);
+  if (limits.empty()) return response;
+  for (const ItemLease& lease :
+       leases_.Acquire(pull.node, limits, kMaxItemsPerPull, context_->Now())) {
     LeasedItem item;
-    if (Describe(taken, &item)) answer.items.push_back(std::move(item));
+    if (ReadLeasedItem(lease, &item)) response.items.push_back(std::move(item));
   }
-  ArmExpiry();
-  return answer;
+  ScheduleExpiry();
+  return response;
 }
 
-bool BatchJobItems::Describe(const ItemLease& taken, LeasedItem* item) {
-  const std::uint32_t partition = PartitionOf(taken.batch_job_id);
-  const BatchJob* batch_job = context_->Replica(partition).batch_jobs().Find(taken.batch_job_id);
+bool BatchJobItems::ReadLeasedItem(const ItemLease& lease, LeasedItem* item) {
+  const std::uint32_t partition = PartitionOf(lease.batch_job_id);
+  const BatchJob* batch_job = context_->Replica(partition).batch_jobs().Find(lease.batch_job_id);
   if (batch_job == nullptr) return false;
   const auto record =
-      context_->Disk().Get(RecordKey(partition, taken.batch_job_id, RecordKind::kItem, taken.item));
+      context_->Disk().Get(RecordKey(partition, lease.batch_job_id, RecordKind::kItem, lease.item));
   auto spec =
       record.ok() ? codec::Decode<ItemSpec>(*record) : absl::StatusOr<ItemSpec>(record.status());
   if (!spec.ok()) {
-    logging::Error("batch", "an item cannot be read", {logging::F("lot", taken.batch_job_id)});
+    logging::Error("batch", "an item cannot be read", {logging::F("lot", lease.batch_job_id)});
     return false;
   }
   const BatchJobHeader& header = batch_job->header;
-  item->batch_job_id = taken.batch_job_id;
+  item->batch_job_id = lease.batch_job_id;
   item->route = header.route;
   item->host = header.host;
-  item->lease = taken.lease;
-  item->expires_ms = kLeaseSpan / kMs;
-  item->failures = static_cast<std::uint32_t>(batch_job->items[taken.item].failed_leases.size());
+  item->lease = lease.lease;
+  item->expires_ms = kLeaseDuration / kMs;
+  item->failures = static_cast<std::uint32_t>(batch_job->items[lease.item].failed_leases.size());
   item->attempts = header.attempts;
   item->retain_left_ms = RunLeftMs(*batch_job, context_->Now());
   item->item = *std::move(spec);
   return true;
 }
 
-void BatchJobItems::Park(PullItems take, rpc::Respond respond) {
-  const std::uint64_t id = ++last_parked_;
-  const Micros wait = std::min(take.wait_ms, kMaxWaitMs) * kMs;
-  parked_.push_back({std::move(take), std::move(respond), 0, id});
-  parked_.back().timer = context_->After(wait, [this, id] { OnWaited(id); });
+void BatchJobItems::AddPendingPull(PullItems pull, rpc::Respond respond) {
+  const std::uint64_t id = ++last_pending_pull_;
+  const Micros wait = std::min(pull.wait_ms, kMaxWaitMs) * kMs;
+  pending_pulls_.push_back({std::move(pull), std::move(respond), 0, id});
+  pending_pulls_.back().timer = context_->After(wait, [this, id] { OnPullTimeout(id); });
 }
 
 // A node asks by one call at a time: an earlier one of it is over.
-void BatchJobItems::Unpark(const std::string& node) {
-  for (auto at = parked_.begin(); at != parked_.end(); ++at) {
-    if (at->take.node != node) continue;
-    Parked parked = std::move(*at);
-    parked_.erase(at);
-    context_->Cancel(&parked.timer);
-    parked.respond(codec::Encode(PullItemsResponse{}));
+void BatchJobItems::EndPendingPull(const std::string& node) {
+  for (auto at = pending_pulls_.begin(); at != pending_pulls_.end(); ++at) {
+    if (at->pull.node != node) continue;
+    PendingPull pending = std::move(*at);
+    pending_pulls_.erase(at);
+    context_->Cancel(&pending.timer);
+    pending.respond(codec::Encode(PullItemsResponse{}));
     return;
   }
 }
 
-void BatchJobItems::OnWaited(std::uint64_t id) {
-  for (auto at = parked_.begin(); at != parked_.end(); ++at) {
+void BatchJobItems::OnPullTimeout(std::uint64_t id) {
+  for (auto at = pending_pulls_.begin(); at != pending_pulls_.end(); ++at) {
     if (at->id != id) continue;
-    const Parked parked = std::move(*at);
-    parked_.erase(at);
-    takers_[parked.take.node] = context_->Now();
-    parked.respond(codec::Encode(PullItemsResponse{}));
+    const PendingPull pending = std::move(*at);
+    pending_pulls_.erase(at);
+    pullers_[pending.pull.node] = context_->Now();
+    pending.respond(codec::Encode(PullItemsResponse{}));
     return;
   }
 }
 
-void BatchJobItems::ServeParked() {
-  for (auto at = parked_.begin(); at != parked_.end() && leases_.AnyWaiting();) {
-    takers_[at->take.node] = context_->Now();
-    PullItemsResponse answer = Give(at->take);
-    if (answer.items.empty()) {
+void BatchJobItems::ServePendingPulls() {
+  for (auto at = pending_pulls_.begin(); at != pending_pulls_.end() && leases_.HasWaitingItems();) {
+    pullers_[at->pull.node] = context_->Now();
+    PullItemsResponse response = LeaseItems(at->pull);
+    if (response.items.empty()) {
       ++at;
       continue;
     }
     context_->Cancel(&at->timer);
     const rpc::Respond respond = std::move(at->respond);
-    at = parked_.erase(at);
-    respond(codec::Encode(answer));
+    at = pending_pulls_.erase(at);
+    respond(codec::Encode(response));
   }
 }
 
-void BatchJobItems::ArmExpiry() {
+void BatchJobItems::ScheduleExpiry() {
   const Micros next = leases_.NextExpiry();
   if (next == 0 || (expiry_timer_ != 0 && expiry_at_ <= next)) return;
   context_->Cancel(&expiry_timer_);
@@ -205,8 +208,8 @@
 void BatchJobItems::OnExpiry() {
   expiry_timer_ = 0;
   leases_.Expire(context_->Now());
-  ServeParked();
-  ArmExpiry();
+  ServePendingPulls();
+  ScheduleExpiry();
 }
 
 // ---------------------------------------------------------------- results
@@ -219,9 +222,9 @@
   }
   const BatchJob* batch_job = replica->batch_jobs().Find(result.batch_job_id);
   const auto item = batch_job == nullptr ? std::nullopt : batch_job->FindItem(result.item_id);
-  const bool wanted = item.has_value() && !batch_job->ended && !batch_job->items[*item].done;
-  if (!wanted) {
-    respond(Empty());
+  const bool is_unfinished = item.has_value() && !batch_job->ended && !batch_job->items[*item].done;
+  if (!is_unfinished) {
+    respond(Acknowledgement());
     return;
   }
   switch (result.outcome) {
@@ -234,8 +237,8 @@
       return;
     case RunOutcome::kReturned:
       leases_.Return(result.batch_job_id, *item, result.lease);
-      respond(Empty());
-      ServeParked();
+      respond(Acknowledgement());
+      ServePendingPulls();
       return;
   }
   respond(absl::InvalidArgumentError("no such outcome"));
@@ -259,7 +262,7 @@
                                  const rpc::Respond& respond) {
   const auto& counted = batch_job.items[item].failed_leases;
   if (std::find(counted.begin(), counted.end(), result.lease) != counted.end()) {
-    respond(Empty());
+    respond(Acknowledgement());
     return;
   }
   Operation operation{result.batch_job_id, false, {}};
@@ -272,7 +275,7 @@
   Submit(replica, std::move(operation), respond);
   if (last) return;
   leases_.Return(result.batch_job_id, item, result.lease);
-  ServeParked();
+  ServePendingPulls();
 }
 
 void BatchJobItems::Submit(PartitionReplica* replica, Operation operation,
@@ -283,7 +286,7 @@
       respond(status);
       return;
     }
-    respond(Empty());
+    respond(Acknowledgement());
     changed_(batch_job_id);
   });
   counted_(batch_job_id);
@@ -307,8 +310,8 @@
 // ---------------------------------------------------------------- renewal
 
 void BatchJobItems::OnRenew(const RenewLeases& renew, const rpc::Respond& respond) {
-  RenewLeasesResponse answer;
-  const bool current = leases_.Hello(renew.node, renew.process);
+  RenewLeasesResponse response;
+  const bool current = leases_.RegisterProcess(renew.node, renew.process);
   const Micros now = context_->Now();
   for (const auto& [batch_job_id, item_id] : renew.leased_items) {
     PartitionReplica* replica = context_->ActiveReplica(batch_job_id);
@@ -316,11 +319,11 @@
     const BatchJob* batch_job = replica->batch_jobs().Find(batch_job_id);
     const auto item = batch_job == nullptr ? std::nullopt : batch_job->FindItem(item_id);
     const bool open = item.has_value() && !batch_job->ended && !batch_job->items[*item].done;
-    const bool held = open && current && leases_.Renew(renew.node, batch_job_id, *item, now);
-    if (!held) answer.stop.emplace_back(batch_job_id, item_id);
+    const bool leased = open && current && leases_.Renew(renew.node, batch_job_id, *item, now);
+    if (!leased) response.stop.emplace_back(batch_job_id, item_id);
   }
-  ArmExpiry();
-  respond(codec::Encode(answer));
+  ScheduleExpiry();
+  respond(codec::Encode(response));
 }
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/batch_job_items.h
+++ b/src/tier/batch/batch_job_items.h
@@ -22,7 +22,7 @@
   using BatchJobListener = std::function<void(const std::string& batch_job_id)>;
   BatchJobItems(StoreContext* context, BatchJobListener changed, BatchJobListener counted);
 
-  void OnTake(PullItems take, rpc::Respond respond);
+  void OnPullItems(PullItems pull, rpc::Respond respond);
   void OnResult(ItemResult result, rpc::Respond respond);
   void OnRenew(const RenewLeases& renew, const rpc::Respond& respond);
 
@@ -36,23 +36,24 @@
   void Abandon(PartitionReplica* replica, const std::string& batch_job_id);
 
  private:
-  struct Parked {
-    PullItems take;
+  struct PendingPull {
+    PullItems pull;
     rpc::Respond respond;
     Timers::Id timer = 0;
     std::uint64_t id = 0;
   };
 
-  void AddBatchJob(const std::string& batch_job_id, const BatchJob& batch_job, Micros held_until);
-  PullItemsResponse Give(const PullItems& take);
-  bool Describe(const ItemLease& taken, LeasedItem* item);
-  std::map<std::string, int> Shares(const std::map<std::string, int>& capacity) const;
-  void Park(PullItems take, rpc::Respond respond);
-  void Unpark(const std::string& node);
-  void OnWaited(std::uint64_t id);
-  void ServeParked();
-  void NoteTaker(const std::string& node);
-  void ArmExpiry();
+  void AddBatchJob(const std::string& batch_job_id, const BatchJob& batch_job,
+                   Micros reserved_until);
+  PullItemsResponse LeaseItems(const PullItems& pull);
+  bool ReadLeasedItem(const ItemLease& lease, LeasedItem* item);
+  std::map<std::string, int> LimitToFairShare(const std::map<std::string, int>& capacity) const;
+  void AddPendingPull(PullItems pull, rpc::Respond respond);
+  void EndPendingPull(const std::string& node);
+  void OnPullTimeout(std::uint64_t id);
+  void ServePendingPulls();
+  void RecordPuller(const std::string& node);
+  void ScheduleExpiry();
   void OnExpiry();
   void Append(PartitionReplica* replica, const BatchJob& batch_job, const ItemResult& result,
               std::uint32_t item, const rpc::Respond& respond);
@@ -63,9 +64,9 @@
   StoreContext* const context_;
   const BatchJobListener changed_, counted_;
   LeaseTable leases_;
-  std::list<Parked> parked_;  // in the order of their coming
-  std::uint64_t last_parked_ = 0;
-  std::map<std::string, Micros> takers_;  // nodes and when they last asked
+  std::list<PendingPull> pending_pulls_;  // in the order of their coming
+  std::uint64_t last_pending_pull_ = 0;
+  std::map<std::string, Micros> pullers_;  // nodes and when they last asked
   Timers::Id expiry_timer_ = 0;
   Micros expiry_at_ = 0;
 };
--- a/src/tier/batch/batch_job_reads.cpp
+++ b/src/tier/batch/batch_job_reads.cpp
@@ -9,11 +9,11 @@
 
 constexpr std::int64_t kMaxWaitMs = 30'000;
 
-ReadBatchJobResponse HeadOf(const BatchJob& batch_job) {
-  ReadBatchJobResponse answer;
-  answer.found = true;
-  answer.total = batch_job.items.size();
-  return answer;
+ReadBatchJobResponse MakeResponse(const BatchJob& batch_job) {
+  ReadBatchJobResponse response;
+  response.found = true;
+  response.total = batch_job.items.size();
+  return response;
 }
 
 bool MoreMayCome(const ReadBatchJob& read, const BatchJob& batch_job) {
@@ -30,79 +30,80 @@
   }
   const BatchJob* batch_job = replica->batch_jobs().Find(read.batch_job_id);
   if (batch_job == nullptr || !batch_job->accepted) {
-    AnswerEmpty(read, respond);
+    RespondWithoutOutputs(read, respond);
     return;
   }
   if (batch_job->visible_results > read.start_after) {
-    AnswerOutputs(read, *batch_job, respond);
+    RespondWithOutputs(read, *batch_job, respond);
     return;
   }
   if (read.wait_ms > 0 && MoreMayCome(read, *batch_job)) {
-    Park(std::move(read), std::move(respond));
+    AddPendingRead(std::move(read), std::move(respond));
     return;
   }
-  AnswerEmpty(read, respond);
+  RespondWithoutOutputs(read, respond);
 }
 
-void BatchJobReads::Park(ReadBatchJob read, rpc::Respond respond) {
-  const std::uint64_t id = ++last_;
+void BatchJobReads::AddPendingRead(ReadBatchJob read, rpc::Respond respond) {
+  const std::uint64_t id = ++last_read_id_;
   const Micros wait = std::min(read.wait_ms, kMaxWaitMs) * kMs;
   const std::string batch_job_id = read.batch_job_id;
-  Parked& parked = parked_[batch_job_id][id];
-  parked.read = std::move(read);
-  parked.respond = std::move(respond);
-  parked.timer = context_->After(wait, [this, batch_job_id, id] { OnWaited(batch_job_id, id); });
+  PendingRead& pending = pending_reads_[batch_job_id][id];
+  pending.read = std::move(read);
+  pending.respond = std::move(respond);
+  pending.timer =
+      context_->After(wait, [this, batch_job_id, id] { OnReadTimeout(batch_job_id, id); });
 }
 
-void BatchJobReads::OnWaited(const std::string& batch_job_id, std::uint64_t id) {
-  const auto at = parked_.find(batch_job_id);
-  if (at == parked_.end()) return;
+void BatchJobReads::OnReadTimeout(const std::string& batch_job_id, std::uint64_t id) {
+  const auto at = pending_reads_.find(batch_job_id);
+  if (at == pending_reads_.end()) return;
   const auto found = at->second.find(id);
   if (found == at->second.end()) return;
-  const Parked parked = std::move(found->second);
+  const PendingRead pending = std::move(found->second);
   at->second.erase(found);
-  if (at->second.empty()) parked_.erase(at);
-  AnswerEmpty(parked.read, parked.respond);
+  if (at->second.empty()) pending_reads_.erase(at);
+  RespondWithoutOutputs(pending.read, pending.respond);
 }
 
 void BatchJobReads::OnVisible(const std::string& batch_job_id) {
-  const auto at = parked_.find(batch_job_id);
-  if (at == parked_.end()) return;
-  ParkedReads reads = std::move(at->second);
-  parked_.erase(at);
+  const auto at = pending_reads_.find(batch_job_id);
+  if (at == pending_reads_.end()) return;
+  PendingReads reads = std::move(at->second);
+  pending_reads_.erase(at);
   PartitionReplica* replica = context_->ActiveReplica(batch_job_id);
   const BatchJob* batch_job =
       replica == nullptr ? nullptr : replica->batch_jobs().Find(batch_job_id);
-  for (auto& [id, parked] : reads) {
-    if (batch_job != nullptr && batch_job->visible_results <= parked.read.start_after) {
-      parked_[batch_job_id][id] = std::move(parked);
+  for (auto& [id, pending] : reads) {
+    if (batch_job != nullptr && batch_job->visible_results <= pending.read.start_after) {
+      pending_reads_[batch_job_id][id] = std::move(pending);
       continue;
     }
-    context_->Cancel(&parked.timer);
+    context_->Cancel(&pending.timer);
     if (batch_job == nullptr) {
-      AnswerEmpty(parked.read, parked.respond);
+      RespondWithoutOutputs(pending.read, pending.respond);
     } else {
-      AnswerOutputs(parked.read, *batch_job, parked.respond);
+      RespondWithOutputs(pending.read, *batch_job, pending.respond);
     }
   }
 }
 
 void BatchJobReads::OnInactive(std::uint32_t partition) {
-  for (auto at = parked_.begin(); at != parked_.end();) {
+  for (auto at = pending_reads_.begin(); at != pending_reads_.end();) {
     if (PartitionOf(at->first) != partition) {
       ++at;
       continue;
     }
-    for (auto& [id, parked] : at->second) {
-      context_->Cancel(&parked.timer);
-      parked.respond(NotPrimary());
+    for (auto& [id, pending] : at->second) {
+      context_->Cancel(&pending.timer);
+      pending.respond(NotPrimary());
     }
-    at = parked_.erase(at);
+    at = pending_reads_.erase(at);
   }
 }
 
 // That there is nothing, or nothing more, must not be said by a store that has been replaced.
-void BatchJobReads::AnswerEmpty(const ReadBatchJob& read, const rpc::Respond& respond) {
+void BatchJobReads::RespondWithoutOutputs(const ReadBatchJob& read, const rpc::Respond& respond) {
   PartitionReplica* replica = context_->ActiveReplica(read.batch_job_id);
   if (replica == nullptr) {
     respond(NotPrimary());
@@ -124,16 +125,16 @@
       return;
     }
     if (batch_job->visible_results > read.start_after) {
-      AnswerOutputs(read, *batch_job, respond);
+      RespondWithOutputs(read, *batch_job, respond);
       return;
     }
-    respond(codec::Encode(HeadOf(*batch_job)));
+    respond(codec::Encode(MakeResponse(*batch_job)));
   });
 }
 
-void BatchJobReads::AnswerOutputs(const ReadBatchJob& read, const BatchJob& batch_job,
-                                  const rpc::Respond& respond) {
-  ReadBatchJobResponse answer = HeadOf(batch_job);
+void BatchJobReads::RespondWithOutputs(const ReadBatchJob& read, const BatchJob& batch_job,
+                                       const rpc::Respond& respond) {
+  ReadBatchJobResponse response = MakeResponse(batch_job);
   std::size_t bytes = 0;
   const std::uint32_t partition = PartitionOf(read.batch_job_id);
   for (std::uint64_t at = read.start_after; at < batch_job.visible_results; ++at) {
@@ -147,11 +148,11 @@
       return;
     }
     bytes += result->content.size();
-    if (bytes > read.max_bytes && !answer.outputs.empty()) break;
-    answer.outputs.push_back(
+    if (bytes > read.max_bytes && !response.outputs.empty()) break;
+    response.outputs.push_back(
         {batch_job.header.items[result->item].item_id, result->phase, std::move(result->content)});
   }
-  respond(codec::Encode(answer));
+  respond(codec::Encode(response));
 }
 
 void BatchJobReads::OnBody(const ReadItemBody& read, rpc::Respond respond) {
@@ -162,8 +163,8 @@
   }
   const BatchJob* batch_job = replica->batch_jobs().Find(read.batch_job_id);
   const auto item = batch_job == nullptr ? std::nullopt : batch_job->FindItem(read.item_id);
-  const bool held = item.has_value() && batch_job->accepted && !batch_job->items[*item].done;
-  if (held) {
+  const bool has_body = item.has_value() && batch_job->accepted && !batch_job->items[*item].done;
+  if (has_body) {
     const auto record = context_->Disk().Get(
         RecordKey(PartitionOf(read.batch_job_id), read.batch_job_id, RecordKind::kItem, *item));
     auto spec =
--- a/src/tier/batch/batch_job_reads.h
+++ b/src/tier/batch/batch_job_reads.h
@@ -23,22 +23,22 @@
   void OnInactive(std::uint32_t partition);
 
  private:
-  struct Parked {
+  struct PendingRead {
     ReadBatchJob read;
     rpc::Respond respond;
     Timers::Id timer = 0;
   };
-  using ParkedReads = std::map<std::uint64_t, Parked>;
+  using PendingReads = std::map<std::uint64_t, PendingRead>;
 
-  void Park(ReadBatchJob read, rpc::Respond respond);
-  void OnWaited(const std::string& batch_job_id, std::uint64_t id);
-  void AnswerEmpty(const ReadBatchJob& read, const rpc::Respond& respond);
-  void AnswerOutputs(const ReadBatchJob& read, const BatchJob& batch_job,
-                     const rpc::Respond& respond);
+  void AddPendingRead(ReadBatchJob read, rpc::Respond respond);
+  void OnReadTimeout(const std::string& batch_job_id, std::uint64_t id);
+  void RespondWithoutOutputs(const ReadBatchJob& read, const rpc::Respond& respond);
+  void RespondWithOutputs(const ReadBatchJob& read, const BatchJob& batch_job,
+                          const rpc::Respond& respond);
 
   StoreContext* const context_;
-  std::uint64_t last_ = 0;
-  std::unordered_map<std::string, ParkedReads> parked_;  // by lot
+  std::uint64_t last_read_id_ = 0;
+  std::unordered_map<std::string, PendingReads> pending_reads_;  // by lot
 };
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/batch_job_state.cpp
+++ b/src/tier/batch/batch_job_state.cpp
@@ -151,7 +151,7 @@
   return {batch_job_id, false, {MakeRecord(RecordKind::kEnded, 0, "1")}};
 }
 
-Operation MakeForget(const std::string& batch_job_id) { return {batch_job_id, true, {}}; }
+Operation MakeErase(const std::string& batch_job_id) { return {batch_job_id, true, {}}; }
 
 Operation MakeResult(const std::string& batch_job_id, std::uint32_t position,
                      const ResultRecord& result) {
@@ -363,8 +363,8 @@
 
 std::map<std::string, QuotaReservation> BatchJobTable::Reservations() const {
   std::map<std::string, QuotaReservation> reservations;
-  for (const auto& [batch_job_id, held] : reservations_)
-    reservations[batch_job_id] = held.reservation;
+  for (const auto& [batch_job_id, stored] : reservations_)
+    reservations[batch_job_id] = stored.reservation;
   return reservations;
 }
 
@@ -372,8 +372,8 @@
   std::vector<std::uint64_t> digests(kDigestBuckets, 0);
   for (const auto& [id, batch_job] : batch_jobs_)
     digests[BucketOf(id)] ^= Mix(HashBytes(id) + batch_job.digest);
-  for (const auto& [id, held] : reservations_) {
-    digests[BucketOf(id)] ^= Mix(HashBytes(id) + held.digest);
+  for (const auto& [id, stored] : reservations_) {
+    digests[BucketOf(id)] ^= Mix(HashBytes(id) + stored.digest);
   }
   return digests;
 }
@@ -388,8 +388,8 @@
   for (const auto& [id, batch_job] : batch_jobs_) {
     if (wanted[BucketOf(id)]) digests[id] ^= batch_job.digest;
   }
-  for (const auto& [id, held] : reservations_) {
-    if (wanted[BucketOf(id)]) digests[id] ^= held.digest;
+  for (const auto& [id, stored] : reservations_) {
+    if (wanted[BucketOf(id)]) digests[id] ^= stored.digest;
   }
   return {digests.begin(), digests.end()};
 }
--- a/src/tier/batch/batch_job_state.h
+++ b/src/tier/batch/batch_job_state.h
@@ -125,7 +125,7 @@
 // Operations, as the primary makes them.
 Operation MakeCreate(const BatchJobSpec& spec, std::int64_t created_wall_ms);
 Operation MakeEnd(const std::string& batch_job_id);
-Operation MakeForget(const std::string& batch_job_id);
+Operation MakeErase(const std::string& batch_job_id);
 Operation MakeResult(const std::string& batch_job_id, std::uint32_t position,
                      const ResultRecord& result);
 Operation MakeReservation(const std::string& batch_job_id, const QuotaReservation& reservation);
@@ -166,7 +166,7 @@
       const std::vector<std::uint32_t>& buckets) const;
 
  private:
-  struct HeldReservation {
+  struct StoredReservation {
     QuotaReservation reservation;
     std::uint64_t digest = 0;
   };
@@ -179,7 +179,7 @@
 
   std::uint32_t partition_;
   std::map<std::string, BatchJob> batch_jobs_;
-  std::map<std::string, HeldReservation> reservations_;
+  std::map<std::string, StoredReservation> reservations_;
 };
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/batch_job_store.cpp
+++ b/src/tier/batch/batch_job_store.cpp
@@ -15,9 +15,10 @@
 
 constexpr Micros kTickPeriod = 500 * kMs;
 constexpr int kSweepTicks = 4;
-constexpr Micros kRefreshPause = 200 * kMs;  // between strict reads that were not asked to confirm
+constexpr Micros kRefreshInterval =
+    200 * kMs;  // between strict reads that were not asked to confirm
 constexpr Micros kStrictTimeout = 1 * kSecond;
-constexpr Micros kNoRoomLogPeriod = 1 * kSecond;
+constexpr Micros kInsufficientCapacityLogPeriod = 1 * kSecond;
 constexpr Micros kFilledPeriod = 500 * kMs;
 
 bool IsThere(const coordination::Member& member) {
@@ -42,11 +43,11 @@
       replicas_wanted_(tolerance.copies()),
       sync_s_(bounds.sync_s),
       link_mbps_(link_mbps),
-      repair_pacer_({[] { return pearreach::Now(); },
-                     [this](Micros delay, std::function<void()> callback) {
-                       After(delay, std::move(callback));
-                     }}),
-      unresponsive_stores_(transport, control),
+      repair_throttle_({[] { return pearreach::Now(); },
+                        [this](Micros delay, std::function<void()> callback) {
+                          After(delay, std::move(callback));
+                        }}),
+      unresponsive_store_reporter_(transport, control),
       reads_(this),
       quota_(this),
       items_(
@@ -62,7 +63,7 @@
     if (!alive.expired()) AdoptTable(*control_->Current());
   });
   AdoptTable(*control_->Current());
-  CountRoom();
+  UpdateDiskCapacity();
   tick_timer_ = After(kTickPeriod, [this] { Tick(); });
 }
 
@@ -122,7 +123,7 @@
       MessageType::kItemBody,
       [this](const ReadItemBody& message, Respond respond) { reads_.OnBody(message, respond); });
   Register<PullItems>(MessageType::kItemPull, [this](PullItems message, Respond respond) {
-    items_.OnTake(std::move(message), std::move(respond));
+    items_.OnPullItems(std::move(message), std::move(respond));
   });
   Register<ItemResult>(MessageType::kItemResult, [this](ItemResult message, Respond respond) {
     items_.OnResult(std::move(message), std::move(respond));
@@ -152,7 +153,7 @@
                                 });
   Register<QuotaQuery>(MessageType::kQuotaQuery,
                        [this](const QuotaQuery& message, const Respond& respond) {
-                         quota_.OnQuestion(message, respond);
+                         quota_.OnQuery(message, respond);
                        });
   Register<QuotaReport>(MessageType::kQuotaReport,
                         [this](const QuotaReport& message, const Respond& respond) {
@@ -250,7 +251,7 @@
 
 void StoreServer::RefreshTable() {
   if (refresh_timer_ != 0) return;
-  refresh_timer_ = After(kRefreshPause, [this] { refresh_timer_ = 0; });
+  refresh_timer_ = After(kRefreshInterval, [this] { refresh_timer_ = 0; });
   StrictRead();
 }
 
@@ -314,46 +315,48 @@
   });
   quota_.Tick();
   if (++ticks_ % kSweepTicks != 0) return;
-  changes_.Sweep(room_.IsShort(disk_->space()));
-  CountRoom();
+  changes_.Sweep(disk_capacity_.IsNearlyFull(disk_->space()));
+  UpdateDiskCapacity();
 }
 
 // ---------------------------------------------------------------- room and pace
 
-void StoreServer::PaceRepair(bool urgent, RepairThrottle::Send send) {
-  repair_pacer_.Ask(urgent, std::move(send));
+void StoreServer::ThrottleRepair(bool urgent, RepairThrottle::Send send) {
+  repair_throttle_.Schedule(urgent, std::move(send));
 }
 
-void StoreServer::CountRoom() {
-  std::uint64_t owed = 0;
+void StoreServer::UpdateDiskCapacity() {
+  std::uint64_t pending_result_bytes = 0;
   std::set<std::string> stores;
   for (const auto& replica : replicas_) {
     for (const auto& [batch_job_id, batch_job] : replica->batch_jobs().batch_jobs())
-      owed += PendingResultBytes(batch_job);
+      pending_result_bytes += PendingResultBytes(batch_job);
     for (const StoreId& store : replica->table().replicas) stores.insert(store.name);
   }
   for (const std::string& name : placement_.retiring) stores.erase(name);
-  room_.SetOwed(owed);
-  room_.SetStores(stores.size(), replicas_wanted_);
-  repair_pacer_.SetRate(RepairRate(link_mbps_, disk_->space().used_bytes, sync_s_));
+  disk_capacity_.SetPendingResultBytes(pending_result_bytes);
+  disk_capacity_.SetStores(stores.size(), replicas_wanted_);
+  repair_throttle_.SetRate(RepairRate(link_mbps_, disk_->space().used_bytes, sync_s_));
 }
 
 bool StoreServer::HasDiskCapacity(const Partition& table, std::uint64_t bytes) {
-  const auto lacking = room_.Lacking(table, self_, disk_->space(), bytes);
+  const auto store_without_capacity =
+      disk_capacity_.FindStoreWithoutCapacity(table, self_, disk_->space(), bytes);
   const Micros now = Now();
-  if (lacking.has_value() && now - no_room_logged_at_ >= kNoRoomLogPeriod) {
-    no_room_logged_at_ = now;
+  if (store_without_capacity.has_value() &&
+      now - insufficient_capacity_logged_at_ >= kInsufficientCapacityLogPeriod) {
+    insufficient_capacity_logged_at_ = now;
     logging::Warning("batch", "no room on disk for a lot",
-                     {logging::F("store", lacking->name), logging::F("bytes", bytes),
+                     {logging::F("store", store_without_capacity->name), logging::F("bytes", bytes),
                       logging::F("used", disk_->space().used_bytes),
                       logging::F("limit", disk_->space().limit_bytes)});
   }
-  return !lacking.has_value();
+  return !store_without_capacity.has_value();
 }
 
 bool StoreServer::ReserveDiskCapacity(const Partition& table, std::uint64_t bytes) {
   if (!HasDiskCapacity(table, bytes)) return false;
-  room_.Take(table, self_, bytes);
+  disk_capacity_.Reserve(table, self_, bytes);
   return true;
 }
 
--- a/src/tier/batch/batch_job_store.h
+++ b/src/tier/batch/batch_job_store.h
@@ -62,7 +62,9 @@
   void OnActive(std::uint32_t partition) override;
   void OnInactive(std::uint32_t partition) override;
   void OnFilled(std::uint32_t partition) override;
-  void OnSilent(const StoreId& peer) override { unresponsive_stores_.Report(peer, Now()); }
+  void OnUnresponsive(const StoreId& peer) override {
+    unresponsive_store_reporter_.Report(peer, Now());
+  }
   const StoreId& Self() const override { return self_; }
   const PlacementTable& Placement() const override { return placement_; }
   PartitionReplica& Replica(std::uint32_t partition) override { return *replicas_[partition]; }
@@ -76,14 +78,16 @@
   void AdoptTable(const control::ControlSnapshot& snapshot);
   void StrictRead();
   void ReportFilled();
-  void PaceRepair(bool urgent, RepairThrottle::Send send) override;
-  std::uint64_t Room() const override { return room_.Own(disk_->space()); }
-  void NoteRoom(const StoreId& store, std::uint64_t bytes) override {
-    room_.NotePeer(store, bytes);
+  void ThrottleRepair(bool urgent, RepairThrottle::Send send) override;
+  std::uint64_t AvailableDiskBytes() const override {
+    return disk_capacity_.AvailableBytes(disk_->space());
+  }
+  void SetPeerAvailableBytes(const StoreId& store, std::uint64_t bytes) override {
+    disk_capacity_.SetPeerAvailableBytes(store, bytes);
   }
   bool HasDiskCapacity(const Partition& table, std::uint64_t bytes) override;
   bool ReserveDiskCapacity(const Partition& table, std::uint64_t bytes) override;
-  void CountRoom();
+  void UpdateDiskCapacity();
   void Tick();
 
   Timers* const timers_;
@@ -96,10 +100,10 @@
   Micros start_ = 0;
   const std::size_t replicas_wanted_;
   const double sync_s_, link_mbps_;
-  DiskCapacity room_;
-  Micros no_room_logged_at_ = 0;
-  RepairThrottle repair_pacer_;
-  UnresponsiveStoreReporter unresponsive_stores_;
+  DiskCapacity disk_capacity_;
+  Micros insufficient_capacity_logged_at_ = 0;
+  RepairThrottle repair_throttle_;
+  UnresponsiveStoreReporter unresponsive_store_reporter_;
   PlacementTable placement_;
   std::uint64_t stores_revision_ = 0;
   std::map<rpc::MessageType, Handler> handlers_;
--- a/src/tier/batch/commit_queue.cpp
+++ b/src/tier/batch/commit_queue.cpp
@@ -19,10 +19,10 @@
 
 void CommitQueue::Commit(std::vector<storage::Write> batch, Done done) {
   waiting_.push_back({std::move(batch), std::move(done)});
-  if (writing_.empty()) Next();
+  if (writing_.empty()) WriteNext();
 }
 
-void CommitQueue::Next() {
+void CommitQueue::WriteNext() {
   std::vector<storage::Write> together;
   std::size_t bytes = 0;
   while (!waiting_.empty() && bytes < kWriteBytes) {
@@ -47,7 +47,7 @@
     std::move(waiting_.begin(), waiting_.end(), std::back_inserter(finished));
     waiting_.clear();
   }
-  Next();
+  WriteNext();
   const std::weak_ptr<bool> alive = alive_;
   for (const Job& job : finished) {
     job.done(status);
--- a/src/tier/batch/commit_queue.h
+++ b/src/tier/batch/commit_queue.h
@@ -35,7 +35,7 @@
     Done done;
   };
 
-  void Next();
+  void WriteNext();
   void OnWritten(const absl::Status& status);
 
   const Write write_;
--- a/src/tier/batch/disk_capacity.cpp
+++ b/src/tier/batch/disk_capacity.cpp
@@ -8,29 +8,30 @@
 
 constexpr std::uint64_t kPageBytes = 4096;
 // Larger values have pages of their own; smaller ones share pages that are about two thirds full.
-constexpr std::uint64_t kMaxShared = 2000;
-constexpr std::uint64_t kPageHeadBytes = 16, kRecordBytes = 80;
+constexpr std::uint64_t kMaxSharedPageBytes = 2000;
+constexpr std::uint64_t kPageHeaderBytes = 16, kRecordBytes = 80;
 // Text that a token comes to, with the framing of its events: about, and rather too much.
 constexpr double kBytesPerToken = 4;
-constexpr std::uint64_t kResultFrame = 256;
+constexpr std::uint64_t kResultFramingBytes = 256;
 // Kept free for pages that a change writes anew and for news of other stores that are on their way.
-constexpr std::uint64_t kSpareShare = 16;
+constexpr std::uint64_t kReservedFraction = 16;
 
-std::uint64_t OnDisk(std::uint64_t value_bytes) {
+std::uint64_t SizeOnDisk(std::uint64_t value_bytes) {
   const std::uint64_t bytes = value_bytes + kRecordBytes;
-  if (bytes <= kMaxShared) return bytes + bytes / 2;
-  const std::uint64_t pages = (bytes + kPageHeadBytes + kPageBytes - 1) / kPageBytes;
+  if (bytes <= kMaxSharedPageBytes) return bytes + bytes / 2;
+  const std::uint64_t pages = (bytes + kPageHeaderBytes + kPageBytes - 1) / kPageBytes;
   return pages * kPageBytes + kRecordBytes;
 }
 
 std::uint64_t ResultBytes(double tokens) {
-  return OnDisk(kResultFrame + static_cast<std::uint64_t>(std::max(0.0, tokens) * kBytesPerToken));
+  return SizeOnDisk(kResultFramingBytes +
+                    static_cast<std::uint64_t>(std::max(0.0, tokens) * kBytesPerToken));
 }
 
-std::vector<StoreId> Holders(const Partition& table) {
-  std::vector<StoreId> holders = table.replicas;
-  holders.insert(holders.end(), table.joining.begin(), table.joining.end());
-  return holders;
+std::vector<StoreId> ReplicasAndJoiners(const Partition& table) {
+  std::vector<StoreId> stores = table.replicas;
+  stores.insert(stores.end(), table.joining.begin(), table.joining.end());
+  return stores;
 }
 
 }  // namespace
@@ -41,10 +42,10 @@
     std::uint64_t body = item.item_id.size() + item.path.size() + item.body.size();
     for (const auto& [name, value] : item.headers)
       body += name.size() + value.size() + 2 * sizeof(std::uint64_t);
-    bytes += OnDisk(body) + ResultBytes(item.tokens);
+    bytes += SizeOnDisk(body) + ResultBytes(item.tokens);
     header += item.item_id.size() + 2 * sizeof(std::uint64_t);
   }
-  return bytes + OnDisk(header);
+  return bytes + SizeOnDisk(header);
 }
 
 std::uint64_t PendingResultBytes(const BatchJob& batch_job) {
@@ -62,41 +63,44 @@
 }
 
 // What was admitted may not be on disk yet when the owed bytes are counted: it counts once more.
-void DiskCapacity::SetOwed(std::uint64_t bytes) {
-  owed_ = bytes;
+void DiskCapacity::SetPendingResultBytes(std::uint64_t bytes) {
+  pending_result_bytes_ = bytes;
   admitted_before_ = admitted_;
   admitted_ = 0;
 }
 
 std::uint64_t DiskCapacity::Limit(const storage::Space& space) const {
-  const std::uint64_t limit = space.limit_bytes - space.limit_bytes / kSpareShare;
+  const std::uint64_t limit = space.limit_bytes - space.limit_bytes / kReservedFraction;
   const bool others_take_over = stores_ > replicas_;
   return others_take_over ? limit / stores_ * (stores_ - 1) : limit;
 }
 
-std::uint64_t DiskCapacity::Own(const storage::Space& space) const {
-  const std::uint64_t taken = space.used_bytes + owed_ + admitted_ + admitted_before_;
+std::uint64_t DiskCapacity::AvailableBytes(const storage::Space& space) const {
+  const std::uint64_t taken =
+      space.used_bytes + pending_result_bytes_ + admitted_ + admitted_before_;
   return Limit(space) - std::min(Limit(space), taken);
 }
 
-bool DiskCapacity::IsShort(const storage::Space& space) const {
-  return Own(space) < Limit(space) / 4;
+bool DiskCapacity::IsNearlyFull(const storage::Space& space) const {
+  return AvailableBytes(space) < Limit(space) / 4;
 }
 
-std::optional<StoreId> DiskCapacity::Lacking(const Partition& table, const StoreId& self,
-                                             const storage::Space& space,
-                                             std::uint64_t bytes) const {
-  for (const StoreId& store : Holders(table)) {
+std::optional<StoreId> DiskCapacity::FindStoreWithoutCapacity(const Partition& table,
+                                                              const StoreId& self,
+                                                              const storage::Space& space,
+                                                              std::uint64_t bytes) const {
+  for (const StoreId& store : ReplicasAndJoiners(table)) {
     const auto peer = peers_.find(store);
     const bool known = store == self || peer != peers_.end();
-    const std::uint64_t capacity = !known ? bytes : store == self ? Own(space) : peer->second;
-    if (capacity < bytes) return store;
+    if (!known) continue;
+    const std::uint64_t available = store == self ? AvailableBytes(space) : peer->second;
+    if (available < bytes) return store;
   }
   return std::nullopt;
 }
 
-void DiskCapacity::Take(const Partition& table, const StoreId& self, std::uint64_t bytes) {
-  for (const StoreId& store : Holders(table)) {
+void DiskCapacity::Reserve(const Partition& table, const StoreId& self, std::uint64_t bytes) {
+  for (const StoreId& store : ReplicasAndJoiners(table)) {
     const auto peer = peers_.find(store);
     if (store != self && peer != peers_.end()) peer->second -= std::min(peer->second, bytes);
   }
--- a/src/tier/batch/disk_capacity.h
+++ b/src/tier/batch/disk_capacity.h
@@ -25,24 +25,28 @@
   // what it held, as long as enough of them are left.
   void SetStores(std::size_t stores, std::size_t replicas);
   // Of all open lots on this disk, told anew from time to time.
-  void SetOwed(std::uint64_t bytes);
+  void SetPendingResultBytes(std::uint64_t bytes);
   // For further lots on this disk; `space` as it is now.
-  std::uint64_t Own(const storage::Space& space) const;
+  std::uint64_t AvailableBytes(const storage::Space& space) const;
   // As another store told it last.
-  void NotePeer(const StoreId& store, std::uint64_t capacity) { peers_[store] = capacity; }
+  void SetPeerAvailableBytes(const StoreId& store, std::uint64_t capacity) {
+    peers_[store] = capacity;
+  }
   // A holder of the partition that lacks the room, if one does; one never heard of does not.
-  std::optional<StoreId> Lacking(const Partition& table, const StoreId& self,
-                                 const storage::Space& space, std::uint64_t bytes) const;
+  std::optional<StoreId> FindStoreWithoutCapacity(const Partition& table, const StoreId& self,
+                                                  const storage::Space& space,
+                                                  std::uint64_t bytes) const;
   // Sets the bytes aside on this disk and at the other holders until they tell anew.
-  void Take(const Partition& table, const StoreId& self, std::uint64_t bytes);
-  bool IsShort(const storage::Space& space) const;  // less than a quarter of the room is left
+  void Reserve(const Partition& table, const StoreId& self, std::uint64_t bytes);
+  bool IsNearlyFull(const storage::Space& space) const;  // less than a quarter of the room is left
 
  private:
   std::uint64_t Limit(const storage::Space& space) const;
 
   std::size_t stores_ = 0, replicas_ = 1;
-  std::uint64_t owed_ = 0;
-  std::uint64_t admitted_ = 0, admitted_before_ = 0;  // since the last SetOwed, and the one before
+  std::uint64_t pending_result_bytes_ = 0;
+  std::uint64_t admitted_ = 0,
+                admitted_before_ = 0;  // since the last SetPendingResultBytes, and the one before
   std::map<StoreId, std::uint64_t> peers_;
 };
 
--- a/src/tier/batch/leases.cpp
+++ b/src/tier/batch/leases.cpp
@@ -21,7 +21,7 @@
 
 void LeaseTable::AddBatchJob(const std::string& batch_job_id, const std::string& route,
                              std::int64_t due_ms, std::size_t items,
-                             const std::vector<std::uint32_t>& open, Micros held_until) {
+                             const std::vector<std::uint32_t>& open, Micros reserved_until) {
   DropBatchJob(batch_job_id);
   const std::uint64_t number = next_batch_job_++;
   numbers_[batch_job_id] = number;
@@ -31,10 +31,10 @@
   batch_job.due_ms = due_ms;
   batch_job.items.resize(items);
   for (const std::uint32_t item : open) {
-    if (held_until == 0) {
+    if (reserved_until == 0) {
       MakeWaiting(number, &batch_job, item);
     } else {
-      Lease(number, &batch_job, item, 0, 0, held_until);
+      Lease(number, &batch_job, item, 0, 0, reserved_until);
     }
   }
 }
@@ -89,15 +89,15 @@
   std::uint64_t number = 0;
   BatchJobItems* batch_job = Find(batch_job_id, &number);
   if (batch_job == nullptr || item >= batch_job->items.size()) return false;
-  const Item& held = batch_job->items[item];
-  if (held.phase != Phase::kLeased) return false;
-  if (held.lease != lease && held.lease != 0) return false;
+  const Item& current = batch_job->items[item];
+  if (current.phase != Phase::kLeased) return false;
+  if (current.lease != lease && current.lease != 0) return false;
   RemoveLease(number, batch_job, item);
   MakeWaiting(number, batch_job, item);
   return true;
 }
 
-bool LeaseTable::Hello(const std::string& node, std::uint64_t process) {
+bool LeaseTable::RegisterProcess(const std::string& node, std::uint64_t process) {
   const auto [at, fresh] = processes_.try_emplace(node, process);
   if (fresh || at->second == process) return true;
   if (process < at->second) return false;
@@ -106,39 +106,39 @@
   return true;
 }
 
-ItemLease LeaseTable::TakeFirst(std::uint64_t number, std::uint32_t node, Micros now) {
+ItemLease LeaseTable::AcquireFirst(std::uint64_t number, std::uint32_t node, Micros now) {
   BatchJobItems& batch_job = batch_jobs_.at(number);
   while (batch_job.items[batch_job.first].phase != Phase::kWaiting) ++batch_job.first;
   const std::uint32_t item = batch_job.first;
   RemoveWaiting(number, &batch_job, item);
   const std::uint64_t lease = next_lease_++;
-  Lease(number, &batch_job, item, node, lease, now + kLeaseSpan);
+  Lease(number, &batch_job, item, node, lease, now + kLeaseDuration);
   return {batch_job.id, item, lease};
 }
 
-std::vector<ItemLease> LeaseTable::Take(const std::string& node,
-                                        const std::map<std::string, int>& capacity, int most,
-                                        Micros now) {
-  std::vector<ItemLease> taken;
+std::vector<ItemLease> LeaseTable::Acquire(const std::string& node,
+                                           const std::map<std::string, int>& capacity, int limit,
+                                           Micros now) {
+  std::vector<ItemLease> leased;
   const std::uint32_t number = NodeNumber(node);
-  std::map<std::string, int> left = capacity;
-  while (static_cast<int>(taken.size()) < most) {
+  std::map<std::string, int> capacity_left = capacity;
+  while (static_cast<int>(leased.size()) < limit) {
     const std::pair<std::int64_t, std::uint64_t>* earliest = nullptr;
-    int* room_left = nullptr;
-    for (auto& [route, places] : left) {
-      if (places <= 0) continue;
+    int* route_capacity = nullptr;
+    for (auto& [route, slots] : capacity_left) {
+      if (slots <= 0) continue;
       const auto at = routes_.find(route);
       if (at == routes_.end()) continue;
       const auto* first = &*at->second.batch_jobs.begin();
       if (earliest != nullptr && !(*first < *earliest)) continue;
       earliest = first;
-      room_left = &places;
+      route_capacity = &slots;
     }
     if (earliest == nullptr) break;
-    --*room_left;
-    taken.push_back(TakeFirst(earliest->second, number, now));
+    --*route_capacity;
+    leased.push_back(AcquireFirst(earliest->second, number, now));
   }
-  return taken;
+  return leased;
 }
 
 bool LeaseTable::Renew(const std::string& node, const std::string& batch_job_id, std::uint32_t item,
@@ -146,28 +146,29 @@
   std::uint64_t number = 0;
   BatchJobItems* batch_job = Find(batch_job_id, &number);
   if (batch_job == nullptr || item >= batch_job->items.size()) return false;
-  const Item held = batch_job->items[item];
-  const std::uint32_t who = NodeNumber(node);
-  if (held.phase == Phase::kGone) return false;
-  if (held.phase == Phase::kWaiting) {  // expired, or leased by an earlier primary
+  const Item previous = batch_job->items[item];
+  const std::uint32_t node_number = NodeNumber(node);
+  if (previous.phase == Phase::kGone) return false;
+  if (previous.phase == Phase::kWaiting) {  // expired, or leased by an earlier primary
     RemoveWaiting(number, batch_job, item);
-    Lease(number, batch_job, item, who, 0, now + kLeaseSpan);
+    Lease(number, batch_job, item, node_number, 0, now + kLeaseDuration);
     return true;
   }
-  if (held.node != 0 && held.node != who) return false;
+  if (previous.node != 0 && previous.node != node_number) return false;
   RemoveLease(number, batch_job, item);
-  Lease(number, batch_job, item, who, held.lease, now + kLeaseSpan);
+  Lease(number, batch_job, item, node_number, previous.lease, now + kLeaseDuration);
   return true;
 }
 
 void LeaseTable::DropNode(const std::string& node) {
   const auto at = node_numbers_.find(node);
   if (at == node_numbers_.end()) return;
-  std::vector<std::pair<std::uint64_t, std::uint32_t>> held;
+  std::vector<std::pair<std::uint64_t, std::uint32_t>> node_items;
   for (const auto& [expires, number, item] : leased_) {
-    if (batch_jobs_.at(number).items[item].node == at->second) held.emplace_back(number, item);
+    if (batch_jobs_.at(number).items[item].node == at->second)
+      node_items.emplace_back(number, item);
   }
-  for (const auto& [number, item] : held) {
+  for (const auto& [number, item] : node_items) {
     BatchJobItems& batch_job = batch_jobs_.at(number);
     RemoveLease(number, &batch_job, item);
     MakeWaiting(number, &batch_job, item);
@@ -183,18 +184,18 @@
   }
 }
 
-std::size_t LeaseTable::Waiting(const std::string& route) const {
+std::size_t LeaseTable::CountWaiting(const std::string& route) const {
   const auto at = routes_.find(route);
   return at == routes_.end() ? 0 : at->second.waiting;
 }
 
-bool LeaseTable::AnyWaiting() const { return !routes_.empty(); }
+bool LeaseTable::HasWaitingItems() const { return !routes_.empty(); }
 
 Micros LeaseTable::NextExpiry() const {
   return leased_.empty() ? 0 : std::get<0>(*leased_.begin());
 }
 
-std::vector<std::string> LeaseTable::HoldingNodes() const {
+std::vector<std::string> LeaseTable::LeaseOwners() const {
   std::set<std::uint32_t> numbers;
   for (const auto& [expires, number, item] : leased_) {
     numbers.insert(batch_jobs_.at(number).items[item].node);
--- a/src/tier/batch/leases.h
+++ b/src/tier/batch/leases.h
@@ -16,8 +16,8 @@
 
 namespace pearreach::batch {
 
-constexpr Micros kLeaseSpan = 3 * kSecond;  // unless renewed
-constexpr int kMaxItemsPerPull = 8;         // items of one answer
+constexpr Micros kLeaseDuration = 3 * kSecond;  // unless renewed
+constexpr int kMaxItemsPerPull = 8;             // items of one answer
 
 struct ItemLease {
   std::string batch_job_id;
@@ -30,9 +30,10 @@
   explicit LeaseTable(std::uint64_t first_lease) : next_lease_(first_lease) {}
 
   // The items of a lot that is open now. Held back: they may still run for an edge node that has
-  // their lease of an earlier primary; whoever renews one until `held_until` gets it.
+  // their lease of an earlier primary; whoever renews one until `reserved_until` gets it.
   void AddBatchJob(const std::string& batch_job_id, const std::string& route, std::int64_t due_ms,
-                   std::size_t items, const std::vector<std::uint32_t>& open, Micros held_until);
+                   std::size_t items, const std::vector<std::uint32_t>& open,
+                   Micros reserved_until);
   void DropBatchJob(const std::string& batch_job_id);
   void Finish(const std::string& batch_job_id, std::uint32_t item);  // it has a result
   // Puts the item back where `lease` is its lease; an adopted one matches any.
@@ -40,20 +41,20 @@
 
   // Tells of a node's process; the leases of its earlier ones are void. False: it is an earlier
   // one.
-  bool Hello(const std::string& node, std::uint64_t process);
+  bool RegisterProcess(const std::string& node, std::uint64_t process);
   // By room per route, the earliest due first, at most `most` in all.
-  std::vector<ItemLease> Take(const std::string& node, const std::map<std::string, int>& capacity,
-                              int most, Micros now);
+  std::vector<ItemLease> Acquire(const std::string& node,
+                                 const std::map<std::string, int>& capacity, int limit, Micros now);
   // Whether the node holds the item from now on for another span.
   bool Renew(const std::string& node, const std::string& batch_job_id, std::uint32_t item,
              Micros now);
   void DropNode(const std::string& node);
   void Expire(Micros now);
 
-  std::size_t Waiting(const std::string& route) const;
-  bool AnyWaiting() const;
+  std::size_t CountWaiting(const std::string& route) const;
+  bool HasWaitingItems() const;
   Micros NextExpiry() const;  // 0: none
-  std::vector<std::string> HoldingNodes() const;
+  std::vector<std::string> LeaseOwners() const;
 
  private:
   enum class Phase : std::uint8_t { kGone, kWaiting, kLeased };
@@ -82,7 +83,7 @@
   void Lease(std::uint64_t number, BatchJobItems* batch_job, std::uint32_t item, std::uint32_t node,
              std::uint64_t lease, Micros expires);
   std::uint32_t NodeNumber(const std::string& node);
-  ItemLease TakeFirst(std::uint64_t number, std::uint32_t node, Micros now);
+  ItemLease AcquireFirst(std::uint64_t number, std::uint32_t node, Micros now);
 
   std::uint64_t next_lease_, next_batch_job_ = 1;
   std::unordered_map<std::string, std::uint64_t> numbers_;
--- a/src/tier/batch/placement.cpp
+++ b/src/tier/batch/placement.cpp
@@ -4,7 +4,7 @@
 #include <tuple>
 #include <utility>
 
-#include "tier/batch/replica_places.h"
+#include "tier/batch/replica_spread.h"
 
 namespace pearreach::batch {
 namespace {
@@ -41,7 +41,7 @@
   }
 
   void MakeFirst();
-  void Change();
+  void Plan();
   bool changed() const { return changed_; }
   PlacementTable Take() { return std::move(table_); }
 
@@ -51,8 +51,8 @@
   bool DiskIsLost(const StoreId& store) const;
   bool IsUsable(const StoreView& store) const;
   bool IsLeaving(const std::string& name) const;
-  ReplicaPlaces Places() const { return ReplicaPlaces(input_, table_); }
-  void Widen();
+  ReplicaSpread Spread() const { return ReplicaSpread(input_, table_); }
+  void IncreaseSpread();
   std::map<std::string, int> Shared(const Partition& partition) const;
   const StoreView* Choose(std::uint32_t index, const Partition& partition) const;
   bool DropLost(Partition* partition);
@@ -66,7 +66,7 @@
   void Rebalance();
   bool RebalancePrimary();
   bool RebalanceReplica();
-  std::size_t KeptReplicas(const Partition& partition) const;
+  std::size_t CountStayingReplicas(const Partition& partition) const;
 
   PlacementTable table_;
   const PlacementInput& input_;
@@ -123,8 +123,8 @@
 // The best store that the partition does not have yet: of a zone of its own, then the one with the
 // least load and the fewest partitions in common with those that it has.
 const StoreView* Planner::Choose(std::uint32_t index, const Partition& partition) const {
-  const std::set<std::string> zones = Places().ZonesOf(partition),
-                              regions = Places().RegionsOf(zones);
+  const std::set<std::string> zones = Spread().ZonesOf(partition),
+                              regions = Spread().RegionsOf(zones);
   std::map<std::string, int> shared = Shared(partition);
   const StoreView* best = nullptr;
   std::tuple<bool, bool, int, std::uint64_t> best_rank;
@@ -134,7 +134,7 @@
     const auto load = load_.find(name);
     const int cost = (load == load_.end() ? 0 : load->second) + shared[name];
     const bool same_region =
-        regions.size() < input_.spread.regions && regions.count(Places().RegionOf(store.zone)) > 0;
+        regions.size() < input_.spread.regions && regions.count(Spread().RegionOf(store.zone)) > 0;
     const std::tuple<bool, bool, int, std::uint64_t> rank = {
         same_region, zones.count(store.zone) > 0, cost, Preference(index, store.id)};
     if (best != nullptr && rank >= best_rank) continue;
@@ -205,7 +205,7 @@
   return promoted;
 }
 
-std::size_t Planner::KeptReplicas(const Partition& partition) const {
+std::size_t Planner::CountStayingReplicas(const Partition& partition) const {
   return static_cast<std::size_t>(
       std::count_if(partition.replicas.begin(), partition.replicas.end(),
                     [&](const StoreId& store) { return !IsLeaving(store.name); }));
@@ -215,15 +215,15 @@
 // zone rather than the only one in its zone.
 bool Planner::DropSurplus(Partition* partition) {
   auto& replicas = partition->replicas;
-  const std::size_t kept = KeptReplicas(*partition);
+  const std::size_t kept = CountStayingReplicas(*partition);
   if (kept < input_.spread.replicas) return false;
   const std::size_t before = replicas.size();
   std::erase_if(replicas, [&](const StoreId& store) { return IsLeaving(store.name); });
   if (replicas.size() > input_.spread.replicas) {
     const auto most =
         std::max_element(replicas.begin(), replicas.end(), [&](const StoreId& a, const StoreId& b) {
-          const int need_of_a = Places().NeedOf(a, *partition),
-                    need_of_b = Places().NeedOf(b, *partition);
+          const int need_of_a = Spread().ImportanceOf(a, *partition),
+                    need_of_b = Spread().ImportanceOf(b, *partition);
           return need_of_a != need_of_b ? need_of_a > need_of_b : load_[a.name] < load_[b.name];
         });
     --load_[most->name];
@@ -234,7 +234,7 @@
 
 bool Planner::AddJoining(std::uint32_t index, Partition* partition) {
   if (!input_.allow_joining || !partition->joining.empty()) return false;
-  if (KeptReplicas(*partition) >= input_.spread.replicas) return false;
+  if (CountStayingReplicas(*partition) >= input_.spread.replicas) return false;
   const StoreView* store = Choose(index, *partition);
   if (store == nullptr) return false;
   partition->joining.push_back(store->id);
@@ -308,11 +308,11 @@
       if (most == nullptr || load_[store.name] > load_[most->name]) most = &store;
     }
     for (const StoreId& store : partition.replicas) {
-      if (&store != most && Places().ZoneOf(store) == fewest->zone) keeps_zones = false;
+      if (&store != most && Spread().ZoneOf(store) == fewest->zone) keeps_zones = false;
     }
     Partition moved = partition;
     std::replace(moved.replicas.begin(), moved.replicas.end(), *most, fewest->id);
-    if (Places().Narrows(partition, moved)) keeps_zones = false;
+    if (Spread().ReducesSpread(partition, moved)) keeps_zones = false;
     const int gain = load_[most->name] - load_[fewest->id.name];
     if (!keeps_zones || gain <= best_gain) continue;
     best = &partition;
@@ -326,12 +326,12 @@
 }
 
 // Lets stores of further zones join partitions whose replicas stand in too few.
-void Planner::Widen() {
+void Planner::IncreaseSpread() {
   int moves = 0;
   for (std::uint32_t index = 0; index < table_.partitions.size(); ++index) {
     Partition& partition = table_.partitions[index];
     const StoreView* store = Choose(index, partition);
-    if (store == nullptr || !Places().Widens(*store, partition)) continue;
+    if (store == nullptr || !Spread().IncreasesSpread(*store, partition)) continue;
     partition.joining.push_back(store->id);
     ++load_[store->id.name];
     ++partition.epoch;
@@ -362,7 +362,7 @@
   return changed;
 }
 
-void Planner::Change() {
+void Planner::Plan() {
   std::vector<bool> changed(table_.partitions.size(), false);
   for (std::uint32_t index = 0; index < table_.partitions.size(); ++index) {
     changed[index] = Trim(index, &table_.partitions[index]);
@@ -378,7 +378,7 @@
   FinishRetiring();
   if (changed_ || !input_.allow_joining || !IsSettled(table_, input_.spread.replicas)) return;
   CountLoad();
-  Widen();
+  IncreaseSpread();
   if (!changed_) Rebalance();
 }
 
@@ -388,7 +388,7 @@
                                             const PlacementInput& input) {
   if (current != nullptr) {
     Planner planner(*current, input);
-    planner.Change();
+    planner.Plan();
     if (!planner.changed()) return std::nullopt;
     PlacementTable next = planner.Take();
     next.epoch = current->epoch + 1;
--- a/src/tier/batch/placement_controller.cpp
+++ b/src/tier/batch/placement_controller.cpp
@@ -10,7 +10,7 @@
 
 // How often the stores are looked at: while something is under way, in calm, and without the duty.
 constexpr Micros kBusyPeriod = 200 * kMs;
-constexpr Micros kCalmPeriod = 500 * kMs;
+constexpr Micros kSettledPeriod = 500 * kMs;
 constexpr Micros kStandbyPeriod = 1 * kSecond;
 // The first table waits until no further store has shown up for this long.
 constexpr Micros kSettleTime = 1 * kSecond;
@@ -28,15 +28,15 @@
 
 PlacementController::PlacementController(Timers* timers, rpc::Transport* transport,
                                          control::ControlClient* control, std::string self,
-                                         PlacementSpread spread, Micros silent_after,
-                                         bool asks_silent)
+                                         PlacementSpread spread, Micros suspect_timeout,
+                                         bool pings_unresponsive)
     : timers_(timers),
       transport_(transport),
       control_(control),
-      role_(control, kRoleName, std::move(self), [this] { LookLater(0); }),
+      role_(control, kRoleName, std::move(self), [this] { ScheduleReconcile(0); }),
       spread_(std::move(spread)),
-      asks_silent_(asks_silent),
-      liveness_(silent_after) {
+      pings_unresponsive_(pings_unresponsive),
+      liveness_(suspect_timeout) {
   transport->Handle(rpc::MessageType::kStoreStatus,
                     [this, alive = alive_](const std::string&, std::string_view body,
                                            const rpc::Respond& respond) {
@@ -45,7 +45,7 @@
   control->OnChange([this, alive = alive_] {
     if (*alive) Reconcile();
   });
-  LookLater(0);
+  ScheduleReconcile(0);
 }
 
 PlacementController::~PlacementController() {
@@ -53,7 +53,7 @@
   timers_->Cancel(&timer_);
 }
 
-void PlacementController::LookLater(Micros delay) {
+void PlacementController::ScheduleReconcile(Micros delay) {
   timers_->Cancel(&timer_);
   timer_ = timers_->After(delay, [this] {
     timer_ = 0;
@@ -82,19 +82,19 @@
 // A report is no more than a hint: its sender may be the one that is cut off.
 void PlacementController::PingUnresponsive(const StoreId& store) {
   const auto member = control_->members().find(store.name);
-  const bool known = asks_silent_ && member != control_->members().end() &&
-                     member->second.info.disk_id == store.disk_id && !asking_.contains(store);
+  const bool known = pings_unresponsive_ && member != control_->members().end() &&
+                     member->second.info.disk_id == store.disk_id && !pinging_.contains(store);
   if (!known) return;
-  asking_.insert(store);
+  pinging_.insert(store);
   transport_->Call(member->second.info.address, rpc::MessageType::kStorePing, {}, kPingTime,
                    [this, alive = alive_, store](const absl::StatusOr<std::string>& answer) {
                      if (!*alive) return;
-                     asking_.erase(store);
+                     pinging_.erase(store);
                      if (answer.ok())
                        liveness_.MarkResponsive(Now(), store);
                      else if (has_role_)
                        liveness_.MarkUnresponsive(Now(), store);
-                     LookLater(0);
+                     ScheduleReconcile(0);
                    });
 }
 
@@ -128,18 +128,18 @@
   }
   table_ = std::make_unique<PlacementTable>(*std::move(table));
   revision_ = snapshot->stores_revision;
-  ForgetOldReports();
+  DropStaleReports();
   return true;
 }
 
-void PlacementController::ForgetOldReports() {
+void PlacementController::DropStaleReports() {
   std::erase_if(filled_, [this](const FilledReport& report) {
     if (report.partition >= table_->partitions.size()) return true;
     return report.epoch < table_->partitions[report.partition].epoch;
   });
 }
 
-PlacementInput PlacementController::Gather(Micros now) {
+PlacementInput PlacementController::MakeInput(Micros now) {
   PlacementInput input;
   input.stores = liveness_.Update(now, control_->members());
   input.spread = spread_;
@@ -147,11 +147,11 @@
   if (table_ != nullptr && now - role_since_ >= kUnknownTime) {
     for (const Partition& partition : table_->partitions) {
       for (const StoreId& store : partition.replicas)
-        liveness_.AddUnheard(now, store, &input.stores);
+        liveness_.AddUnknown(now, store, &input.stores);
     }
   }
   input.allow_first = now - liveness_.changed() >= kSettleTime;
-  input.allow_joining = !liveness_.AwaitsReturn(now, kReturnTime);
+  input.allow_joining = !liveness_.MayReturn(now, kReturnTime);
   return input;
 }
 
@@ -159,24 +159,24 @@
   const Micros now = Now();
   if (!role_.Update(now)) {
     if (has_role_) OnRoleLost();
-    LookLater(control_->IsSingletonRoleCandidate() ? kBusyPeriod : kStandbyPeriod);
+    ScheduleReconcile(control_->IsSingletonRoleCandidate() ? kBusyPeriod : kStandbyPeriod);
     return;
   }
   if (!has_role_) OnRoleAcquired(now);
   if (proposing_ || !LoadTable()) {
-    LookLater(kBusyPeriod);
+    ScheduleReconcile(kBusyPeriod);
     return;
   }
   for (const auto& [store, since] : liveness_.unresponsive()) PingUnresponsive(store);
-  const PlacementInput input = Gather(now);
+  const PlacementInput input = MakeInput(now);
   auto next = NextPlacement(table_.get(), input);
   if (next.has_value()) Propose(*std::move(next), revision_);
-  const bool calm = !proposing_ && table_ != nullptr && IsSettled(*table_, spread_.replicas);
-  const bool calm_stores = liveness_.unresponsive().empty();
-  Micros next_look = calm && calm_stores ? kCalmPeriod : kBusyPeriod;
-  if (const Micros silence = liveness_.NextSilence(); silence > now)
-    next_look = std::min(next_look, silence - now);
-  LookLater(next_look);
+  const bool is_settled = !proposing_ && table_ != nullptr && IsSettled(*table_, spread_.replicas);
+  const bool all_responsive = liveness_.unresponsive().empty();
+  Micros next_delay = is_settled && all_responsive ? kSettledPeriod : kBusyPeriod;
+  if (const Micros timeout = liveness_.NextSuspectTimeout(); timeout > now)
+    next_delay = std::min(next_delay, timeout - now);
+  ScheduleReconcile(next_delay);
 }
 
 void PlacementController::Propose(PlacementTable table, std::uint64_t revision) {
@@ -187,7 +187,7 @@
                    kChangeTimeout, [this, alive = alive_](const control::ChangeOutcome&) {
                      if (!*alive) return;
                      proposing_ = false;
-                     LookLater(0);
+                     ScheduleReconcile(0);
                    });
 }
 
--- a/src/tier/batch/placement_controller.h
+++ b/src/tier/batch/placement_controller.h
@@ -24,12 +24,12 @@
 class PlacementController {
  public:
   // `self`: a name of this process that no other one has. Handles kStoreStatus; a node that does
-  // not hold the duty answers it FAILED_PRECONDITION. `silent_after`: see StoreLiveness.
-  // `asks_silent`: stores that others report as silent are asked, and count as gone where they
-  // don't answer.
+  // not hold the duty answers it FAILED_PRECONDITION. `suspect_timeout`: see StoreLiveness.
+  // `pings_unresponsive`: stores that others report as silent are asked, and count as gone where
+  // they don't answer.
   PlacementController(Timers* timers, rpc::Transport* transport, control::ControlClient* control,
-                      std::string self, PlacementSpread spread, Micros silent_after,
-                      bool asks_silent = true);
+                      std::string self, PlacementSpread spread, Micros suspect_timeout,
+                      bool pings_unresponsive = true);
   ~PlacementController();
   PlacementController(const PlacementController&) = delete;
   PlacementController& operator=(const PlacementController&) = delete;
@@ -39,13 +39,13 @@
 
  private:
   void OnStatus(std::string_view body, const rpc::Respond& respond);
-  void LookLater(Micros delay);
+  void ScheduleReconcile(Micros delay);
   void OnRoleAcquired(Micros now);
   void OnRoleLost();
   bool LoadTable();
-  PlacementInput Gather(Micros now);
+  PlacementInput MakeInput(Micros now);
   void PingUnresponsive(const StoreId& store);
-  void ForgetOldReports();
+  void DropStaleReports();
   void Propose(PlacementTable table, std::uint64_t revision);
 
   Timers* timers_;
@@ -56,9 +56,9 @@
   Timers::Id timer_ = 0;
   bool has_role_ = false, proposing_ = false;
   Micros role_since_ = 0;
-  const bool asks_silent_;
+  const bool pings_unresponsive_;
   StoreLiveness liveness_;
-  std::set<StoreId> asking_;  // stores that were reported as silent
+  std::set<StoreId> pinging_;  // stores that were reported as silent
   std::set<FilledReport> filled_;
   std::unique_ptr<PlacementTable> table_;  // of `revision_`
   std::uint64_t revision_ = 0;
--- a/src/tier/batch/quota.cpp
+++ b/src/tier/batch/quota.cpp
@@ -17,10 +17,11 @@
 // was made after the reservation had been asked for, and would name it while that is under way.
 bool QuotaTracker::IsOver(const Entry& entry, const Reporter& reporter) {
   if (!entry.reserved) return true;
-  const QuotaReservation& asked = entry.reservation;
-  if (reporter.epoch != asked.epoch) return reporter.epoch > asked.epoch;
-  if (reporter.process == asked.process) return reporter.sequence > asked.sequence;
-  return reporter.process > asked.process && reporter.reported >= entry.granted + kReservationSpan;
+  const QuotaReservation& reservation = entry.reservation;
+  if (reporter.epoch != reservation.epoch) return reporter.epoch > reservation.epoch;
+  if (reporter.process == reservation.process) return reporter.sequence > reservation.sequence;
+  return reporter.process > reservation.process &&
+         reporter.reported >= entry.granted + kReservationSpan;
 }
 
 std::vector<std::string> QuotaTracker::Report(const QuotaReport& report, Micros now) {
@@ -40,18 +41,20 @@
     if (taken.contains(PartitionOf(batch_job.batch_job_id)))
       waiting[batch_job.batch_job_id] = batch_job.tokens;
   }
-  const std::set<std::string> asked(report.asked.begin(), report.asked.end());
+  const std::set<std::string> pending_reservations(report.pending_reservations.begin(),
+                                                   report.pending_reservations.end());
   const double before = Sum();
   std::vector<std::string> released;
   std::erase_if(entries_, [&](const auto& entry) {
     const auto reporter = taken.find(PartitionOf(entry.first));
     if (reporter == taken.end() || waiting.contains(entry.first)) return false;
-    if (asked.contains(entry.first) || !IsOver(entry.second, reporter->second)) return false;
+    if (pending_reservations.contains(entry.first) || !IsOver(entry.second, reporter->second))
+      return false;
     if (entry.second.reserved) released.push_back(entry.first);
     return true;
   });
   for (const auto& [batch_job, tokens] : waiting) entries_[batch_job].tokens = tokens;
-  drain_.NoteFreed(std::max(before - Sum(), 0.0), now);
+  drain_.RecordFreed(std::max(before - Sum(), 0.0), now);
   return released;
 }
 
@@ -75,18 +78,18 @@
   });
 }
 
-QuotaDecision QuotaTracker::Fits(const QuotaQuery& question) const {
-  const auto entry = entries_.find(question.batch_job_id);
+QuotaDecision QuotaTracker::Fits(const QuotaQuery& query) const {
+  const auto entry = entries_.find(query.batch_job_id);
   const bool known = entry != entries_.end();
   if (known && entry->second.reserved) return QuotaDecision::kGranted;
   const double others = Sum() - (known ? entry->second.tokens : 0);
-  if (others + question.tokens <= question.cap) return QuotaDecision::kGranted;
+  if (others + query.tokens <= query.cap) return QuotaDecision::kGranted;
   return IsFresh() ? QuotaDecision::kOver : QuotaDecision::kUnknown;
 }
 
-Micros QuotaTracker::RetryAfter(const QuotaQuery& question, Micros now) {
-  drain_.NoteRefused(question.batch_job_id, question.tokens, now);
-  return drain_.Wait(question.batch_job_id, Sum() + question.tokens - question.cap, now);
+Micros QuotaTracker::RetryAfter(const QuotaQuery& query, Micros now) {
+  drain_.RecordRejected(query.batch_job_id, query.tokens, now);
+  return drain_.Wait(query.batch_job_id, Sum() + query.tokens - query.cap, now);
 }
 
 QuotaDecision QuotaTracker::Reserve(const QuotaReserveRequest& reserve, Micros now) {
@@ -100,7 +103,7 @@
   entry.reservation = reserve.reservation;
   entry.reserved = true;
   entry.granted = now;
-  drain_.NoteGranted(reserve.batch_job_id);
+  drain_.RecordGranted(reserve.batch_job_id);
   return QuotaDecision::kGranted;
 }
 
--- a/src/tier/batch/quota.h
+++ b/src/tier/batch/quota.h
@@ -72,13 +72,13 @@
   // Of the reporter: a process that starts later has a higher number, a later report a higher
   // sequence.
   std::uint64_t process = 0, sequence = 0;
-  bool ask = false;
+  bool is_request = false;
   std::vector<std::pair<std::uint32_t, std::uint64_t>> partitions;  // with their epochs
   std::vector<BatchJobTokens> batch_jobs;
-  std::vector<std::string> asked;  // lots for which a reservation is under way
+  std::vector<std::string> pending_reservations;  // lots for which a reservation is under way
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& route& process& sequence& ask& partitions& batch_jobs& asked;
+    archive& route& process& sequence& is_request& partitions& batch_jobs& pending_reservations;
   }
 };
 
@@ -95,10 +95,10 @@
   QuotaDecision Reserve(const QuotaReserveRequest& reserve, Micros now);
   // Whether Reserve would grant it. A ledger that is not fresh says no more than kUnknown for one
   // that does not fit.
-  QuotaDecision Fits(const QuotaQuery& question) const;
+  QuotaDecision Fits(const QuotaQuery& query) const;
   double Sum() const;
   // Of a lot that does not fit: notes that it was refused, and when it may fit.
-  Micros RetryAfter(const QuotaQuery& question, Micros now);
+  Micros RetryAfter(const QuotaQuery& query, Micros now);
   // All partitions that tokens were granted to have reported to this ledger.
   bool IsFresh() const;
   // A partition that tokens were granted to has been silent for kReportSpan.
--- a/src/tier/batch/quota_drain.cpp
+++ b/src/tier/batch/quota_drain.cpp
@@ -8,7 +8,7 @@
 
 constexpr Micros kMemory = 1 * kSecond;  // of what became free
 // A refused lot that has not been asked for again within this comes no more.
-constexpr Micros kRefusedMemory = 2 * kSecond;
+constexpr Micros kRejectedMemory = 2 * kSecond;
 constexpr Micros kMinWait = 200 * kMs;
 constexpr Micros kMaxWait = 5 * kSecond;  // clients heed no more than a third of their time
 constexpr Micros kUnknownWait = 500 * kMs;
@@ -21,15 +21,15 @@
 
 }  // namespace
 
-void QuotaDrain::NoteFreed(double tokens, Micros now) {
+void QuotaDrain::RecordFreed(double tokens, Micros now) {
   freed_ = Faded(freed_, now - freed_at_) + tokens;
   freed_at_ = now;
 }
 
-void QuotaDrain::NoteRefused(const std::string& batch_job_id, double tokens, Micros now) {
-  std::erase_if(refused_,
-                [now](const auto& entry) { return now - entry.second.second >= kRefusedMemory; });
-  refused_[batch_job_id] = {tokens, now};
+void QuotaDrain::RecordRejected(const std::string& batch_job_id, double tokens, Micros now) {
+  std::erase_if(rejected_,
+                [now](const auto& entry) { return now - entry.second.second >= kRejectedMemory; });
+  rejected_[batch_job_id] = {tokens, now};
 }
 
 double QuotaDrain::Rate(Micros now) const {
@@ -39,8 +39,8 @@
 Micros QuotaDrain::Wait(const std::string& batch_job_id, double missing, Micros now) const {
   const double rate = Rate(now);
   if (rate < 1) return kUnknownWait;
-  for (const auto& [other, refused] : refused_) {
-    if (other != batch_job_id && now - refused.second < kRefusedMemory) missing += refused.first;
+  for (const auto& [other, rejected] : rejected_) {
+    if (other != batch_job_id && now - rejected.second < kRejectedMemory) missing += rejected.first;
   }
   const auto wait = static_cast<Micros>(missing / rate * static_cast<double>(kSecond));
   return std::clamp(wait, kMinWait, kMaxWait);
--- a/src/tier/batch/quota_drain.h
+++ b/src/tier/batch/quota_drain.h
@@ -14,9 +14,9 @@
 class QuotaDrain {
  public:
   // Tokens that no longer wait.
-  void NoteFreed(double tokens, Micros now);
-  void NoteRefused(const std::string& batch_job_id, double tokens, Micros now);
-  void NoteGranted(const std::string& batch_job_id) { refused_.erase(batch_job_id); }
+  void RecordFreed(double tokens, Micros now);
+  void RecordRejected(const std::string& batch_job_id, double tokens, Micros now);
+  void RecordGranted(const std::string& batch_job_id) { rejected_.erase(batch_job_id); }
   // Until so many tokens, and those of the other refused lots, have become free; a default where
   // nothing has become free lately.
   Micros Wait(const std::string& batch_job_id, double missing, Micros now) const;
@@ -26,7 +26,7 @@
 
   double freed_ = 0;  // fades over kMemory
   Micros freed_at_ = 0;
-  std::map<std::string, std::pair<double, Micros>> refused_;  // tokens, when last
+  std::map<std::string, std::pair<double, Micros>> rejected_;  // tokens, when last
 };
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/repair_throttle.cpp
+++ b/src/tier/batch/repair_throttle.cpp
@@ -11,7 +11,7 @@
 constexpr int kMaxInFlight = 4;
 constexpr double kBytesPerMbit = 125'000;
 constexpr double kUnknownLinkMbps = 100;
-constexpr double kUsualShare = 0.25, kMaxShare = 0.75;
+constexpr double kMinLinkFraction = 0.25, kMaxLinkFraction = 0.75;
 constexpr Micros kLogPeriod = 1 * kSecond;
 
 }  // namespace
@@ -19,12 +19,12 @@
 double RepairRate(double link_mbps, std::uint64_t used_bytes, double sync_s) {
   const double link = (link_mbps > 0 ? link_mbps : kUnknownLinkMbps) * kBytesPerMbit;
   const double needed = static_cast<double>(used_bytes) / (std::max(sync_s, 1.0) / 2);
-  return std::clamp(needed, link * kUsualShare, link * kMaxShare);
+  return std::clamp(needed, link * kMinLinkFraction, link * kMaxLinkFraction);
 }
 
-void RepairThrottle::Ask(bool urgent, Send send) {
+void RepairThrottle::Schedule(bool urgent, Send send) {
   (urgent ? urgent_ : waiting_).push_back(std::move(send));
-  Wake(0);
+  ScheduleRun(0);
 }
 
 RepairThrottle::Slot RepairThrottle::NewSlot() {
@@ -32,26 +32,26 @@
   return Slot(nullptr, [this, alive = std::weak_ptr<bool>(alive_)](void*) {
     if (alive.expired()) return;
     --in_flight_;
-    if (!waiting_.empty()) Wake(0);
+    if (!waiting_.empty()) ScheduleRun(0);
   });
 }
 
-void RepairThrottle::Wake(Micros delay) {
-  const Micros at = surroundings_.now() + delay;
-  if (wake_at_ != 0 && wake_at_ <= at) return;
-  wake_at_ = at;
-  surroundings_.after(delay, [this, at] {
-    if (wake_at_ != at) return;  // an earlier one was set
-    wake_at_ = 0;
-    Next();
+void RepairThrottle::ScheduleRun(Micros delay) {
+  const Micros at = environment_.now() + delay;
+  if (run_at_ != 0 && run_at_ <= at) return;
+  run_at_ = at;
+  environment_.after(delay, [this, at] {
+    if (run_at_ != at) return;  // an earlier one was set
+    run_at_ = 0;
+    RunNext();
   });
 }
 
-void RepairThrottle::Next() {
-  const Micros now = surroundings_.now();
+void RepairThrottle::RunNext() {
+  const Micros now = environment_.now();
   const bool is_free = now >= free_at_ && in_flight_ < kMaxInFlight;
   if (urgent_.empty() && (waiting_.empty() || !is_free)) {
-    if (!waiting_.empty() && now < free_at_) Wake(free_at_ - now);
+    if (!waiting_.empty() && now < free_at_) ScheduleRun(free_at_ - now);
     return;
   }
   std::deque<Send>& queue = urgent_.empty() ? waiting_ : urgent_;
@@ -60,11 +60,11 @@
   const std::size_t bytes = send(NewSlot());
   const double time_s = static_cast<double>(bytes) / rate_;
   free_at_ = std::max(free_at_, now) + static_cast<Micros>(time_s * static_cast<double>(kSecond));
-  Log(now, bytes);
-  if (!urgent_.empty() || !waiting_.empty()) Wake(0);
+  LogSent(now, bytes);
+  if (!urgent_.empty() || !waiting_.empty()) ScheduleRun(0);
 }
 
-void RepairThrottle::Log(Micros now, std::size_t bytes) {
+void RepairThrottle::LogSent(Micros now, std::size_t bytes) {
   sent_ += bytes;
   if (sent_ == 0 || (logged_at_ != 0 && now - logged_at_ < kLogPeriod)) return;
   logging::Info("batch", "repair sends lots",
--- a/src/tier/batch/repair_throttle.h
+++ b/src/tier/batch/repair_throttle.h
@@ -19,30 +19,30 @@
   using Slot = std::shared_ptr<void>;
   // Sends a part of a repair and returns its bytes; 0: there was nothing to send any more.
   using Send = std::function<std::size_t(Slot)>;
-  struct Surroundings {
+  struct Environment {
     std::function<Micros()> now;
     std::function<void(Micros delay, std::function<void()>)> after;  // not once this has gone
   };
 
-  explicit RepairThrottle(Surroundings surroundings) : surroundings_(std::move(surroundings)) {}
+  explicit RepairThrottle(Environment environment) : environment_(std::move(environment)) {}
 
   void SetRate(double bytes_per_second) { rate_ = bytes_per_second; }
   // Calls `send` on a later turn, in its order. What a partition waits for before it may serve is
   // urgent: it goes first and does not wait for its turn, but counts.
-  void Ask(bool urgent, Send send);
+  void Schedule(bool urgent, Send send);
 
  private:
   Slot NewSlot();
-  void Wake(Micros delay);
-  void Next();
-  void Log(Micros now, std::size_t bytes);
+  void ScheduleRun(Micros delay);
+  void RunNext();
+  void LogSent(Micros now, std::size_t bytes);
 
-  const Surroundings surroundings_;
+  const Environment environment_;
   double rate_ = 1 << 20;
   std::deque<Send> urgent_, waiting_;
   int in_flight_ = 0;
   Micros free_at_ = 0;  // when the next part may go
-  Micros wake_at_ = 0;  // 0: nothing has been set
+  Micros run_at_ = 0;   // 0: nothing has been set
   Micros logged_at_ = 0;
   std::uint64_t sent_ = 0;  // since the last line of the log
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/tier/batch/replica_places.h
+++ b/src/tier/batch/replica_spread.h
@@ -1,6 +1,6 @@
 // Where the replicas of partitions stand: their zones and regions, against those that are wanted.
-#ifndef PEARREACH_SRC_TIER_BATCH_REPLICA_PLACES_H_
-#define PEARREACH_SRC_TIER_BATCH_REPLICA_PLACES_H_
+#ifndef PEARREACH_SRC_TIER_BATCH_REPLICA_SPREAD_H_
+#define PEARREACH_SRC_TIER_BATCH_REPLICA_SPREAD_H_
 
 #include <set>
 #include <string>
@@ -10,10 +10,10 @@
 
 namespace pearreach::batch {
 
-class ReplicaPlaces {
+class ReplicaSpread {
  public:
   // Both outlive this. Stores that leave by `table` do not count.
-  ReplicaPlaces(const PlacementInput& input, const PlacementTable& table)
+  ReplicaSpread(const PlacementInput& input, const PlacementTable& table)
       : input_(input), table_(table) {}
 
   std::string ZoneOf(const StoreId& store) const;
@@ -22,12 +22,12 @@
   std::set<std::string> ZonesOf(const Partition& partition) const;
   std::set<std::string> RegionsOf(const std::set<std::string>& zones) const;
   // `after` stands in fewer zones or regions than `before`, of those that are wanted.
-  bool Narrows(const Partition& before, const Partition& after) const;
+  bool ReducesSpread(const Partition& before, const Partition& after) const;
   // How much a replica is needed where it stands: 2 for the zones and regions that are wanted, 1 as
   // the only one in its zone.
-  int NeedOf(const StoreId& store, const Partition& partition) const;
+  int ImportanceOf(const StoreId& store, const Partition& partition) const;
   // The partition's replicas stand in too few zones or regions, and this store's is another one.
-  bool Widens(const StoreView& store, const Partition& partition) const;
+  bool IncreasesSpread(const StoreView& store, const Partition& partition) const;
 
  private:
   bool IsLeaving(const std::string& name) const;
@@ -38,4 +38,4 @@
 
 }  // namespace pearreach::batch
 
-#endif  // PEARREACH_SRC_TIER_BATCH_REPLICA_PLACES_H_
+#endif  // PEARREACH_SRC_TIER_BATCH_REPLICA_SPREAD_H_
--- a/src/tier/batch/replication.cpp
+++ b/src/tier/batch/replication.cpp
@@ -53,7 +53,7 @@
   primary_ = true;
   active_ = false;
   barrier_done_ = false;
-  sole_asking_ = false;
+  confirming_sole_ = false;
   stream_open_ = false;
   ++term_;
   const std::uint64_t term = term_;
@@ -83,13 +83,13 @@
   std::erase_if(links_, [this](const auto& entry) {
     return !Contains(table_.replicas, entry.first) && !Contains(table_.joining, entry.first);
   });
-  const auto connect = [this](const StoreId& peer, bool counts) {
+  const auto connect = [this](const StoreId& peer, bool is_replica) {
     if (peer == self_) return;
     auto& link = links_[peer];
     const bool fresh = link == nullptr;
     if (fresh) link = std::make_shared<ReplicaLink>(peer, this, environment_);
-    link->counts = counts;
-    Require(link.get());
+    link->is_replica = is_replica;
+    UpdateRequired(link.get());
     if (fresh) link->Synchronise();
   };
   for (const StoreId& peer : table_.replicas) connect(peer, true);
@@ -102,7 +102,7 @@
 void PartitionReplica::CheckActive() {
   if (!primary_ || active_ || !barrier_done_) return;
   for (const auto& [peer, link] : links_) {
-    if (link->counts && !link->streaming()) return;
+    if (link->is_replica && !link->streaming()) return;
   }
   if (IsSole() && !sole_confirmed_) {
     ConfirmSole();
@@ -113,16 +113,16 @@
 
 // A sole replica hears from no other whether its table still stands.
 void PartitionReplica::ConfirmSole() {
-  if (sole_asking_) return;
-  sole_asking_ = true;
+  if (confirming_sole_) return;
+  confirming_sole_ = true;
   const std::uint64_t term = term_, epoch = table_.epoch;
-  const Micros asked = environment_->Now();
-  environment_->ConfirmEpoch(partition_, epoch, [this, term, epoch, asked](bool stands) {
+  const Micros requested_at = environment_->Now();
+  environment_->ConfirmEpoch(partition_, epoch, [this, term, epoch, requested_at](bool stands) {
     if (term != term_) return;
-    sole_asking_ = false;
+    confirming_sole_ = false;
     if (stands && epoch == table_.epoch) {
       sole_confirmed_ = true;
-      sole_confirmed_at_ = asked;
+      sole_confirmed_at_ = requested_at;
       CheckActive();
       CheckConfirmations();
       return;
@@ -143,8 +143,9 @@
   std::vector<StoreId> filled;
   if (!active_) return filled;
   for (const auto& [peer, link] : links_) {
-    const bool held = link->required && link->streaming() && link->acknowledged() >= link->owed;
-    if (!link->counts && held) filled.push_back(peer);
+    const bool is_filled =
+        link->required && link->streaming() && link->acknowledged() >= link->catch_up_sequence;
+    if (!link->is_replica && is_filled) filled.push_back(peer);
   }
   return filled;
 }
@@ -155,15 +156,15 @@
 
 // A joiner that has been reported to hold everything may count at any moment until the epoch
 // changes: no change may be acknowledged without it from before it is reported.
-void PartitionReplica::Require(ReplicaLink* link) const {
-  const bool required = link->counts || link->streaming();
-  if (required && !link->required) link->owed = last_sequence_;
+void PartitionReplica::UpdateRequired(ReplicaLink* link) const {
+  const bool required = link->is_replica || link->streaming();
+  if (required && !link->required) link->catch_up_sequence = last_sequence_;
   link->required = required;
 }
 
-void PartitionReplica::LinkAdvanced() {
+void PartitionReplica::OnLinkAdvanced() {
   for (const auto& [peer, link] : links_) {
-    if (!link->required) Require(link.get());
+    if (!link->required) UpdateRequired(link.get());
   }
   CheckActive();
   if (!FilledJoiners().empty()) environment_->OnFilled(partition_);
@@ -187,7 +188,7 @@
   commits_.Commit(std::move(batch), [this, term, sequence](const absl::Status& status) {
     OnCommitted(term, sequence, status);
   });
-  for (const auto& [peer, link] : links_) link->Push(sequence, shared);
+  for (const auto& [peer, link] : links_) link->Enqueue(sequence, shared);
 }
 
 void PartitionReplica::OnCommitted(std::uint64_t term, std::uint64_t sequence,
@@ -207,13 +208,13 @@
 
 void PartitionReplica::Advance() {
   if (!active_) return;
-  std::uint64_t held_by_all = last_sequence_;
+  std::uint64_t acknowledged_by_all = last_sequence_;
   for (const auto& [peer, link] : links_) {
-    if (link->required) held_by_all = std::min(held_by_all, link->acknowledged());
+    if (link->required) acknowledged_by_all = std::min(acknowledged_by_all, link->acknowledged());
   }
   const std::uint64_t term = term_;
   while (term == term_ && !pending_.empty() && pending_.front().committed &&
-         pending_.front().sequence <= held_by_all) {
+         pending_.front().sequence <= acknowledged_by_all) {
     const Pending pending = std::move(pending_.front());
     pending_.pop_front();
     Complete(pending);
@@ -266,7 +267,7 @@
   if (!active_) return false;
   if (IsSole() && !all_required) return sole_confirmed_at_ >= since && sole_confirmed_;
   return std::all_of(links_.begin(), links_.end(), [&](const auto& entry) {
-    return !IsAsked(*entry.second, all_required) || entry.second->confirmed_at() >= since;
+    return !MustConfirm(*entry.second, all_required) || entry.second->confirmed_at() >= since;
   });
 }
 
@@ -275,7 +276,8 @@
   AwaitConfirmation({now - kConfirmSpan, now + kConfirmTimeout, false, std::move(done)});
 }
 
-void PartitionReplica::AwaitAll(Micros span, Micros timeout, std::function<void(bool)> done) {
+void PartitionReplica::ConfirmAllRequired(Micros span, Micros timeout,
+                                          std::function<void(bool)> done) {
   const Micros now = environment_->Now();
   AwaitConfirmation({now - span, now + timeout, true, std::move(done)});
 }
@@ -295,7 +297,8 @@
     return;
   }
   for (const auto& [peer, link] : links_) {
-    if (IsAsked(*link, all_required) && link->confirmed_at() < since) link->Probe();
+    if (MustConfirm(*link, all_required) && link->confirmed_at() < since)
+      link->RequestConfirmation();
   }
 }
 
@@ -303,8 +306,8 @@
   if (confirmations_.empty()) return;
   const auto first = std::min_element(
       confirmations_.begin(), confirmations_.end(),
-      [](const Confirmation& a, const Confirmation& b) { return a.give_up < b.give_up; });
-  const Micros delay = std::max<Micros>(1, first->give_up - environment_->Now());
+      [](const Confirmation& a, const Confirmation& b) { return a.deadline < b.deadline; });
+  const Micros delay = std::max<Micros>(1, first->deadline - environment_->Now());
   environment_->Cancel(&confirm_timer_);
   confirm_timer_ = environment_->After(delay, [this] {
     confirm_timer_ = 0;
@@ -312,9 +315,9 @@
   });
 }
 
-void PartitionReplica::TellSilent(Micros since) {
+void PartitionReplica::ReportUnresponsive(Micros since) {
   for (const auto& [peer, link] : links_)
-    if (link->required && link->confirmed_at() < since) environment_->OnSilent(peer);
+    if (link->required && link->confirmed_at() < since) environment_->OnUnresponsive(peer);
 }
 
 void PartitionReplica::CheckConfirmations() {
@@ -322,20 +325,20 @@
   const Micros now = environment_->Now();
   std::vector<Confirmation> finished, waiting;
   for (Confirmation& one : confirmations_) {
-    const bool over = now >= one.give_up || ConfirmedSince(one.since, one.all_required);
+    const bool over = now >= one.deadline || ConfirmedSince(one.since, one.all_required);
     (over ? finished : waiting).push_back(std::move(one));
   }
   confirmations_ = std::move(waiting);
   ArmConfirmTimer();
   for (const Confirmation& one : finished) {
-    if (one.all_required) TellSilent(one.since);
+    if (one.all_required) ReportUnresponsive(one.since);
     one.done(ConfirmedSince(one.since, one.all_required));
   }
 }
 
 // ---------------------------------------------------------------- as a backup
 
-ReplicaVerdict PartitionReplica::Judge(const ReplicaScope& scope, bool starts_attempt) {
+ReplicaVerdict PartitionReplica::CheckScope(const ReplicaScope& scope, bool starts_attempt) {
   if (scope.epoch > table_.epoch) {
     environment_->RefreshTable();
     return ReplicaVerdict::kBehind;
@@ -344,11 +347,11 @@
       table_.replicas.front() != scope.from) {
     return ReplicaVerdict::kStale;
   }
-  return JudgeAttempt(scope, starts_attempt);
+  return CheckAttempt(scope, starts_attempt);
 }
 
 // A call that comes late, of an earlier process or attempt, must not undo what came after it.
-ReplicaVerdict PartitionReplica::JudgeAttempt(const ReplicaScope& scope, bool starts_attempt) {
+ReplicaVerdict PartitionReplica::CheckAttempt(const ReplicaScope& scope, bool starts_attempt) {
   if (former_processes_.contains(scope.process)) return ReplicaVerdict::kSuperseded;
   if (scope.process == primary_process_ && scope.attempt < attempt_) {
     return ReplicaVerdict::kSuperseded;
@@ -365,42 +368,42 @@
   return ReplicaVerdict::kAccepted;
 }
 
-ReplicaVerdict PartitionReplica::JudgeReplicate(const Replicate& message) {
-  const ReplicaVerdict verdict = Judge(message.scope, false);
+ReplicaVerdict PartitionReplica::CheckReplicate(const Replicate& message) {
+  const ReplicaVerdict verdict = CheckScope(message.scope, false);
   if (verdict != ReplicaVerdict::kAccepted) return verdict;
-  const bool fits = message.fill ? !stream_open_ : stream_open_ && message.first <= next_;
+  const bool fits = message.fill ? !stream_open_ : stream_open_ && message.first <= next_sequence_;
   return fits ? ReplicaVerdict::kAccepted : ReplicaVerdict::kUnsynchronised;
 }
 
 void PartitionReplica::OnReplicate(Replicate message, rpc::Respond respond) {
-  ReplicateResponse answer;
-  answer.verdict = JudgeReplicate(message);
-  if (answer.verdict != ReplicaVerdict::kAccepted) {
-    respond(codec::Encode(answer));
+  ReplicateResponse response;
+  response.verdict = CheckReplicate(message);
+  if (response.verdict != ReplicaVerdict::kAccepted) {
+    respond(codec::Encode(response));
     return;
   }
   std::vector<storage::Write> batch;
   std::uint64_t sequence = message.first;
   for (const Operation& operation : message.operations) {
-    const bool known = !message.fill && sequence++ < next_;
+    const bool known = !message.fill && sequence++ < next_sequence_;
     if (known) continue;
     std::vector<storage::Write> writes = batch_jobs_.Apply(operation);
     std::move(writes.begin(), writes.end(), std::back_inserter(batch));
   }
-  if (!message.fill) next_ = std::max(next_, sequence);
+  if (!message.fill) next_sequence_ = std::max(next_sequence_, sequence);
   if (message.begin) {
     stream_open_ = true;
-    next_ = message.first;
+    next_sequence_ = message.first;
   }
   if (batch.empty() && commits_.idle()) {  // nothing to wait for
-    answer.available_bytes = environment_->Room();
-    respond(codec::Encode(answer));
+    response.available_bytes = environment_->AvailableDiskBytes();
+    respond(codec::Encode(response));
     return;
   }
-  commits_.Commit(std::move(batch), [this, answer, respond](const absl::Status& status) mutable {
+  commits_.Commit(std::move(batch), [this, response, respond](const absl::Status& status) mutable {
     if (status.ok()) {
-      answer.available_bytes = environment_->Room();
-      respond(codec::Encode(answer));
+      response.available_bytes = environment_->AvailableDiskBytes();
+      respond(codec::Encode(response));
       return;
     }
     stream_open_ = false;
@@ -410,24 +413,24 @@
 }
 
 void PartitionReplica::OnRepairDigest(const RepairDigest& message, rpc::Respond respond) {
-  RepairDigestResponse answer;
-  answer.verdict = Judge(message.scope, !message.buckets.empty());
-  if (answer.verdict == ReplicaVerdict::kAccepted) {
-    const std::vector<std::uint64_t> mine = batch_jobs_.BucketDigests();
-    for (std::uint32_t i = 0; i < mine.size() && i < message.buckets.size(); ++i) {
-      if (mine[i] != message.buckets[i]) answer.differing.push_back(i);
+  RepairDigestResponse response;
+  response.verdict = CheckScope(message.scope, !message.buckets.empty());
+  if (response.verdict == ReplicaVerdict::kAccepted) {
+    const std::vector<std::uint64_t> own_digests = batch_jobs_.BucketDigests();
+    for (std::uint32_t i = 0; i < own_digests.size() && i < message.buckets.size(); ++i) {
+      if (own_digests[i] != message.buckets[i]) response.differing.push_back(i);
     }
-    std::map<std::string, std::uint64_t> held;
+    std::map<std::string, std::uint64_t> unlisted;
     for (auto& [batch_job, digest] : batch_jobs_.BatchJobDigests(message.listed))
-      held.emplace(batch_job, digest);
+      unlisted.emplace(batch_job, digest);
     for (const auto& [batch_job, digest] : message.batch_jobs) {
-      const auto at = held.find(batch_job);
-      if (at == held.end() || at->second != digest) answer.wanted.push_back(batch_job);
-      if (at != held.end()) held.erase(at);
+      const auto at = unlisted.find(batch_job);
+      if (at == unlisted.end() || at->second != digest) response.wanted.push_back(batch_job);
+      if (at != unlisted.end()) unlisted.erase(at);
     }
-    for (const auto& [batch_job, digest] : held) answer.surplus.push_back(batch_job);
+    for (const auto& [batch_job, digest] : unlisted) response.surplus.push_back(batch_job);
   }
-  respond(codec::Encode(answer));
+  respond(codec::Encode(response));
 }
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/replication.h
+++ b/src/tier/batch/replication.h
@@ -52,14 +52,16 @@
   virtual void OnActive(std::uint32_t partition) = 0;
   virtual void OnInactive(std::uint32_t partition) = 0;
   // Calls `send` once the store may send a part of a repair.
-  virtual void PaceRepair(bool /*urgent*/, RepairThrottle::Send send) {
+  virtual void ThrottleRepair(bool /*urgent*/, RepairThrottle::Send send) {
     After(0, [send = std::move(send)] { send(nullptr); });
   }
   // Bytes that this store's disk has for further lots; as another store told it.
-  virtual std::uint64_t Room() const { return std::numeric_limits<std::uint64_t>::max(); }
-  virtual void NoteRoom(const StoreId& /*store*/, std::uint64_t /*bytes*/) {}
+  virtual std::uint64_t AvailableDiskBytes() const {
+    return std::numeric_limits<std::uint64_t>::max();
+  }
+  virtual void SetPeerAvailableBytes(const StoreId& /*store*/, std::uint64_t /*bytes*/) {}
   // A replica that a change would wait for has not answered.
-  virtual void OnSilent(const StoreId& /*peer*/) {}
+  virtual void OnUnresponsive(const StoreId& /*peer*/) {}
   // A joiner holds all of the partition, under its present epoch.
   virtual void OnFilled(std::uint32_t partition) = 0;
 };
@@ -90,7 +92,7 @@
   void Confirm(std::function<void(bool)> done);
   // Calls back whether all replicas that a change would wait for have answered within `span`
   // before now or do so within `timeout`. Active primary only.
-  void AwaitAll(Micros span, Micros timeout, std::function<void(bool)> done);
+  void ConfirmAllRequired(Micros span, Micros timeout, std::function<void(bool)> done);
   // Joiners that hold all of the partition; they stay required until the epoch changes.
   std::vector<StoreId> FilledJoiners() const;
 
@@ -106,18 +108,18 @@
     ChangeDone done;
   };
   struct Confirmation {
-    Micros since = 0, give_up = 0;
+    Micros since = 0, deadline = 0;
     bool all_required = false;  // also by joiners that changes wait for
     std::function<void(bool)> done;
   };
 
   // LinkOwner
   ReplicaScope Scope(const StoreId& to) const override;
-  void LinkCommit(CommitQueue::Done done) override { commits_.Commit({}, std::move(done)); }
+  void CommitBarrier(CommitQueue::Done done) override { commits_.Commit({}, std::move(done)); }
   std::uint64_t last_sequence() const override { return last_sequence_; }
   const BatchJobTable& link_batch_jobs() const override { return batch_jobs_; }
-  void LinkAdvanced() override;
-  void Require(ReplicaLink* link) const;
+  void OnLinkAdvanced() override;
+  void UpdateRequired(ReplicaLink* link) const;
 
   void BecomePrimary();
   void StepDown();
@@ -132,16 +134,16 @@
   void OnDiskFailure(const absl::Status& status);
   void AwaitConfirmation(Confirmation confirmation);
   void ArmConfirmTimer();
-  void TellSilent(Micros since);
+  void ReportUnresponsive(Micros since);
   void CheckConfirmations();
-  bool IsAsked(const ReplicaLink& link, bool all_required) const {
-    return all_required ? link.required : link.counts;
+  bool MustConfirm(const ReplicaLink& link, bool all_required) const {
+    return all_required ? link.required : link.is_replica;
   }
   bool ConfirmedSince(Micros since, bool all_required) const;
   bool IsSole() const { return table_.replicas.size() == 1; }
-  ReplicaVerdict Judge(const ReplicaScope& scope, bool starts_attempt);
-  ReplicaVerdict JudgeAttempt(const ReplicaScope& scope, bool starts_attempt);
-  ReplicaVerdict JudgeReplicate(const Replicate& message);
+  ReplicaVerdict CheckScope(const ReplicaScope& scope, bool starts_attempt);
+  ReplicaVerdict CheckAttempt(const ReplicaScope& scope, bool starts_attempt);
+  ReplicaVerdict CheckReplicate(const Replicate& message);
 
   const std::uint32_t partition_;
   const StoreId self_;
@@ -151,7 +153,7 @@
   Partition table_;
   bool primary_ = false, active_ = false;
   bool barrier_done_ = false;  // all that was taken as a backup is on disk
-  bool sole_confirmed_ = false, sole_asking_ = false;
+  bool sole_confirmed_ = false, confirming_sole_ = false;
   Micros sole_confirmed_at_ = 0;
   std::uint64_t term_ = 0;  // counts the times that this store became or ceased to be primary
   std::uint64_t last_sequence_ = 0;
@@ -163,7 +165,7 @@
   // the next sequence of the stream that follows it.
   std::uint64_t primary_process_ = 0, attempt_ = 0;
   bool stream_open_ = false;
-  std::uint64_t next_ = 0;
+  std::uint64_t next_sequence_ = 0;
   std::set<std::uint64_t> former_processes_;
 };
 
--- a/src/tier/batch/replication_link.cpp
+++ b/src/tier/batch/replication_link.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 constexpr Micros kStreamTimeout = 1 * kSecond;
-constexpr Micros kFillTimeout = 3 * kSecond;
+constexpr Micros kRepairTimeout = 3 * kSecond;
 constexpr Micros kRetryDelay = 150 * kMs;
 constexpr Micros kBehindDelay = 40 * kMs;
 // About; one operation may be larger.
-constexpr std::size_t kMessageBytes = 1 << 20, kFillBytes = 1 << 16;
+constexpr std::size_t kMaxStreamMessageBytes = 1 << 20, kMaxRepairMessageBytes = 1 << 16;
 
 }  // namespace
 
@@ -26,30 +26,30 @@
 
 ReplicaLink::~ReplicaLink() { environment_->Cancel(&retry_timer_); }
 
-template <class Answer>
+template <class Response>
 void ReplicaLink::Call(rpc::MessageType type, std::string body, Micros timeout,
-                       std::function<void(const Answer&)> taken) {
+                       std::function<void(const Response&)> on_accepted) {
   const std::weak_ptr<ReplicaLink> weak = weak_from_this();
   const std::uint64_t generation = generation_;
   environment_->Send(
       peer_, type, std::move(body), timeout,
-      [weak, generation, taken = std::move(taken)](absl::StatusOr<std::string> bytes) {
+      [weak, generation, on_accepted = std::move(on_accepted)](absl::StatusOr<std::string> bytes) {
         const auto self = weak.lock();
         if (self == nullptr || self->generation_ != generation) return;
         if (!bytes.ok()) {
           self->Retry(kRetryDelay);
           return;
         }
-        const auto answer = codec::Decode<Answer>(*bytes);
-        if (!answer.ok()) {
+        const auto response = codec::Decode<Response>(*bytes);
+        if (!response.ok()) {
           self->Retry(kRetryDelay);
           return;
         }
-        if (answer->verdict != ReplicaVerdict::kAccepted) {
-          self->OnRefused(answer->verdict);
+        if (response->verdict != ReplicaVerdict::kAccepted) {
+          self->OnRejected(response->verdict);
           return;
         }
-        taken(*answer);
+        on_accepted(*response);
       });
 }
 
@@ -60,18 +60,18 @@
   return scope;
 }
 
-// The digests tell the state up to `base_`; all later changes go into the queue and follow it. Lots
-// are sent as they are when their turn comes: applying a queued change again does no harm.
+// The digests tell the state up to `base_sequence_`; all later changes go into the queue and follow
+// it. Lots are sent as they are when their turn comes: applying a queued change again does no harm.
 void ReplicaLink::Synchronise() {
   environment_->Cancel(&retry_timer_);
   ++generation_;
   state_ = State::kSynchronising;
   in_flight_ = false;
-  probe_wanted_ = false;
+  confirmation_wanted_ = false;
   queue_.clear();
-  to_send_.clear();
-  to_erase_.clear();
-  base_ = owner_->last_sequence();
+  batch_jobs_to_send_.clear();
+  batch_jobs_to_erase_.clear();
+  base_sequence_ = owner_->last_sequence();
   ++attempt_;
   SendBuckets();
 }
@@ -81,11 +81,11 @@
   message.scope = Scope();
   message.buckets = owner_->link_batch_jobs().BucketDigests();
   Call<RepairDigestResponse>(rpc::MessageType::kRepairDigest, codec::Encode(message),
-                             kStreamTimeout, [this](const RepairDigestResponse& answer) {
-                               if (answer.differing.empty()) {
-                                 Begin();
+                             kStreamTimeout, [this](const RepairDigestResponse& response) {
+                               if (response.differing.empty()) {
+                                 OpenStream();
                                } else {
-                                 SendBatchJobs(answer.differing);
+                                 SendBatchJobs(response.differing);
                                }
                              });
 }
@@ -95,123 +95,124 @@
   message.scope = Scope();
   message.batch_jobs = owner_->link_batch_jobs().BatchJobDigests(buckets);
   message.listed = std::move(buckets);
-  Call<RepairDigestResponse>(rpc::MessageType::kRepairDigest, codec::Encode(message), kFillTimeout,
-                             [this](const RepairDigestResponse& answer) {
-                               to_send_.assign(answer.wanted.begin(), answer.wanted.end());
-                               to_erase_.assign(answer.surplus.begin(), answer.surplus.end());
-                               const std::weak_ptr<ReplicaLink> weak = weak_from_this();
-                               const std::uint64_t generation = generation_;
-                               // Lots are read from disk: what the digests told must be there.
-                               owner_->LinkCommit([weak, generation](const absl::Status&) {
-                                 const auto self = weak.lock();
-                                 if (self == nullptr || self->generation_ != generation) return;
-                                 self->Fill();
-                               });
-                             });
+  Call<RepairDigestResponse>(
+      rpc::MessageType::kRepairDigest, codec::Encode(message), kRepairTimeout,
+      [this](const RepairDigestResponse& response) {
+        batch_jobs_to_send_.assign(response.wanted.begin(), response.wanted.end());
+        batch_jobs_to_erase_.assign(response.surplus.begin(), response.surplus.end());
+        const std::weak_ptr<ReplicaLink> weak = weak_from_this();
+        const std::uint64_t generation = generation_;
+        // Lots are read from disk: what the digests told must be there.
+        owner_->CommitBarrier([weak, generation](const absl::Status&) {
+          const auto self = weak.lock();
+          if (self == nullptr || self->generation_ != generation) return;
+          self->SendNextRepair();
+        });
+      });
 }
 
 // A part at a time, as the store's pace of repair allows.
-void ReplicaLink::Fill() {
-  if (to_send_.empty() && to_erase_.empty()) {
-    Begin();
+void ReplicaLink::SendNextRepair() {
+  if (batch_jobs_to_send_.empty() && batch_jobs_to_erase_.empty()) {
+    OpenStream();
     return;
   }
   const std::weak_ptr<ReplicaLink> weak = weak_from_this();
   const std::uint64_t generation = generation_;
-  environment_->PaceRepair(counts, [weak, generation](const RepairThrottle::Slot& slot) {
+  environment_->ThrottleRepair(is_replica, [weak, generation](const RepairThrottle::Slot& slot) {
     const auto self = weak.lock();
     const bool wanted = self != nullptr && self->generation_ == generation;
-    return wanted ? self->SendFill(slot) : std::size_t{0};
+    return wanted ? self->SendRepair(slot) : std::size_t{0};
   });
 }
 
 // What is to go first, and by itself: a full disk takes nothing else.
-std::size_t ReplicaLink::SendFill(const RepairThrottle::Slot& slot) {
+std::size_t ReplicaLink::SendRepair(const RepairThrottle::Slot& slot) {
   Replicate message;
   message.scope = Scope();
   message.fill = true;
   std::size_t bytes = 0;
-  const bool erases = !to_erase_.empty();
-  auto& batch_jobs = erases ? to_erase_ : to_send_;
-  while (!batch_jobs.empty() && bytes < kFillBytes) {
+  const bool erases = !batch_jobs_to_erase_.empty();
+  auto& batch_jobs = erases ? batch_jobs_to_erase_ : batch_jobs_to_send_;
+  while (!batch_jobs.empty() && bytes < kMaxRepairMessageBytes) {
     message.operations.push_back(
-        erases ? MakeForget(batch_jobs.front())
+        erases ? MakeErase(batch_jobs.front())
                : owner_->link_batch_jobs().ReadSnapshot(environment_->Disk(), batch_jobs.front()));
     bytes += message.operations.back().Bytes();
     batch_jobs.pop_front();
   }
-  auto held = std::make_shared<RepairThrottle::Slot>(slot);
-  Call<ReplicateResponse>(rpc::MessageType::kReplicate, codec::Encode(message), kFillTimeout,
-                          [this, held](const ReplicateResponse& answer) {
-                            held->reset();
-                            environment_->NoteRoom(peer_, answer.available_bytes);
-                            Fill();
+  auto repair_slot = std::make_shared<RepairThrottle::Slot>(slot);
+  Call<ReplicateResponse>(rpc::MessageType::kReplicate, codec::Encode(message), kRepairTimeout,
+                          [this, repair_slot](const ReplicateResponse& response) {
+                            repair_slot->reset();
+                            environment_->SetPeerAvailableBytes(peer_, response.available_bytes);
+                            SendNextRepair();
                           });
   return bytes;
 }
 
-void ReplicaLink::Begin() {
+void ReplicaLink::OpenStream() {
   Replicate message;
   message.scope = Scope();
-  message.first = base_ + 1;
+  message.first = base_sequence_ + 1;
   message.fill = true;
   message.begin = true;
   const Micros sent = environment_->Now();
-  Call<ReplicateResponse>(rpc::MessageType::kReplicate, codec::Encode(message), kFillTimeout,
-                          [this, sent](const ReplicateResponse& answer) {
-                            environment_->NoteRoom(peer_, answer.available_bytes);
+  Call<ReplicateResponse>(rpc::MessageType::kReplicate, codec::Encode(message), kRepairTimeout,
+                          [this, sent](const ReplicateResponse& response) {
+                            environment_->SetPeerAvailableBytes(peer_, response.available_bytes);
                             state_ = State::kStreaming;
-                            OnTaken(base_, sent);
+                            OnAcknowledged(base_sequence_, sent);
                           });
 }
 
-void ReplicaLink::Push(std::uint64_t sequence, std::shared_ptr<const Operation> operation) {
+void ReplicaLink::Enqueue(std::uint64_t sequence, std::shared_ptr<const Operation> operation) {
   if (state_ == State::kWaiting) return;  // the next synchronisation will tell it
   queue_.push_back({sequence, std::move(operation)});
-  Pump();
+  SendNext();
 }
 
-void ReplicaLink::Probe() {
-  probe_wanted_ = true;
-  Pump();
+void ReplicaLink::RequestConfirmation() {
+  confirmation_wanted_ = true;
+  SendNext();
 }
 
-void ReplicaLink::Pump() {
+void ReplicaLink::SendNext() {
   if (state_ != State::kStreaming || in_flight_ || retry_timer_ != 0) return;
-  if (queue_.empty() && !probe_wanted_) return;
+  if (queue_.empty() && !confirmation_wanted_) return;
   Replicate message;
   message.scope = Scope();
   message.first = acknowledged_ + 1;
   std::uint64_t last = acknowledged_;
   std::size_t bytes = 0;
   for (const Queued& queued : queue_) {
-    if (bytes >= kMessageBytes) break;
+    if (bytes >= kMaxStreamMessageBytes) break;
     message.operations.push_back(*queued.operation);
     bytes += queued.operation->Bytes();
     last = queued.sequence;
   }
   in_flight_ = true;
-  probe_wanted_ = false;
+  confirmation_wanted_ = false;
   const Micros sent = environment_->Now();
   Call<ReplicateResponse>(rpc::MessageType::kReplicate, codec::Encode(message),
-                          bytes < kMessageBytes / 4 ? kStreamTimeout : kFillTimeout,
-                          [this, last, sent](const ReplicateResponse& answer) {
-                            environment_->NoteRoom(peer_, answer.available_bytes);
+                          bytes < kMaxStreamMessageBytes / 4 ? kStreamTimeout : kRepairTimeout,
+                          [this, last, sent](const ReplicateResponse& response) {
+                            environment_->SetPeerAvailableBytes(peer_, response.available_bytes);
                             in_flight_ = false;
-                            OnTaken(last, sent);
+                            OnAcknowledged(last, sent);
                           });
 }
 
-void ReplicaLink::OnTaken(std::uint64_t last, Micros sent) {
+void ReplicaLink::OnAcknowledged(std::uint64_t last, Micros sent) {
   acknowledged_ = last;
   confirmed_at_ = std::max(confirmed_at_, sent);
   while (!queue_.empty() && queue_.front().sequence <= last) queue_.pop_front();
-  const auto keep = shared_from_this();  // the owner may drop this link
-  owner_->LinkAdvanced();
-  Pump();
+  const auto keep_alive = shared_from_this();  // the owner may drop this link
+  owner_->OnLinkAdvanced();
+  SendNext();
 }
 
-void ReplicaLink::OnRefused(ReplicaVerdict verdict) {
+void ReplicaLink::OnRejected(ReplicaVerdict verdict) {
   if (verdict == ReplicaVerdict::kStale) environment_->RefreshTable();
   if (verdict == ReplicaVerdict::kSuperseded) process_ = environment_->Random() | 1;
   if (verdict == ReplicaVerdict::kUnsynchronised || verdict == ReplicaVerdict::kSuperseded) {
@@ -225,7 +226,7 @@
 // synchronisation starts anew.
 void ReplicaLink::Retry(Micros delay) {
   in_flight_ = false;
-  probe_wanted_ = state_ == State::kStreaming;
+  confirmation_wanted_ = state_ == State::kStreaming;
   if (state_ != State::kStreaming) {
     state_ = State::kWaiting;
     queue_.clear();
@@ -242,7 +243,7 @@
 void ReplicaLink::OnRetry() {
   retry_timer_ = 0;
   if (state_ == State::kStreaming) {
-    Pump();
+    SendNext();
   } else {
     Synchronise();
   }
--- a/src/tier/batch/replication_link.h
+++ b/src/tier/batch/replication_link.h
@@ -32,10 +32,10 @@
   virtual ~LinkOwner() = default;
   virtual ReplicaScope Scope(const StoreId& to) const = 0;  // without process and attempt
   // Calls back once all changes made so far are on disk.
-  virtual void LinkCommit(CommitQueue::Done done) = 0;
+  virtual void CommitBarrier(CommitQueue::Done done) = 0;
   virtual std::uint64_t last_sequence() const = 0;
   virtual const BatchJobTable& link_batch_jobs() const = 0;
-  virtual void LinkAdvanced() = 0;
+  virtual void OnLinkAdvanced() = 0;
 };
 
 class ReplicaLink : public std::enable_shared_from_this<ReplicaLink> {
@@ -46,17 +46,17 @@
   ReplicaLink& operator=(const ReplicaLink&) = delete;
 
   void Synchronise();
-  void Push(std::uint64_t sequence, std::shared_ptr<const Operation> operation);
-  void Probe();  // asks the peer whether the table still stands
+  void Enqueue(std::uint64_t sequence, std::shared_ptr<const Operation> operation);
+  void RequestConfirmation();  // asks the peer whether the table still stands
   bool streaming() const { return state_ == State::kStreaming; }
   std::uint64_t acknowledged() const { return acknowledged_; }
   Micros confirmed_at() const { return confirmed_at_; }
 
-  bool counts = false;    // a replica of the table
-  bool required = false;  // changes wait for it
+  bool is_replica = false;  // a replica of the table
+  bool required = false;    // changes wait for it
   // Of a joiner that is required: it holds everything once it has this sequence. Changes up to it
   // may have been acknowledged without the joiner.
-  std::uint64_t owed = 0;
+  std::uint64_t catch_up_sequence = 0;
 
  private:
   enum class State { kWaiting, kSynchronising, kStreaming };
@@ -65,18 +65,18 @@
     std::shared_ptr<const Operation> operation;
   };
 
-  template <class Answer>
+  template <class Response>
   void Call(rpc::MessageType type, std::string body, Micros timeout,
-            std::function<void(const Answer&)> taken);
+            std::function<void(const Response&)> taken);
   ReplicaScope Scope() const;
   void SendBuckets();
   void SendBatchJobs(std::vector<std::uint32_t> buckets);
-  void Fill();
-  std::size_t SendFill(const RepairThrottle::Slot& slot);
-  void Begin();
-  void Pump();
-  void OnTaken(std::uint64_t last, Micros sent);
-  void OnRefused(ReplicaVerdict verdict);
+  void SendNextRepair();
+  std::size_t SendRepair(const RepairThrottle::Slot& slot);
+  void OpenStream();
+  void SendNext();
+  void OnAcknowledged(std::uint64_t last, Micros sent);
+  void OnRejected(ReplicaVerdict verdict);
   void Retry(Micros delay);
   void OnRetry();
 
@@ -89,12 +89,12 @@
   // another one: neither a store that is primary again nor one that starts again is taken for its
   // former self.
   std::uint64_t process_;
-  std::uint64_t attempt_ = 0, base_ = 0;
+  std::uint64_t attempt_ = 0, base_sequence_ = 0;
   std::deque<Queued> queue_;
-  std::deque<std::string> to_send_, to_erase_;  // lots
+  std::deque<std::string> batch_jobs_to_send_, batch_jobs_to_erase_;  // lots
   std::uint64_t acknowledged_ = 0;
   Micros confirmed_at_ = 0;
-  bool in_flight_ = false, probe_wanted_ = false;
+  bool in_flight_ = false, confirmation_wanted_ = false;
   Timers::Id retry_timer_ = 0;
 };
 
--- a/src/tier/batch/store_liveness.cpp
+++ b/src/tier/batch/store_liveness.cpp
@@ -34,15 +34,17 @@
 }
 
 void StoreLiveness::Reset(Micros now) {
-  seen_.clear();
-  silent_.clear();
+  observations_.clear();
+  unresponsive_.clear();
   changed_ = now;
 }
 
 void StoreLiveness::Observe(Micros now, const StoreView& store) {
-  Seen& seen = seen_[store.id.name];
-  if (seen.since != 0 && seen.id == store.id && seen.condition == store.condition) return;
-  seen = {store.id, store.condition, now};
+  Observation& observation = observations_[store.id.name];
+  if (observation.since != 0 && observation.id == store.id &&
+      observation.condition == store.condition)
+    return;
+  observation = {store.id, store.condition, now};
   changed_ = now;
 }
 
@@ -52,10 +54,10 @@
   for (auto& [name, store] : stores) {
     Observe(now, store);
     const bool is_suspect = store.condition == StoreCondition::kUncertain;
-    const bool is_silent = is_suspect && now - seen_.at(name).since >= silent_after_;
-    if (is_silent || silent_.contains(store.id)) store.condition = StoreCondition::kGone;
+    const bool is_timed_out = is_suspect && now - observations_.at(name).since >= suspect_timeout_;
+    if (is_timed_out || unresponsive_.contains(store.id)) store.condition = StoreCondition::kGone;
   }
-  std::erase_if(silent_, [&](const auto& entry) {
+  std::erase_if(unresponsive_, [&](const auto& entry) {
     const auto at = stores.find(entry.first.name);
     return at != stores.end() && at->second.id != entry.first;
   });
@@ -63,14 +65,14 @@
 }
 
 void StoreLiveness::MarkUnresponsive(Micros now, const StoreId& store) {
-  if (silent_.emplace(store, now).second) changed_ = now;
+  if (unresponsive_.emplace(store, now).second) changed_ = now;
 }
 
 void StoreLiveness::MarkResponsive(Micros now, const StoreId& store) {
-  if (silent_.erase(store) > 0) changed_ = now;
+  if (unresponsive_.erase(store) > 0) changed_ = now;
 }
 
-void StoreLiveness::AddUnheard(Micros now, const StoreId& store,
+void StoreLiveness::AddUnknown(Micros now, const StoreId& store,
                                std::map<std::string, StoreView>* stores) {
   const auto [at, fresh] = stores->try_emplace(store.name);
   if (!fresh) return;
@@ -79,20 +81,22 @@
 }
 
 // A suspect that stays silent is gone already for the table, and may come back just the same.
-bool StoreLiveness::AwaitsReturn(Micros now, Micros span) const {
-  const bool lately_silent = std::any_of(
-      silent_.begin(), silent_.end(), [&](const auto& entry) { return now - entry.second < span; });
-  return lately_silent || std::any_of(seen_.begin(), seen_.end(), [&](const auto& entry) {
-           const Seen& seen = entry.second;
-           return seen.condition != StoreCondition::kLive && now - seen.since < span;
+bool StoreLiveness::MayReturn(Micros now, Micros span) const {
+  const bool recently_unresponsive =
+      std::any_of(unresponsive_.begin(), unresponsive_.end(),
+                  [&](const auto& entry) { return now - entry.second < span; });
+  return recently_unresponsive ||
+         std::any_of(observations_.begin(), observations_.end(), [&](const auto& entry) {
+           const Observation& observation = entry.second;
+           return observation.condition != StoreCondition::kLive && now - observation.since < span;
          });
 }
 
-Micros StoreLiveness::NextSilence() const {
+Micros StoreLiveness::NextSuspectTimeout() const {
   Micros next = 0;
-  for (const auto& [name, seen] : seen_) {
-    if (seen.condition != StoreCondition::kUncertain) continue;
-    const Micros at = seen.since + silent_after_;
+  for (const auto& [name, observation] : observations_) {
+    if (observation.condition != StoreCondition::kUncertain) continue;
+    const Micros at = observation.since + suspect_timeout_;
     next = next == 0 ? at : std::min(next, at);
   }
   return next;
--- a/src/tier/batch/store_liveness.h
+++ b/src/tier/batch/store_liveness.h
@@ -18,42 +18,42 @@
 
 class StoreLiveness {
  public:
-  // `silent_after`: a store that has been suspect for so long without refuting it counts as gone.
-  // Every node asks its suspects again within a probe period, so a live one has been heard by then.
-  // A store that is taken for gone by mistake joins again with what is on its disk.
-  explicit StoreLiveness(Micros silent_after) : silent_after_(silent_after) {}
+  // `suspect_timeout`: a store that has been suspect for so long without refuting it counts as
+  // gone. Every node asks its suspects again within a probe period, so a live one has been heard by
+  // then. A store that is taken for gone by mistake joins again with what is on its disk.
+  explicit StoreLiveness(Micros suspect_timeout) : suspect_timeout_(suspect_timeout) {}
 
   void Reset(Micros now);
   // Takes over what membership says. Returns the stores with a suspect that stays silent as gone.
   std::map<std::string, StoreView> Update(
       Micros now, const std::map<std::string, coordination::Member>& members);
   // Adds a store that only the placement table names: it was never heard of and is gone.
-  void AddUnheard(Micros now, const StoreId& store, std::map<std::string, StoreView>* stores);
+  void AddUnknown(Micros now, const StoreId& store, std::map<std::string, StoreView>* stores);
 
   // A store did not answer the duty, or has answered it again. One that is silent counts as gone
   // until it answers or another disk is at its place.
   void MarkUnresponsive(Micros now, const StoreId& store);
   void MarkResponsive(Micros now, const StoreId& store);
-  const std::map<StoreId, Micros>& unresponsive() const { return silent_; }  // since when
+  const std::map<StoreId, Micros>& unresponsive() const { return unresponsive_; }  // since when
 
   // Since when no store has appeared, gone or changed.
   Micros changed() const { return changed_; }
   // Some store has been gone for less than `span`: it may come back.
-  bool AwaitsReturn(Micros now, Micros span) const;
+  bool MayReturn(Micros now, Micros span) const;
   // When a suspect's time is over; 0: there is none.
-  Micros NextSilence() const;
+  Micros NextSuspectTimeout() const;
 
  private:
-  struct Seen {
+  struct Observation {
     StoreId id;
     StoreCondition condition = StoreCondition::kUncertain;
     Micros since = 0;
   };
   void Observe(Micros now, const StoreView& store);
 
-  const Micros silent_after_;
-  std::map<std::string, Seen> seen_;
-  std::map<StoreId, Micros> silent_;
+  const Micros suspect_timeout_;
+  std::map<std::string, Observation> observations_;
+  std::map<StoreId, Micros> unresponsive_;
   Micros changed_ = 0;
 };
 
--- a/src/tier/batch/store_quota.cpp
+++ b/src/tier/batch/store_quota.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr Micros kReserveTimeout = 800 * kMs;
-constexpr Micros kAskTimeout = 600 * kMs;
+constexpr Micros kReportTimeout = 600 * kMs;
 constexpr Micros kWaitForReports = 700 * kMs;
 constexpr Micros kReportPeriod = 100 * kMs;
 
@@ -17,7 +17,9 @@
   return started | (context->Random() & ((1U << kRandomBits) - 1));
 }
 
-std::string Verdict(QuotaDecision verdict) { return codec::Encode(QuotaResponse{verdict, 0}); }
+std::string EncodeDecision(QuotaDecision verdict) {
+  return codec::Encode(QuotaResponse{verdict, 0});
+}
 
 }  // namespace
 
@@ -50,7 +52,7 @@
   reservation.epoch = context_->Replica(PartitionOf(batch_job.batch_job_id)).epoch();
   reservation.process = process_;
   reservation.sequence = ++sequence_;
-  asked_[batch_job.batch_job_id] = {batch_job.route, reservation.sequence};
+  pending_reservations_[batch_job.batch_job_id] = {batch_job.route, reservation.sequence};
   context_->Send(*owner, rpc::MessageType::kQuotaReserve, codec::Encode(reserve), kReserveTimeout,
                  [this, batch_job_id = batch_job.batch_job_id, reservation,
                   done = std::move(done)](const absl::StatusOr<std::string>& bytes) {
@@ -64,16 +66,17 @@
 void QuotaService::OnReserved(const std::string& batch_job_id, const QuotaReservation& reservation,
                               const absl::StatusOr<std::string>& bytes,
                               const std::function<void(QuotaDecision)>& done) {
-  const auto at = asked_.find(batch_job_id);
-  if (at != asked_.end() && at->second.sequence == reservation.sequence) asked_.erase(at);
+  const auto at = pending_reservations_.find(batch_job_id);
+  if (at != pending_reservations_.end() && at->second.sequence == reservation.sequence)
+    pending_reservations_.erase(at);
   if (!bytes.ok()) {
     if (absl::IsFailedPrecondition(bytes.status())) context_->RefreshTable();
     done(QuotaDecision::kUnknown);
     return;
   }
-  const auto answer = codec::Decode<QuotaResponse>(*bytes);
+  const auto response = codec::Decode<QuotaResponse>(*bytes);
   const bool stands = context_->Replica(PartitionOf(batch_job_id)).epoch() == reservation.epoch;
-  done(answer.ok() && stands ? answer->verdict : QuotaDecision::kUnknown);
+  done(response.ok() && stands ? response->verdict : QuotaDecision::kUnknown);
 }
 
 void QuotaService::Update(const std::string& batch_job_id) {
@@ -92,10 +95,10 @@
     tokens_[route][batch_job_id] = tokens;
     routes_[batch_job_id] = route;
   }
-  MarkChanged(route);
+  ScheduleReport(route);
 }
 
-void QuotaService::MarkChanged(const std::string& route) {
+void QuotaService::ScheduleReport(const std::string& route) {
   changed_.insert(route);
   if (report_timer_ == 0) report_timer_ = context_->After(kReportPeriod, [this] { SendReports(); });
 }
@@ -111,8 +114,8 @@
   const StoreId* owner = OwnerOf(route);
   if (owner == nullptr) return;
   context_->Send(*owner, rpc::MessageType::kQuotaReport, codec::Encode(ReportOf(route)),
-                 kReserveTimeout, [this, route](const absl::StatusOr<std::string>& answer) {
-                   if (!answer.ok() && tokens_.contains(route)) MarkChanged(route);
+                 kReserveTimeout, [this, route](const absl::StatusOr<std::string>& response) {
+                   if (!response.ok() && tokens_.contains(route)) ScheduleReport(route);
                  });
 }
 
@@ -125,8 +128,8 @@
     const PartitionReplica& replica = context_->Replica(partition);
     if (replica.is_active()) report.partitions.emplace_back(partition, replica.epoch());
   }
-  for (const auto& [batch_job_id, asked] : asked_) {
-    if (asked.route == route) report.asked.push_back(batch_job_id);
+  for (const auto& [batch_job_id, pending] : pending_reservations_) {
+    if (pending.route == route) report.pending_reservations.push_back(batch_job_id);
   }
   const auto at = tokens_.find(route);
   if (at == tokens_.end()) return report;
@@ -139,7 +142,7 @@
   const BatchJobTable& batch_jobs = context_->Replica(partition).batch_jobs();
   for (const auto& [batch_job_id, batch_job] : batch_jobs.batch_jobs()) Update(batch_job_id);
   for (const auto& [batch_job_id, reservation] : batch_jobs.Reservations())
-    OwnedOf(reservation.route);
+    FindOrAddOwnedRoute(reservation.route);
 }
 
 void QuotaService::OnInactive(std::uint32_t partition) {
@@ -151,7 +154,7 @@
     tokens_[routes_[batch_job_id]].erase(batch_job_id);
     routes_.erase(batch_job_id);
   }
-  std::erase_if(owned_, [&](auto& entry) {
+  std::erase_if(owned_routes_, [&](auto& entry) {
     if (PartitionOf(entry.first) != partition) return false;
     for (const Waiting& waiting : entry.second.waiting) waiting.respond(NotPrimary());
     return true;
@@ -175,27 +178,27 @@
   });
 }
 
-void QuotaService::OnQuestion(const QuotaQuery& question, const rpc::Respond& respond) {
+void QuotaService::OnQuery(const QuotaQuery& question, const rpc::Respond& respond) {
   if (!IsOwner(question.route)) {
     respond(NotPrimary());
     return;
   }
-  QuotaTracker& tracker = OwnedOf(question.route).tracker;
-  QuotaResponse answer{tracker.Fits(question), 0};
-  if (answer.verdict == QuotaDecision::kOver)
-    answer.retry_after_ms = tracker.RetryAfter(question, context_->Now()) / kMs;
-  respond(codec::Encode(answer));
+  QuotaTracker& tracker = FindOrAddOwnedRoute(question.route).tracker;
+  QuotaResponse response{tracker.Fits(question), 0};
+  if (response.verdict == QuotaDecision::kOver)
+    response.retry_after_ms = tracker.RetryAfter(question, context_->Now()) / kMs;
+  respond(codec::Encode(response));
 }
 
-QuotaService::Owned& QuotaService::OwnedOf(const std::string& route) {
-  const auto [at, fresh] = owned_.try_emplace(route);
+QuotaService::OwnedRoute& QuotaService::FindOrAddOwnedRoute(const std::string& route) {
+  const auto [at, fresh] = owned_routes_.try_emplace(route);
   if (!fresh) return at->second;
-  std::map<std::string, QuotaReservation> held =
+  std::map<std::string, QuotaReservation> reservations =
       context_->Replica(PartitionOf(route)).batch_jobs().Reservations();
-  std::erase_if(held, [&](const auto& entry) { return entry.second.route != route; });
+  std::erase_if(reservations, [&](const auto& entry) { return entry.second.route != route; });
   at->second.since = context_->Now();
-  at->second.tracker = QuotaTracker(held, at->second.since);
-  if (!held.empty()) context_->After(0, [this, route] { AskStores(route); });
+  at->second.tracker = QuotaTracker(reservations, at->second.since);
+  if (!reservations.empty()) context_->After(0, [this, route] { RequestReports(route); });
   return at->second;
 }
 
@@ -203,28 +206,28 @@
 // fit waits a moment for the first reports.
 void QuotaService::Grant(const QuotaReserveRequest& reserve, const rpc::Respond& respond) {
   const std::string route = reserve.reservation.route;
-  Owned& owned = OwnedOf(route);
+  OwnedRoute& owned = FindOrAddOwnedRoute(route);
   const Micros now = context_->Now();
   if (owned.tracker.Reserve(reserve, now) == QuotaDecision::kGranted) {
-    KeepGrant(reserve, respond);
+    CommitGrant(reserve, respond);
     return;
   }
-  const Micros give_up = owned.since + kWaitForReports;
-  if (owned.tracker.IsFresh() || now >= give_up) {
-    respond(Verdict(QuotaDecision::kOver));
+  const Micros deadline = owned.since + kWaitForReports;
+  if (owned.tracker.IsFresh() || now >= deadline) {
+    respond(EncodeDecision(QuotaDecision::kOver));
     return;
   }
-  owned.waiting.push_back({reserve, respond, give_up});
-  AskStores(route);
-  context_->After(give_up - now, [this, route] { AnswerWaiting(route); });
+  owned.waiting.push_back({reserve, respond, deadline});
+  RequestReports(route);
+  context_->After(deadline - now, [this, route] { RetryWaiting(route); });
 }
 
-void QuotaService::KeepGrant(const QuotaReserveRequest& reserve, const rpc::Respond& respond) {
+void QuotaService::CommitGrant(const QuotaReserveRequest& reserve, const rpc::Respond& respond) {
   PartitionReplica& replica = context_->Replica(PartitionOf(reserve.reservation.route));
   replica.Submit(MakeReservation(reserve.batch_job_id, reserve.reservation),
                  [respond](const absl::Status& status) {
                    if (status.ok()) {
-                     respond(Verdict(QuotaDecision::kGranted));
+                     respond(EncodeDecision(QuotaDecision::kGranted));
                    } else {
                      respond(status);
                    }
@@ -232,60 +235,60 @@
 }
 
 // Every primary tells what waits on the route; asked again only once all have answered or failed.
-void QuotaService::AskStores(const std::string& route) {
-  const auto owned = owned_.find(route);
-  if (owned == owned_.end() || owned->second.asked > 0) return;
+void QuotaService::RequestReports(const std::string& route) {
+  const auto owned = owned_routes_.find(route);
+  if (owned == owned_routes_.end() || owned->second.pending_reports > 0) return;
   std::set<StoreId> primaries;
   for (const Partition& partition : context_->Placement().partitions) {
     if (!partition.replicas.empty()) primaries.insert(partition.replicas.front());
   }
   QuotaReport question;
   question.route = route;
-  question.ask = true;
+  question.is_request = true;
   const std::string body = codec::Encode(question);
-  owned->second.asked = static_cast<int>(primaries.size());
+  owned->second.pending_reports = static_cast<int>(primaries.size());
   for (const StoreId& store : primaries) {
-    context_->Send(store, rpc::MessageType::kQuotaReport, body, kAskTimeout,
+    context_->Send(store, rpc::MessageType::kQuotaReport, body, kReportTimeout,
                    [this, route](const absl::StatusOr<std::string>& bytes) {
-                     const auto at = owned_.find(route);
-                     if (at == owned_.end()) return;
-                     if (at->second.asked > 0) --at->second.asked;
+                     const auto at = owned_routes_.find(route);
+                     if (at == owned_routes_.end()) return;
+                     if (at->second.pending_reports > 0) --at->second.pending_reports;
                      if (!bytes.ok()) return;
                      const auto report = codec::Decode<QuotaReport>(*bytes);
-                     if (report.ok()) TakeReport(*report);
+                     if (report.ok()) ApplyReport(*report);
                    });
   }
 }
 
-void QuotaService::AnswerWaiting(const std::string& route) {
-  const auto at = owned_.find(route);
-  if (at == owned_.end() || at->second.waiting.empty()) return;
+void QuotaService::RetryWaiting(const std::string& route) {
+  const auto at = owned_routes_.find(route);
+  if (at == owned_routes_.end() || at->second.waiting.empty()) return;
   const Micros now = context_->Now();
   std::vector<Waiting> waiting = std::move(at->second.waiting);
   at->second.waiting.clear();
   for (Waiting& one : waiting) {
     if (at->second.tracker.Reserve(one.reserve, now) == QuotaDecision::kGranted) {
-      KeepGrant(one.reserve, one.respond);
-    } else if (at->second.tracker.IsFresh() || now >= one.give_up) {
-      one.respond(Verdict(QuotaDecision::kOver));
+      CommitGrant(one.reserve, one.respond);
+    } else if (at->second.tracker.IsFresh() || now >= one.deadline) {
+      one.respond(EncodeDecision(QuotaDecision::kOver));
     } else {
       at->second.waiting.push_back(std::move(one));
     }
   }
 }
 
-void QuotaService::TakeReport(const QuotaReport& report) {
-  const auto at = owned_.find(report.route);
-  if (at == owned_.end()) return;
+void QuotaService::ApplyReport(const QuotaReport& report) {
+  const auto at = owned_routes_.find(report.route);
+  if (at == owned_routes_.end()) return;
   PartitionReplica& replica = context_->Replica(PartitionOf(report.route));
   for (const std::string& batch_job_id : at->second.tracker.Report(report, context_->Now())) {
     replica.Submit(MakeRelease(batch_job_id), [](const absl::Status&) {});
   }
-  AnswerWaiting(report.route);
+  RetryWaiting(report.route);
 }
 
 void QuotaService::OnReport(const QuotaReport& report, const rpc::Respond& respond) {
-  if (report.ask) {
+  if (report.is_request) {
     respond(codec::Encode(ReportOf(report.route)));
     return;
   }
@@ -293,15 +296,15 @@
     respond(NotPrimary());
     return;
   }
-  OwnedOf(report.route);
+  FindOrAddOwnedRoute(report.route);
   respond(std::string());
-  TakeReport(report);
+  ApplyReport(report);
 }
 
 void QuotaService::Tick() {
   const Micros now = context_->Now();
-  for (auto& [route, owned] : owned_) {
-    if (owned.tracker.WantsReports(now)) AskStores(route);
+  for (auto& [route, owned] : owned_routes_) {
+    if (owned.tracker.WantsReports(now)) RequestReports(route);
   }
 }
 
--- a/src/tier/batch/store_quota.h
+++ b/src/tier/batch/store_quota.h
@@ -25,12 +25,12 @@
   // For a lot that is to be taken here.
   void Reserve(const BatchJobSpec& batch_job, std::function<void(QuotaDecision)> done);
   // A lot for which a reservation was made is not taken after all.
-  void Drop(const std::string& route) { MarkChanged(route); }
+  void CancelReservation(const std::string& route) { ScheduleReport(route); }
   // The lot's waiting tokens may have changed.
   void Update(const std::string& batch_job_id);
 
   void OnReserve(QuotaReserveRequest reserve, rpc::Respond respond);
-  void OnQuestion(const QuotaQuery& question, const rpc::Respond& respond);
+  void OnQuery(const QuotaQuery& query, const rpc::Respond& respond);
   void OnReport(const QuotaReport& report, const rpc::Respond& respond);
   void OnActive(std::uint32_t partition);
   void OnInactive(std::uint32_t partition);
@@ -40,15 +40,15 @@
   struct Waiting {
     QuotaReserveRequest reserve;
     rpc::Respond respond;
-    Micros give_up = 0;
+    Micros deadline = 0;
   };
-  struct Owned {
+  struct OwnedRoute {
     QuotaTracker tracker;
     Micros since = 0;
     std::vector<Waiting> waiting;  // for the first reports
-    int asked = 0;                 // stores that have not answered yet
+    int pending_reports = 0;       // stores that have not responded yet
   };
-  struct Asked {
+  struct PendingReservation {
     std::string route;
     std::uint64_t sequence = 0;
   };
@@ -56,28 +56,29 @@
   const StoreId* OwnerOf(const std::string& route) const;
   bool IsOwner(const std::string& route);
   QuotaReport ReportOf(const std::string& route);
-  void MarkChanged(const std::string& route);
+  void ScheduleReport(const std::string& route);
   void SendReports();
   void SendReport(const std::string& route);
   void OnReserved(const std::string& batch_job_id, const QuotaReservation& reservation,
                   const absl::StatusOr<std::string>& bytes,
                   const std::function<void(QuotaDecision)>& done);
-  Owned& OwnedOf(const std::string& route);
+  OwnedRoute& FindOrAddOwnedRoute(const std::string& route);
   void Grant(const QuotaReserveRequest& reserve, const rpc::Respond& respond);
-  void KeepGrant(const QuotaReserveRequest& reserve, const rpc::Respond& respond);
-  void TakeReport(const QuotaReport& report);
-  void AskStores(const std::string& route);
-  void AnswerWaiting(const std::string& route);
+  void CommitGrant(const QuotaReserveRequest& reserve, const rpc::Respond& respond);
+  void ApplyReport(const QuotaReport& report);
+  void RequestReports(const std::string& route);
+  void RetryWaiting(const std::string& route);
 
   StoreContext* const context_;
   const std::uint64_t process_;  // by the time of its start
   std::uint64_t sequence_ = 0;
   std::map<std::string, std::map<std::string, double>> tokens_;  // by route and lot, of this store
   std::map<std::string, std::string> routes_;                    // of the lots in `tokens_`
-  std::map<std::string, Asked> asked_;                           // by lot: reservations under way
-  std::set<std::string> changed_;                                // routes to be reported
+  std::map<std::string, PendingReservation>
+      pending_reservations_;       // by lot: reservations under way
+  std::set<std::string> changed_;  // routes to be reported
   Timers::Id report_timer_ = 0;
-  std::map<std::string, Owned> owned_;  // by route
+  std::map<std::string, OwnedRoute> owned_routes_;  // by route
 };
 
 }  // namespace pearreach::batch
--- a/tests/tier/batch/disk_capacity_test.cpp
+++ b/tests/tier/batch/disk_capacity_test.cpp
@@ -14,43 +14,43 @@
 
 constexpr std::size_t kDisk = 4 << 20;
 
-class StoreRoomTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(StoreRoomTest);
-  CPPUNIT_TEST(ALotNeedsRoomAtAllHolders);
-  CPPUNIT_TEST(RoomStaysForTheLossOfAStore);
-  CPPUNIT_TEST(ResultsToComeAreCounted);
-  CPPUNIT_TEST(FullStoresRefuseAndServeAgain);
+class DiskCapacityTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(DiskCapacityTest);
+  CPPUNIT_TEST(RequiresCapacityAtAllReplicas);
+  CPPUNIT_TEST(ReservesCapacityForLossOfAStore);
+  CPPUNIT_TEST(CountsPendingResults);
+  CPPUNIT_TEST(FullStoresRejectAndServeAgain);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ALotNeedsRoomAtAllHolders() {
+  void RequiresCapacityAtAllReplicas() {
     const StoreId self{"a", "1"}, peer{"b", "1"}, joiner{"c", "1"};
     const Partition table{1, {self, peer}, {joiner}};
     const storage::Space space{0, 16'000};
     DiskCapacity capacity;
-    CPPUNIT_ASSERT(!capacity.Lacking(table, self, space, 5000).has_value());
-    capacity.NotePeer(joiner, 6000);
-    capacity.Take(table, self, 5000);
-    CPPUNIT_ASSERT(joiner == capacity.Lacking(table, self, space, 5000));
-    capacity.NotePeer(joiner, 60'000);
-    CPPUNIT_ASSERT(!capacity.Lacking(table, self, space, 10'000).has_value());
-    CPPUNIT_ASSERT(self == capacity.Lacking(table, self, space, 10'001));
-    capacity.SetOwed(0);  // what was taken may not be on disk yet
-    CPPUNIT_ASSERT(self == capacity.Lacking(table, self, space, 10'001));
-    capacity.SetOwed(0);
-    CPPUNIT_ASSERT(!capacity.Lacking(table, self, space, 10'001).has_value());
+    CPPUNIT_ASSERT(!capacity.FindStoreWithoutCapacity(table, self, space, 5000).has_value());
+    capacity.SetPeerAvailableBytes(joiner, 6000);
+    capacity.Reserve(table, self, 5000);
+    CPPUNIT_ASSERT(joiner == capacity.FindStoreWithoutCapacity(table, self, space, 5000));
+    capacity.SetPeerAvailableBytes(joiner, 60'000);
+    CPPUNIT_ASSERT(!capacity.FindStoreWithoutCapacity(table, self, space, 10'000).has_value());
+    CPPUNIT_ASSERT(self == capacity.FindStoreWithoutCapacity(table, self, space, 10'001));
+    capacity.SetPendingResultBytes(0);  // what was taken may not be on disk yet
+    CPPUNIT_ASSERT(self == capacity.FindStoreWithoutCapacity(table, self, space, 10'001));
+    capacity.SetPendingResultBytes(0);
+    CPPUNIT_ASSERT(!capacity.FindStoreWithoutCapacity(table, self, space, 10'001).has_value());
   }
 
-  void RoomStaysForTheLossOfAStore() {
+  void ReservesCapacityForLossOfAStore() {
     const storage::Space space{0, 16'000};
     DiskCapacity capacity;
     capacity.SetStores(3, 2);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{10'000}, capacity.Own(space));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{10'000}, capacity.AvailableBytes(space));
     capacity.SetStores(2, 2);  // one is lost
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{15'000}, capacity.Own(space));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{15'000}, capacity.AvailableBytes(space));
   }
 
-  void ResultsToComeAreCounted() {
+  void CountsPendingResults() {
     const BatchJobSpec spec = Spec(0);
     BatchJobTable table(PartitionOf(spec.batch_job_id));
     table.Apply(MakeCreate(spec, 1));
@@ -64,7 +64,7 @@
 
   // No write ever fails, also while a store that lost its disk is filled; and once lots are old
   // enough to be forgotten, others are taken.
-  void FullStoresRefuseAndServeAgain() {
+  void FullStoresRejectAndServeAgain() {
     Fleet fleet(5, 3);
     for (auto& [name, machine] : fleet.machines) machine.disk->LimitTo(kDisk);
     fleet.RunUntil(fleet.now + 3 * kSecond);
@@ -126,7 +126,7 @@
   int accepted_ = 0, refused_ = 0;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(StoreRoomTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(DiskCapacityTest);
 
 }  // namespace
 }  // namespace pearreach::batch
--- a/tests/tier/batch/placement_controller_test.cpp
+++ b/tests/tier/batch/placement_controller_test.cpp
@@ -13,21 +13,21 @@
 
 using namespace edge_test;
 
-constexpr char kDutyKey[] = "duty/placement";
-constexpr Micros kSilentAfter = 60 * kMs;
+constexpr char kRoleKey[] = "duty/placement";
+constexpr Micros kSuspectTimeout = 60 * kMs;
 
-class PlacementDutyTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(PlacementDutyTest);
+class PlacementControllerTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(PlacementControllerTest);
   CPPUNIT_TEST(ProposesTheFirstTable);
-  CPPUNIT_TEST(ProposesNothingOffDuty);
-  CPPUNIT_TEST(ProposesNothingAfterAnotherTookTheDuty);
-  CPPUNIT_TEST(TakesTheDutyFromAnEarlierHolder);
-  CPPUNIT_TEST(TakesReportsOfFilledStores);
-  CPPUNIT_TEST(RefusesReportsOffDuty);
-  CPPUNIT_TEST(AsksAReportedStoreItself);
+  CPPUNIT_TEST(ProposesNothingWithoutTheRole);
+  CPPUNIT_TEST(ProposesNothingAfterTheRoleMoved);
+  CPPUNIT_TEST(TakesTheRoleFromAnEarlierOwner);
+  CPPUNIT_TEST(AcceptsReportsOfFilledStores);
+  CPPUNIT_TEST(RejectsReportsWithoutTheRole);
+  CPPUNIT_TEST(PingsAReportedStore);
   CPPUNIT_TEST(AnswersRetireBegin);
   CPPUNIT_TEST(RepeatsAfterAConflict);
-  CPPUNIT_TEST(TellsCompletion);
+  CPPUNIT_TEST(ReportsCompletion);
   CPPUNIT_TEST_SUITE_END();
 
   static std::shared_ptr<FakeExchange> Begin(RetireApi* api, const std::string& node) {
@@ -59,62 +59,62 @@
   void ProposesTheFirstTable() {
     control_.is_duty_holder = true;
     AddStores(3);
-    PlacementController duty(&timers_, &transport_, &control_, "n1#1", {2}, kSilentAfter);
+    PlacementController controller(&timers_, &transport_, &control_, "n1#1", {2}, kSuspectTimeout);
     CPPUNIT_ASSERT(TurnUntil([&] { return !control_.snapshot->stores.empty(); }));
     CPPUNIT_ASSERT(IsSettled(control_.Table(), 2));
     CPPUNIT_ASSERT(control_.changed_keys ==
-                   std::vector<std::string>({kDutyKey, control::kStoresKey}));
+                   std::vector<std::string>({kRoleKey, control::kStoresKey}));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control_.fences.size());
-    CPPUNIT_ASSERT_EQUAL(std::string(kDutyKey), control_.fences.front().key);
+    CPPUNIT_ASSERT_EQUAL(std::string(kRoleKey), control_.fences.front().key);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, control_.fences.front().revision);
   }
 
-  void ProposesNothingOffDuty() {
+  void ProposesNothingWithoutTheRole() {
     AddStores(3);
-    PlacementController duty(&timers_, &transport_, &control_, "n1#1", {2}, kSilentAfter);
-    duty.Reconcile();
+    PlacementController controller(&timers_, &transport_, &control_, "n1#1", {2}, kSuspectTimeout);
+    controller.Reconcile();
     CPPUNIT_ASSERT(control_.changed_keys.empty());
   }
 
   // Its own view still has it first: it takes the duty back only under an epoch of its own.
-  void ProposesNothingAfterAnotherTookTheDuty() {
+  void ProposesNothingAfterTheRoleMoved() {
     control_.is_duty_holder = true;
     AddStores(2);
-    PlacementController duty(&timers_, &transport_, &control_, "n1#1", {2}, kSilentAfter);
+    PlacementController controller(&timers_, &transport_, &control_, "n1#1", {2}, kSuspectTimeout);
     CPPUNIT_ASSERT(TurnUntil([&] { return !control_.snapshot->stores.empty(); }));
     control_.is_duty_holder = false;
-    control_.ChangeOther(kDutyKey, 1, "n2#1");
+    control_.ChangeOther(kRoleKey, 1, "n2#1");
     control_.fences.clear();
     PlacementTable table = control_.Table();
     table.partitions[5] = {7, {{"s0", "d"}}, {{"s1", "d"}}};
     control_.SetTable(table);
     CPPUNIT_ASSERT(absl::IsFailedPrecondition(Send({{"s1", "d"}, {{5, 7}}}).status()));
-    duty.Reconcile();
+    controller.Reconcile();
     CPPUNIT_ASSERT(control_.fences.empty());
     control_.is_duty_holder = true;
     CPPUNIT_ASSERT(TurnUntil([&] { return Send({{"s1", "d"}, {{5, 7}}}).ok(); }));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, control_.RevisionOf(kDutyKey));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, control_.RevisionOf(kRoleKey));
     for (const auto& fencing_token : control_.fences)
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, fencing_token.revision);
     CPPUNIT_ASSERT(IsSettled(control_.Table(), 2));
   }
 
-  void TakesTheDutyFromAnEarlierHolder() {
+  void TakesTheRoleFromAnEarlierOwner() {
     control_.is_duty_holder = true;
     AddStores(2);
-    control_.ChangeOther(kDutyKey, 0, "n1#0");
-    PlacementController duty(&timers_, &transport_, &control_, "n1#1", {2}, kSilentAfter);
+    control_.ChangeOther(kRoleKey, 0, "n1#0");
+    PlacementController controller(&timers_, &transport_, &control_, "n1#1", {2}, kSuspectTimeout);
     CPPUNIT_ASSERT(TurnUntil([&] { return !control_.snapshot->stores.empty(); }));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, control_.RevisionOf(kDutyKey));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, control_.RevisionOf(kRoleKey));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, control_.fences.back().revision);
   }
 
   // A report alone changes nothing: its sender may be the one that is cut off.
-  void AsksAReportedStoreItself() {
+  void PingsAReportedStore() {
     control_.is_duty_holder = true;
     AddStores(2);
     control_.SetTable(TableOf({"s0", "d"}, {"s1", "d"}));
-    PlacementController duty(&timers_, &transport_, &control_, "n1#1", {2}, kSilentAfter);
+    PlacementController controller(&timers_, &transport_, &control_, "n1#1", {2}, kSuspectTimeout);
     StoreStatus status;
     status.unresponsive = {{"s0", "d"}, {"s1", "d"}};
     CPPUNIT_ASSERT(TurnUntil([&] { return Send(status).ok(); }));
@@ -123,27 +123,27 @@
     CPPUNIT_ASSERT_EQUAL(std::string("s0:1"), first.address);
     CPPUNIT_ASSERT_EQUAL(std::string("s1:1"), second.address);
     second.done(std::string());
-    duty.Reconcile();
+    controller.Reconcile();
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, control_.Table().partitions[0].replicas.size());
     first.done(absl::DeadlineExceededError("silence"));
     CPPUNIT_ASSERT(TurnUntil([&] { return control_.Table().partitions[0].replicas.size() == 1; }));
     CPPUNIT_ASSERT_EQUAL(std::string("s1"), control_.Table().partitions[0].replicas[0].name);
   }
 
-  void TakesReportsOfFilledStores() {
+  void AcceptsReportsOfFilledStores() {
     control_.is_duty_holder = true;
     AddStores(2);
     PlacementTable table = TableOf({"s0", "d"}, {"s1", "d"});
     table.partitions[5] = {7, {{"s0", "d"}}, {{"s1", "d"}}};
     control_.SetTable(table);
-    PlacementController duty(&timers_, &transport_, &control_, "n1#1", {2}, kSilentAfter);
+    PlacementController controller(&timers_, &transport_, &control_, "n1#1", {2}, kSuspectTimeout);
     CPPUNIT_ASSERT(Send({{"s1", "d"}, {{5, 7}}}).ok());
     CPPUNIT_ASSERT(IsSettled(control_.Table(), 2));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{8}, control_.Table().partitions[5].epoch);
   }
 
-  void RefusesReportsOffDuty() {
-    PlacementController duty(&timers_, &transport_, &control_, "n1#1", {2}, kSilentAfter);
+  void RejectsReportsWithoutTheRole() {
+    PlacementController controller(&timers_, &transport_, &control_, "n1#1", {2}, kSuspectTimeout);
     CPPUNIT_ASSERT(absl::IsFailedPrecondition(Send({{"s1", "d"}, {{5, 7}}}).status()));
   }
 
@@ -172,7 +172,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, control_.changed_keys.size());
   }
 
-  void TellsCompletion() {
+  void ReportsCompletion() {
     AddStores(3);
     RetireApi api(&timers_, &control_, 2);
     const auto read = [&] {
@@ -194,7 +194,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(PlacementDutyTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(PlacementControllerTest);
 
 }  // namespace
 }  // namespace pearreach::batch
--- a/tests/tier/batch/repair_throttle_test.cpp
+++ b/tests/tier/batch/repair_throttle_test.cpp
@@ -13,13 +13,13 @@
 constexpr std::size_t kPart = 10'000;
 constexpr double kRate = 1'000'000;
 
-class StorePacerTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(StorePacerTest);
-  CPPUNIT_TEST(KeepsToItsRate);
-  CPPUNIT_TEST(KeepsFewCallsInFlight);
-  CPPUNIT_TEST(WhatIsUrgentGoesAtOnceAndCounts);
-  CPPUNIT_TEST(PartsThatAreNotWantedAnyMoreTakeNoTime);
-  CPPUNIT_TEST(TheRateFollowsTheLinkAndWhatMustBeSent);
+class RepairThrottleTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(RepairThrottleTest);
+  CPPUNIT_TEST(StaysWithinItsRate);
+  CPPUNIT_TEST(LimitsCallsInFlight);
+  CPPUNIT_TEST(UrgentRepairsGoAtOnceAndCount);
+  CPPUNIT_TEST(UnwantedRepairsTakeNoTime);
+  CPPUNIT_TEST(RateFollowsLinkAndBacklog);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -27,26 +27,26 @@
     now_ = kSecond;
     sent_.clear();
     events_.clear();
-    pacer_ = std::make_unique<RepairThrottle>(
-        RepairThrottle::Surroundings{[this] { return now_; },
-                                     [this](Micros delay, std::function<void()> callback) {
-                                       events_.emplace(now_ + delay, std::move(callback));
-                                     }});
-    pacer_->SetRate(kRate);
+    repair_throttle_ = std::make_unique<RepairThrottle>(
+        RepairThrottle::Environment{[this] { return now_; },
+                                    [this](Micros delay, std::function<void()> callback) {
+                                      events_.emplace(now_ + delay, std::move(callback));
+                                    }});
+    repair_throttle_->SetRate(kRate);
   }
 
-  void KeepsToItsRate() {
-    for (int i = 0; i < 300; ++i) pacer_->Ask(false, Part());
+  void StaysWithinItsRate() {
+    for (int i = 0; i < 300; ++i) repair_throttle_->Schedule(false, Part());
     RunUntil(now_ + kSecond);
     CPPUNIT_ASSERT(sent_.size() >= 100 && sent_.size() <= 101);
     RunUntil(now_ + 3 * kSecond);
     CPPUNIT_ASSERT_EQUAL(std::size_t{300}, sent_.size());
   }
 
-  void KeepsFewCallsInFlight() {
+  void LimitsCallsInFlight() {
     std::vector<RepairThrottle::Slot> held;
     for (int i = 0; i < 20; ++i) {
-      pacer_->Ask(false, [&](RepairThrottle::Slot slot) {
+      repair_throttle_->Schedule(false, [&](RepairThrottle::Slot slot) {
         held.push_back(std::move(slot));
         return kPart;
       });
@@ -61,9 +61,9 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, held.size());
   }
 
-  void WhatIsUrgentGoesAtOnceAndCounts() {
-    for (int i = 0; i < 50; ++i) pacer_->Ask(false, Part());
-    for (int i = 0; i < 10; ++i) pacer_->Ask(true, Part());
+  void UrgentRepairsGoAtOnceAndCount() {
+    for (int i = 0; i < 50; ++i) repair_throttle_->Schedule(false, Part());
+    for (int i = 0; i < 10; ++i) repair_throttle_->Schedule(true, Part());
     RunUntil(now_ + kMs);
     CPPUNIT_ASSERT_EQUAL(std::size_t{10}, sent_.size());
     RunUntil(now_ + 98 * kMs);
@@ -72,14 +72,15 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{60}, sent_.size());
   }
 
-  void PartsThatAreNotWantedAnyMoreTakeNoTime() {
-    for (int i = 0; i < 100; ++i) pacer_->Ask(false, [](const auto&) { return std::size_t{0}; });
-    pacer_->Ask(false, Part());
+  void UnwantedRepairsTakeNoTime() {
+    for (int i = 0; i < 100; ++i)
+      repair_throttle_->Schedule(false, [](const auto&) { return std::size_t{0}; });
+    repair_throttle_->Schedule(false, Part());
     RunUntil(now_ + kMs);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent_.size());
   }
 
-  void TheRateFollowsTheLinkAndWhatMustBeSent() {
+  void RateFollowsLinkAndBacklog() {
     constexpr double kLinkBytes = 60 * 125'000;
     CPPUNIT_ASSERT_EQUAL(kLinkBytes / 4, RepairRate(60, 0, 5));
     CPPUNIT_ASSERT_EQUAL(4e6, RepairRate(60, 10'000'000, 5));
@@ -106,10 +107,10 @@
   Micros now_ = 0;
   std::vector<Micros> sent_;
   std::multimap<Micros, std::function<void()>> events_;
-  std::unique_ptr<RepairThrottle> pacer_;
+  std::unique_ptr<RepairThrottle> repair_throttle_;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(StorePacerTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RepairThrottleTest);
 
 }  // namespace
 }  // namespace pearreach::batch
--- a/tests/tier/batch/replication_run.h
+++ b/tests/tier/batch/replication_run.h
@@ -35,7 +35,7 @@
 class Run {
  public:
   using Position = std::pair<std::string, std::uint32_t>;
-  struct Told {
+  struct Acknowledged {
     std::string content;
     Micros at = 0;
   };
@@ -51,7 +51,7 @@
     SimulatedStore* store = simulation.Active();
     if (store == nullptr) return;
     const std::string batch_job_id = "lot" + std::to_string(next_batch_job_++);
-    tried_.push_back(batch_job_id);
+    submitted_.push_back(batch_job_id);
     store->replica()->Submit(MakeCreate(Spec(batch_job_id, 6), 1),
                              [this, batch_job_id](absl::Status status) {
                                if (status.ok()) accepted.emplace(batch_job_id, simulation.now);
@@ -60,7 +60,7 @@
 
   void Append() {
     SimulatedStore* store = simulation.Active();
-    if (store == nullptr || tried_.empty()) return;
+    if (store == nullptr || submitted_.empty()) return;
     const std::string batch_job_id = Pick();
     const BatchJob* batch_job = store->replica()->batch_jobs().Find(batch_job_id);
     if (batch_job == nullptr || !batch_job->accepted || !batch_job->Open()) return;
@@ -81,7 +81,7 @@
 
   void End() {
     SimulatedStore* store = simulation.Active();
-    if (store == nullptr || tried_.empty()) return;
+    if (store == nullptr || submitted_.empty()) return;
     const std::string batch_job_id = Pick();
     if (store->replica()->batch_jobs().Find(batch_job_id) == nullptr) return;
     store->replica()->Submit(MakeEnd(batch_job_id), [this, batch_job_id](absl::Status status) {
@@ -106,19 +106,20 @@
   // What was told by `since`, before the confirmation at the earliest, must be there.
   void CheckRead(SimulatedStore* store, Micros since) {
     ++reads;
-    for (const auto& [batch_job_id, told] : accepted) {
-      if (told > since) continue;
+    for (const auto& [batch_job_id, acknowledged] : accepted) {
+      if (acknowledged > since) continue;
       CPPUNIT_ASSERT_MESSAGE("accepted " + batch_job_id,
                              store->replica()->batch_jobs().Find(batch_job_id));
     }
-    for (const auto& [position, told] : results) {
-      if (told.at <= since) CPPUNIT_ASSERT_EQUAL(told.content, ContentOf(store, position));
+    for (const auto& [position, acknowledged] : results) {
+      if (acknowledged.at <= since)
+        CPPUNIT_ASSERT_EQUAL(acknowledged.content, ContentOf(store, position));
     }
     for (const auto& [batch_job_id, batch_job] : store->replica()->batch_jobs().batch_jobs()) {
       for (std::uint32_t i = 0; i < batch_job.visible_results; ++i) {
         const std::string content = ContentOf(store, {batch_job_id, i});
         const auto [at, fresh] =
-            results.try_emplace({batch_job_id, i}, Told{content, simulation.now});
+            results.try_emplace({batch_job_id, i}, Acknowledged{content, simulation.now});
         CPPUNIT_ASSERT_EQUAL(at->second.content, content);
       }
     }
@@ -133,15 +134,15 @@
   }
 
   void CheckEnd(SimulatedStore* store) {
-    for (const auto& [batch_job_id, told] : accepted) {
+    for (const auto& [batch_job_id, acknowledged] : accepted) {
       CPPUNIT_ASSERT_MESSAGE("accepted " + batch_job_id,
                              store->replica()->batch_jobs().Find(batch_job_id));
     }
     for (const std::string& batch_job_id : ended) {
       CPPUNIT_ASSERT(store->replica()->batch_jobs().Find(batch_job_id)->ended);
     }
-    for (const auto& [position, told] : results) {
-      CPPUNIT_ASSERT_EQUAL(told.content, ContentOf(store, position));
+    for (const auto& [position, acknowledged] : results) {
+      CPPUNIT_ASSERT_EQUAL(acknowledged.content, ContentOf(store, position));
     }
     for (const auto& [batch_job_id, batch_job] : store->replica()->batch_jobs().batch_jobs())
       CheckItems(store, batch_job_id, batch_job);
@@ -165,19 +166,19 @@
   }
 
   const std::string& Pick() {
-    const auto last = static_cast<Micros>(tried_.size()) - 1;
-    return tried_[static_cast<std::size_t>(
+    const auto last = static_cast<Micros>(submitted_.size()) - 1;
+    return submitted_[static_cast<std::size_t>(
         simulation.Between(std::max<Micros>(0, last - 8), last))];
   }
 
   Simulation simulation;
   std::map<std::string, Micros> accepted;  // and when that was told
   std::set<std::string> ended;
-  std::map<Position, Told> results;
+  std::map<Position, Acknowledged> results;
   int reads = 0;
 
  private:
-  std::vector<std::string> tried_;
+  std::vector<std::string> submitted_;
   int next_batch_job_ = 0, next_result_ = 0;
 };
 
@@ -230,7 +231,7 @@
 };
 
 // Two running stores with the disks that the table names, the first of them active.
-inline bool IsWhole(Simulation* simulation) {
+inline bool IsFullyReplicated(Simulation* simulation) {
   const Partition& table = simulation->table;
   if (table.replicas.size() != 2 || !table.joining.empty()) return false;
   SimulatedStore* primary = simulation->Find(table.replicas[0]);
--- a/tests/tier/batch/shutdown_check_test.cpp
+++ b/tests/tier/batch/shutdown_check_test.cpp
@@ -16,14 +16,14 @@
   return ids;
 }
 
-class LeaveCheckTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(LeaveCheckTest);
-  CPPUNIT_TEST(TestNobodyLeavesWithTheOnlyCopy);
+class ShutdownCheckTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ShutdownCheckTest);
+  CPPUNIT_TEST(RefusesShutdownWithTheOnlyReplica);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // Of store a1; one partition with these replicas and joining stores, one of others.
-  void TestNobodyLeavesWithTheOnlyCopy() {
+  void RefusesShutdownWithTheOnlyReplica() {
     const struct {
       std::string what, replicas, joining, live;
       bool may_leave;
@@ -54,7 +54,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(LeaveCheckTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ShutdownCheckTest);
 
 }  // namespace
 }  // namespace pearreach::batch
--- a/tests/tier/batch/store_fleet.h
+++ b/tests/tier/batch/store_fleet.h
@@ -53,20 +53,22 @@
   void OnActive(std::uint32_t partition) override;
   void OnInactive(std::uint32_t partition) override;
   void OnFilled(std::uint32_t) override {}
-  std::uint64_t Room() const override { return room_.Own(disk_->space()); }
-  void NoteRoom(const StoreId& store, std::uint64_t bytes) override {
-    room_.NotePeer(store, bytes);
+  std::uint64_t AvailableDiskBytes() const override {
+    return disk_capacity_.AvailableBytes(disk_->space());
+  }
+  void SetPeerAvailableBytes(const StoreId& store, std::uint64_t bytes) override {
+    disk_capacity_.SetPeerAvailableBytes(store, bytes);
   }
   bool HasDiskCapacity(const Partition& table, std::uint64_t bytes) override {
-    return !room_.Lacking(table, id_, disk_->space(), bytes).has_value();
+    return !disk_capacity_.FindStoreWithoutCapacity(table, id_, disk_->space(), bytes).has_value();
   }
   bool ReserveDiskCapacity(const Partition& table, std::uint64_t bytes) override {
     if (!HasDiskCapacity(table, bytes)) return false;
-    room_.Take(table, id_, bytes);
+    disk_capacity_.Reserve(table, id_, bytes);
     return true;
   }
-  void PaceRepair(bool urgent, RepairThrottle::Send send) override {
-    pacer_.Ask(urgent, std::move(send));
+  void ThrottleRepair(bool urgent, RepairThrottle::Send send) override {
+    repair_throttle_.Schedule(urgent, std::move(send));
   }
   const StoreId& Self() const override { return id_; }
   const PlacementTable& Placement() const override { return placement_; }
@@ -83,8 +85,8 @@
   std::set<Timers::Id> timers_;
   Micros disk_free_ = 0;
   int ticks_ = 0;
-  DiskCapacity room_;
-  RepairThrottle pacer_;
+  DiskCapacity disk_capacity_;
+  RepairThrottle repair_throttle_;
   BatchJobReads reads_;
   QuotaService quota_;
   BatchJobItems items_;
@@ -196,10 +198,10 @@
     : fleet_(fleet),
       id_(std::move(id)),
       disk_(disk),
-      pacer_({[fleet] { return fleet->now; },
-              [this](Micros delay, std::function<void()> callback) {
-                After(delay, std::move(callback));
-              }}),
+      repair_throttle_({[fleet] { return fleet->now; },
+                        [this](Micros delay, std::function<void()> callback) {
+                          After(delay, std::move(callback));
+                        }}),
       reads_(this),
       quota_(this),
       items_(
@@ -226,16 +228,16 @@
 inline void VirtualStore::Tick() {
   quota_.Tick();
   if (++ticks_ % 4 != 0) return;
-  changes_.Sweep(room_.IsShort(disk_->space()));
-  std::uint64_t owed = 0;
+  changes_.Sweep(disk_capacity_.IsNearlyFull(disk_->space()));
+  std::uint64_t pending_result_bytes = 0;
   std::set<std::string> stores;
   for (const auto& replica : replicas_) {
     for (const auto& [batch_job_id, batch_job] : replica->batch_jobs().batch_jobs())
-      owed += PendingResultBytes(batch_job);
+      pending_result_bytes += PendingResultBytes(batch_job);
     for (const StoreId& store : replica->table().replicas) stores.insert(store.name);
   }
-  room_.SetOwed(owed);
-  room_.SetStores(stores.size(), 2);
+  disk_capacity_.SetPendingResultBytes(pending_result_bytes);
+  disk_capacity_.SetStores(stores.size(), 2);
 }
 
 inline Micros VirtualStore::Now() const { return fleet_->now; }
@@ -312,7 +314,7 @@
   disk_free_ = std::max(disk_free_, fleet_->now) + fleet_->Between(1, 6 * kMs);
   fleet_->At(disk_free_ - fleet_->now,
              Guard([this, batch = std::move(batch), done = std::move(done)] {
-               done(disk_->TryWrite(batch));
+               done(disk_->WriteWithinLimit(batch));
              }));
 }
 
--- a/tests/tier/batch/store_leases_test.cpp
+++ b/tests/tier/batch/store_leases_test.cpp
@@ -15,11 +15,11 @@
 class StoreLeasesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreLeasesTest);
   CPPUNIT_TEST(EarliestDueGoesFirst);
-  CPPUNIT_TEST(RoomIsByRoute);
+  CPPUNIT_TEST(CapacityIsByRoute);
   CPPUNIT_TEST(LeasesExpireUnlessRenewed);
   CPPUNIT_TEST(OnlyTheLeaseReturnsItsItem);
-  CPPUNIT_TEST(ALaterProcessVoidsLeases);
-  CPPUNIT_TEST(HeldBackItemsGoToWhoRenews);
+  CPPUNIT_TEST(NewerProcessVoidsLeases);
+  CPPUNIT_TEST(ReservedItemsGoToTheRenewingNode);
   CPPUNIT_TEST(SeededRunsLeaseToOneOnly);
   CPPUNIT_TEST_SUITE_END();
 
@@ -28,64 +28,64 @@
     LeaseTable table(1);
     table.AddBatchJob("late", "r", 200, 2, {0, 1}, 0);
     table.AddBatchJob("early", "r", 100, 2, {0, 1}, 0);
-    const auto taken = table.Take("n", {{"r", 3}}, 8, 0);
+    const auto taken = table.Acquire("n", {{"r", 3}}, 8, 0);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, taken.size());
     CPPUNIT_ASSERT_EQUAL(std::string("early"), taken[0].batch_job_id);
     CPPUNIT_ASSERT_EQUAL(std::string("early"), taken[1].batch_job_id);
     CPPUNIT_ASSERT_EQUAL(std::string("late"), taken[2].batch_job_id);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.Waiting("r"));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.CountWaiting("r"));
   }
 
-  void RoomIsByRoute() {
+  void CapacityIsByRoute() {
     LeaseTable table(1);
     table.AddBatchJob("a", "one", 1, 3, {0, 1, 2}, 0);
     table.AddBatchJob("b", "two", 2, 3, {0, 1, 2}, 0);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, table.Take("n", {{"one", 1}, {"two", 2}}, 8, 0).size());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, table.Waiting("one"));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.Take("n", {{"one", 5}}, 1, 0).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, table.Acquire("n", {{"one", 1}, {"two", 2}}, 8, 0).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, table.CountWaiting("one"));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.Acquire("n", {{"one", 5}}, 1, 0).size());
   }
 
   void LeasesExpireUnlessRenewed() {
     LeaseTable table(1);
     table.AddBatchJob("a", "r", 1, 2, {0, 1}, 0);
-    table.Take("n", {{"r", 2}}, 8, 0);
+    table.Acquire("n", {{"r", 2}}, 8, 0);
     CPPUNIT_ASSERT(table.Renew("n", "a", 0, kSecond));
     CPPUNIT_ASSERT(!table.Renew("other", "a", 0, kSecond));
-    table.Expire(kLeaseSpan);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.Waiting("r"));
-    table.Expire(kLeaseSpan + kSecond);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, table.Waiting("r"));
+    table.Expire(kLeaseDuration);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.CountWaiting("r"));
+    table.Expire(kLeaseDuration + kSecond);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, table.CountWaiting("r"));
   }
 
   void OnlyTheLeaseReturnsItsItem() {
     LeaseTable table(1);
     table.AddBatchJob("a", "r", 1, 1, {0}, 0);
-    const auto taken = table.Take("n", {{"r", 1}}, 8, 0);
+    const auto taken = table.Acquire("n", {{"r", 1}}, 8, 0);
     CPPUNIT_ASSERT(!table.Return("a", 0, taken[0].lease + 1));
     CPPUNIT_ASSERT(table.Return("a", 0, taken[0].lease));
     CPPUNIT_ASSERT(!table.Return("a", 0, taken[0].lease));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.Waiting("r"));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.CountWaiting("r"));
   }
 
-  void ALaterProcessVoidsLeases() {
+  void NewerProcessVoidsLeases() {
     LeaseTable table(1);
     table.AddBatchJob("a", "r", 1, 1, {0}, 0);
-    CPPUNIT_ASSERT(table.Hello("n", 5));
-    table.Take("n", {{"r", 1}}, 8, 0);
-    CPPUNIT_ASSERT(!table.Hello("n", 4));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, table.Waiting("r"));
-    CPPUNIT_ASSERT(table.Hello("n", 6));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.Waiting("r"));
+    CPPUNIT_ASSERT(table.RegisterProcess("n", 5));
+    table.Acquire("n", {{"r", 1}}, 8, 0);
+    CPPUNIT_ASSERT(!table.RegisterProcess("n", 4));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, table.CountWaiting("r"));
+    CPPUNIT_ASSERT(table.RegisterProcess("n", 6));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.CountWaiting("r"));
   }
 
-  void HeldBackItemsGoToWhoRenews() {
+  void ReservedItemsGoToTheRenewingNode() {
     LeaseTable table(1);
     table.AddBatchJob("a", "r", 1, 3, {0, 2}, kSecond);
-    CPPUNIT_ASSERT(table.Take("n", {{"r", 3}}, 8, 0).empty());
+    CPPUNIT_ASSERT(table.Acquire("n", {{"r", 3}}, 8, 0).empty());
     CPPUNIT_ASSERT(table.Renew("n", "a", 2, 1));
     CPPUNIT_ASSERT(!table.Renew("n", "a", 1, 1));
     table.Expire(kSecond);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.Waiting("r"));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.CountWaiting("r"));
     CPPUNIT_ASSERT(table.Return("a", 2, 77));  // by the lease of the earlier primary
   }
 
@@ -110,10 +110,10 @@
       now += static_cast<Micros>(random() % (200 * kMs));
       table.Expire(now);
       const std::string node = "n" + std::to_string(random() % 3);
-      for (const auto& taken : table.Take(node, {{"even", 1}, {"odd", 1}}, 2, now)) {
+      for (const auto& taken : table.Acquire(node, {{"even", 1}, {"odd", 1}}, 2, now)) {
         auto& holder = held[{taken.batch_job_id, taken.item}];
         CPPUNIT_ASSERT(holder.first.empty() || holder.second <= now);
-        holder = {node, now + kLeaseSpan};
+        holder = {node, now + kLeaseDuration};
       }
       if (held.empty()) continue;
       auto at = held.begin();
@@ -121,7 +121,7 @@
       if (at->second.second <= now) continue;
       if (random() % 2 == 0) {
         CPPUNIT_ASSERT(table.Renew(at->second.first, at->first.first, at->first.second, now));
-        at->second.second = now + kLeaseSpan;
+        at->second.second = now + kLeaseDuration;
       } else {
         table.Finish(at->first.first, at->first.second);
         held.erase(at);
@@ -130,7 +130,7 @@
     }
     CPPUNIT_ASSERT_EQUAL(items, finished);
     CPPUNIT_ASSERT_EQUAL(Micros{0}, table.NextExpiry());
-    CPPUNIT_ASSERT(!table.AnyWaiting());
+    CPPUNIT_ASSERT(!table.HasWaitingItems());
   }
 };
 
@@ -152,16 +152,16 @@
 
 class StoreQuotaTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreQuotaTest);
-  CPPUNIT_TEST(ANewOwnerCountsAllThatWasGranted);
+  CPPUNIT_TEST(NewOwnerCountsAllGrants);
   CPPUNIT_TEST(GrantsUpToTheCap);
-  CPPUNIT_TEST(AReservationLastsUntilItsReport);
-  CPPUNIT_TEST(ALateReportIsPassedOver);
+  CPPUNIT_TEST(ReservationLastsUntilItsReport);
+  CPPUNIT_TEST(IgnoresLateReport);
   CPPUNIT_TEST(SeededRunsNeverExceedTheCap);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // Before any report what was granted counts in full, and nothing goes beyond it.
-  void ANewOwnerCountsAllThatWasGranted() {
+  void NewOwnerCountsAllGrants() {
     QuotaTracker tracker({{"a", Ask("a", 6, 10, 1).reservation}}, 0);
     CPPUNIT_ASSERT(!tracker.IsFresh());
     CPPUNIT_ASSERT(tracker.Reserve(Ask("b", 5, 10, 2), 0) == QuotaDecision::kOver);
@@ -179,7 +179,7 @@
     CPPUNIT_ASSERT_EQUAL(10.0, tracker.Sum());
   }
 
-  void AReservationLastsUntilItsReport() {
+  void ReservationLastsUntilItsReport() {
     QuotaTracker tracker;
     tracker.Report(ReportOfAll(1, {}), 0);
     tracker.Reserve(Ask("a", 6, 10, 2), 0);
@@ -193,7 +193,7 @@
     CPPUNIT_ASSERT_EQUAL(5.0, tracker.Sum());
   }
 
-  void ALateReportIsPassedOver() {
+  void IgnoresLateReport() {
     QuotaTracker tracker;
     tracker.Report(ReportOfAll(5, {{"a", 7}}), 0);
     tracker.Report(ReportOfAll(4, {{"a", 9}}), 1);
--- a/tests/tier/batch/store_quota_drain_test.cpp
+++ b/tests/tier/batch/store_quota_drain_test.cpp
@@ -10,7 +10,7 @@
 
 class StoreQuotaDrainTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreQuotaDrainTest);
-  CPPUNIT_TEST(WithoutAWordItTellsADefault);
+  CPPUNIT_TEST(ReturnsDefaultWithoutMeasurement);
   CPPUNIT_TEST(FollowsTheRateAtWhichTokensBecomeFree);
   CPPUNIT_TEST(CountsWhatWaitsBesides);
   CPPUNIT_TEST_SUITE_END();
@@ -18,12 +18,12 @@
   // About 1,000 tokens a second, for long.
   static QuotaDrain Draining() {
     QuotaDrain drain;
-    for (int i = 100; i >= 0; --i) drain.NoteFreed(100, kStart - i * 100 * kMs);
+    for (int i = 100; i >= 0; --i) drain.RecordFreed(100, kStart - i * 100 * kMs);
     return drain;
   }
 
  public:
-  void WithoutAWordItTellsADefault() {
+  void ReturnsDefaultWithoutMeasurement() {
     CPPUNIT_ASSERT_EQUAL(Micros{500 * kMs}, QuotaDrain().Wait("a", 1000, kStart));
     CPPUNIT_ASSERT_EQUAL(Micros{500 * kMs}, Draining().Wait("a", 1000, kStart + 60 * kSecond));
   }
@@ -38,14 +38,14 @@
   void CountsWhatWaitsBesides() {
     QuotaDrain drain = Draining();
     const Micros alone = drain.Wait("a", 500, kStart);
-    drain.NoteRefused("a", 400, kStart);
+    drain.RecordRejected("a", 400, kStart);
     CPPUNIT_ASSERT_EQUAL(alone, drain.Wait("a", 500, kStart));
-    drain.NoteRefused("b", 1000, kStart);
+    drain.RecordRejected("b", 1000, kStart);
     const Micros with_other = drain.Wait("a", 500, kStart);
     CPPUNIT_ASSERT(with_other > alone + 800 * kMs && with_other < alone + 1200 * kMs);
-    drain.NoteGranted("b");
+    drain.RecordGranted("b");
     CPPUNIT_ASSERT_EQUAL(alone, drain.Wait("a", 500, kStart));
-    drain.NoteRefused("b", 1000, kStart - 2 * kSecond);
+    drain.RecordRejected("b", 1000, kStart - 2 * kSecond);
     CPPUNIT_ASSERT_EQUAL(alone, drain.Wait("a", 500, kStart));
   }
 };
--- a/tests/tier/batch/store_quota_test.cpp
+++ b/tests/tier/batch/store_quota_test.cpp
@@ -131,15 +131,15 @@
 
 class StoreQuotaFleetTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreQuotaFleetTest);
-  CPPUNIT_TEST(ALotWithAReservationIsGrantedAgain);
-  CPPUNIT_TEST(AReservationEndsWithALaterReportOnly);
-  CPPUNIT_TEST(AnotherPrimarysReportEndsIt);
-  CPPUNIT_TEST(ASilentPartitionStopsNoOther);
+  CPPUNIT_TEST(BatchJobWithReservationIsGrantedAgain);
+  CPPUNIT_TEST(ReservationEndsOnlyWithLaterReport);
+  CPPUNIT_TEST(ReportOfAnotherPrimaryEndsReservation);
+  CPPUNIT_TEST(UnresponsivePartitionBlocksNoOther);
   CPPUNIT_TEST(SeededRunsKeepTheCap);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ALotWithAReservationIsGrantedAgain() {
+  void BatchJobWithReservationIsGrantedAgain() {
     QuotaTracker tracker({}, 0);
     CPPUNIT_ASSERT(QuotaDecision::kGranted == tracker.Reserve(Reserve("a", 60, 5), 0));
     CPPUNIT_ASSERT(QuotaDecision::kOver == tracker.Reserve(Reserve("b", 60, 6), 0));
@@ -147,12 +147,12 @@
     CPPUNIT_ASSERT_EQUAL(60.0, tracker.Sum());
   }
 
-  void AReservationEndsWithALaterReportOnly() {
+  void ReservationEndsOnlyWithLaterReport() {
     QuotaTracker tracker({}, 0);
     tracker.Reserve(Reserve("a", 60, 5), 0);
     CPPUNIT_ASSERT(tracker.Report(Report(1, 1, 4), 1).empty());
     QuotaReport asked = Report(1, 1, 6);
-    asked.asked = {"a"};
+    asked.pending_reservations = {"a"};
     CPPUNIT_ASSERT(tracker.Report(asked, 2).empty());
     CPPUNIT_ASSERT_EQUAL(60.0, tracker.Sum());
     QuotaReport taken = Report(1, 1, 7);
@@ -165,7 +165,7 @@
     CPPUNIT_ASSERT_EQUAL(0.0, tracker.Sum());
   }
 
-  void AnotherPrimarysReportEndsIt() {
+  void ReportOfAnotherPrimaryEndsReservation() {
     QuotaTracker tracker({{"a", Reserve("a", 60, 5).reservation}}, 0);
     CPPUNIT_ASSERT(!tracker.IsFresh());
     CPPUNIT_ASSERT_EQUAL(60.0, tracker.Sum());
@@ -176,7 +176,7 @@
 
   // One partition cannot report, and the route's owner is lost: what it was granted stays counted,
   // the others go on.
-  void ASilentPartitionStopsNoOther() {
+  void UnresponsivePartitionBlocksNoOther() {
     Fleet fleet(3, 4);
     Clients clients(&fleet);
     fleet.RunUntil(fleet.now + 3 * kSecond);
--- a/tests/tier/batch/store_replication_test.cpp
+++ b/tests/tier/batch/store_replication_test.cpp
@@ -7,7 +7,7 @@
 namespace pearreach::batch {
 namespace {
 
-using replication_test::IsWhole;
+using replication_test::IsFullyReplicated;
 using replication_test::Run;
 using replication_test::SingletonRole;
 
@@ -15,18 +15,18 @@
 
 class StoreReplicationTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreReplicationTest);
-  CPPUNIT_TEST(AcknowledgesOnlyWhatBothHold);
-  CPPUNIT_TEST(WritesWaitForASilentBackup);
-  CPPUNIT_TEST(ASoleReplicaServes);
-  CPPUNIT_TEST(AWipedReplicaIsFilledAgain);
-  CPPUNIT_TEST(ADeposedPrimaryIsNotConfirmed);
-  CPPUNIT_TEST(APrimaryThatWasOneBeforeServesAgain);
-  CPPUNIT_TEST(ALateCallOfAnEarlierProcessLocksNobodyOut);
+  CPPUNIT_TEST(AcknowledgesOnlyWhatBothReplicasHave);
+  CPPUNIT_TEST(WritesWaitForUnresponsiveBackup);
+  CPPUNIT_TEST(SoleReplicaServes);
+  CPPUNIT_TEST(WipedReplicaIsRepaired);
+  CPPUNIT_TEST(DeposedPrimaryIsNotConfirmed);
+  CPPUNIT_TEST(FormerPrimaryServesAgain);
+  CPPUNIT_TEST(LateCallOfEarlierProcessBlocksNoOne);
   CPPUNIT_TEST(SeededRunsLoseNothing);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void AcknowledgesOnlyWhatBothHold() {
+  void AcknowledgesOnlyWhatBothReplicasHave() {
     Run run(1, 2);
     run.simulation.RunUntil(3 * kSecond);
     CPPUNIT_ASSERT(run.simulation.stores[0]->replica()->is_active());
@@ -38,7 +38,7 @@
     run.CheckEnd(run.simulation.stores[1].get());
   }
 
-  void WritesWaitForASilentBackup() {
+  void WritesWaitForUnresponsiveBackup() {
     Run run(2, 2);
     run.simulation.RunUntil(3 * kSecond);
     run.simulation.stores[1]->Crash(false);
@@ -52,7 +52,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, run.accepted.size());
   }
 
-  void ASoleReplicaServes() {
+  void SoleReplicaServes() {
     Run run(3, 2);
     Partition alone;
     alone.replicas = {run.simulation.stores[0]->id()};
@@ -66,26 +66,26 @@
     CPPUNIT_ASSERT_EQUAL(1, run.reads);
   }
 
-  void AWipedReplicaIsFilledAgain() {
+  void WipedReplicaIsRepaired() {
     Run run(4, 2);
-    SingletonRole duty(&run.simulation);
+    SingletonRole role(&run.simulation);
     run.simulation.RunUntil(3 * kSecond);
     for (int i = 0; i < 40; ++i) run.Create();
     run.simulation.RunUntil(4 * kSecond);
     CPPUNIT_ASSERT_EQUAL(std::size_t{40}, run.accepted.size());
     run.simulation.stores[0]->Crash(true);
-    duty.Reconcile();
+    role.Reconcile();
     run.simulation.stores[0]->Start();
-    for (int i = 0; i < 60 && !IsWhole(&run.simulation); ++i) {
+    for (int i = 0; i < 60 && !IsFullyReplicated(&run.simulation); ++i) {
       run.simulation.RunUntil(run.simulation.now + 200 * kMs);
-      duty.Reconcile();
+      role.Reconcile();
     }
     run.simulation.RunUntil(run.simulation.now + 1 * kSecond);
-    CPPUNIT_ASSERT(IsWhole(&run.simulation));
+    CPPUNIT_ASSERT(IsFullyReplicated(&run.simulation));
     run.CheckEnd(run.simulation.stores[0].get());
   }
 
-  void ADeposedPrimaryIsNotConfirmed() {
+  void DeposedPrimaryIsNotConfirmed() {
     Run run(5, 2);
     run.simulation.RunUntil(3 * kSecond);
     Partition other;
@@ -101,7 +101,7 @@
   }
 
   // A hunted day (a store added, then emptied) left such a partition without service for 20 s.
-  void APrimaryThatWasOneBeforeServesAgain() {
+  void FormerPrimaryServesAgain() {
     Run run(6, 3);
     const StoreId backup = run.simulation.stores[2]->id();
     for (const int primary : {0, 1, 0, 1}) {
@@ -115,7 +115,7 @@
   }
 
   // Bytes that a cut held up may arrive after the process that sent them has been replaced.
-  void ALateCallOfAnEarlierProcessLocksNobodyOut() {
+  void LateCallOfEarlierProcessBlocksNoOne() {
     Run run(7, 2);
     run.simulation.RunUntil(3 * kSecond);
     RepairDigest late;
@@ -165,7 +165,7 @@
       *down = nullptr;
       return;
     }
-    if (!simulation.Chance(0.03) || !IsWhole(&simulation)) return;
+    if (!simulation.Chance(0.03) || !IsFullyReplicated(&simulation)) return;
     const auto index = simulation.Between(0, static_cast<Micros>(simulation.stores.size()) - 1);
     *down = simulation.stores[static_cast<std::size_t>(index)].get();
     (*down)->Crash(simulation.Chance(0.5));
@@ -174,7 +174,7 @@
 
   static void PlayOnce(std::uint64_t seed, Run* run) {
     Simulation& simulation = run->simulation;
-    SingletonRole duty(&simulation);
+    SingletonRole role(&simulation);
     SimulatedStore* down = nullptr;
     Micros restart = 0, look = 0;
     simulation.RunUntil(2 * kSecond);
@@ -184,7 +184,7 @@
       Work(run);
       Trouble(run, &restart, &down);
       if (simulation.now >= look) {
-        duty.Reconcile();
+        role.Reconcile();
         look = simulation.now + simulation.Between(200 * kMs, 1500 * kMs);
       }
     }
@@ -192,9 +192,9 @@
     if (down != nullptr) down->Start();
     for (int i = 0; i < 100; ++i) {
       simulation.RunUntil(simulation.now + 200 * kMs);
-      if (!IsWhole(&simulation)) duty.Reconcile();
+      if (!IsFullyReplicated(&simulation)) role.Reconcile();
     }
-    CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed), IsWhole(&simulation));
+    CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed), IsFullyReplicated(&simulation));
     for (const StoreId& id : simulation.table.replicas) run->CheckEnd(simulation.Find(id));
   }
 };
--- a/tests/tier/batch/store_schedules_test.cpp
+++ b/tests/tier/batch/store_schedules_test.cpp
@@ -10,7 +10,7 @@
 namespace pearreach::batch {
 namespace {
 
-using replication_test::IsWhole;
+using replication_test::IsFullyReplicated;
 using replication_test::Run;
 
 bool Contains(const std::vector<StoreId>& stores, const StoreId& id) {
@@ -18,9 +18,9 @@
 }
 
 // The placement duty where stores freeze, are cut off and are emptied.
-class RovingDuty {
+class MovingSingletonRole {
  public:
-  explicit RovingDuty(Simulation* simulation) : simulation_(simulation) {}
+  explicit MovingSingletonRole(Simulation* simulation) : simulation_(simulation) {}
 
   void Reconcile() {
     Partition next = simulation_->table;
@@ -36,7 +36,7 @@
     if (next.replicas.size() == 2 && next.joining.empty() && simulation_->Chance(0.25)) {
       std::swap(next.replicas[0], next.replicas[1]);
     }
-    if (IsWhole(simulation_) && simulation_->Chance(0.1)) {
+    if (IsFullyReplicated(simulation_) && simulation_->Chance(0.1)) {
       leaving_ = leaving_.empty() ? next.replicas[simulation_->Chance(0.5) ? 0 : 1].name : "";
     }
     const Partition& now = simulation_->table;
@@ -47,7 +47,7 @@
  private:
   bool IsUnheard(const StoreId& id) {
     const SimulatedStore* store = simulation_->Find(id);
-    return store == nullptr || store->is_frozen() || store->is_cut();
+    return store == nullptr || store->is_frozen() || store->is_isolated();
   }
   // Of a disk that is lost, or of a machine that is not heard of while another one is.
   void Drop(Partition* next) {
@@ -59,7 +59,7 @@
   }
   void Promote(Partition* next) {
     for (auto& store : simulation_->stores) {
-      if (!store->running() || store->is_frozen() || store->is_cut()) continue;
+      if (!store->running() || store->is_frozen() || store->is_isolated()) continue;
       if (store->replica()->epoch() != simulation_->table.epoch) continue;
       for (const StoreId& id : store->replica()->FilledJoiners()) {
         if (!Contains(next->joining, id)) continue;
@@ -95,7 +95,7 @@
       End();
       return;
     }
-    if (!simulation_->Chance(0.06) || !IsWhole(simulation_)) return;
+    if (!simulation_->Chance(0.06) || !IsFullyReplicated(simulation_)) return;
     if (simulation_->Chance(0.1)) {
       for (auto& store : simulation_->stores) store->Crash(false);
       for (auto& store : simulation_->stores) store->Start();
@@ -123,7 +123,7 @@
         hit_->Freeze(over_);
         return;
       case 2:
-        hit_->Cut(over_);
+        hit_->Isolate(over_);
         return;
       case 3:
         hit_->write_failures = 0.3;
@@ -199,7 +199,7 @@
 
   static void Play(std::uint64_t seed, Run* run) {
     Simulation& simulation = run->simulation;
-    RovingDuty duty(&simulation);
+    MovingSingletonRole role(&simulation);
     Troubles troubles(&simulation);
     Micros look = 0;
     simulation.RunUntil(2 * kSecond);
@@ -209,16 +209,16 @@
       Work(run);
       troubles.Step();
       if (simulation.now < look) continue;
-      duty.Reconcile();
+      role.Reconcile();
       look = simulation.now + simulation.Between(100 * kMs, 1500 * kMs);
     }
     simulation.loss = 0;
     troubles.End();
     for (int i = 0; i < 100; ++i) {
       simulation.RunUntil(simulation.now + 200 * kMs);
-      if (!IsWhole(&simulation)) duty.Reconcile();
+      if (!IsFullyReplicated(&simulation)) role.Reconcile();
     }
-    CPPUNIT_ASSERT(IsWhole(&simulation));
+    CPPUNIT_ASSERT(IsFullyReplicated(&simulation));
     for (const StoreId& id : simulation.table.replicas) run->CheckEnd(simulation.Find(id));
   }
 };
