--- a/tests/tier/batch/store_server_test.cpp
+++ b/tests/tier/batch/store_server_test.cpp
@@ -178,49 +178,49 @@
 
 class StoreServerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreServerTest);
-  CPPUNIT_TEST(ALotsWayWithOneReplica);
-  CPPUNIT_TEST(ALotsWayWithTwoReplicas);
+  CPPUNIT_TEST(BatchJobLifecycleWithOneReplica);
+  CPPUNIT_TEST(BatchJobLifecycleWithTwoReplicas);
   CPPUNIT_TEST(FailuresAreCountedOnceForALease);
-  CPPUNIT_TEST(AnEndedLotIsHandedOutNoMore);
-  CPPUNIT_TEST(TakersShareWhatWaits);
-  CPPUNIT_TEST(TheQuotaHoldsAndFreesUp);
-  CPPUNIT_TEST(ABackupTakesOver);
-  CPPUNIT_TEST(ARestartKeepsEverything);
-  CPPUNIT_TEST(AFullDiskRefusesLotsAndWritesAgainOnceItHasRoom);
+  CPPUNIT_TEST(CancelledBatchJobIsNotLeased);
+  CPPUNIT_TEST(PullersShareWaitingItems);
+  CPPUNIT_TEST(EnforcesAndReleasesQuota);
+  CPPUNIT_TEST(BackupTakesOver);
+  CPPUNIT_TEST(RestartKeepsEverything);
+  CPPUNIT_TEST(FullDiskRejectsBatchJobsUntilItHasCapacity);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ALotsWayWithOneReplica() { PlayLot({"s0"}); }
-  void ALotsWayWithTwoReplicas() { PlayLot({"s0", "s1"}); }
+  void BatchJobLifecycleWithOneReplica() { RunBatchJobLifecycle({"s0"}); }
+  void BatchJobLifecycleWithTwoReplicas() { RunBatchJobLifecycle({"s0", "s1"}); }
 
   void FailuresAreCountedOnceForALease() {
     Fleet fleet(2);
     fleet.Place({"s0", "s1"});
     Create(&fleet, Spec("lot", 1));
-    const auto first = Take(&fleet, "n", 1, 0);
-    Tell(&fleet, first.at(0), RunOutcome::kFailed, "");
-    Tell(&fleet, first.at(0), RunOutcome::kFailed, "");
-    const auto second = Take(&fleet, "n", 1, 0);
+    const auto first = Pull(&fleet, "n", 1, 0);
+    ReportResult(&fleet, first.at(0), RunOutcome::kFailed, "");
+    ReportResult(&fleet, first.at(0), RunOutcome::kFailed, "");
+    const auto second = Pull(&fleet, "n", 1, 0);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, second.at(0).failures);
-    Tell(&fleet, second.at(0), RunOutcome::kFailed, "");
+    ReportResult(&fleet, second.at(0), RunOutcome::kFailed, "");
     const auto read = Read(&fleet, "lot", 0);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, read.outputs.size());
     CPPUNIT_ASSERT(read.outputs[0].phase == ItemPhase::kAbandoned);
   }
 
-  void AnEndedLotIsHandedOutNoMore() {
+  void CancelledBatchJobIsNotLeased() {
     Fleet fleet(2);
     fleet.Place({"s0", "s1"});
     Create(&fleet, Spec("lot", 4));
-    const auto taken = Take(&fleet, "n", 1, 0);
+    const auto pulled = Pull(&fleet, "n", 1, 0);
     for (int i = 0; i < 2; ++i) {
       const auto ended = fleet.Ask<CancelBatchJobResponse>(rpc::MessageType::kBatchJobCancel,
                                                            CancelBatchJob{0, "lot"});
       CPPUNIT_ASSERT(ended.ok() && ended->found);
     }
-    CPPUNIT_ASSERT(Take(&fleet, "n", 4, 0).empty());
+    CPPUNIT_ASSERT(Pull(&fleet, "n", 4, 0).empty());
     const auto renewed = fleet.Ask<RenewLeasesResponse>(
-        rpc::MessageType::kItemRenew, RenewLeases{"n", 1, {{"lot", taken[0].item.item_id}}});
+        rpc::MessageType::kItemRenew, RenewLeases{"n", 1, {{"lot", pulled[0].item.item_id}}});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, renewed->stop.size());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, Read(&fleet, "lot", 0).total);
     const auto unknown = fleet.Ask<CancelBatchJobResponse>(rpc::MessageType::kBatchJobCancel,
@@ -228,50 +228,50 @@
     CPPUNIT_ASSERT(unknown.ok() && !unknown->found);
   }
 
-  void TakersShareWhatWaits() {
+  void PullersShareWaitingItems() {
     Fleet fleet(1);
     fleet.Place({"s0"});
-    Take(&fleet, "n1", 8, 0);
-    Take(&fleet, "n2", 8, 0);
+    Pull(&fleet, "n1", 8, 0);
+    Pull(&fleet, "n2", 8, 0);
     Create(&fleet, Spec("lot", 6));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, Take(&fleet, "n1", 8, 0).size());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, Take(&fleet, "n2", 8, 0).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, Pull(&fleet, "n1", 8, 0).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, Pull(&fleet, "n2", 8, 0).size());
   }
 
-  void TheQuotaHoldsAndFreesUp() {
+  void EnforcesAndReleasesQuota() {
     Fleet fleet(2);
     fleet.Place({"s0", "s1"});
     CPPUNIT_ASSERT(CreateStatus::kAccepted == Create(&fleet, Spec("a", 3, 50)));
     CPPUNIT_ASSERT(CreateStatus::kOverQuota == Create(&fleet, Spec("b", 3, 50)));
     CPPUNIT_ASSERT(CreateStatus::kAccepted == Create(&fleet, Spec("a", 3, 50)));
-    const auto taken = Take(&fleet, "n", 2, 0);
-    for (const LeasedItem& item : taken) Tell(&fleet, item, RunOutcome::kComplete, "x");
+    const auto pulled = Pull(&fleet, "n", 2, 0);
+    for (const LeasedItem& item : pulled) ReportResult(&fleet, item, RunOutcome::kComplete, "x");
     CPPUNIT_ASSERT(TurnUntil([&] {  // reported within a moment
       return Create(&fleet, Spec("b", 3, 50)) == CreateStatus::kAccepted;
     }));
   }
 
-  void ABackupTakesOver() {
+  void BackupTakesOver() {
     Fleet fleet(2);
     fleet.Place({"s0", "s1"});
     Create(&fleet, Spec("lot", 3));
-    const auto taken = Take(&fleet, "n", 2, 0);
-    Tell(&fleet, taken.at(0), RunOutcome::kComplete, "first");
+    const auto pulled = Pull(&fleet, "n", 2, 0);
+    ReportResult(&fleet, pulled.at(0), RunOutcome::kComplete, "first");
     fleet.Place({"s1"});
     CPPUNIT_ASSERT_EQUAL(std::string("first"), Read(&fleet, "lot", 0).outputs.at(0).content);
-    CPPUNIT_ASSERT(Take(&fleet, "m", 8, 0).empty());  // they may still run for somebody
-    Tell(&fleet, taken.at(1), RunOutcome::kComplete, "second");
-    Tell(&fleet, taken.at(0), RunOutcome::kComplete, "first again");
+    CPPUNIT_ASSERT(Pull(&fleet, "m", 8, 0).empty());  // they may still run for somebody
+    ReportResult(&fleet, pulled.at(1), RunOutcome::kComplete, "second");
+    ReportResult(&fleet, pulled.at(0), RunOutcome::kComplete, "first again");
     const auto read = Read(&fleet, "lot", 0);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, read.outputs.size());
     CPPUNIT_ASSERT_EQUAL(std::string("second"), read.outputs[1].content);
   }
 
-  void ARestartKeepsEverything() {
+  void RestartKeepsEverything() {
     Fleet fleet(2);
     fleet.Place({"s0", "s1"});
     Create(&fleet, Spec("lot", 3));
-    Tell(&fleet, Take(&fleet, "n", 1, 0).at(0), RunOutcome::kComplete, "first");
+    ReportResult(&fleet, Pull(&fleet, "n", 1, 0).at(0), RunOutcome::kComplete, "first");
     fleet.Start("s0");
     fleet.Place({"s0", "s1"});
     const auto read = Read(&fleet, "lot", 0);
@@ -279,7 +279,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("first"), read.outputs.at(0).content);
   }
 
-  void AFullDiskRefusesLotsAndWritesAgainOnceItHasRoom() {
+  void FullDiskRejectsBatchJobsUntilItHasCapacity() {
     Fleet fleet(2, 1 << 20);
     fleet.Place({"s0", "s1"});
     int batch_jobs = 0;
@@ -293,20 +293,21 @@
     while (storage::CommitAndWait(backup, {{"x" + std::to_string(fillers), filler, false}}).ok()) {
       ++fillers;
     }
-    const LeasedItem taken = Take(&fleet, "n", 1, 0).at(0);
-    const ItemResult result{taken.batch_job_id, taken.item.item_id, taken.lease,
+    const LeasedItem pulled = Pull(&fleet, "n", 1, 0).at(0);
+    const ItemResult result{pulled.batch_job_id, pulled.item.item_id, pulled.lease,
                             RunOutcome::kComplete, std::string(30'000, 'r')};
     const auto told = fleet.Send(rpc::MessageType::kItemResult, result);
     const auto failed = storage::CommitAndWait(backup, {{"y", std::string(30'000, 'f'), false}});
     CPPUNIT_ASSERT(absl::IsResourceExhausted(failed));
     const auto unsure = fleet.Ask<ReadBatchJobResponse>(
-        rpc::MessageType::kBatchJobRead, ReadBatchJob{0, taken.batch_job_id, 0, 0, 1'000'000});
+        rpc::MessageType::kBatchJobRead, ReadBatchJob{0, pulled.batch_job_id, 0, 0, 1'000'000});
     CPPUNIT_ASSERT(!unsure.ok() || unsure->outputs.empty());
     for (int i = 0; i < fillers; ++i) {
       CPPUNIT_ASSERT(storage::CommitAndWait(backup, {{"x" + std::to_string(i), "", true}}).ok());
     }
     CPPUNIT_ASSERT(TurnUntil([&] { return told->ok(); }));
-    CPPUNIT_ASSERT_EQUAL(result.content, Read(&fleet, taken.batch_job_id, 0).outputs.at(0).content);
+    CPPUNIT_ASSERT_EQUAL(result.content,
+                         Read(&fleet, pulled.batch_job_id, 0).outputs.at(0).content);
   }
 
  private:
@@ -321,15 +322,15 @@
     CPPUNIT_ASSERT_MESSAGE(answer.status().ToString(), answer.ok());
     return answer->status;
   }
-  static std::vector<LeasedItem> Take(Fleet* fleet, const std::string& node, int capacity,
+  static std::vector<LeasedItem> Pull(Fleet* fleet, const std::string& node, int capacity,
                                       std::int64_t wait_ms) {
     const auto answer = fleet->Ask<PullItemsResponse>(
         rpc::MessageType::kItemPull, PullItems{node, 1, 0, {{"route", capacity}}, wait_ms});
     CPPUNIT_ASSERT(answer.ok());
     return answer->items;
   }
-  static void Tell(Fleet* fleet, const LeasedItem& item, RunOutcome outcome,
-                   const std::string& content) {
+  static void ReportResult(Fleet* fleet, const LeasedItem& item, RunOutcome outcome,
+                           const std::string& content) {
     const ItemResult result{item.batch_job_id, item.item.item_id, item.lease, outcome, content};
     CPPUNIT_ASSERT(fleet->AskBytes(rpc::MessageType::kItemResult, result).ok());
   }
@@ -341,7 +342,7 @@
     return *answer;
   }
 
-  static void PlayLot(const std::vector<std::string>& replicas) {
+  static void RunBatchJobLifecycle(const std::vector<std::string>& replicas) {
     Fleet fleet(2);
     fleet.Place(replicas);
     CPPUNIT_ASSERT(!Read(&fleet, "lot", 0).found);
@@ -351,21 +352,21 @@
     const auto body = fleet.Ask<ReadItemBodyResponse>(rpc::MessageType::kItemBody,
                                                       ReadItemBody{0, "lot", "lot-1"});
     CPPUNIT_ASSERT_EQUAL(spec.items[1].body, body->body);
-    const auto taken = Take(&fleet, "n", 8, 100);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, taken.size());
-    CPPUNIT_ASSERT_EQUAL(spec.items[0].body, taken[0].item.body);
+    const auto pulled = Pull(&fleet, "n", 8, 100);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, pulled.size());
+    CPPUNIT_ASSERT_EQUAL(spec.items[0].body, pulled[0].item.body);
     for (int i : {2, 0})
-      Tell(&fleet, taken[static_cast<std::size_t>(i)], RunOutcome::kComplete,
-           "text " + std::to_string(i));
-    Tell(&fleet, taken[1], RunOutcome::kImpossible, "");
-    Tell(&fleet, taken[1], RunOutcome::kComplete, "too late");
+      ReportResult(&fleet, pulled[static_cast<std::size_t>(i)], RunOutcome::kComplete,
+                   "text " + std::to_string(i));
+    ReportResult(&fleet, pulled[1], RunOutcome::kImpossible, "");
+    ReportResult(&fleet, pulled[1], RunOutcome::kComplete, "too late");
     const auto read = Read(&fleet, "lot", 0);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, read.outputs.size());
     CPPUNIT_ASSERT_EQUAL(std::string("text 2"), read.outputs[0].content);
     CPPUNIT_ASSERT_EQUAL(std::string("lot-0"), read.outputs[1].item_id);
     CPPUNIT_ASSERT(read.outputs[2].phase == ItemPhase::kAbandoned);
     CPPUNIT_ASSERT(Read(&fleet, "lot", 3).outputs.empty());
-    CPPUNIT_ASSERT(Take(&fleet, "n", 8, 0).empty());
+    CPPUNIT_ASSERT(Pull(&fleet, "n", 8, 0).empty());
   }
 };
 
--- a/tests/tier/batch/store_simulation.h
+++ b/tests/tier/batch/store_simulation.h
@@ -41,7 +41,7 @@
   void LimitTo(std::size_t bytes) { limit_ = bytes; }
   storage::Space space() const override { return {used_, limit_}; }
   // Like Write, unless it would pass the limit.
-  absl::Status TryWrite(const std::vector<storage::Write>& batch) {
+  absl::Status WriteWithinLimit(const std::vector<storage::Write>& batch) {
     const bool puts = std::any_of(batch.begin(), batch.end(),
                                   [](const storage::Write& write) { return !write.erase; });
     auto tables = puts && limit_ != kNoLimit ? tables_ : decltype(tables_)();
@@ -101,9 +101,9 @@
   // All that the machine would do, and what comes for it, waits until then.
   void Freeze(Micros until) { frozen_until_ = until; }
   // Its links to the other machines are cut until then: what is sent is lost or waits.
-  void Cut(Micros until) { cut_until_ = until; }
+  void Isolate(Micros until) { isolated_until_ = until; }
   bool is_frozen() const;
-  bool is_cut() const;
+  bool is_isolated() const;
   // Writes fail, with nothing of them on disk, with this probability.
   double write_failures = 0;
   void Crash(bool wipe);  // what was not synced is lost, or some of it from the start on is not
@@ -132,16 +132,16 @@
   std::function<void()> Guard(std::function<void()> callback);
   void Deliver(const StoreId& to, rpc::MessageType type, const std::string& body,
                const rpc::Respond& respond);
-  bool HoldsUp(SimulatedStore* peer, const std::function<void()>& again);
+  bool DelaysDelivery(SimulatedStore* peer, const std::function<void()>& again);
   void FinishCommit(const std::function<void(absl::Status)>& done);
 
   Simulation* simulation_;
   StoreId id_;
   std::unique_ptr<MemoryDisk> disk_;
   std::unique_ptr<PartitionReplica> replica_;
-  std::uint64_t life_ = 0;
+  std::uint64_t incarnation_ = 0;
   int wipes_ = 0;
-  Micros disk_free_ = 0, frozen_until_ = 0, cut_until_ = 0;
+  Micros disk_free_ = 0, frozen_until_ = 0, isolated_until_ = 0;
   std::map<Timers::Id, bool> timers_;
   std::deque<std::vector<storage::Write>> unsynced_;
 };
@@ -211,7 +211,7 @@
     : simulation_(simulation), id_(std::move(id)), disk_(std::make_unique<MemoryDisk>()) {}
 
 inline void SimulatedStore::Start() {
-  ++life_;
+  ++incarnation_;
   disk_free_ = 0;
   replica_ = std::make_unique<PartitionReplica>(kSimulatedPartition, id_, this);
   LearnTable();
@@ -224,20 +224,20 @@
   unsynced_.clear();
   replica_.reset();
   timers_.clear();
-  frozen_until_ = cut_until_ = 0;
-  ++life_;
+  frozen_until_ = isolated_until_ = 0;
+  ++incarnation_;
   if (!wipe) return;
   disk_ = std::make_unique<MemoryDisk>();
   id_.disk_id = id_.name + "-wiped-" + std::to_string(++wipes_);
 }
 
 inline bool SimulatedStore::is_frozen() const { return simulation_->now < frozen_until_; }
-inline bool SimulatedStore::is_cut() const { return simulation_->now < cut_until_; }
+inline bool SimulatedStore::is_isolated() const { return simulation_->now < isolated_until_; }
 
 inline void SimulatedStore::LearnTable() {
   if (replica_ == nullptr) return;
-  if (is_frozen() || is_cut()) {
-    const Micros until = std::max(frozen_until_, cut_until_);
+  if (is_frozen() || is_isolated()) {
+    const Micros until = std::max(frozen_until_, isolated_until_);
     simulation_->At(until - simulation_->now + 1, Guard([this] { LearnTable(); }));
     return;
   }
@@ -245,8 +245,8 @@
 }
 
 inline std::function<void()> SimulatedStore::Guard(std::function<void()> callback) {
-  return [this, life = life_, callback = std::move(callback)] {
-    if (life != life_) return;
+  return [this, incarnation = incarnation_, callback = std::move(callback)] {
+    if (incarnation != incarnation_) return;
     if (is_frozen()) {
       simulation_->At(frozen_until_ - simulation_->now, Guard(callback));
     } else {
@@ -286,11 +286,12 @@
   if (simulation_->Chance(simulation_->loss)) return;
   const bool late = simulation_->Chance(simulation_->loss);
   const Micros delay = late ? simulation_->Between(0, 3 * kSecond) : 1 * kMs;
-  const auto respond = [this, life = life_, finish](absl::StatusOr<std::string> answer) {
+  const auto respond = [this, incarnation = incarnation_,
+                        finish](absl::StatusOr<std::string> answer) {
     if (simulation_->Chance(simulation_->loss)) return;
-    if (is_cut()) return;
-    simulation_->At(1 * kMs, [this, life, finish, answer = std::move(answer)] {
-      if (life == life_) Guard([finish, answer] { finish(answer); })();
+    if (is_isolated()) return;
+    simulation_->At(1 * kMs, [this, incarnation, finish, answer = std::move(answer)] {
+      if (incarnation == incarnation_) Guard([finish, answer] { finish(answer); })();
     });
   };
   simulation_->At(delay, [this, to, type, body = std::move(body), respond] {
@@ -299,8 +300,9 @@
 }
 
 // A cut holds bytes up or loses them; a machine that is frozen reads them once it wakes.
-inline bool SimulatedStore::HoldsUp(SimulatedStore* peer, const std::function<void()>& again) {
-  const Micros cut = std::max(cut_until_, peer->cut_until_);
+inline bool SimulatedStore::DelaysDelivery(SimulatedStore* peer,
+                                           const std::function<void()>& again) {
+  const Micros cut = std::max(isolated_until_, peer->isolated_until_);
   if (simulation_->now < cut) {
     if (simulation_->Chance(0.5)) simulation_->At(cut - simulation_->now, again);
     return true;
@@ -315,7 +317,7 @@
   SimulatedStore* peer = simulation_->Find(to);
   if (peer == nullptr) return;
   const auto again = [this, to, type, body, respond] { Deliver(to, type, body, respond); };
-  if (HoldsUp(peer, again)) return;
+  if (DelaysDelivery(peer, again)) return;
   if (type == rpc::MessageType::kReplicate) {
     peer->replica_->OnReplicate(*codec::Decode<Replicate>(body), respond);
   } else {
@@ -349,7 +351,7 @@
 inline void SimulatedStore::ConfirmEpoch(std::uint32_t, std::uint64_t epoch,
                                          std::function<void(bool)> done) {
   simulation_->At(2 * kMs, Guard([this, epoch, done = std::move(done)] {
-                    done(!is_cut() && simulation_->table.epoch == epoch);
+                    done(!is_isolated() && simulation_->table.epoch == epoch);
                   }));
 }
 
--- a/tests/tier/golden/samples_records.cpp
+++ b/tests/tier/golden/samples_records.cpp
@@ -67,7 +67,7 @@
           {"end", batch::MakeEnd("lot-1")},
           {"far_result", batch::MakeResult("lot-1", 0xabcd, abandoned)},
           {"release", batch::MakeRelease("lot-1")},
-          {"forget", batch::MakeForget("lot-1")}};
+          {"forget", batch::MakeErase("lot-1")}};
 }
 
 registry::WorkerState SomeWorkers() {
