--- a/src/tier/batch/batch_job_changes.cpp
+++ b/src/tier/batch/batch_job_changes.cpp
@@ -80,6 +80,10 @@
     return;
   }
   creating_[batch_job->batch_job_id] = {batch_job->fingerprint, {std::move(respond)}};
+  ReserveQuota(batch_job);
+}
+
+void BatchJobChanges::ReserveQuota(const std::shared_ptr<const BatchJobSpec>& batch_job) {
   if (batch_job->token_cap <= 0) {
     SubmitCreate(batch_job);
     return;
--- a/src/tier/batch/batch_job_changes.h
+++ b/src/tier/batch/batch_job_changes.h
@@ -1,4 +1,4 @@
-// Lots that are handed in, ended by their client or forgotten for their age.
+// Creates, cancels and expires batch jobs.
 #ifndef PEARREACH_SRC_TIER_BATCH_BATCH_JOB_CHANGES_H_
 #define PEARREACH_SRC_TIER_BATCH_BATCH_JOB_CHANGES_H_
 
@@ -16,6 +16,7 @@
 
 namespace pearreach::batch {
 
+// Owned by StoreServer. Not thread-safe: all calls and callbacks run on the event loop.
 class BatchJobChanges {
  public:
   BatchJobChanges(StoreContext* context, BatchJobItems* items, BatchJobReads* reads,
@@ -25,16 +26,18 @@
   void OnOffer(const OfferBatchJob& offer, rpc::Respond respond);
   void OnCreate(CreateBatchJob create, rpc::Respond respond);
   void OnCancel(const CancelBatchJob& cancel, rpc::Respond respond);
-  // Gives up items and forgets lots whose time is over, in the partitions that are active here.
-  // Where the disk is short of room, lots are forgotten as soon as they may be.
+  // Gives up items and forgets batch jobs whose time is over, in the partitions that are active
+  // here. Where the disk is short of room, batch jobs are forgotten as soon as they may be.
   void Sweep(bool is_nearly_full);
 
  private:
   struct Creation {
     std::uint64_t fingerprint = 0;
-    std::vector<rpc::Respond> waiting;  // calls for the same lot
+    std::vector<rpc::Respond> waiting;  // calls for the same batch job
   };
 
+  // Reserves the tokens of a batch job under its route's cap, if there is one, then submits it.
+  void ReserveQuota(const std::shared_ptr<const BatchJobSpec>& batch_job);
   void SubmitCreate(const std::shared_ptr<const BatchJobSpec>& batch_job);
   void Finish(const std::string& batch_job_id, const absl::StatusOr<CreateStatus>& outcome);
   void SweepPartition(PartitionReplica* replica, bool is_nearly_full);
--- a/src/tier/batch/batch_job_items.cpp
+++ b/src/tier/batch/batch_job_items.cpp
@@ -10,10 +10,11 @@
 namespace {
 
 constexpr std::int64_t kMaxWaitMs = 30'000;
-// Edge nodes renew about every second: those that run an item for an earlier primary have told so.
+// Edge nodes renew about every second: those that run an item for an earlier primary have renewed
+// by then.
 constexpr Micros kLeaseAdoptionPeriod = 1500 * kMs;
 constexpr Micros kPullerActivePeriod =
-    3 * kSecond;  // a node that asked counts as a taker this long
+    3 * kSecond;  // a node that pulled counts as a puller this long
 
 std::string Acknowledgement() { return {}; }
 
@@ -26,7 +27,7 @@
       counted_(std::move(counted)),
       leases_((context->Random() >> 1) | 1) {}
 
-// ---------------------------------------------------------------- lots
+// ---------------------------------------------------------------- batch jobs
 
 void BatchJobItems::AddBatchJob(const std::string& batch_job_id, const BatchJob& batch_job,
                                 Micros reserved_until) {
@@ -84,7 +85,7 @@
                 [&](const auto& entry) { return now - entry.second > kPullerActivePeriod; });
 }
 
-// Room by route, no more than the node's part of what waits.
+// Capacity by route, no more than the node's fair share of what waits.
 std::map<std::string, int> BatchJobItems::LimitToFairShare(
     const std::map<std::string, int>& capacity) const {
   std::map<std::string, int> limits;
@@ -119,36 +120,40 @@
   if (limits.empty()) return response;
   for (const ItemLease& lease :
        leases_.Acquire(pull.node, limits, kMaxItemsPerPull, context_->Now())) {
-    LeasedItem item;
-    if (ReadLeasedItem(lease, &item)) response.items.push_back(std::move(item));
+    absl::StatusOr<LeasedItem> item = ReadLeasedItem(lease);
+    if (item.ok()) response.items.push_back(*std::move(item));
   }
   ScheduleExpiry();
   return response;
 }
 
-bool BatchJobItems::ReadLeasedItem(const ItemLease& lease, LeasedItem* item) {
+absl::StatusOr<LeasedItem> BatchJobItems::ReadLeasedItem(const ItemLease& lease) {
   const std::uint32_t partition = PartitionOf(lease.batch_job_id);
   const BatchJob* batch_job = context_->Replica(partition).batch_jobs().Find(lease.batch_job_id);
-  if (batch_job == nullptr) return false;
+  if (batch_job == nullptr) {
+    return absl::NotFoundError("no batch job " + lease.batch_job_id);
+  }
   const auto record =
       context_->Disk().Get(RecordKey(partition, lease.batch_job_id, RecordKind::kItem, lease.item));
   auto spec =
       record.ok() ? codec::Decode<ItemSpec>(*record) : absl::StatusOr<ItemSpec>(record.status());
   if (!spec.ok()) {
-    logging::Error("batch", "an item cannot be read", {logging::F("lot", lease.batch_job_id)});
-    return false;
+    logging::Error("batch", "item record is unreadable",
+                   {logging::F("batch_job_id", lease.batch_job_id)});
+    return spec.status();
   }
   const BatchJobHeader& header = batch_job->header;
-  item->batch_job_id = lease.batch_job_id;
-  item->route = header.route;
-  item->host = header.host;
-  item->lease = lease.lease;
-  item->expires_ms = kLeaseDuration / kMs;
-  item->failures = static_cast<std::uint32_t>(batch_job->items[lease.item].failed_leases.size());
-  item->attempts = header.attempts;
-  item->retain_left_ms = RunLeftMs(*batch_job, context_->Now());
-  item->item = *std::move(spec);
-  return true;
+  LeasedItem item;
+  item.batch_job_id = lease.batch_job_id;
+  item.route = header.route;
+  item.host = header.host;
+  item.lease = lease.lease;
+  item.expires_ms = kLeaseDuration / kMs;
+  item.failures = static_cast<std::uint32_t>(batch_job->items[lease.item].failed_leases.size());
+  item.attempts = header.attempts;
+  item.retain_left_ms = RunLeftMs(*batch_job, context_->Now());
+  item.item = *std::move(spec);
+  return item;
 }
 
 void BatchJobItems::AddPendingPull(PullItems pull, rpc::Respond respond) {
@@ -256,7 +261,7 @@
   Submit(replica, MakeResult(result.batch_job_id, batch_job.results, record), respond);
 }
 
-// A failure is counted once for each lease: the edge node may tell it several times.
+// A failure is counted once for each lease: the edge node may report it several times.
 void BatchJobItems::CountFailure(PartitionReplica* replica, const BatchJob& batch_job,
                                  const ItemResult& result, std::uint32_t item,
                                  const rpc::Respond& respond) {
@@ -315,7 +320,7 @@
   const Micros now = context_->Now();
   for (const auto& [batch_job_id, item_id] : renew.leased_items) {
     PartitionReplica* replica = context_->ActiveReplica(batch_job_id);
-    if (replica == nullptr) continue;  // its primary will tell
+    if (replica == nullptr) continue;  // its primary responds for it
     const BatchJob* batch_job = replica->batch_jobs().Find(batch_job_id);
     const auto item = batch_job == nullptr ? std::nullopt : batch_job->FindItem(item_id);
     const bool open = item.has_value() && !batch_job->ended && !batch_job->items[*item].done;
--- a/src/tier/batch/batch_job_items.h
+++ b/src/tier/batch/batch_job_items.h
@@ -1,7 +1,9 @@
-// Hands out items of open lots to edge nodes and takes their results.
+// Leases items of open batch jobs to edge nodes and records their results.
 #ifndef PEARREACH_SRC_TIER_BATCH_BATCH_JOB_ITEMS_H_
 #define PEARREACH_SRC_TIER_BATCH_BATCH_JOB_ITEMS_H_
 
+#include <absl/status/statusor.h>
+
 #include <cstdint>
 #include <functional>
 #include <list>
@@ -15,10 +17,11 @@
 
 namespace pearreach::batch {
 
+// Owned by StoreServer. Not thread-safe: all calls and callbacks run on the event loop.
 class BatchJobItems {
  public:
-  // `changed` is called when something of a lot has become visible, `counted` when its waiting
-  // tokens may have changed.
+  // `changed` is called when something of a batch job has become visible, `counted` when its
+  // waiting tokens may have changed.
   using BatchJobListener = std::function<void(const std::string& batch_job_id)>;
   BatchJobItems(StoreContext* context, BatchJobListener changed, BatchJobListener counted);
 
@@ -26,13 +29,13 @@
   void OnResult(ItemResult result, rpc::Respond respond);
   void OnRenew(const RenewLeases& renew, const rpc::Respond& respond);
 
-  void OnAccepted(const std::string& batch_job_id);  // a new lot: its items wait from now on
+  void OnAccepted(const std::string& batch_job_id);  // a new batch job: its items wait from now on
   void OnEnded(const std::string& batch_job_id);
   void OnActive(std::uint32_t partition);
   void OnInactive(std::uint32_t partition);
   // Voids the leases of nodes that are not there any more.
   void DropNodes(const std::function<bool(const std::string& node)>& is_gone);
-  // Gives up all items of the lot that have no result: their time is over.
+  // Gives up all items of the batch job that have no result: their time is over.
   void Abandon(PartitionReplica* replica, const std::string& batch_job_id);
 
  private:
@@ -46,7 +49,8 @@
   void AddBatchJob(const std::string& batch_job_id, const BatchJob& batch_job,
                    Micros reserved_until);
   PullItemsResponse LeaseItems(const PullItems& pull);
-  bool ReadLeasedItem(const ItemLease& lease, LeasedItem* item);
+  // NOT_FOUND: the batch job is gone; other errors: the item's record can't be read.
+  absl::StatusOr<LeasedItem> ReadLeasedItem(const ItemLease& lease);
   std::map<std::string, int> LimitToFairShare(const std::map<std::string, int>& capacity) const;
   void AddPendingPull(PullItems pull, rpc::Respond respond);
   void EndPendingPull(const std::string& node);
@@ -64,9 +68,9 @@
   StoreContext* const context_;
   const BatchJobListener changed_, counted_;
   LeaseTable leases_;
-  std::list<PendingPull> pending_pulls_;  // in the order of their coming
+  std::list<PendingPull> pending_pulls_;  // in order of arrival
   std::uint64_t last_pending_pull_ = 0;
-  std::map<std::string, Micros> pullers_;  // nodes and when they last asked
+  std::map<std::string, Micros> pullers_;  // nodes and when they last pulled
   Timers::Id expiry_timer_ = 0;
   Micros expiry_at_ = 0;
 };
--- a/src/tier/batch/batch_job_reads.h
+++ b/src/tier/batch/batch_job_reads.h
@@ -1,4 +1,4 @@
-// Reads of lots at their primary: results by position, held until there are some, and item bodies.
+// Reads of batch jobs: outputs, with long polling, and item bodies.
 #ifndef PEARREACH_SRC_TIER_BATCH_BATCH_JOB_READS_H_
 #define PEARREACH_SRC_TIER_BATCH_BATCH_JOB_READS_H_
 
@@ -12,13 +12,14 @@
 
 namespace pearreach::batch {
 
+// Owned by StoreServer. Not thread-safe: all calls and callbacks run on the event loop.
 class BatchJobReads {
  public:
   explicit BatchJobReads(StoreContext* context) : context_(context) {}
 
   void OnRead(ReadBatchJob read, rpc::Respond respond);
   void OnBody(const ReadItemBody& read, rpc::Respond respond);
-  // More of the lot is visible, or it is there no longer.
+  // More of the batch job is visible, or it is there no longer.
   void OnVisible(const std::string& batch_job_id);
   void OnInactive(std::uint32_t partition);
 
@@ -38,7 +39,7 @@
 
   StoreContext* const context_;
   std::uint64_t last_read_id_ = 0;
-  std::unordered_map<std::string, PendingReads> pending_reads_;  // by lot
+  std::unordered_map<std::string, PendingReads> pending_reads_;  // by batch job
 };
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/batch_job_store.cpp
+++ b/src/tier/batch/batch_job_store.cpp
@@ -99,11 +99,19 @@
 }
 
 void StoreServer::RegisterHandlers() {
+  transport_->Handle(rpc::MessageType::kStorePing,
+                     [](const std::string&, std::string_view, const rpc::Respond& respond) {
+                       respond(std::string());
+                     });
+  RegisterBatchJobHandlers();
+  RegisterItemHandlers();
+  RegisterReplicationHandlers();
+  RegisterQuotaHandlers();
+}
+
+void StoreServer::RegisterBatchJobHandlers() {
   using rpc::MessageType;
   using rpc::Respond;
-  transport_->Handle(
-      MessageType::kStorePing,
-      [](const std::string&, std::string_view, const Respond& respond) { respond(std::string()); });
   Register<CreateBatchJob>(MessageType::kBatchJobCreate,
                            [this](CreateBatchJob message, Respond respond) {
                              changes_.OnCreate(std::move(message), std::move(respond));
@@ -122,6 +130,11 @@
   Register<ReadItemBody>(
       MessageType::kItemBody,
       [this](const ReadItemBody& message, Respond respond) { reads_.OnBody(message, respond); });
+}
+
+void StoreServer::RegisterItemHandlers() {
+  using rpc::MessageType;
+  using rpc::Respond;
   Register<PullItems>(MessageType::kItemPull, [this](PullItems message, Respond respond) {
     items_.OnPullItems(std::move(message), std::move(respond));
   });
@@ -132,6 +145,11 @@
                         [this](const RenewLeases& message, const Respond& respond) {
                           items_.OnRenew(message, respond);
                         });
+}
+
+void StoreServer::RegisterReplicationHandlers() {
+  using rpc::MessageType;
+  using rpc::Respond;
   Register<Replicate>(MessageType::kReplicate, [this](Replicate message, Respond respond) {
     if (message.scope.partition >= kPartitions) {
       respond(absl::InvalidArgumentError("no such partition"));
@@ -147,6 +165,11 @@
     }
     Replica(message.scope.partition).OnRepairDigest(message, std::move(respond));
   });
+}
+
+void StoreServer::RegisterQuotaHandlers() {
+  using rpc::MessageType;
+  using rpc::Respond;
   Register<QuotaReserveRequest>(MessageType::kQuotaReserve,
                                 [this](QuotaReserveRequest message, Respond respond) {
                                   quota_.OnReserve(std::move(message), std::move(respond));
@@ -161,7 +184,7 @@
                         });
 }
 
-// ---------------------------------------------------------------- surroundings
+// ---------------------------------------------------------------- environment
 
 Micros StoreServer::Now() const { return pearreach::Now(); }
 
@@ -221,7 +244,7 @@
   if (snapshot.stores.empty() || snapshot.stores_revision <= stores_revision_) return;
   auto table = codec::Decode<PlacementTable>(snapshot.stores);
   if (!table.ok()) {
-    logging::Error("batch", "the placement table cannot be read",
+    logging::Error("batch", "placement table is unreadable",
                    {logging::F("error", table.status().ToString())});
     return;
   }
@@ -264,19 +287,19 @@
 }
 
 void StoreServer::OnActive(std::uint32_t partition) {
-  logging::Info("batch", "serves a partition", {logging::F("partition", partition)});
+  logging::Info("batch", "partition became active", {logging::F("partition", partition)});
   items_.OnActive(partition);
   quota_.OnActive(partition);
 }
 
 void StoreServer::OnInactive(std::uint32_t partition) {
-  logging::Info("batch", "serves a partition no longer", {logging::F("partition", partition)});
+  logging::Info("batch", "partition became inactive", {logging::F("partition", partition)});
   items_.OnInactive(partition);
   reads_.OnInactive(partition);
   quota_.OnInactive(partition);
 }
 
-// A suspect may be gone already, and one that said that it leaves holds nothing for long.
+// A suspect may be gone already, and one that is draining has nothing for long.
 bool StoreServer::MayShutDown() const {
   return PeersHoldAllData(placement_, self_, [this](const StoreId& store) {
     const auto at = control_->members().find(store.name);
@@ -319,7 +342,7 @@
   UpdateDiskCapacity();
 }
 
-// ---------------------------------------------------------------- room and pace
+// ---------------------------------------------------------------- disk capacity and repair rate
 
 void StoreServer::ThrottleRepair(bool urgent, RepairThrottle::Send send) {
   repair_throttle_.Schedule(urgent, std::move(send));
@@ -346,10 +369,10 @@
   if (store_without_capacity.has_value() &&
       now - insufficient_capacity_logged_at_ >= kInsufficientCapacityLogPeriod) {
     insufficient_capacity_logged_at_ = now;
-    logging::Warning("batch", "no room on disk for a lot",
+    logging::Warning("batch", "insufficient disk capacity for batch job",
                      {logging::F("store", store_without_capacity->name), logging::F("bytes", bytes),
-                      logging::F("used", disk_->space().used_bytes),
-                      logging::F("limit", disk_->space().limit_bytes)});
+                      logging::F("used_bytes", disk_->space().used_bytes),
+                      logging::F("limit_bytes", disk_->space().limit_bytes)});
   }
   return !store_without_capacity.has_value();
 }
--- a/src/tier/batch/batch_job_store.h
+++ b/src/tier/batch/batch_job_store.h
@@ -1,5 +1,5 @@
-// A store machine: the partitions of lots that it holds by the placement table, and the calls of
-// edge nodes and other stores about them.
+// A store process: the partitions that the placement table assigns to it, and the handlers for the
+// calls of edge nodes and other stores.
 #ifndef PEARREACH_SRC_TIER_BATCH_BATCH_JOB_STORE_H_
 #define PEARREACH_SRC_TIER_BATCH_BATCH_JOB_STORE_H_
 
@@ -29,10 +29,12 @@
 
 namespace pearreach::batch {
 
+// Owns the replicas of all partitions and the components that serve them. Owned by the process
+// (tier/server). Not thread-safe: all calls and callbacks run on the event loop.
 class StoreServer final : private StoreContext {
  public:
-  // Registers its handlers with the mesh and reads its lots from disk. All that is given must live
-  // as long; the disk's pending writes must be done with, or dropped, before this goes.
+  // Registers its handlers with the mesh and reads its batch jobs from disk. All that is given must
+  // live as long; the disk's pending writes must be done with, or dropped, before this goes.
   StoreServer(Timers* timers, rpc::Transport* transport, storage::TableStore* disk,
               control::ControlClient* control, StoreId self, const settings::Bounds& bounds,
               const settings::Tolerance& tolerance, double link_mbps = 0);
@@ -73,6 +75,10 @@
   template <class Message>
   void Register(rpc::MessageType type, std::function<void(Message, rpc::Respond)> handle);
   void RegisterHandlers();
+  void RegisterBatchJobHandlers();
+  void RegisterItemHandlers();
+  void RegisterReplicationHandlers();
+  void RegisterQuotaHandlers();
   void SendLocal(rpc::MessageType type, std::string body, rpc::Done done);
   std::string AddressOf(const StoreId& store) const;
   void AdoptTable(const control::ControlSnapshot& snapshot);
--- a/src/tier/batch/commit_queue.h
+++ b/src/tier/batch/commit_queue.h
@@ -1,5 +1,5 @@
-// Writes of one partition to disk, in order: what was queued behind a write that failed fails with
-// it, so that no change stands on disk without those before it.
+// Writes of one partition to disk, in order. What was queued behind a failed write fails with it,
+// so that no change is on disk without those before it.
 #ifndef PEARREACH_SRC_TIER_BATCH_COMMIT_QUEUE_H_
 #define PEARREACH_SRC_TIER_BATCH_COMMIT_QUEUE_H_
 
@@ -15,6 +15,7 @@
 
 namespace pearreach::batch {
 
+// Owned by PartitionReplica. Not thread-safe: all calls and callbacks run on the event loop.
 class CommitQueue {
  public:
   using Done = std::function<void(absl::Status)>;
@@ -26,7 +27,7 @@
   // One write is under way at a time; what comes meanwhile goes together in the next. `done` is
   // called in the order of the calls. An empty batch waits for those before it.
   void Commit(std::vector<storage::Write> batch, Done done);
-  // Everything that was handed in is durable or has failed.
+  // Everything that was submitted is durable or has failed.
   bool idle() const { return writing_.empty() && waiting_.empty(); }
 
  private:
--- a/src/tier/batch/disk_capacity.cpp
+++ b/src/tier/batch/disk_capacity.cpp
@@ -13,7 +13,7 @@
 // Text that a token comes to, with the framing of its events: about, and rather too much.
 constexpr double kBytesPerToken = 4;
 constexpr std::uint64_t kResultFramingBytes = 256;
-// Kept free for pages that a change writes anew and for news of other stores that are on their way.
+// Kept free for pages that a change writes anew and for reports of other stores that are in flight.
 constexpr std::uint64_t kReservedFraction = 16;
 
 std::uint64_t SizeOnDisk(std::uint64_t value_bytes) {
@@ -62,7 +62,7 @@
   replicas_ = replicas;
 }
 
-// What was admitted may not be on disk yet when the owed bytes are counted: it counts once more.
+// What was admitted may not be on disk yet when the pending bytes are counted: it counts once more.
 void DiskCapacity::SetPendingResultBytes(std::uint64_t bytes) {
   pending_result_bytes_ = bytes;
   admitted_before_ = admitted_;
--- a/src/tier/batch/disk_capacity.h
+++ b/src/tier/batch/disk_capacity.h
@@ -1,5 +1,6 @@
-// Whether a lot finds room on the disks of all replicas of its partition, from the sizes: what is
-// in use, what open lots may still add, and what must stay free to repair the loss of a store.
+// Whether a batch job fits on the disks of all replicas of its partition: from the bytes in use,
+// the bytes that results of open batch jobs may still add, and the reserve for the repair after the
+// loss of a store.
 #ifndef PEARREACH_SRC_TIER_BATCH_DISK_CAPACITY_H_
 #define PEARREACH_SRC_TIER_BATCH_DISK_CAPACITY_H_
 
@@ -14,31 +15,33 @@
 
 namespace pearreach::batch {
 
-// What a lot takes on disk at most, with its results (bytes, whole pages where these count).
+// The most bytes that a batch job takes on disk with its results (whole pages where these count).
 std::uint64_t BatchJobBytes(const BatchJobSpec& batch_job);
-// What the results that are still to come may add.
+// The bytes that the results still missing may add.
 std::uint64_t PendingResultBytes(const BatchJob& batch_job);
 
+// Owned by StoreServer. All sizes are bytes. Not thread-safe.
 class DiskCapacity {
  public:
   // `replicas`: wanted of each partition. Once a store of `stores` is lost, the others take over
   // what it held, as long as enough of them are left.
   void SetStores(std::size_t stores, std::size_t replicas);
-  // Of all open lots on this disk, told anew from time to time.
+  // Sums PendingResultBytes over all open batch jobs on this disk; the caller updates it regularly.
   void SetPendingResultBytes(std::uint64_t bytes);
-  // For further lots on this disk; `space` as it is now.
+  // The bytes left for further batch jobs on this disk; `space` as it is now.
   std::uint64_t AvailableBytes(const storage::Space& space) const;
-  // As another store told it last.
+  // What another store reported last.
   void SetPeerAvailableBytes(const StoreId& store, std::uint64_t capacity) {
     peers_[store] = capacity;
   }
-  // A holder of the partition that lacks the room, if one does; one never heard of does not.
+  // A replica or joiner of the partition that has less than `bytes` left; none if all have enough.
+  // A store that has not reported yet counts as having enough.
   std::optional<StoreId> FindStoreWithoutCapacity(const Partition& table, const StoreId& self,
                                                   const storage::Space& space,
                                                   std::uint64_t bytes) const;
-  // Sets the bytes aside on this disk and at the other holders until they tell anew.
+  // Reserves the bytes on this disk and at the other replicas until they report again.
   void Reserve(const Partition& table, const StoreId& self, std::uint64_t bytes);
-  bool IsNearlyFull(const storage::Space& space) const;  // less than a quarter of the room is left
+  bool IsNearlyFull(const storage::Space& space) const;  // less than a quarter of the limit is left
 
  private:
   std::uint64_t Limit(const storage::Space& space) const;
--- a/src/tier/batch/leases.h
+++ b/src/tier/batch/leases.h
@@ -1,5 +1,5 @@
-// Which items of open lots wait and which are leased to edge nodes. Of one process and in memory
-// only: a pure machine that is handed the time.
+// Which items of open batch jobs wait and which are leased to edge nodes. Kept in memory only:
+// after a restart or a change of the primary the items are leased anew.
 #ifndef PEARREACH_SRC_TIER_BATCH_LEASES_H_
 #define PEARREACH_SRC_TIER_BATCH_LEASES_H_
 
@@ -25,27 +25,30 @@
   std::uint64_t lease = 0;
 };
 
+// Owned by BatchJobItems. A state machine without clock or I/O: the caller passes the time. Not
+// thread-safe.
 class LeaseTable {
  public:
   explicit LeaseTable(std::uint64_t first_lease) : next_lease_(first_lease) {}
 
-  // The items of a lot that is open now. Held back: they may still run for an edge node that has
-  // their lease of an earlier primary; whoever renews one until `reserved_until` gets it.
+  // Adds the items of an open batch job. With `reserved_until` (0: none) they are not leased before
+  // then, as an edge node may still run them under a lease of an earlier primary; whoever renews
+  // one until `reserved_until` gets it.
   void AddBatchJob(const std::string& batch_job_id, const std::string& route, std::int64_t due_ms,
                    std::size_t items, const std::vector<std::uint32_t>& open,
                    Micros reserved_until);
   void DropBatchJob(const std::string& batch_job_id);
   void Finish(const std::string& batch_job_id, std::uint32_t item);  // it has a result
-  // Puts the item back where `lease` is its lease; an adopted one matches any.
+  // Makes the item wait again if `lease` is its lease; an adopted lease matches any.
   bool Return(const std::string& batch_job_id, std::uint32_t item, std::uint64_t lease);
 
-  // Tells of a node's process; the leases of its earlier ones are void. False: it is an earlier
-  // one.
+  // Registers a node's process and voids the leases of its earlier ones. False: `process` itself is
+  // an earlier one.
   bool RegisterProcess(const std::string& node, std::uint64_t process);
   // By room per route, the earliest due first, at most `most` in all.
   std::vector<ItemLease> Acquire(const std::string& node,
                                  const std::map<std::string, int>& capacity, int limit, Micros now);
-  // Whether the node holds the item from now on for another span.
+  // Whether the node now owns the item's lease for another kLeaseDuration.
   bool Renew(const std::string& node, const std::string& batch_job_id, std::uint32_t item,
              Micros now);
   void DropNode(const std::string& node);
@@ -60,8 +63,8 @@
   enum class Phase : std::uint8_t { kGone, kWaiting, kLeased };
   struct Item {
     Phase phase = Phase::kGone;
-    std::uint32_t node = 0;   // 0: held back, nobody's
-    std::uint64_t lease = 0;  // 0: adopted, or held back
+    std::uint32_t node = 0;   // 0: reserved, no owner yet
+    std::uint64_t lease = 0;  // 0: adopted, or reserved
     Micros expires = 0;
   };
   struct BatchJobItems {
--- a/src/tier/batch/messages.h
+++ b/src/tier/batch/messages.h
@@ -1,4 +1,5 @@
-// Messages between edge nodes and store machines, and the table that places lots on stores.
+// Messages between edge nodes and stores, and the table that places batch jobs on stores. The order
+// of the fields is the wire format.
 #ifndef PEARREACH_SRC_TIER_BATCH_MESSAGES_H_
 #define PEARREACH_SRC_TIER_BATCH_MESSAGES_H_
 
@@ -37,7 +38,7 @@
 
 struct PlacementTable {
   std::uint64_t epoch = 0;
-  std::vector<Partition> partitions;  // a lot belongs to PartitionOf(its id)
+  std::vector<Partition> partitions;  // a batch job belongs to PartitionOf(its id)
   std::vector<std::string> retiring;  // node names that are to be emptied
   std::vector<std::string> retired;   // emptied: they hold nothing that is needed
   template <class Archive>
@@ -49,7 +50,7 @@
 constexpr std::uint32_t kPartitions = 32;
 std::uint32_t PartitionOf(std::string_view batch_job_id);  // FNV-1a, the same on every node
 
-// ---------------------------------------------------------------- lots
+// ---------------------------------------------------------------- batch jobs
 
 struct ItemSpec {
   std::string item_id;  // the client's `worker_id` of the entry
@@ -65,7 +66,8 @@
 
 struct BatchJobSpec {
   std::string batch_job_id, route, host;
-  std::uint64_t fingerprint = 0;  // of the whole hand-in: the same lot sent again
+  // Of the whole submission; equal when the same batch job is submitted again.
+  std::uint64_t fingerprint = 0;
   double token_cap = 0, quota_excess = 0;
   int attempts = 1;
   double due_ms = 0, retain_s = 0, status_s = 0;
@@ -78,9 +80,9 @@
 };
 
 // Every call to a store carries the placement epoch that the caller knows. A store that is not the
-// active primary of the lot's partition answers FAILED_PRECONDITION or UNAVAILABLE: ask again.
-// A store whose epoch of the partition is another one refuses a CreateBatchJob: one that is late
-// cannot come into force once the partition has changed.
+// active primary of the batch job's partition answers FAILED_PRECONDITION or UNAVAILABLE: ask
+// again. A store whose epoch of the partition is another one refuses a CreateBatchJob: one that is
+// late cannot come into force once the partition has changed.
 struct CreateBatchJob {
   std::uint64_t placement_epoch = 0, partition_epoch = 0;
   BatchJobSpec batch_job;
@@ -90,12 +92,12 @@
   }
 };
 
-// Asked before a lot's items are sent: whether they could be kept now. It changes nothing, so an
-// answer that does not come leaves nothing in doubt.
+// Asked before a batch job's items are sent: whether they could be kept now. It changes nothing, so
+// an answer that does not come leaves nothing in doubt.
 struct OfferBatchJob {
   std::uint64_t placement_epoch = 0;
   std::string batch_job_id;
-  std::uint64_t disk_bytes = 0;  // that the lot takes at most (BatchJobBytes)
+  std::uint64_t disk_bytes = 0;  // that the batch job takes at most (BatchJobBytes)
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& placement_epoch& batch_job_id& disk_bytes;
@@ -103,7 +105,7 @@
 };
 enum class OfferVerdict : std::uint8_t {
   kWelcome,  // not known here; all stores that would have to keep it have just answered
-  kKnown,    // handed in before, or being handed in
+  kKnown,    // submitted before, or being submitted
   kInsufficientCapacity,  // on the disk of a replica
 };
 struct OfferBatchJobResponse {
@@ -150,7 +152,7 @@
   }
 };
 struct ReadBatchJobResponse {
-  bool found = false;  // false only where it is sure that no such lot was accepted
+  bool found = false;  // false only where it is sure that no such batch job was accepted
   std::uint64_t total = 0;
   std::vector<ItemOutput> outputs;
   template <class Archive>
@@ -254,15 +256,16 @@
   }
 };
 struct RenewLeasesResponse {
-  std::vector<std::pair<std::string, std::string>> stop;  // of ended lots or done: cancel these
+  // Batch job and item, of ended batch jobs or done: the edge node cancels these.
+  std::vector<std::pair<std::string, std::string>> stop;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& stop;
   }
 };
 
-// To the placement duty (kStoreStatus): a joiner holds all of these partitions now; these stores
-// did not answer the sender.
+// To the placement controller (kStoreStatus): a joiner holds all of these partitions now; these
+// stores did not answer the sender.
 struct StoreStatus {
   StoreId store;                                                // the joiner
   std::vector<std::pair<std::uint32_t, std::uint64_t>> filled;  // partition, its epoch
--- a/src/tier/batch/placement.h
+++ b/src/tier/batch/placement.h
@@ -1,5 +1,5 @@
-// Which stores hold which partitions of lots: from the table in force and what is known of the
-// stores, the next table. Pure: no clock, no transport.
+// Which stores hold which partitions of batch jobs: from the table in force and what is known of
+// the stores, the next table. Pure: no clock, no transport.
 #ifndef PEARREACH_SRC_TIER_BATCH_PLACEMENT_H_
 #define PEARREACH_SRC_TIER_BATCH_PLACEMENT_H_
 
--- a/src/tier/batch/placement_controller.cpp
+++ b/src/tier/batch/placement_controller.cpp
@@ -8,19 +8,19 @@
 namespace pearreach::batch {
 namespace {
 
-// How often the stores are looked at: while something is under way, in calm, and without the duty.
+// The period of Reconcile: while something is under way, when settled, and without the role.
 constexpr Micros kBusyPeriod = 200 * kMs;
 constexpr Micros kSettledPeriod = 500 * kMs;
 constexpr Micros kStandbyPeriod = 1 * kSecond;
 // The first table waits until no further store has shown up for this long.
-constexpr Micros kSettleTime = 1 * kSecond;
+constexpr Micros kFirstTableDelay = 1 * kSecond;
 // A store that went away has this long to come back before another takes its place.
 constexpr Micros kReturnTime = 3 * kSecond;
-// A store of the table that a new holder of the duty has not heard of is gone after this.
+// A store of the table that a new owner of the role has not heard of is gone after this.
 constexpr Micros kUnknownTime = 10 * kSecond;
 constexpr Micros kChangeTimeout = 2 * kSecond;
-// A store that has not answered somebody for a quarter of a second and the duty for this time more
-// has been silent for over half a second: longer than any way takes that is not in trouble.
+// A store that has not answered somebody for a quarter of a second and the controller for this time
+// more has been unresponsive for over half a second: longer than any path without a fault takes.
 constexpr Micros kPingTime = 350 * kMs;
 constexpr char kRoleName[] = "placement";
 
@@ -122,7 +122,7 @@
   if (table_ != nullptr && revision_ == snapshot->stores_revision) return true;
   auto table = codec::Decode<PlacementTable>(snapshot->stores);
   if (!table.ok() || table->partitions.size() != kPartitions) {
-    logging::Error("batch", "placement table does not read",
+    logging::Error("batch", "placement table is unreadable",
                    {logging::F("revision", snapshot->stores_revision)});
     return false;
   }
@@ -150,7 +150,7 @@
         liveness_.AddUnknown(now, store, &input.stores);
     }
   }
-  input.allow_first = now - liveness_.changed() >= kSettleTime;
+  input.allow_first = now - liveness_.changed() >= kFirstTableDelay;
   input.allow_joining = !liveness_.MayReturn(now, kReturnTime);
   return input;
 }
--- a/src/tier/batch/placement_controller.h
+++ b/src/tier/batch/placement_controller.h
@@ -1,6 +1,7 @@
-// The duty of placing partitions on stores, held by one node at a time under an epoch
-// (control::SingletonRoleDriver): watches the stores' membership and their reports, and proposes
-// the next placement table, which the control state refuses once another node has taken the duty.
+// The singleton role of placing partitions on stores. One node at a time has it, under an epoch
+// (control::SingletonRoleDriver). It watches the stores' membership and status messages and
+// proposes the next placement table, which the control state rejects once another node has the
+// role.
 #ifndef PEARREACH_SRC_TIER_BATCH_PLACEMENT_CONTROLLER_H_
 #define PEARREACH_SRC_TIER_BATCH_PLACEMENT_CONTROLLER_H_
 
@@ -21,12 +22,14 @@
 
 namespace pearreach::batch {
 
+// Owned by the process of a quorum member (tier/server). Not thread-safe: all calls and callbacks
+// run on the event loop.
 class PlacementController {
  public:
   // `self`: a name of this process that no other one has. Handles kStoreStatus; a node that does
-  // not hold the duty answers it FAILED_PRECONDITION. `suspect_timeout`: see StoreLiveness.
-  // `pings_unresponsive`: stores that others report as silent are asked, and count as gone where
-  // they don't answer.
+  // not have the role responds FAILED_PRECONDITION. `suspect_timeout`: see StoreLiveness.
+  // `pings_unresponsive`: stores that others report as unresponsive are pinged, and count as gone
+  // where they don't respond.
   PlacementController(Timers* timers, rpc::Transport* transport, control::ControlClient* control,
                       std::string self, PlacementSpread spread, Micros suspect_timeout,
                       bool pings_unresponsive = true);
@@ -34,7 +37,8 @@
   PlacementController(const PlacementController&) = delete;
   PlacementController& operator=(const PlacementController&) = delete;
 
-  // Membership has changed: looks at once.
+  // Compares the stores with the placement table now and proposes the next table if there is one.
+  // To be called when membership has changed; also runs periodically.
   void Reconcile();
 
  private:
@@ -58,7 +62,7 @@
   Micros role_since_ = 0;
   const bool pings_unresponsive_;
   StoreLiveness liveness_;
-  std::set<StoreId> pinging_;  // stores that were reported as silent
+  std::set<StoreId> pinging_;  // stores that were reported as unresponsive
   std::set<FilledReport> filled_;
   std::unique_ptr<PlacementTable> table_;  // of `revision_`
   std::uint64_t revision_ = 0;
--- a/src/tier/batch/quota.cpp
+++ b/src/tier/batch/quota.cpp
@@ -13,8 +13,9 @@
   }
 }
 
-// Whether a report that does not name the lot tells that it does not wait and will not: the report
-// was made after the reservation had been asked for, and would name it while that is under way.
+// Whether a report that does not name the batch job tells that it does not wait and will not: the
+// report was made after the reservation had been asked for, and would name it while that is under
+// way.
 bool QuotaTracker::IsOver(const Entry& entry, const Reporter& reporter) {
   if (!entry.reserved) return true;
   const QuotaReservation& reservation = entry.reservation;
--- a/src/tier/batch/quota.h
+++ b/src/tier/batch/quota.h
@@ -1,6 +1,7 @@
-// The tokens that may wait on one route, as its owner counts them: what was granted to lots, which
-// is on disk at every replica of the route's partition, lowered by what the lots' partitions
-// report. A partition that cannot report keeps all that was granted to it. A pure machine.
+// The tokens waiting on one route, as the route's owner counts them: what was granted to batch
+// jobs, which is on disk at every replica of the route's partition, less what the batch jobs'
+// partitions have reported as done. A partition that cannot report keeps all that was granted to
+// it.
 #ifndef PEARREACH_SRC_TIER_BATCH_QUOTA_H_
 #define PEARREACH_SRC_TIER_BATCH_QUOTA_H_
 
@@ -17,15 +18,15 @@
 
 namespace pearreach::batch {
 
-// Of a reservation whose primary has started anew: how long its lot may still be on its way.
+// Of a reservation whose primary has started anew: how long its batch job may still be on its way.
 constexpr Micros kReservationSpan = 3 * kSecond;
-// A partition that tokens were granted to is asked again once it has been silent this long.
+// A partition that tokens were granted to is asked again once it has not reported for this long.
 constexpr Micros kReportSpan = 2 * kSecond;
 
 enum class QuotaDecision : std::uint8_t {
   kGranted,
   kOver,
-  kUnknown,  // nobody who could tell has answered
+  kUnknown,  // no store that knows has responded
 };
 
 struct QuotaReserveRequest {
@@ -37,7 +38,7 @@
     archive& batch_job_id& reservation& cap;
   }
 };
-// Whether a lot would fit now; nothing is set aside for it.
+// Whether a batch job would fit now; nothing is set aside for it.
 struct QuotaQuery {
   std::string route, batch_job_id;
   double tokens = 0, cap = 0;
@@ -65,8 +66,8 @@
   }
 };
 
-// All lots of a route with tokens that wait in the partitions of which the reporter is the active
-// primary. With `ask` it is a question from the route's owner; the answer is a report.
+// All batch jobs of a route with tokens that wait in the partitions of which the reporter is the
+// active primary. With `ask` it is a request of the route's owner; the response is a report.
 struct QuotaReport {
   std::string route;
   // Of the reporter: a process that starts later has a higher number, a later report a higher
@@ -75,33 +76,35 @@
   bool is_request = false;
   std::vector<std::pair<std::uint32_t, std::uint64_t>> partitions;  // with their epochs
   std::vector<BatchJobTokens> batch_jobs;
-  std::vector<std::string> pending_reservations;  // lots for which a reservation is under way
+  std::vector<std::string> pending_reservations;  // batch jobs for which a reservation is under way
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& route& process& sequence& is_request& partitions& batch_jobs& pending_reservations;
   }
 };
 
+// The tracker of one route. Owned by QuotaService. A state machine without clock or I/O: the caller
+// passes the time. Not thread-safe.
 class QuotaTracker {
  public:
   QuotaTracker() = default;
   // With the reservations that are on disk, of this route alone.
   QuotaTracker(const std::map<std::string, QuotaReservation>& reservations, Micros now);
 
-  // Takes over what the report tells. Returns the lots whose reservations are over.
+  // Applies the report. Returns the batch jobs whose reservations are over.
   std::vector<std::string> Report(const QuotaReport& report, Micros now);
-  // Counts the lot from now on where all that waits with its tokens stays within the cap: it may be
-  // taken once the reservation is on disk. A lot with a reservation is granted again.
+  // Counts the batch job from now on where all that waits with its tokens stays within the cap: it
+  // may be taken once the reservation is on disk. A batch job with a reservation is granted again.
   QuotaDecision Reserve(const QuotaReserveRequest& reserve, Micros now);
-  // Whether Reserve would grant it. A ledger that is not fresh says no more than kUnknown for one
+  // Whether Reserve would grant it. A tracker that is not fresh returns kUnknown for one
   // that does not fit.
   QuotaDecision Fits(const QuotaQuery& query) const;
   double Sum() const;
-  // Of a lot that does not fit: notes that it was refused, and when it may fit.
+  // Of a batch job that does not fit: records the rejection; returns when it may fit.
   Micros RetryAfter(const QuotaQuery& query, Micros now);
-  // All partitions that tokens were granted to have reported to this ledger.
+  // All partitions that tokens were granted to have reported to this tracker.
   bool IsFresh() const;
-  // A partition that tokens were granted to has been silent for kReportSpan.
+  // A partition that tokens were granted to has not reported for kReportSpan.
   bool WantsReports(Micros now) const;
 
  private:
@@ -117,7 +120,7 @@
   };
   static bool IsOver(const Entry& entry, const Reporter& reporter);
 
-  std::map<std::string, Entry> entries_;         // by lot
+  std::map<std::string, Entry> entries_;         // by batch job
   std::map<std::uint32_t, Reporter> reporters_;  // by partition
   QuotaDrain drain_;
   Micros since_ = 0;
--- a/src/tier/batch/quota_drain.cpp
+++ b/src/tier/batch/quota_drain.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Micros kMemory = 1 * kSecond;  // of what became free
-// A refused lot that has not been asked for again within this comes no more.
+// A refused batch job that has not been asked for again within this comes no more.
 constexpr Micros kRejectedMemory = 2 * kSecond;
 constexpr Micros kMinWait = 200 * kMs;
 constexpr Micros kMaxWait = 5 * kSecond;  // clients heed no more than a third of their time
--- a/src/tier/batch/quota_drain.h
+++ b/src/tier/batch/quota_drain.h
@@ -1,5 +1,5 @@
-// When a lot that does not fit its route's quota may fit: by how fast tokens have become free there
-// lately, and what else was refused meanwhile and will be asked for again. Pure.
+// Estimates when a batch job that exceeds its route's quota may fit: from the rate at which tokens
+// were freed lately and from the other rejected batch jobs that will be submitted again.
 #ifndef PEARREACH_SRC_TIER_BATCH_QUOTA_DRAIN_H_
 #define PEARREACH_SRC_TIER_BATCH_QUOTA_DRAIN_H_
 
@@ -11,14 +11,15 @@
 
 namespace pearreach::batch {
 
+// Owned by QuotaTracker. No clock, no I/O. Not thread-safe.
 class QuotaDrain {
  public:
   // Tokens that no longer wait.
   void RecordFreed(double tokens, Micros now);
   void RecordRejected(const std::string& batch_job_id, double tokens, Micros now);
   void RecordGranted(const std::string& batch_job_id) { rejected_.erase(batch_job_id); }
-  // Until so many tokens, and those of the other refused lots, have become free; a default where
-  // nothing has become free lately.
+  // Until so many tokens, and those of the other refused batch jobs, have become free; a default
+  // where nothing has become free lately.
   Micros Wait(const std::string& batch_job_id, double missing, Micros now) const;
 
  private:
--- a/src/tier/batch/repair_throttle.cpp
+++ b/src/tier/batch/repair_throttle.cpp
@@ -67,7 +67,7 @@
 void RepairThrottle::LogSent(Micros now, std::size_t bytes) {
   sent_ += bytes;
   if (sent_ == 0 || (logged_at_ != 0 && now - logged_at_ < kLogPeriod)) return;
-  logging::Info("batch", "repair sends lots",
+  logging::Info("batch", "repair sent batch jobs",
                 {logging::F("bytes", sent_), logging::F("partitions_waiting", waiting_.size())});
   logged_at_ = now;
   sent_ = 0;
--- a/src/tier/batch/repair_throttle.h
+++ b/src/tier/batch/repair_throttle.h
@@ -1,5 +1,5 @@
-// One bound over all partitions of a store on what repair sends: bytes a second and calls in
-// flight, so that live changes find the links free.
+// Limits what repair sends, over all partitions of a store: bytes per second and calls in flight,
+// so that changes of clients find the links free.
 #ifndef PEARREACH_SRC_TIER_BATCH_REPAIR_THROTTLE_H_
 #define PEARREACH_SRC_TIER_BATCH_REPAIR_THROTTLE_H_
 
@@ -13,11 +13,12 @@
 
 namespace pearreach::batch {
 
+// Owned by StoreServer. Not thread-safe: all calls and callbacks run on the event loop.
 class RepairThrottle {
  public:
-  // Held while the call that was sent is under way.
+  // Kept while the call that was sent is in flight.
   using Slot = std::shared_ptr<void>;
-  // Sends a part of a repair and returns its bytes; 0: there was nothing to send any more.
+  // Sends a chunk of a repair and returns its bytes; 0: there was nothing left to send.
   using Send = std::function<std::size_t(Slot)>;
   struct Environment {
     std::function<Micros()> now;
@@ -49,7 +50,7 @@
 };
 
 // Bytes a second for repair: a quarter of the link, or as much more, up to three quarters, as it
-// takes to send all that is on this disk within half of the time that a copy may be missing.
+// takes to send all that is on this disk within half of the time that a replica may be missing.
 double RepairRate(double link_mbps, std::uint64_t used_bytes, double sync_s);
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/replica_spread.h
+++ b/src/tier/batch/replica_spread.h
@@ -1,4 +1,4 @@
-// Where the replicas of partitions stand: their zones and regions, against those that are wanted.
+// The zones and regions that the replicas of a partition are in, compared with the wanted spread.
 #ifndef PEARREACH_SRC_TIER_BATCH_REPLICA_SPREAD_H_
 #define PEARREACH_SRC_TIER_BATCH_REPLICA_SPREAD_H_
 
@@ -10,6 +10,7 @@
 
 namespace pearreach::batch {
 
+// A view for the time of one plan. No clock, no I/O.
 class ReplicaSpread {
  public:
   // Both outlive this. Stores that leave by `table` do not count.
@@ -23,7 +24,7 @@
   std::set<std::string> RegionsOf(const std::set<std::string>& zones) const;
   // `after` stands in fewer zones or regions than `before`, of those that are wanted.
   bool ReducesSpread(const Partition& before, const Partition& after) const;
-  // How much a replica is needed where it stands: 2 for the zones and regions that are wanted, 1 as
+  // How much a replica is needed in its zone: 2 for the zones and regions that are wanted, 1 as
   // the only one in its zone.
   int ImportanceOf(const StoreId& store, const Partition& partition) const;
   // The partition's replicas stand in too few zones or regions, and this store's is another one.
--- a/src/tier/batch/replication.cpp
+++ b/src/tier/batch/replication.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "tier/batch/repair_digest.h"
 #include "tier/codec/archive.h"
 #include "tier/logging/log.h"
 
@@ -32,7 +33,7 @@
 
 PartitionReplica::~PartitionReplica() { environment_->Cancel(&confirm_timer_); }
 
-// ---------------------------------------------------------------- part in the table
+// ---------------------------------------------------------------- role in the replica set
 
 void PartitionReplica::SetTable(const Partition& table) {
   if (table.epoch <= table_.epoch) return;
@@ -54,7 +55,7 @@
   active_ = false;
   barrier_done_ = false;
   confirming_sole_ = false;
-  stream_open_ = false;
+  backup_stream_.Close();
   ++term_;
   const std::uint64_t term = term_;
   commits_.Commit({}, [this, term](const absl::Status& status) {
@@ -72,7 +73,7 @@
   const bool was_active = active_;
   primary_ = false;
   active_ = false;
-  stream_open_ = false;
+  backup_stream_.Close();
   ++term_;
   links_.clear();
   FailPending();
@@ -239,14 +240,12 @@
   std::deque<Pending> pending = std::move(pending_);
   pending_.clear();
   for (const Pending& one : pending) one.done(absl::UnavailableError("may have been carried out"));
-  std::vector<Confirmation> confirmations = std::move(confirmations_);
-  confirmations_.clear();
-  for (const Confirmation& one : confirmations) one.done(false);
+  for (const Confirmation& confirmation : confirmations_.RemoveAll()) confirmation.done(false);
 }
 
 // What is on disk is the truth again: start over from it.
 void PartitionReplica::OnDiskFailure(const absl::Status& status) {
-  logging::Error("batch", "a change could not be written",
+  logging::Error("batch", "change could not be written to disk",
                  {logging::F("partition", partition_), logging::F("error", status.ToString())});
   if (!primary_) return;
   StepDown();
@@ -290,7 +289,7 @@
     confirmation.done(confirmed);
     return;
   }
-  confirmations_.push_back(std::move(confirmation));
+  confirmations_.Add(std::move(confirmation));
   ArmConfirmTimer();
   if (IsSole() && !all_required) {
     ConfirmSole();
@@ -304,10 +303,7 @@
 
 void PartitionReplica::ArmConfirmTimer() {
   if (confirmations_.empty()) return;
-  const auto first = std::min_element(
-      confirmations_.begin(), confirmations_.end(),
-      [](const Confirmation& a, const Confirmation& b) { return a.deadline < b.deadline; });
-  const Micros delay = std::max<Micros>(1, first->deadline - environment_->Now());
+  const Micros delay = std::max<Micros>(1, confirmations_.NextDeadline() - environment_->Now());
   environment_->Cancel(&confirm_timer_);
   confirm_timer_ = environment_->After(delay, [this] {
     confirm_timer_ = 0;
@@ -323,12 +319,10 @@
 void PartitionReplica::CheckConfirmations() {
   if (confirmations_.empty()) return;
   const Micros now = environment_->Now();
-  std::vector<Confirmation> finished, waiting;
-  for (Confirmation& one : confirmations_) {
-    const bool over = now >= one.deadline || ConfirmedSince(one.since, one.all_required);
-    (over ? finished : waiting).push_back(std::move(one));
-  }
-  confirmations_ = std::move(waiting);
+  const std::vector<Confirmation> finished =
+      confirmations_.RemoveFinished(now, [this](const Confirmation& confirmation) {
+        return ConfirmedSince(confirmation.since, confirmation.all_required);
+      });
   ArmConfirmTimer();
   for (const Confirmation& one : finished) {
     if (one.all_required) ReportUnresponsive(one.since);
@@ -347,32 +341,14 @@
       table_.replicas.front() != scope.from) {
     return ReplicaVerdict::kStale;
   }
-  return CheckAttempt(scope, starts_attempt);
-}
-
-// A call that comes late, of an earlier process or attempt, must not undo what came after it.
-ReplicaVerdict PartitionReplica::CheckAttempt(const ReplicaScope& scope, bool starts_attempt) {
-  if (former_processes_.contains(scope.process)) return ReplicaVerdict::kSuperseded;
-  if (scope.process == primary_process_ && scope.attempt < attempt_) {
-    return ReplicaVerdict::kSuperseded;
-  }
-  if (scope.process == primary_process_ && scope.attempt == attempt_)
-    return ReplicaVerdict::kAccepted;
-  if (!starts_attempt) return ReplicaVerdict::kUnsynchronised;
-  if (scope.process != primary_process_) {
-    former_processes_.insert(primary_process_);
-    primary_process_ = scope.process;
-  }
-  attempt_ = scope.attempt;
-  stream_open_ = false;
-  return ReplicaVerdict::kAccepted;
+  return backup_stream_.CheckAttempt(scope, starts_attempt);
 }
 
 ReplicaVerdict PartitionReplica::CheckReplicate(const Replicate& message) {
   const ReplicaVerdict verdict = CheckScope(message.scope, false);
   if (verdict != ReplicaVerdict::kAccepted) return verdict;
-  const bool fits = message.fill ? !stream_open_ : stream_open_ && message.first <= next_sequence_;
-  return fits ? ReplicaVerdict::kAccepted : ReplicaVerdict::kUnsynchronised;
+  return backup_stream_.Accepts(message) ? ReplicaVerdict::kAccepted
+                                         : ReplicaVerdict::kUnsynchronised;
 }
 
 void PartitionReplica::OnReplicate(Replicate message, rpc::Respond respond) {
@@ -385,16 +361,13 @@
   std::vector<storage::Write> batch;
   std::uint64_t sequence = message.first;
   for (const Operation& operation : message.operations) {
-    const bool known = !message.fill && sequence++ < next_sequence_;
+    const bool known = !message.fill && sequence++ < backup_stream_.next_sequence();
     if (known) continue;
     std::vector<storage::Write> writes = batch_jobs_.Apply(operation);
     std::move(writes.begin(), writes.end(), std::back_inserter(batch));
   }
-  if (!message.fill) next_sequence_ = std::max(next_sequence_, sequence);
-  if (message.begin) {
-    stream_open_ = true;
-    next_sequence_ = message.first;
-  }
+  if (!message.fill) backup_stream_.Advance(sequence);
+  if (message.begin) backup_stream_.Open(message.first);
   if (batch.empty() && commits_.idle()) {  // nothing to wait for
     response.available_bytes = environment_->AvailableDiskBytes();
     respond(codec::Encode(response));
@@ -406,7 +379,7 @@
       respond(codec::Encode(response));
       return;
     }
-    stream_open_ = false;
+    backup_stream_.Close();
     if (!primary_) batch_jobs_.Load(environment_->Disk());
     respond(status);
   });
@@ -414,22 +387,9 @@
 
 void PartitionReplica::OnRepairDigest(const RepairDigest& message, rpc::Respond respond) {
   RepairDigestResponse response;
-  response.verdict = CheckScope(message.scope, !message.buckets.empty());
-  if (response.verdict == ReplicaVerdict::kAccepted) {
-    const std::vector<std::uint64_t> own_digests = batch_jobs_.BucketDigests();
-    for (std::uint32_t i = 0; i < own_digests.size() && i < message.buckets.size(); ++i) {
-      if (own_digests[i] != message.buckets[i]) response.differing.push_back(i);
-    }
-    std::map<std::string, std::uint64_t> unlisted;
-    for (auto& [batch_job, digest] : batch_jobs_.BatchJobDigests(message.listed))
-      unlisted.emplace(batch_job, digest);
-    for (const auto& [batch_job, digest] : message.batch_jobs) {
-      const auto at = unlisted.find(batch_job);
-      if (at == unlisted.end() || at->second != digest) response.wanted.push_back(batch_job);
-      if (at != unlisted.end()) unlisted.erase(at);
-    }
-    for (const auto& [batch_job, digest] : unlisted) response.surplus.push_back(batch_job);
-  }
+  const ReplicaVerdict verdict = CheckScope(message.scope, !message.buckets.empty());
+  if (verdict == ReplicaVerdict::kAccepted) response = CompareDigests(batch_jobs_, message);
+  response.verdict = verdict;
   respond(codec::Encode(response));
 }
 
--- a/src/tier/batch/replication.h
+++ b/src/tier/batch/replication.h
@@ -1,6 +1,6 @@
-// One partition at one store: its lots, its part in the partition's table and the order of changes.
-// The primary's state is the truth; a change counts once it is durable at every replica of the
-// table. Time, disk and messages come from the environment alone.
+// One partition at one store: its batch jobs, its role in the partition's replica set and the order
+// of changes. The primary's state is authoritative; a change is committed once it is durable at
+// every replica of the partition. Time, disk and messages come from the environment alone.
 #ifndef PEARREACH_SRC_TIER_BATCH_REPLICATION_H_
 #define PEARREACH_SRC_TIER_BATCH_REPLICATION_H_
 
@@ -12,15 +12,16 @@
 #include <limits>
 #include <map>
 #include <memory>
-#include <set>
 #include <string>
 #include <string_view>
 #include <utility>
 #include <vector>
 
 #include "common/event_loop/timers.h"
+#include "tier/batch/backup_stream.h"
 #include "tier/batch/batch_job_state.h"
 #include "tier/batch/commit_queue.h"
+#include "tier/batch/confirmation_queue.h"
 #include "tier/batch/messages.h"
 #include "tier/batch/repair_throttle.h"
 #include "tier/batch/replication_link.h"
@@ -51,21 +52,22 @@
   // This store may serve the partition from now on, or no longer.
   virtual void OnActive(std::uint32_t partition) = 0;
   virtual void OnInactive(std::uint32_t partition) = 0;
-  // Calls `send` once the store may send a part of a repair.
+  // Calls `send` once the store may send a chunk of a repair.
   virtual void ThrottleRepair(bool /*urgent*/, RepairThrottle::Send send) {
     After(0, [send = std::move(send)] { send(nullptr); });
   }
-  // Bytes that this store's disk has for further lots; as another store told it.
+  // The bytes that this store's disk has for further batch jobs, and what another store reported.
   virtual std::uint64_t AvailableDiskBytes() const {
     return std::numeric_limits<std::uint64_t>::max();
   }
   virtual void SetPeerAvailableBytes(const StoreId& /*store*/, std::uint64_t /*bytes*/) {}
   // A replica that a change would wait for has not answered.
   virtual void OnUnresponsive(const StoreId& /*peer*/) {}
-  // A joiner holds all of the partition, under its present epoch.
+  // A joiner has all of the partition, under its present epoch.
   virtual void OnFilled(std::uint32_t partition) = 0;
 };
 
+// Owned by StoreServer. Not thread-safe: all calls and callbacks run on the event loop.
 class PartitionReplica final : public LinkOwner {
  public:
   using ChangeDone = std::function<void(absl::Status)>;
@@ -85,13 +87,14 @@
   BatchJobTable& batch_jobs() { return batch_jobs_; }
   const BatchJobTable& batch_jobs() const { return batch_jobs_; }
 
-  // Active primary only. The change is in lots() at once, counts once `done` is called with OK, and
-  // is in doubt (UNAVAILABLE) where this store loses its part before that.
+  // REQUIRES: is_active(), else `done` gets FAILED_PRECONDITION. The change is in batch_jobs() at
+  // once, counts once `done` is called with OK, and is in doubt (UNAVAILABLE) where this store
+  // loses the primary role before that.
   void Submit(Operation operation, ChangeDone done);
   // Calls back whether no other store can have taken over by now, to within kConfirmSpan.
   void Confirm(std::function<void(bool)> done);
   // Calls back whether all replicas that a change would wait for have answered within `span`
-  // before now or do so within `timeout`. Active primary only.
+  // before now or do so within `timeout`. REQUIRES: is_active().
   void ConfirmAllRequired(Micros span, Micros timeout, std::function<void(bool)> done);
   // Joiners that hold all of the partition; they stay required until the epoch changes.
   std::vector<StoreId> FilledJoiners() const;
@@ -107,11 +110,6 @@
     bool committed = false;
     ChangeDone done;
   };
-  struct Confirmation {
-    Micros since = 0, deadline = 0;
-    bool all_required = false;  // also by joiners that changes wait for
-    std::function<void(bool)> done;
-  };
 
   // LinkOwner
   ReplicaScope Scope(const StoreId& to) const override;
@@ -142,7 +140,6 @@
   bool ConfirmedSince(Micros since, bool all_required) const;
   bool IsSole() const { return table_.replicas.size() == 1; }
   ReplicaVerdict CheckScope(const ReplicaScope& scope, bool starts_attempt);
-  ReplicaVerdict CheckAttempt(const ReplicaScope& scope, bool starts_attempt);
   ReplicaVerdict CheckReplicate(const Replicate& message);
 
   const std::uint32_t partition_;
@@ -159,14 +156,9 @@
   std::uint64_t last_sequence_ = 0;
   std::deque<Pending> pending_;
   std::map<StoreId, std::shared_ptr<ReplicaLink>> links_;
-  std::vector<Confirmation> confirmations_;
+  ConfirmationQueue confirmations_;
   Timers::Id confirm_timer_ = 0;
-  // As a backup: the primary's process and its last synchronisation, whether that is complete and
-  // the next sequence of the stream that follows it.
-  std::uint64_t primary_process_ = 0, attempt_ = 0;
-  bool stream_open_ = false;
-  std::uint64_t next_sequence_ = 0;
-  std::set<std::uint64_t> former_processes_;
+  BackupStream backup_stream_;  // as a backup
 };
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/replication_link.cpp
+++ b/src/tier/batch/replication_link.cpp
@@ -60,8 +60,9 @@
   return scope;
 }
 
-// The digests tell the state up to `base_sequence_`; all later changes go into the queue and follow
-// it. Lots are sent as they are when their turn comes: applying a queued change again does no harm.
+// The digests cover the state up to `base_sequence_`; all later changes go into the queue and
+// follow it. Batch jobs are sent as they are when their turn comes: applying a queued change again
+// does no harm.
 void ReplicaLink::Synchronise() {
   environment_->Cancel(&retry_timer_);
   ++generation_;
@@ -102,7 +103,7 @@
         batch_jobs_to_erase_.assign(response.surplus.begin(), response.surplus.end());
         const std::weak_ptr<ReplicaLink> weak = weak_from_this();
         const std::uint64_t generation = generation_;
-        // Lots are read from disk: what the digests told must be there.
+        // Batch jobs are read from disk: what the digests cover must be there.
         owner_->CommitBarrier([weak, generation](const absl::Status&) {
           const auto self = weak.lock();
           if (self == nullptr || self->generation_ != generation) return;
@@ -111,7 +112,7 @@
       });
 }
 
-// A part at a time, as the store's pace of repair allows.
+// One chunk at a time, as the store's repair throttle allows.
 void ReplicaLink::SendNextRepair() {
   if (batch_jobs_to_send_.empty() && batch_jobs_to_erase_.empty()) {
     OpenStream();
@@ -167,7 +168,7 @@
 }
 
 void ReplicaLink::Enqueue(std::uint64_t sequence, std::shared_ptr<const Operation> operation) {
-  if (state_ == State::kWaiting) return;  // the next synchronisation will tell it
+  if (state_ == State::kWaiting) return;  // the next synchronisation covers it
   queue_.push_back({sequence, std::move(operation)});
   SendNext();
 }
--- a/src/tier/batch/replication_link.h
+++ b/src/tier/batch/replication_link.h
@@ -24,7 +24,7 @@
 
 class ReplicationEnvironment;
 
-constexpr Micros kConfirmSpan = 500 * kMs;  // how long an answer of a replica vouches for the table
+constexpr Micros kConfirmSpan = 500 * kMs;  // how long a response of a replica confirms the table
 
 // What a link uses of its partition.
 class LinkOwner {
@@ -38,6 +38,8 @@
   virtual void OnLinkAdvanced() = 0;
 };
 
+// Shared so that a late response can tell whether the link is still there; the partition's primary
+// (LinkOwner) drops it. Not thread-safe: all calls and callbacks run on the event loop.
 class ReplicaLink : public std::enable_shared_from_this<ReplicaLink> {
  public:
   ReplicaLink(StoreId peer, LinkOwner* owner, ReplicationEnvironment* environment);
@@ -84,14 +86,14 @@
   LinkOwner* const owner_;
   ReplicationEnvironment* const environment_;
   State state_ = State::kWaiting;
-  std::uint64_t generation_ = 0;  // of the synchronisation: late answers of earlier ones are void
+  std::uint64_t generation_ = 0;  // of the synchronisation: late responses of earlier ones are void
   // Each link is a process of its own to the peer, whose late calls it refuses once there is
   // another one: neither a store that is primary again nor one that starts again is taken for its
   // former self.
   std::uint64_t process_;
   std::uint64_t attempt_ = 0, base_sequence_ = 0;
   std::deque<Queued> queue_;
-  std::deque<std::string> batch_jobs_to_send_, batch_jobs_to_erase_;  // lots
+  std::deque<std::string> batch_jobs_to_send_, batch_jobs_to_erase_;  // batch jobs
   std::uint64_t acknowledged_ = 0;
   Micros confirmed_at_ = 0;
   bool in_flight_ = false, confirmation_wanted_ = false;
--- a/src/tier/batch/replication_messages.h
+++ b/src/tier/batch/replication_messages.h
@@ -33,7 +33,7 @@
   kBehind,          // this replica has yet to learn of the sender's table
 };
 
-// Changes from the primary: next ones of a stream, or whole lots of a synchronisation.
+// Changes from the primary: next ones of a stream, or whole batch jobs of a synchronisation.
 struct Replicate {
   ReplicaScope scope;
   std::uint64_t first = 0;  // sequence of the first operation; with `begin`: of the next to come
@@ -56,11 +56,11 @@
   }
 };
 
-// First with `buckets` alone, then with the lots of the buckets that differ.
+// First with `buckets` alone, then with the batch jobs of the buckets that differ.
 struct RepairDigest {
   ReplicaScope scope;
   std::vector<std::uint64_t> buckets;
-  std::vector<std::uint32_t> listed;  // buckets of which `lots` holds all
+  std::vector<std::uint32_t> listed;  // buckets of which `batch jobs` holds all
   std::vector<std::pair<std::string, std::uint64_t>> batch_jobs;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -71,8 +71,8 @@
 struct RepairDigestResponse {
   ReplicaVerdict verdict = ReplicaVerdict::kAccepted;
   std::vector<std::uint32_t> differing;  // buckets
-  std::vector<std::string> wanted;       // lots that differ or are missing
-  std::vector<std::string> surplus;      // lots that the primary did not list
+  std::vector<std::string> wanted;       // batch jobs that differ or are missing
+  std::vector<std::string> surplus;      // batch jobs that the primary did not list
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& verdict& differing& wanted& surplus;
--- a/src/tier/batch/shutdown_check.h
+++ b/src/tier/batch/shutdown_check.h
@@ -1,5 +1,4 @@
-// Whether a store may end without being the last to hold something: what it asks itself before a
-// planned end.
+// Whether a store may shut down without being the last one to have some data.
 #ifndef PEARREACH_SRC_TIER_BATCH_SHUTDOWN_CHECK_H_
 #define PEARREACH_SRC_TIER_BATCH_SHUTDOWN_CHECK_H_
 
@@ -9,8 +8,8 @@
 
 namespace pearreach::batch {
 
-// Of each partition that `self` holds, another live store holds all that was acknowledged.
-// `is_live`: the store runs, on that disk, and has not said that it leaves.
+// Of each partition that `self` has, another live store has all that was acknowledged.
+// `is_live`: the store runs, on that disk, and is not draining.
 bool PeersHoldAllData(const PlacementTable& table, const StoreId& self,
                       const std::function<bool(const StoreId&)>& is_live);
 
--- a/src/tier/batch/store_context.h
+++ b/src/tier/batch/store_context.h
@@ -1,5 +1,5 @@
-// What the parts of a store use of each other's surroundings: the partitions, the placement table,
-// this store's identity and the time of day.
+// What the components of a store use of their process: the partitions, the placement table, this
+// store's identity and the time of day.
 #ifndef PEARREACH_SRC_TIER_BATCH_STORE_CONTEXT_H_
 #define PEARREACH_SRC_TIER_BATCH_STORE_CONTEXT_H_
 
@@ -18,13 +18,15 @@
 
 namespace pearreach::batch {
 
+// Implemented by StoreServer and by test doubles. Not thread-safe: all calls and callbacks run on
+// the event loop.
 class StoreContext : public ReplicationEnvironment {
  public:
   virtual const StoreId& Self() const = 0;
   virtual const PlacementTable& Placement() const = 0;
   virtual PartitionReplica& Replica(std::uint32_t partition) = 0;
-  // Whether the disks of all replicas have room for a lot of so many bytes; the second sets it
-  // aside.
+  // Whether the disks of all replicas have room for a batch job of so many bytes; the second sets
+  // it aside.
   virtual bool HasDiskCapacity(const Partition& /*table*/, std::uint64_t /*bytes*/) { return true; }
   virtual bool ReserveDiskCapacity(const Partition& /*table*/, std::uint64_t /*bytes*/) {
     return true;
@@ -32,7 +34,7 @@
   // Milliseconds since 1970; does not jump while this process lives.
   virtual std::int64_t WallMs() const = 0;
 
-  // The lot's partition where this store is its active primary, else null.
+  // The batch job's partition where this store is its active primary, else null.
   PartitionReplica* ActiveReplica(std::string_view batch_job_id) {
     PartitionReplica& replica = Replica(PartitionOf(batch_job_id));
     return replica.is_active() ? &replica : nullptr;
--- a/src/tier/batch/store_liveness.h
+++ b/src/tier/batch/store_liveness.h
@@ -1,5 +1,4 @@
-// What the placement duty makes of the stores' membership over time: which of them are there, which
-// are silent and which have gone. Pure: no clock, no transport.
+// Which stores are live, suspect, unresponsive or gone, from membership over time.
 #ifndef PEARREACH_SRC_TIER_BATCH_STORE_LIVENESS_H_
 #define PEARREACH_SRC_TIER_BATCH_STORE_LIVENESS_H_
 
@@ -16,6 +15,7 @@
 std::map<std::string, StoreView> StoresOf(
     const std::map<std::string, coordination::Member>& members);
 
+// Owned by PlacementController. No clock, no I/O: the caller passes the time. Not thread-safe.
 class StoreLiveness {
  public:
   // `suspect_timeout`: a store that has been suspect for so long without refuting it counts as
@@ -24,14 +24,14 @@
   explicit StoreLiveness(Micros suspect_timeout) : suspect_timeout_(suspect_timeout) {}
 
   void Reset(Micros now);
-  // Takes over what membership says. Returns the stores with a suspect that stays silent as gone.
+  // Updates from membership. Returns the stores; unresponsive and timed-out suspects are gone.
   std::map<std::string, StoreView> Update(
       Micros now, const std::map<std::string, coordination::Member>& members);
   // Adds a store that only the placement table names: it was never heard of and is gone.
   void AddUnknown(Micros now, const StoreId& store, std::map<std::string, StoreView>* stores);
 
-  // A store did not answer the duty, or has answered it again. One that is silent counts as gone
-  // until it answers or another disk is at its place.
+  // A store did not respond to the placement controller, or has responded again. An unresponsive
+  // store counts as gone until it responds or has another disk.
   void MarkUnresponsive(Micros now, const StoreId& store);
   void MarkResponsive(Micros now, const StoreId& store);
   const std::map<StoreId, Micros>& unresponsive() const { return unresponsive_; }  // since when
--- a/src/tier/batch/store_quota.cpp
+++ b/src/tier/batch/store_quota.cpp
@@ -37,7 +37,7 @@
   return context_->ActiveReplica(route) != nullptr;
 }
 
-// ---------------------------------------------------------------- as a primary of lots
+// ---------------------------------------------------------------- as a primary of batch jobs
 
 void QuotaService::Reserve(const BatchJobSpec& batch_job, std::function<void(QuotaDecision)> done) {
   const StoreId* owner = OwnerOf(batch_job.route);
@@ -60,9 +60,9 @@
                  });
 }
 
-// Until `done` has been called, reports name the lot as asked for; from then on as waiting here, if
-// it was granted. A grant from before a change of the partition counts no more: the owner may have
-// been told since, by another primary, that there is no such lot.
+// Until `done` has been called, reports name the batch job as asked for; from then on as waiting
+// here, if it was granted. A grant from before a change of the partition counts no more: the owner
+// may have been told since, by another primary, that there is no such batch job.
 void QuotaService::OnReserved(const std::string& batch_job_id, const QuotaReservation& reservation,
                               const absl::StatusOr<std::string>& bytes,
                               const std::function<void(QuotaDecision)>& done) {
@@ -202,8 +202,8 @@
   return at->second;
 }
 
-// A new owner knows what was granted but not yet how much of it has been done: a lot that does not
-// fit waits a moment for the first reports.
+// A new owner knows what was granted but not yet how much of it has been done: a batch job that
+// does not fit waits a moment for the first reports.
 void QuotaService::Grant(const QuotaReserveRequest& reserve, const rpc::Respond& respond) {
   const std::string route = reserve.reservation.route;
   OwnedRoute& owned = FindOrAddOwnedRoute(route);
--- a/src/tier/batch/store_quota.h
+++ b/src/tier/batch/store_quota.h
@@ -1,7 +1,7 @@
-// The tokens that may wait on a route: asks the route's owner for room for new lots, reports to the
-// owners what waits here, and keeps the ledgers of the routes that this store owns. A grant is a
-// change of the owner's partition, so it is on disk at every replica before it is told: a later
-// owner knows all that was granted, whoever can be asked.
+// The quota of waiting tokens by route. As the primary of batch jobs a store reserves tokens at the
+// route's owner and reports what still waits; as the owner of a route it grants reservations. A
+// grant is a change of the owner's partition and on disk at every replica before it is
+// acknowledged, so that a later owner knows all grants.
 #ifndef PEARREACH_SRC_TIER_BATCH_STORE_QUOTA_H_
 #define PEARREACH_SRC_TIER_BATCH_STORE_QUOTA_H_
 
@@ -18,15 +18,16 @@
 
 namespace pearreach::batch {
 
+// Owned by StoreServer. Not thread-safe: all calls and callbacks run on the event loop.
 class QuotaService {
  public:
   explicit QuotaService(StoreContext* context);
 
-  // For a lot that is to be taken here.
+  // For a batch job that is to be taken here.
   void Reserve(const BatchJobSpec& batch_job, std::function<void(QuotaDecision)> done);
-  // A lot for which a reservation was made is not taken after all.
+  // A batch job for which a reservation was made is not taken after all.
   void CancelReservation(const std::string& route) { ScheduleReport(route); }
-  // The lot's waiting tokens may have changed.
+  // The batch job's waiting tokens may have changed.
   void Update(const std::string& batch_job_id);
 
   void OnReserve(QuotaReserveRequest reserve, rpc::Respond respond);
@@ -72,10 +73,11 @@
   StoreContext* const context_;
   const std::uint64_t process_;  // by the time of its start
   std::uint64_t sequence_ = 0;
-  std::map<std::string, std::map<std::string, double>> tokens_;  // by route and lot, of this store
-  std::map<std::string, std::string> routes_;                    // of the lots in `tokens_`
+  std::map<std::string, std::map<std::string, double>>
+      tokens_;                                 // by route and batch job, of this store
+  std::map<std::string, std::string> routes_;  // of the batch jobs in `tokens_`
   std::map<std::string, PendingReservation>
-      pending_reservations_;       // by lot: reservations under way
+      pending_reservations_;       // by batch job: reservations under way
   std::set<std::string> changed_;  // routes to be reported
   Timers::Id report_timer_ = 0;
   std::map<std::string, OwnedRoute> owned_routes_;  // by route
--- a/tests/tier/batch/placement_rules_test.cpp
+++ b/tests/tier/batch/placement_rules_test.cpp
@@ -45,7 +45,7 @@
   }
 
   // Follows the rules with every joining store filled at once, until nothing changes.
-  static PlacementTable Settle(PlacementTable table, PlacementInput* input) {
+  static PlacementTable PlanUntilSettled(PlacementTable table, PlacementInput* input) {
     for (int round = 0; round < 500; ++round) {
       ReportAllFilled(table, input);
       auto next = NextPlacement(&table, *input);
@@ -106,14 +106,14 @@
     input.spread.zones = 2;
     const PlacementTable first = *NextPlacement(nullptr, input);
     for (const char* name : {"s1", "s4"}) input.stores[name].condition = StoreCondition::kGone;
-    const PlacementTable between = Settle(first, &input);
+    const PlacementTable between = PlanUntilSettled(first, &input);
     for (const char* name : {"s2", "s5"}) input.stores[name].condition = StoreCondition::kGone;
-    const PlacementTable narrow = Settle(between, &input);
+    const PlacementTable narrow = PlanUntilSettled(between, &input);
     for (const Partition& partition : narrow.partitions) {
       CPPUNIT_ASSERT(ZonesOf(partition, input) == std::set<std::string>({"z0"}));
     }
     for (auto& [name, store] : input.stores) store.condition = StoreCondition::kLive;
-    const PlacementTable wide = Settle(narrow, &input);
+    const PlacementTable wide = PlanUntilSettled(narrow, &input);
     CPPUNIT_ASSERT(IsSettled(wide, 2));
     for (const Partition& partition : wide.partitions) {
       CPPUNIT_ASSERT_EQUAL(std::size_t{2}, ZonesOf(partition, input).size());
@@ -126,7 +126,7 @@
     input.spread.zones = 2;
     for (const char* zone : {"z0", "z1", "z2", "z3"}) input.spread.region_of[zone] = "near";
     for (const char* zone : {"z4", "z5"}) input.spread.region_of[zone] = "far";
-    const PlacementTable table = Settle(*NextPlacement(nullptr, input), &input);
+    const PlacementTable table = PlanUntilSettled(*NextPlacement(nullptr, input), &input);
     for (const Partition& partition : table.partitions) {
       std::set<std::string> regions;
       for (const std::string& zone : ZonesOf(partition, input)) {
@@ -168,7 +168,7 @@
     for (const Partition& partition : joining.partitions) {
       CPPUNIT_ASSERT_EQUAL(std::size_t{2}, partition.replicas.size() + partition.joining.size());
     }
-    CPPUNIT_ASSERT(IsSettled(Settle(joining, &input), 2));
+    CPPUNIT_ASSERT(IsSettled(PlanUntilSettled(joining, &input), 2));
   }
 
   void KeepsAnUncertainStore() {
@@ -205,7 +205,7 @@
       CPPUNIT_ASSERT(partition.joining == std::vector<StoreId>({{"s0", "new"}}));
     }
     input.stores["s1"].condition = StoreCondition::kLive;
-    CPPUNIT_ASSERT(IsSettled(Settle(next, &input), 2));
+    CPPUNIT_ASSERT(IsSettled(PlanUntilSettled(next, &input), 2));
   }
 
   void CountsOnlyReportsOfTheEpoch() {
@@ -235,7 +235,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, partition.epoch);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, partition.joining.size());
     CPPUNIT_ASSERT(partition.joining.front().name != "s1");
-    CPPUNIT_ASSERT(IsSettled(Settle(next, &input), 2));
+    CPPUNIT_ASSERT(IsSettled(PlanUntilSettled(next, &input), 2));
   }
 
   // The loss of any store leaves partitions with several others.
@@ -259,7 +259,7 @@
     const PlacementTable joining = *NextPlacement(&table, input);
     CPPUNIT_ASSERT(NamesStore(joining, "s0"));
     CPPUNIT_ASSERT(joining.retired.empty());
-    const PlacementTable done = Settle(joining, &input);
+    const PlacementTable done = PlanUntilSettled(joining, &input);
     CPPUNIT_ASSERT(!NamesStore(done, "s0"));
     CPPUNIT_ASSERT(done.retiring.empty());
     CPPUNIT_ASSERT(done.retired == std::vector<std::string>({"s0"}));
@@ -270,7 +270,7 @@
     PlacementInput input = Stores(3);
     const PlacementTable first = *NextPlacement(nullptr, input);
     input.stores["late"] = {{"late", "d"}, "z0"};
-    const PlacementTable done = Settle(first, &input);
+    const PlacementTable done = PlanUntilSettled(first, &input);
     CPPUNIT_ASSERT(IsSettled(done, 2));
     CPPUNIT_ASSERT(CountOf(done, "late", false) >= 10);
     CPPUNIT_ASSERT(CountOf(done, "late", true) >= 3);
--- a/tests/tier/batch/repair_throttle_test.cpp
+++ b/tests/tier/batch/repair_throttle_test.cpp
@@ -10,7 +10,7 @@
 namespace pearreach::batch {
 namespace {
 
-constexpr std::size_t kPart = 10'000;
+constexpr std::size_t kChunkBytes = 10'000;
 constexpr double kRate = 1'000'000;
 
 class RepairThrottleTest : public CppUnit::TestFixture {
@@ -36,7 +36,7 @@
   }
 
   void StaysWithinItsRate() {
-    for (int i = 0; i < 300; ++i) repair_throttle_->Schedule(false, Part());
+    for (int i = 0; i < 300; ++i) repair_throttle_->Schedule(false, MakeChunk());
     RunUntil(now_ + kSecond);
     CPPUNIT_ASSERT(sent_.size() >= 100 && sent_.size() <= 101);
     RunUntil(now_ + 3 * kSecond);
@@ -48,7 +48,7 @@
     for (int i = 0; i < 20; ++i) {
       repair_throttle_->Schedule(false, [&](RepairThrottle::Slot slot) {
         held.push_back(std::move(slot));
-        return kPart;
+        return kChunkBytes;
       });
     }
     RunUntil(now_ + 10 * kSecond);
@@ -62,8 +62,8 @@
   }
 
   void UrgentRepairsGoAtOnceAndCount() {
-    for (int i = 0; i < 50; ++i) repair_throttle_->Schedule(false, Part());
-    for (int i = 0; i < 10; ++i) repair_throttle_->Schedule(true, Part());
+    for (int i = 0; i < 50; ++i) repair_throttle_->Schedule(false, MakeChunk());
+    for (int i = 0; i < 10; ++i) repair_throttle_->Schedule(true, MakeChunk());
     RunUntil(now_ + kMs);
     CPPUNIT_ASSERT_EQUAL(std::size_t{10}, sent_.size());
     RunUntil(now_ + 98 * kMs);
@@ -75,7 +75,7 @@
   void UnwantedRepairsTakeNoTime() {
     for (int i = 0; i < 100; ++i)
       repair_throttle_->Schedule(false, [](const auto&) { return std::size_t{0}; });
-    repair_throttle_->Schedule(false, Part());
+    repair_throttle_->Schedule(false, MakeChunk());
     RunUntil(now_ + kMs);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent_.size());
   }
@@ -89,10 +89,10 @@
   }
 
  private:
-  RepairThrottle::Send Part() {
+  RepairThrottle::Send MakeChunk() {
     return [this](const RepairThrottle::Slot&) {
       sent_.push_back(now_);
-      return kPart;
+      return kChunkBytes;
     };
   }
   void RunUntil(Micros end) {
--- a/tests/tier/batch/shutdown_check_test.cpp
+++ b/tests/tier/batch/shutdown_check_test.cpp
@@ -26,7 +26,7 @@
   void RefusesShutdownWithTheOnlyReplica() {
     const struct {
       std::string what, replicas, joining, live;
-      bool may_leave;
+      bool may_shut_down;
     } cases[] = {
         {"another holds all", "a1 b1", "", "a1 b1 c1", true},
         {"a backup", "b1 a1", "", "a1 b1 c1", true},
@@ -45,7 +45,7 @@
       table.partitions.push_back({1, Ids(test.replicas), Ids(test.joining)});
       const auto ids = Ids(test.live);
       const std::set<StoreId> live(ids.begin(), ids.end());
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(test.what, test.may_leave,
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(test.what, test.may_shut_down,
                                    PeersHoldAllData(table, {"a", "1"}, [&](const StoreId& id) {
                                      return live.count(id) > 0;
                                    }));
--- a/tests/tier/batch/store_fleet.h
+++ b/tests/tier/batch/store_fleet.h
@@ -22,6 +22,7 @@
 #include "tier/batch/repair_throttle.h"
 #include "tier/batch/store_context.h"
 #include "tier/batch/store_quota.h"
+#include "virtual_time.h"
 
 namespace pearreach::batch::fleet_test {
 
@@ -95,7 +96,7 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-class Fleet {
+class Fleet : public VirtualTime {
  public:
   struct Machine {
     StoreId id;
@@ -104,7 +105,7 @@
     int wipes = 0;
   };
 
-  Fleet(std::uint64_t seed, int stores) : random(seed) {
+  Fleet(std::uint64_t seed, int stores) : VirtualTime(seed, 1000 * kSecond) {
     for (int i = 0; i < stores; ++i) {
       const std::string name = "s" + std::to_string(i);
       machines[name] = {{name, name + "-disk0"}, std::make_unique<MemoryDisk>(), nullptr, 0};
@@ -114,23 +115,6 @@
     Tick();
   }
 
-  void At(Micros delay, std::function<void()> callback) {
-    events_.emplace(std::make_pair(now + delay, ++last_), std::move(callback));
-  }
-  void RunUntil(Micros end) {
-    while (!events_.empty() && events_.begin()->first.first <= end) {
-      auto node = events_.extract(events_.begin());
-      now = std::max(now, node.key().first);
-      node.mapped()();
-    }
-    now = std::max(now, end);
-  }
-  Micros Between(Micros low, Micros high) {
-    return std::uniform_int_distribution<Micros>(low, high)(random);
-  }
-  bool Chance(double probability) {
-    return std::uniform_real_distribution<double>(0, 1)(random) < probability;
-  }
   VirtualStore* Find(const StoreId& id) {
     const auto at = machines.find(id.name);
     return at != machines.end() && at->second.id == id ? at->second.store.get() : nullptr;
@@ -175,8 +159,6 @@
     }
   }
 
-  std::mt19937_64 random;
-  Micros now = 1000 * kSecond;
   PlacementTable table;
   double loss = 0;
   int muted = -1;  // a partition whose replicas do not hear each other
@@ -189,9 +171,6 @@
     }
     At(500 * kMs, [this] { Tick(); });
   }
-
-  std::map<std::pair<Micros, std::uint64_t>, std::function<void()>> events_;
-  std::uint64_t last_ = 0;
 };
 
 inline VirtualStore::VirtualStore(Fleet* fleet, StoreId id, MemoryDisk* disk)
--- a/tests/tier/batch/store_quota_test.cpp
+++ b/tests/tier/batch/store_quota_test.cpp
@@ -47,7 +47,7 @@
     const ItemResult result{batch_job->first, item, 1, RunOutcome::kComplete, "text"};
     batch_job->second.erase(batch_job->second.begin());
     if (batch_job->second.empty()) open_.erase(batch_job);
-    Tell(result);
+    ReportResult(result);
   }
 
   void End() {
@@ -73,7 +73,7 @@
   }
 
   int accepted = 0, over = 0;
-  double most = 0;
+  double max_waiting = 0;
 
  private:
   void Try(const BatchJobSpec& batch_job, int attempts) {
@@ -109,18 +109,19 @@
     }
     ++accepted;
     for (const ItemSpec& item : batch_job.items) open_[batch_job.batch_job_id].insert(item.item_id);
-    most = std::max(most, Waiting());
+    max_waiting = std::max(max_waiting, Waiting());
   }
 
-  void Tell(const ItemResult& result) {
+  void ReportResult(const ItemResult& result) {
     fleet_->At(fleet_->Between(1 * kMs, 100 * kMs), [this, result] {
       VirtualStore* primary = fleet_->PrimaryOf(result.batch_job_id);
-      auto told = std::make_shared<bool>(false);
-      fleet_->At(1 * kSecond, [this, result, told] {
-        if (!*told) Tell(result);
+      auto acknowledged = std::make_shared<bool>(false);
+      fleet_->At(1 * kSecond, [this, result, acknowledged] {
+        if (!*acknowledged) ReportResult(result);
       });
       if (primary == nullptr) return;
-      primary->items().OnResult(result, [told](const auto& answer) { *told = answer.ok(); });
+      primary->items().OnResult(
+          result, [acknowledged](const auto& answer) { *acknowledged = answer.ok(); });
     });
   }
 
@@ -191,7 +192,7 @@
     const int before = clients.accepted;
     for (int i = 0; i < 100; ++i) Step(&fleet, &clients, 1);
     CPPUNIT_ASSERT(clients.accepted > before + 10);
-    CPPUNIT_ASSERT(clients.most <= kCap);
+    CPPUNIT_ASSERT(clients.max_waiting <= kCap);
   }
 
   void SeededRunsKeepTheCap() {
@@ -202,10 +203,10 @@
       Fleet fleet(seed, 4);
       Clients clients(&fleet);
       Play(seed, &fleet, &clients);
-      const bool kept = clients.most <= kCap && clients.most > 0.75 * kCap;
+      const bool kept = clients.max_waiting <= kCap && clients.max_waiting > 0.75 * kCap;
       const bool served = clients.accepted > 60 && clients.over > 10;
       if (kept && served) continue;
-      failures += "seed " + std::to_string(seed) + ": most " + std::to_string(clients.most) +
+      failures += "seed " + std::to_string(seed) + ": most " + std::to_string(clients.max_waiting) +
                   ", accepted " + std::to_string(clients.accepted) + ", over " +
                   std::to_string(clients.over) + "\n";
     }
--- a/tests/tier/batch/store_replication_test.cpp
+++ b/tests/tier/batch/store_replication_test.cpp
@@ -157,7 +157,7 @@
   }
 
   // One machine at a time is down; its disk may be lost only while another replica holds all.
-  static void Trouble(Run* run, Micros* restart, SimulatedStore** down) {
+  static void InjectFaults(Run* run, Micros* restart, SimulatedStore** down) {
     Simulation& simulation = run->simulation;
     if (*down != nullptr) {
       if (simulation.now < *restart) return;
@@ -182,7 +182,7 @@
     while (simulation.now < 40 * kSecond) {
       simulation.RunUntil(simulation.now + 50 * kMs);
       Work(run);
-      Trouble(run, &restart, &down);
+      InjectFaults(run, &restart, &down);
       if (simulation.now >= look) {
         role.Reconcile();
         look = simulation.now + simulation.Between(200 * kMs, 1500 * kMs);
--- a/tests/tier/batch/store_server_test.cpp
+++ b/tests/tier/batch/store_server_test.cpp
@@ -106,7 +106,7 @@
                                                  &control_, StoreId{name, "d" + name},
                                                  settings::Bounds{}, settings::Tolerance{});
   }
-  void Place(const std::vector<std::string>& replicas) {
+  void PublishReplicas(const std::vector<std::string>& replicas) {
     PlacementTable table;
     table.epoch = ++epoch_;
     Partition partition;
@@ -195,7 +195,7 @@
 
   void FailuresAreCountedOnceForALease() {
     Fleet fleet(2);
-    fleet.Place({"s0", "s1"});
+    fleet.PublishReplicas({"s0", "s1"});
     Create(&fleet, Spec("lot", 1));
     const auto first = Pull(&fleet, "n", 1, 0);
     ReportResult(&fleet, first.at(0), RunOutcome::kFailed, "");
@@ -210,7 +210,7 @@
 
   void CancelledBatchJobIsNotLeased() {
     Fleet fleet(2);
-    fleet.Place({"s0", "s1"});
+    fleet.PublishReplicas({"s0", "s1"});
     Create(&fleet, Spec("lot", 4));
     const auto pulled = Pull(&fleet, "n", 1, 0);
     for (int i = 0; i < 2; ++i) {
@@ -230,7 +230,7 @@
 
   void PullersShareWaitingItems() {
     Fleet fleet(1);
-    fleet.Place({"s0"});
+    fleet.PublishReplicas({"s0"});
     Pull(&fleet, "n1", 8, 0);
     Pull(&fleet, "n2", 8, 0);
     Create(&fleet, Spec("lot", 6));
@@ -240,7 +240,7 @@
 
   void EnforcesAndReleasesQuota() {
     Fleet fleet(2);
-    fleet.Place({"s0", "s1"});
+    fleet.PublishReplicas({"s0", "s1"});
     CPPUNIT_ASSERT(CreateStatus::kAccepted == Create(&fleet, Spec("a", 3, 50)));
     CPPUNIT_ASSERT(CreateStatus::kOverQuota == Create(&fleet, Spec("b", 3, 50)));
     CPPUNIT_ASSERT(CreateStatus::kAccepted == Create(&fleet, Spec("a", 3, 50)));
@@ -253,11 +253,11 @@
 
   void BackupTakesOver() {
     Fleet fleet(2);
-    fleet.Place({"s0", "s1"});
+    fleet.PublishReplicas({"s0", "s1"});
     Create(&fleet, Spec("lot", 3));
     const auto pulled = Pull(&fleet, "n", 2, 0);
     ReportResult(&fleet, pulled.at(0), RunOutcome::kComplete, "first");
-    fleet.Place({"s1"});
+    fleet.PublishReplicas({"s1"});
     CPPUNIT_ASSERT_EQUAL(std::string("first"), Read(&fleet, "lot", 0).outputs.at(0).content);
     CPPUNIT_ASSERT(Pull(&fleet, "m", 8, 0).empty());  // they may still run for somebody
     ReportResult(&fleet, pulled.at(1), RunOutcome::kComplete, "second");
@@ -269,11 +269,11 @@
 
   void RestartKeepsEverything() {
     Fleet fleet(2);
-    fleet.Place({"s0", "s1"});
+    fleet.PublishReplicas({"s0", "s1"});
     Create(&fleet, Spec("lot", 3));
     ReportResult(&fleet, Pull(&fleet, "n", 1, 0).at(0), RunOutcome::kComplete, "first");
     fleet.Start("s0");
-    fleet.Place({"s0", "s1"});
+    fleet.PublishReplicas({"s0", "s1"});
     const auto read = Read(&fleet, "lot", 0);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, read.total);
     CPPUNIT_ASSERT_EQUAL(std::string("first"), read.outputs.at(0).content);
@@ -281,7 +281,7 @@
 
   void FullDiskRejectsBatchJobsUntilItHasCapacity() {
     Fleet fleet(2, 1 << 20);
-    fleet.Place({"s0", "s1"});
+    fleet.PublishReplicas({"s0", "s1"});
     int batch_jobs = 0;
     while (Create(&fleet, Large(batch_jobs)) == CreateStatus::kAccepted) ++batch_jobs;
     CPPUNIT_ASSERT(Create(&fleet, Large(batch_jobs)) == CreateStatus::kInsufficientCapacity);
@@ -344,7 +344,7 @@
 
   static void RunBatchJobLifecycle(const std::vector<std::string>& replicas) {
     Fleet fleet(2);
-    fleet.Place(replicas);
+    fleet.PublishReplicas(replicas);
     CPPUNIT_ASSERT(!Read(&fleet, "lot", 0).found);
     const BatchJobSpec spec = Spec("lot", 3);
     CPPUNIT_ASSERT(CreateStatus::kAccepted == Create(&fleet, spec));
--- a/tests/tier/batch/store_simulation.h
+++ b/tests/tier/batch/store_simulation.h
@@ -17,6 +17,7 @@
 
 #include "tier/batch/replication.h"
 #include "tier/codec/archive.h"
+#include "virtual_time.h"
 
 namespace pearreach::batch {
 
@@ -146,32 +147,15 @@
   std::deque<std::vector<storage::Write>> unsynced_;
 };
 
-class Simulation {
+class Simulation : public VirtualTime {
  public:
-  explicit Simulation(std::uint64_t seed, int stores) : random(seed) {
+  Simulation(std::uint64_t seed, int stores) : VirtualTime(seed, 1 * kSecond) {
     for (int i = 0; i < stores; ++i) {
       this->stores.push_back(std::make_unique<SimulatedStore>(
           this, StoreId{"s" + std::to_string(i), "disk" + std::to_string(i) + "-0"}));
     }
   }
 
-  void At(Micros delay, std::function<void()> callback) {
-    events_.emplace(std::make_pair(now + delay, ++last_), std::move(callback));
-  }
-  void RunUntil(Micros end) {
-    while (!events_.empty() && events_.begin()->first.first <= end) {
-      auto node = events_.extract(events_.begin());
-      now = std::max(now, node.key().first);
-      node.mapped()();
-    }
-    now = std::max(now, end);
-  }
-  Micros Between(Micros low, Micros high) {
-    return std::uniform_int_distribution<Micros>(low, high)(random);
-  }
-  bool Chance(double probability) {
-    return std::uniform_real_distribution<double>(0, 1)(random) < probability;
-  }
   SimulatedStore* Find(const StoreId& id) {
     for (auto& store : stores) {
       if (store->running() && store->id() == id) return store.get();
@@ -194,15 +178,9 @@
     }
   }
 
-  std::mt19937_64 random;
-  Micros now = 1 * kSecond;
   Partition table;
   double loss = 0;
   std::vector<std::unique_ptr<SimulatedStore>> stores;
-
- private:
-  std::map<std::pair<Micros, std::uint64_t>, std::function<void()>> events_;
-  std::uint64_t last_ = 0;
 };
 
 constexpr std::uint32_t kSimulatedPartition = 5;
