--- a/src/tier/batch/leases.cpp
+++ b/src/tier/batch/leases.cpp
@@ -202,6 +202,7 @@
   }
   numbers.erase(0);
   std::vector<std::string> names;
+  names.reserve(numbers.size());
   for (const std::uint32_t number : numbers) names.push_back(node_names_[number]);
   return names;
 }
--- a/src/tier/batch/store_liveness.cpp
+++ b/src/tier/batch/store_liveness.cpp
@@ -80,7 +80,7 @@
   Observe(now, at->second);
 }
 
-// A suspect that stays silent is gone already for the table, and may come back just the same.
+// A timed-out suspect counts as gone already in the table, and may come back just the same.
 bool StoreLiveness::MayReturn(Micros now, Micros span) const {
   const bool recently_unresponsive =
       std::any_of(unresponsive_.begin(), unresponsive_.end(),
--- a/src/tier/batch/store_quota.cpp
+++ b/src/tier/batch/store_quota.cpp
@@ -234,7 +234,8 @@
                  });
 }
 
-// Every primary tells what waits on the route; asked again only once all have answered or failed.
+// Every primary reports what waits on the route; requested again only once all have responded or
+// failed.
 void QuotaService::RequestReports(const std::string& route) {
   const auto owned = owned_routes_.find(route);
   if (owned == owned_routes_.end() || owned->second.pending_reports > 0) return;
