--- a/src/tier/batch/batch_job_store.cpp
+++ b/src/tier/batch/batch_job_store.cpp
@@ -150,21 +150,23 @@
 void StoreServer::RegisterReplicationHandlers() {
   using rpc::MessageType;
   using rpc::Respond;
-  Register<Replicate>(MessageType::kReplicate, [this](Replicate message, Respond respond) {
-    if (message.scope.partition >= kPartitions) {
-      respond(absl::InvalidArgumentError("no such partition"));
-      return;
-    }
-    PartitionReplica& replica = Replica(message.scope.partition);
-    replica.OnReplicate(std::move(message), std::move(respond));
-  });
-  Register<RepairDigest>(MessageType::kRepairDigest, [this](RepairDigest message, Respond respond) {
-    if (message.scope.partition >= kPartitions) {
-      respond(absl::InvalidArgumentError("no such partition"));
-      return;
-    }
-    Replica(message.scope.partition).OnRepairDigest(message, std::move(respond));
-  });
+  Register<Replicate>(MessageType::kReplicate,
+                      [this](const Replicate& message, const Respond& respond) {
+                        if (message.scope.partition >= kPartitions) {
+                          respond(absl::InvalidArgumentError("no such partition"));
+                          return;
+                        }
+                        PartitionReplica& replica = Replica(message.scope.partition);
+                        replica.OnReplicate(message, respond);
+                      });
+  Register<RepairDigest>(MessageType::kRepairDigest,
+                         [this](const RepairDigest& message, const Respond& respond) {
+                           if (message.scope.partition >= kPartitions) {
+                             respond(absl::InvalidArgumentError("no such partition"));
+                             return;
+                           }
+                           Replica(message.scope.partition).OnRepairDigest(message, respond);
+                         });
 }
 
 void StoreServer::RegisterQuotaHandlers() {
--- a/src/tier/batch/replication.cpp
+++ b/src/tier/batch/replication.cpp
@@ -351,7 +351,7 @@
                                          : ReplicaVerdict::kUnsynchronised;
 }
 
-void PartitionReplica::OnReplicate(Replicate message, rpc::Respond respond) {
+void PartitionReplica::OnReplicate(const Replicate& message, const rpc::Respond& respond) {
   ReplicateResponse response;
   response.verdict = CheckReplicate(message);
   if (response.verdict != ReplicaVerdict::kAccepted) {
@@ -385,7 +385,7 @@
   });
 }
 
-void PartitionReplica::OnRepairDigest(const RepairDigest& message, rpc::Respond respond) {
+void PartitionReplica::OnRepairDigest(const RepairDigest& message, const rpc::Respond& respond) {
   RepairDigestResponse response;
   const ReplicaVerdict verdict = CheckScope(message.scope, !message.buckets.empty());
   if (verdict == ReplicaVerdict::kAccepted) response = CompareDigests(batch_jobs_, message);
--- a/src/tier/batch/replication.h
+++ b/src/tier/batch/replication.h
@@ -100,8 +100,8 @@
   std::vector<StoreId> FilledJoiners() const;
 
   // From the primary; nothing is answered before it is durable.
-  void OnReplicate(Replicate message, rpc::Respond respond);
-  void OnRepairDigest(const RepairDigest& message, rpc::Respond respond);
+  void OnReplicate(const Replicate& message, const rpc::Respond& respond);
+  void OnRepairDigest(const RepairDigest& message, const rpc::Respond& respond);
 
  private:
   struct Pending {
--- a/tests/tier/batch/store_fleet.h
+++ b/tests/tier/batch/store_fleet.h
@@ -275,9 +275,9 @@
     return static_cast<int>(scope.partition) == fleet_->muted;
   };
   if (type == rpc::MessageType::kReplicate) {
-    auto message = *codec::Decode<Replicate>(body);
+    const auto message = *codec::Decode<Replicate>(body);
     if (is_muted(message.scope)) return;
-    Replica(message.scope.partition).OnReplicate(std::move(message), respond);
+    Replica(message.scope.partition).OnReplicate(message, respond);
   } else if (type == rpc::MessageType::kRepairDigest) {
     const auto message = *codec::Decode<RepairDigest>(body);
     if (!is_muted(message.scope)) Replica(message.scope.partition).OnRepairDigest(message, respond);
