--- a/src/tier/batch/batch_job_changes.cpp
+++ b/src/tier/batch/batch_job_changes.cpp
@@ -34,10 +34,10 @@
     return;
   }
   if (!context_->HasDiskCapacity(replica->table(), offer.disk_bytes)) {
-    respond(codec::Encode(OfferBatchJobResponse{OfferVerdict::kNoRoom}));
+    respond(codec::Encode(OfferBatchJobResponse{OfferVerdict::kInsufficientCapacity}));
     return;
   }
-  replica->AwaitAll(kOfferSpan, kOfferTimeout, [respond](bool answered) {
+  replica->ConfirmAllRequired(kOfferSpan, kOfferTimeout, [respond](bool answered) {
     if (answered) {
       respond(codec::Encode(OfferBatchJobResponse{OfferVerdict::kWelcome}));
     } else {
@@ -76,17 +76,21 @@
     return;
   }
   if (!context_->HasDiskCapacity(replica->table(), BatchJobBytes(*batch_job))) {
-    respond(codec::Encode(CreateBatchJobResponse{CreateStatus::kNoRoom, 0}));
+    respond(codec::Encode(CreateBatchJobResponse{CreateStatus::kInsufficientCapacity, 0}));
     return;
   }
   creating_[batch_job->batch_job_id] = {batch_job->fingerprint, {std::move(respond)}};
+  ReserveQuota(batch_job);
+}
+
+void BatchJobChanges::ReserveQuota(const std::shared_ptr<const BatchJobSpec>& batch_job) {
   if (batch_job->token_cap <= 0) {
-    Stage(batch_job);
+    SubmitCreate(batch_job);
     return;
   }
   quota_->Reserve(*batch_job, [this, batch_job](QuotaDecision verdict) {
     if (verdict == QuotaDecision::kGranted) {
-      Stage(batch_job);
+      SubmitCreate(batch_job);
     } else if (verdict == QuotaDecision::kOver) {
       Finish(batch_job->batch_job_id, CreateStatus::kOverQuota);
     } else {
@@ -96,15 +100,15 @@
   });
 }
 
-void BatchJobChanges::Stage(const std::shared_ptr<const BatchJobSpec>& batch_job) {
+void BatchJobChanges::SubmitCreate(const std::shared_ptr<const BatchJobSpec>& batch_job) {
   PartitionReplica* replica = context_->ActiveReplica(batch_job->batch_job_id);
   if (replica == nullptr) {
     Finish(batch_job->batch_job_id, NotPrimary());
     return;
   }
   if (!context_->ReserveDiskCapacity(replica->table(), BatchJobBytes(*batch_job))) {
-    if (batch_job->token_cap > 0) quota_->Drop(batch_job->route);
-    Finish(batch_job->batch_job_id, CreateStatus::kNoRoom);
+    if (batch_job->token_cap > 0) quota_->CancelReservation(batch_job->route);
+    Finish(batch_job->batch_job_id, CreateStatus::kInsufficientCapacity);
     return;
   }
   const std::string batch_job_id = batch_job->batch_job_id;
@@ -168,25 +172,25 @@
   quota_->Update(batch_job_id);
 }
 
-void BatchJobChanges::Sweep(bool is_short) {
+void BatchJobChanges::Sweep(bool is_nearly_full) {
   for (std::uint32_t partition = 0; partition < kPartitions; ++partition) {
     PartitionReplica& replica = context_->Replica(partition);
     replica.batch_jobs().StampNew(context_->Now());
-    if (replica.is_active()) SweepPartition(&replica, is_short);
+    if (replica.is_active()) SweepPartition(&replica, is_nearly_full);
   }
 }
 
-void BatchJobChanges::SweepPartition(PartitionReplica* replica, bool is_short) {
+void BatchJobChanges::SweepPartition(PartitionReplica* replica, bool is_nearly_full) {
   std::vector<std::string> over, old;
   const Micros now = context_->Now();
   for (const auto& [batch_job_id, batch_job] : replica->batch_jobs().batch_jobs()) {
     if (MayAbandon(batch_job, now)) over.push_back(batch_job_id);
-    if (MayForget(batch_job, now, is_short)) old.push_back(batch_job_id);
+    if (MayForget(batch_job, now, is_nearly_full)) old.push_back(batch_job_id);
   }
   for (const std::string& batch_job_id : over) items_->Abandon(replica, batch_job_id);
   for (const std::string& batch_job_id : old) {
     items_->OnEnded(batch_job_id);
-    replica->Submit(MakeForget(batch_job_id),
+    replica->Submit(MakeErase(batch_job_id),
                     [this, batch_job_id](const absl::Status&) { reads_->OnVisible(batch_job_id); });
     quota_->Update(batch_job_id);
   }
--- a/src/tier/batch/batch_job_items.h
+++ b/src/tier/batch/batch_job_items.h
@@ -1,7 +1,9 @@
-// Hands out items of open lots to edge nodes and takes their results.
+// Leases items of open batch jobs to edge nodes and records their results.
 #ifndef PEARREACH_SRC_TIER_BATCH_BATCH_JOB_ITEMS_H_
 #define PEARREACH_SRC_TIER_BATCH_BATCH_JOB_ITEMS_H_
 
+#include <absl/status/statusor.h>
+
 #include <cstdint>
 #include <functional>
 #include <list>
@@ -15,44 +17,47 @@
 
 namespace pearreach::batch {
 
+// Owned by StoreServer. Not thread-safe: all calls and callbacks run on the event loop.
 class BatchJobItems {
  public:
-  // `changed` is called when something of a lot has become visible, `counted` when its waiting
-  // tokens may have changed.
+  // `changed` is called when something of a batch job has become visible, `counted` when its
+  // waiting tokens may have changed.
   using BatchJobListener = std::function<void(const std::string& batch_job_id)>;
   BatchJobItems(StoreContext* context, BatchJobListener changed, BatchJobListener counted);
 
-  void OnTake(PullItems take, rpc::Respond respond);
+  void OnPullItems(PullItems pull, rpc::Respond respond);
   void OnResult(ItemResult result, rpc::Respond respond);
   void OnRenew(const RenewLeases& renew, const rpc::Respond& respond);
 
-  void OnAccepted(const std::string& batch_job_id);  // a new lot: its items wait from now on
+  void OnAccepted(const std::string& batch_job_id);  // a new batch job: its items wait from now on
   void OnEnded(const std::string& batch_job_id);
   void OnActive(std::uint32_t partition);
   void OnInactive(std::uint32_t partition);
   // Voids the leases of nodes that are not there any more.
   void DropNodes(const std::function<bool(const std::string& node)>& is_gone);
-  // Gives up all items of the lot that have no result: their time is over.
+  // Gives up all items of the batch job that have no result: their time is over.
   void Abandon(PartitionReplica* replica, const std::string& batch_job_id);
 
  private:
-  struct Parked {
-    PullItems take;
+  struct PendingPull {
+    PullItems pull;
     rpc::Respond respond;
     Timers::Id timer = 0;
     std::uint64_t id = 0;
   };
 
-  void AddBatchJob(const std::string& batch_job_id, const BatchJob& batch_job, Micros held_until);
-  PullItemsResponse Give(const PullItems& take);
-  bool Describe(const TakenItem& taken, LeasedItem* item);
-  std::map<std::string, int> Shares(const std::map<std::string, int>& room) const;
-  void Park(PullItems take, rpc::Respond respond);
-  void Unpark(const std::string& node);
-  void OnWaited(std::uint64_t id);
-  void ServeParked();
-  void NoteTaker(const std::string& node);
-  void ArmExpiry();
+  void AddBatchJob(const std::string& batch_job_id, const BatchJob& batch_job,
+                   Micros reserved_until);
+  PullItemsResponse LeaseItems(const PullItems& pull);
+  // NOT_FOUND: the batch job is gone; other errors: the item's record can't be read.
+  absl::StatusOr<LeasedItem> ReadLeasedItem(const ItemLease& lease);
+  std::map<std::string, int> LimitToFairShare(const std::map<std::string, int>& capacity) const;
+  void AddPendingPull(PullItems pull, rpc::Respond respond);
+  void EndPendingPull(const std::string& node);
+  void OnPullTimeout(std::uint64_t id);
+  void ServePendingPulls();
+  void RecordPuller(const std::string& node);
+  void ScheduleExpiry();
   void OnExpiry();
   void Append(PartitionReplica* replica, const BatchJob& batch_job, const ItemResult& result,
               std::uint32_t item, const rpc::Respond& respond);
@@ -63,9 +68,9 @@
   StoreContext* const context_;
   const BatchJobListener changed_, counted_;
   LeaseTable leases_;
-  std::list<Parked> parked_;  // in the order of their coming
-  std::uint64_t last_parked_ = 0;
-  std::map<std::string, Micros> takers_;  // nodes and when they last asked
+  std::list<PendingPull> pending_pulls_;  // in order of arrival
+  std::uint64_t last_pending_pull_ = 0;
+  std::map<std::string, Micros> pullers_;  // nodes and when they last pulled
   Timers::Id expiry_timer_ = 0;
   Micros expiry_at_ = 0;
 };
--- a/src/tier/batch/batch_job_store.h
+++ b/src/tier/batch/batch_job_store.h
@@ -1,5 +1,5 @@
-// A store machine: the partitions of lots that it holds by the placement table, and the calls of
-// edge nodes and other stores about them.
+// A store process: the partitions that the placement table assigns to it, and the handlers for the
+// calls of edge nodes and other stores.
 #ifndef PEARREACH_SRC_TIER_BATCH_BATCH_JOB_STORE_H_
 #define PEARREACH_SRC_TIER_BATCH_BATCH_JOB_STORE_H_
 
@@ -29,10 +29,12 @@
 
 namespace pearreach::batch {
 
+// Owns the replicas of all partitions and the components that serve them. Owned by the process
+// (tier/server). Not thread-safe: all calls and callbacks run on the event loop.
 class StoreServer final : private StoreContext {
  public:
-  // Registers its handlers with the mesh and reads its lots from disk. All that is given must live
-  // as long; the disk's pending writes must be done with, or dropped, before this goes.
+  // Registers its handlers with the mesh and reads its batch jobs from disk. All that is given must
+  // live as long; the disk's pending writes must be done with, or dropped, before this goes.
   StoreServer(Timers* timers, rpc::Transport* transport, storage::TableStore* disk,
               control::ControlClient* control, StoreId self, const settings::Bounds& bounds,
               const settings::Tolerance& tolerance, double link_mbps = 0);
@@ -62,7 +64,9 @@
   void OnActive(std::uint32_t partition) override;
   void OnInactive(std::uint32_t partition) override;
   void OnFilled(std::uint32_t partition) override;
-  void OnSilent(const StoreId& peer) override { unresponsive_stores_.Report(peer, Now()); }
+  void OnUnresponsive(const StoreId& peer) override {
+    unresponsive_store_reporter_.Report(peer, Now());
+  }
   const StoreId& Self() const override { return self_; }
   const PlacementTable& Placement() const override { return placement_; }
   PartitionReplica& Replica(std::uint32_t partition) override { return *replicas_[partition]; }
@@ -71,19 +75,25 @@
   template <class Message>
   void Register(rpc::MessageType type, std::function<void(Message, rpc::Respond)> handle);
   void RegisterHandlers();
+  void RegisterBatchJobHandlers();
+  void RegisterItemHandlers();
+  void RegisterReplicationHandlers();
+  void RegisterQuotaHandlers();
   void SendLocal(rpc::MessageType type, std::string body, rpc::Done done);
   std::string AddressOf(const StoreId& store) const;
   void AdoptTable(const control::ControlSnapshot& snapshot);
   void LinearizableRead();
   void ReportFilled();
-  void PaceRepair(bool urgent, RepairThrottle::Send send) override;
-  std::uint64_t Room() const override { return room_.Own(disk_->space()); }
-  void NoteRoom(const StoreId& store, std::uint64_t bytes) override {
-    room_.NotePeer(store, bytes);
+  void ThrottleRepair(bool urgent, RepairThrottle::Send send) override;
+  std::uint64_t AvailableDiskBytes() const override {
+    return disk_capacity_.AvailableBytes(disk_->space());
+  }
+  void SetPeerAvailableBytes(const StoreId& store, std::uint64_t bytes) override {
+    disk_capacity_.SetPeerAvailableBytes(store, bytes);
   }
   bool HasDiskCapacity(const Partition& table, std::uint64_t bytes) override;
   bool ReserveDiskCapacity(const Partition& table, std::uint64_t bytes) override;
-  void CountRoom();
+  void UpdateDiskCapacity();
   void Tick();
 
   Timers* const timers_;
@@ -96,10 +106,10 @@
   Micros start_ = 0;
   const std::size_t replicas_wanted_;
   const double sync_s_, link_mbps_;
-  DiskCapacity room_;
-  Micros no_room_logged_at_ = 0;
-  RepairThrottle repair_pacer_;
-  UnresponsiveStoreReporter unresponsive_stores_;
+  DiskCapacity disk_capacity_;
+  Micros insufficient_capacity_logged_at_ = 0;
+  RepairThrottle repair_throttle_;
+  UnresponsiveStoreReporter unresponsive_store_reporter_;
   PlacementTable placement_;
   std::uint64_t stores_revision_ = 0;
   std::map<rpc::MessageType, Handler> handlers_;
--- a/src/tier/batch/placement_controller.cpp
+++ b/src/tier/batch/placement_controller.cpp
@@ -8,19 +8,19 @@
 namespace pearreach::batch {
 namespace {
 
-// How often the stores are looked at: while something is under way, in calm, and without the duty.
+// The period of Reconcile: while something is under way, when settled, and without the role.
 constexpr Micros kBusyPeriod = 200 * kMs;
-constexpr Micros kCalmPeriod = 500 * kMs;
+constexpr Micros kSettledPeriod = 500 * kMs;
 constexpr Micros kStandbyPeriod = 1 * kSecond;
 // The first table waits until no further store has shown up for this long.
-constexpr Micros kSettleTime = 1 * kSecond;
+constexpr Micros kFirstTableDelay = 1 * kSecond;
 // A store that went away has this long to come back before another takes its place.
 constexpr Micros kReturnTime = 3 * kSecond;
-// A store of the table that a new holder of the duty has not heard of is gone after this.
+// A store of the table that a new owner of the role has not heard of is gone after this.
 constexpr Micros kUnknownTime = 10 * kSecond;
 constexpr Micros kChangeTimeout = 2 * kSecond;
-// A store that has not answered somebody for a quarter of a second and the duty for this time more
-// has been silent for over half a second: longer than any way takes that is not in trouble.
+// A store that has not answered somebody for a quarter of a second and the controller for this time
+// more has been unresponsive for over half a second: longer than any path without a fault takes.
 constexpr Micros kPingTime = 350 * kMs;
 constexpr char kRoleName[] = "placement";
 
@@ -28,24 +28,24 @@
 
 PlacementController::PlacementController(Timers* timers, rpc::Transport* transport,
                                          control::ControlClient* control, std::string self,
-                                         PlacementSpread spread, Micros silent_after,
-                                         bool asks_silent)
+                                         PlacementSpread spread, Micros suspect_timeout,
+                                         bool pings_unresponsive)
     : timers_(timers),
       transport_(transport),
       control_(control),
-      role_(control, kRoleName, std::move(self), [this] { LookLater(0); }),
+      role_(control, kRoleName, std::move(self), [this] { ScheduleReconcile(0); }),
       spread_(std::move(spread)),
-      asks_silent_(asks_silent),
-      liveness_(silent_after) {
+      pings_unresponsive_(pings_unresponsive),
+      liveness_(suspect_timeout) {
   transport->Handle(rpc::MessageType::kStoreStatus,
                     [this, alive = alive_](const std::string&, std::string_view body,
                                            const rpc::Respond& respond) {
                       if (*alive) OnStatus(body, respond);
                     });
   control->OnChange([this, alive = alive_] {
-    if (*alive) Look();
+    if (*alive) Reconcile();
   });
-  LookLater(0);
+  ScheduleReconcile(0);
 }
 
 PlacementController::~PlacementController() {
@@ -53,11 +53,11 @@
   timers_->Cancel(&timer_);
 }
 
-void PlacementController::LookLater(Micros delay) {
+void PlacementController::ScheduleReconcile(Micros delay) {
   timers_->Cancel(&timer_);
   timer_ = timers_->After(delay, [this] {
     timer_ = 0;
-    Look();
+    Reconcile();
   });
 }
 
@@ -75,26 +75,26 @@
     filled_.insert({status->store, partition, epoch});
   }
   respond(std::string());
-  for (const StoreId& store : status->silent) PingUnresponsive(store);
-  if (!status->filled.empty()) Look();
+  for (const StoreId& store : status->unresponsive) PingUnresponsive(store);
+  if (!status->filled.empty()) Reconcile();
 }
 
 // A report is no more than a hint: its sender may be the one that is cut off.
 void PlacementController::PingUnresponsive(const StoreId& store) {
   const auto member = control_->members().find(store.name);
-  const bool known = asks_silent_ && member != control_->members().end() &&
-                     member->second.info.disk_id == store.disk_id && !asking_.contains(store);
+  const bool known = pings_unresponsive_ && member != control_->members().end() &&
+                     member->second.info.disk_id == store.disk_id && !pinging_.contains(store);
   if (!known) return;
-  asking_.insert(store);
+  pinging_.insert(store);
   transport_->Call(member->second.info.address, rpc::MessageType::kStorePing, {}, kPingTime,
                    [this, alive = alive_, store](const absl::StatusOr<std::string>& answer) {
                      if (!*alive) return;
-                     asking_.erase(store);
+                     pinging_.erase(store);
                      if (answer.ok())
                        liveness_.MarkResponsive(Now(), store);
                      else if (has_role_)
                        liveness_.MarkUnresponsive(Now(), store);
-                     LookLater(0);
+                     ScheduleReconcile(0);
                    });
 }
 
@@ -122,61 +122,61 @@
   if (table_ != nullptr && revision_ == snapshot->stores_revision) return true;
   auto table = codec::Decode<PlacementTable>(snapshot->stores);
   if (!table.ok() || table->partitions.size() != kPartitions) {
-    logging::Error("batch", "placement table does not read",
+    logging::Error("batch", "placement table is unreadable",
                    {logging::F("revision", snapshot->stores_revision)});
     return false;
   }
   table_ = std::make_unique<PlacementTable>(*std::move(table));
   revision_ = snapshot->stores_revision;
-  ForgetOldReports();
+  DropStaleReports();
   return true;
 }
 
-void PlacementController::ForgetOldReports() {
+void PlacementController::DropStaleReports() {
   std::erase_if(filled_, [this](const FilledReport& report) {
     if (report.partition >= table_->partitions.size()) return true;
     return report.epoch < table_->partitions[report.partition].epoch;
   });
 }
 
-PlacementInput PlacementController::Gather(Micros now) {
+PlacementInput PlacementController::MakeInput(Micros now) {
   PlacementInput input;
-  input.stores = liveness_.Look(now, control_->members());
+  input.stores = liveness_.Update(now, control_->members());
   input.spread = spread_;
   input.filled = filled_;
   if (table_ != nullptr && now - role_since_ >= kUnknownTime) {
     for (const Partition& partition : table_->partitions) {
       for (const StoreId& store : partition.replicas)
-        liveness_.AddUnheard(now, store, &input.stores);
+        liveness_.AddUnknown(now, store, &input.stores);
     }
   }
-  input.allow_first = now - liveness_.changed() >= kSettleTime;
-  input.allow_joining = !liveness_.AwaitsReturn(now, kReturnTime);
+  input.allow_first = now - liveness_.changed() >= kFirstTableDelay;
+  input.allow_joining = !liveness_.MayReturn(now, kReturnTime);
   return input;
 }
 
-void PlacementController::Look() {
+void PlacementController::Reconcile() {
   const Micros now = Now();
   if (!role_.Update(now)) {
     if (has_role_) OnRoleLost();
-    LookLater(control_->IsSingletonRoleCandidate() ? kBusyPeriod : kStandbyPeriod);
+    ScheduleReconcile(control_->IsSingletonRoleCandidate() ? kBusyPeriod : kStandbyPeriod);
     return;
   }
   if (!has_role_) OnRoleAcquired(now);
   if (proposing_ || !LoadTable()) {
-    LookLater(kBusyPeriod);
+    ScheduleReconcile(kBusyPeriod);
     return;
   }
-  for (const auto& [store, since] : liveness_.silent()) PingUnresponsive(store);
-  const PlacementInput input = Gather(now);
+  for (const auto& [store, since] : liveness_.unresponsive()) PingUnresponsive(store);
+  const PlacementInput input = MakeInput(now);
   auto next = NextPlacement(table_.get(), input);
   if (next.has_value()) Propose(*std::move(next), revision_);
-  const bool calm = !proposing_ && table_ != nullptr && IsSettled(*table_, spread_.replicas);
-  const bool calm_stores = liveness_.silent().empty();
-  Micros next_look = calm && calm_stores ? kCalmPeriod : kBusyPeriod;
-  if (const Micros silence = liveness_.NextSilence(); silence > now)
-    next_look = std::min(next_look, silence - now);
-  LookLater(next_look);
+  const bool is_settled = !proposing_ && table_ != nullptr && IsSettled(*table_, spread_.replicas);
+  const bool all_responsive = liveness_.unresponsive().empty();
+  Micros next_delay = is_settled && all_responsive ? kSettledPeriod : kBusyPeriod;
+  if (const Micros timeout = liveness_.NextSuspectTimeout(); timeout > now)
+    next_delay = std::min(next_delay, timeout - now);
+  ScheduleReconcile(next_delay);
 }
 
 void PlacementController::Propose(PlacementTable table, std::uint64_t revision) {
@@ -187,7 +187,7 @@
                    kChangeTimeout, [this, alive = alive_](const control::ChangeOutcome&) {
                      if (!*alive) return;
                      proposing_ = false;
-                     LookLater(0);
+                     ScheduleReconcile(0);
                    });
 }
 
--- a/src/tier/batch/replication.cpp
+++ b/src/tier/batch/replication.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "tier/batch/repair_digest.h"
 #include "tier/codec/archive.h"
 #include "tier/logging/log.h"
 
@@ -32,7 +33,7 @@
 
 PartitionReplica::~PartitionReplica() { environment_->Cancel(&confirm_timer_); }
 
-// ---------------------------------------------------------------- part in the table
+// ---------------------------------------------------------------- role in the replica set
 
 void PartitionReplica::SetTable(const Partition& table) {
   if (table.epoch <= table_.epoch) return;
@@ -53,8 +54,8 @@
   primary_ = true;
   active_ = false;
   barrier_done_ = false;
-  sole_asking_ = false;
-  stream_open_ = false;
+  confirming_sole_ = false;
+  backup_stream_.Close();
   ++term_;
   const std::uint64_t term = term_;
   commits_.Commit({}, [this, term](const absl::Status& status) {
@@ -72,7 +73,7 @@
   const bool was_active = active_;
   primary_ = false;
   active_ = false;
-  stream_open_ = false;
+  backup_stream_.Close();
   ++term_;
   links_.clear();
   FailPending();
@@ -83,13 +84,13 @@
   std::erase_if(links_, [this](const auto& entry) {
     return !Contains(table_.replicas, entry.first) && !Contains(table_.joining, entry.first);
   });
-  const auto connect = [this](const StoreId& peer, bool counts) {
+  const auto connect = [this](const StoreId& peer, bool is_replica) {
     if (peer == self_) return;
     auto& link = links_[peer];
     const bool fresh = link == nullptr;
     if (fresh) link = std::make_shared<ReplicaLink>(peer, this, environment_);
-    link->counts = counts;
-    Require(link.get());
+    link->is_replica = is_replica;
+    UpdateRequired(link.get());
     if (fresh) link->Synchronise();
   };
   for (const StoreId& peer : table_.replicas) connect(peer, true);
@@ -102,7 +103,7 @@
 void PartitionReplica::CheckActive() {
   if (!primary_ || active_ || !barrier_done_) return;
   for (const auto& [peer, link] : links_) {
-    if (link->counts && !link->streaming()) return;
+    if (link->is_replica && !link->streaming()) return;
   }
   if (IsSole() && !sole_confirmed_) {
     ConfirmSole();
@@ -113,16 +114,16 @@
 
 // A sole replica hears from no other whether its table still stands.
 void PartitionReplica::ConfirmSole() {
-  if (sole_asking_) return;
-  sole_asking_ = true;
+  if (confirming_sole_) return;
+  confirming_sole_ = true;
   const std::uint64_t term = term_, epoch = table_.epoch;
-  const Micros asked = environment_->Now();
-  environment_->ConfirmEpoch(partition_, epoch, [this, term, epoch, asked](bool stands) {
+  const Micros requested_at = environment_->Now();
+  environment_->ConfirmEpoch(partition_, epoch, [this, term, epoch, requested_at](bool stands) {
     if (term != term_) return;
-    sole_asking_ = false;
+    confirming_sole_ = false;
     if (stands && epoch == table_.epoch) {
       sole_confirmed_ = true;
-      sole_confirmed_at_ = asked;
+      sole_confirmed_at_ = requested_at;
       CheckActive();
       CheckConfirmations();
       return;
@@ -143,8 +144,9 @@
   std::vector<StoreId> filled;
   if (!active_) return filled;
   for (const auto& [peer, link] : links_) {
-    const bool held = link->required && link->streaming() && link->acknowledged() >= link->owed;
-    if (!link->counts && held) filled.push_back(peer);
+    const bool is_filled =
+        link->required && link->streaming() && link->acknowledged() >= link->catch_up_sequence;
+    if (!link->is_replica && is_filled) filled.push_back(peer);
   }
   return filled;
 }
@@ -155,15 +157,15 @@
 
 // A joiner that has been reported to hold everything may count at any moment until the epoch
 // changes: no change may be acknowledged without it from before it is reported.
-void PartitionReplica::Require(ReplicaLink* link) const {
-  const bool required = link->counts || link->streaming();
-  if (required && !link->required) link->owed = last_sequence_;
+void PartitionReplica::UpdateRequired(ReplicaLink* link) const {
+  const bool required = link->is_replica || link->streaming();
+  if (required && !link->required) link->catch_up_sequence = last_sequence_;
   link->required = required;
 }
 
-void PartitionReplica::LinkAdvanced() {
+void PartitionReplica::OnLinkAdvanced() {
   for (const auto& [peer, link] : links_) {
-    if (!link->required) Require(link.get());
+    if (!link->required) UpdateRequired(link.get());
   }
   CheckActive();
   if (!FilledJoiners().empty()) environment_->OnFilled(partition_);
@@ -187,7 +189,7 @@
   commits_.Commit(std::move(batch), [this, term, sequence](const absl::Status& status) {
     OnCommitted(term, sequence, status);
   });
-  for (const auto& [peer, link] : links_) link->Push(sequence, shared);
+  for (const auto& [peer, link] : links_) link->Enqueue(sequence, shared);
 }
 
 void PartitionReplica::OnCommitted(std::uint64_t term, std::uint64_t sequence,
@@ -207,13 +209,13 @@
 
 void PartitionReplica::Advance() {
   if (!active_) return;
-  std::uint64_t held_by_all = last_sequence_;
+  std::uint64_t acknowledged_by_all = last_sequence_;
   for (const auto& [peer, link] : links_) {
-    if (link->required) held_by_all = std::min(held_by_all, link->acknowledged());
+    if (link->required) acknowledged_by_all = std::min(acknowledged_by_all, link->acknowledged());
   }
   const std::uint64_t term = term_;
   while (term == term_ && !pending_.empty() && pending_.front().committed &&
-         pending_.front().sequence <= held_by_all) {
+         pending_.front().sequence <= acknowledged_by_all) {
     const Pending pending = std::move(pending_.front());
     pending_.pop_front();
     Complete(pending);
@@ -238,14 +240,12 @@
   std::deque<Pending> pending = std::move(pending_);
   pending_.clear();
   for (const Pending& one : pending) one.done(absl::UnavailableError("may have been carried out"));
-  std::vector<Confirmation> confirmations = std::move(confirmations_);
-  confirmations_.clear();
-  for (const Confirmation& one : confirmations) one.done(false);
+  for (const Confirmation& confirmation : confirmations_.RemoveAll()) confirmation.done(false);
 }
 
 // What is on disk is the truth again: start over from it.
 void PartitionReplica::OnDiskFailure(const absl::Status& status) {
-  logging::Error("batch", "a change could not be written",
+  logging::Error("batch", "change could not be written to disk",
                  {logging::F("partition", partition_), logging::F("error", status.ToString())});
   if (!primary_) return;
   StepDown();
@@ -266,7 +266,7 @@
   if (!active_) return false;
   if (IsSole() && !all_required) return sole_confirmed_at_ >= since && sole_confirmed_;
   return std::all_of(links_.begin(), links_.end(), [&](const auto& entry) {
-    return !IsAsked(*entry.second, all_required) || entry.second->confirmed_at() >= since;
+    return !MustConfirm(*entry.second, all_required) || entry.second->confirmed_at() >= since;
   });
 }
 
@@ -275,7 +275,8 @@
   AwaitConfirmation({now - kConfirmSpan, now + kConfirmTimeout, false, std::move(done)});
 }
 
-void PartitionReplica::AwaitAll(Micros span, Micros timeout, std::function<void(bool)> done) {
+void PartitionReplica::ConfirmAllRequired(Micros span, Micros timeout,
+                                          std::function<void(bool)> done) {
   const Micros now = environment_->Now();
   AwaitConfirmation({now - span, now + timeout, true, std::move(done)});
 }
@@ -288,23 +289,21 @@
     confirmation.done(confirmed);
     return;
   }
-  confirmations_.push_back(std::move(confirmation));
+  confirmations_.Add(std::move(confirmation));
   ArmConfirmTimer();
   if (IsSole() && !all_required) {
     ConfirmSole();
     return;
   }
   for (const auto& [peer, link] : links_) {
-    if (IsAsked(*link, all_required) && link->confirmed_at() < since) link->Probe();
+    if (MustConfirm(*link, all_required) && link->confirmed_at() < since)
+      link->RequestConfirmation();
   }
 }
 
 void PartitionReplica::ArmConfirmTimer() {
   if (confirmations_.empty()) return;
-  const auto first = std::min_element(
-      confirmations_.begin(), confirmations_.end(),
-      [](const Confirmation& a, const Confirmation& b) { return a.give_up < b.give_up; });
-  const Micros delay = std::max<Micros>(1, first->give_up - environment_->Now());
+  const Micros delay = std::max<Micros>(1, confirmations_.NextDeadline() - environment_->Now());
   environment_->Cancel(&confirm_timer_);
   confirm_timer_ = environment_->After(delay, [this] {
     confirm_timer_ = 0;
@@ -312,30 +311,28 @@
   });
 }
 
-void PartitionReplica::TellSilent(Micros since) {
+void PartitionReplica::ReportUnresponsive(Micros since) {
   for (const auto& [peer, link] : links_)
-    if (link->required && link->confirmed_at() < since) environment_->OnSilent(peer);
+    if (link->required && link->confirmed_at() < since) environment_->OnUnresponsive(peer);
 }
 
 void PartitionReplica::CheckConfirmations() {
   if (confirmations_.empty()) return;
   const Micros now = environment_->Now();
-  std::vector<Confirmation> finished, waiting;
-  for (Confirmation& one : confirmations_) {
-    const bool over = now >= one.give_up || ConfirmedSince(one.since, one.all_required);
-    (over ? finished : waiting).push_back(std::move(one));
-  }
-  confirmations_ = std::move(waiting);
+  const std::vector<Confirmation> finished =
+      confirmations_.RemoveFinished(now, [this](const Confirmation& confirmation) {
+        return ConfirmedSince(confirmation.since, confirmation.all_required);
+      });
   ArmConfirmTimer();
   for (const Confirmation& one : finished) {
-    if (one.all_required) TellSilent(one.since);
+    if (one.all_required) ReportUnresponsive(one.since);
     one.done(ConfirmedSince(one.since, one.all_required));
   }
 }
 
 // ---------------------------------------------------------------- as a backup
 
-ReplicaVerdict PartitionReplica::Judge(const ReplicaScope& scope, bool starts_attempt) {
+ReplicaVerdict PartitionReplica::CheckScope(const ReplicaScope& scope, bool starts_attempt) {
   if (scope.epoch > table_.epoch) {
     environment_->RefreshTable();
     return ReplicaVerdict::kBehind;
@@ -344,89 +341,56 @@
       table_.replicas.front() != scope.from) {
     return ReplicaVerdict::kStale;
   }
-  return JudgeAttempt(scope, starts_attempt);
-}
-
-// A call that comes late, of an earlier process or attempt, must not undo what came after it.
-ReplicaVerdict PartitionReplica::JudgeAttempt(const ReplicaScope& scope, bool starts_attempt) {
-  if (former_processes_.contains(scope.process)) return ReplicaVerdict::kSuperseded;
-  if (scope.process == primary_process_ && scope.attempt < attempt_) {
-    return ReplicaVerdict::kSuperseded;
-  }
-  if (scope.process == primary_process_ && scope.attempt == attempt_) return ReplicaVerdict::kTaken;
-  if (!starts_attempt) return ReplicaVerdict::kUnsynchronised;
-  if (scope.process != primary_process_) {
-    former_processes_.insert(primary_process_);
-    primary_process_ = scope.process;
-  }
-  attempt_ = scope.attempt;
-  stream_open_ = false;
-  return ReplicaVerdict::kTaken;
+  return backup_stream_.CheckAttempt(scope, starts_attempt);
 }
 
-ReplicaVerdict PartitionReplica::JudgeReplicate(const Replicate& message) {
-  const ReplicaVerdict verdict = Judge(message.scope, false);
-  if (verdict != ReplicaVerdict::kTaken) return verdict;
-  const bool fits = message.fill ? !stream_open_ : stream_open_ && message.first <= next_;
-  return fits ? ReplicaVerdict::kTaken : ReplicaVerdict::kUnsynchronised;
+ReplicaVerdict PartitionReplica::CheckReplicate(const Replicate& message) {
+  const ReplicaVerdict verdict = CheckScope(message.scope, false);
+  if (verdict != ReplicaVerdict::kAccepted) return verdict;
+  return backup_stream_.Accepts(message) ? ReplicaVerdict::kAccepted
+                                         : ReplicaVerdict::kUnsynchronised;
 }
 
-void PartitionReplica::OnReplicate(Replicate message, rpc::Respond respond) {
-  ReplicateResponse answer;
-  answer.verdict = JudgeReplicate(message);
-  if (answer.verdict != ReplicaVerdict::kTaken) {
-    respond(codec::Encode(answer));
+void PartitionReplica::OnReplicate(const Replicate& message, const rpc::Respond& respond) {
+  ReplicateResponse response;
+  response.verdict = CheckReplicate(message);
+  if (response.verdict != ReplicaVerdict::kAccepted) {
+    respond(codec::Encode(response));
     return;
   }
   std::vector<storage::Write> batch;
   std::uint64_t sequence = message.first;
   for (const Operation& operation : message.operations) {
-    const bool known = !message.fill && sequence++ < next_;
+    const bool known = !message.fill && sequence++ < backup_stream_.next_sequence();
     if (known) continue;
     std::vector<storage::Write> writes = batch_jobs_.Apply(operation);
     std::move(writes.begin(), writes.end(), std::back_inserter(batch));
   }
-  if (!message.fill) next_ = std::max(next_, sequence);
-  if (message.begin) {
-    stream_open_ = true;
-    next_ = message.first;
-  }
+  if (!message.fill) backup_stream_.Advance(sequence);
+  if (message.begin) backup_stream_.Open(message.first);
   if (batch.empty() && commits_.idle()) {  // nothing to wait for
-    answer.room = environment_->Room();
-    respond(codec::Encode(answer));
+    response.available_bytes = environment_->AvailableDiskBytes();
+    respond(codec::Encode(response));
     return;
   }
-  commits_.Commit(std::move(batch), [this, answer, respond](const absl::Status& status) mutable {
+  commits_.Commit(std::move(batch), [this, response, respond](const absl::Status& status) mutable {
     if (status.ok()) {
-      answer.room = environment_->Room();
-      respond(codec::Encode(answer));
+      response.available_bytes = environment_->AvailableDiskBytes();
+      respond(codec::Encode(response));
       return;
     }
-    stream_open_ = false;
+    backup_stream_.Close();
     if (!primary_) batch_jobs_.Load(environment_->Disk());
     respond(status);
   });
 }
 
-void PartitionReplica::OnRepairDigest(const RepairDigest& message, rpc::Respond respond) {
-  RepairDigestResponse answer;
-  answer.verdict = Judge(message.scope, !message.buckets.empty());
-  if (answer.verdict == ReplicaVerdict::kTaken) {
-    const std::vector<std::uint64_t> mine = batch_jobs_.BucketDigests();
-    for (std::uint32_t i = 0; i < mine.size() && i < message.buckets.size(); ++i) {
-      if (mine[i] != message.buckets[i]) answer.differing.push_back(i);
-    }
-    std::map<std::string, std::uint64_t> held;
-    for (auto& [batch_job, digest] : batch_jobs_.BatchJobDigests(message.listed))
-      held.emplace(batch_job, digest);
-    for (const auto& [batch_job, digest] : message.batch_jobs) {
-      const auto at = held.find(batch_job);
-      if (at == held.end() || at->second != digest) answer.wanted.push_back(batch_job);
-      if (at != held.end()) held.erase(at);
-    }
-    for (const auto& [batch_job, digest] : held) answer.surplus.push_back(batch_job);
-  }
-  respond(codec::Encode(answer));
+void PartitionReplica::OnRepairDigest(const RepairDigest& message, const rpc::Respond& respond) {
+  RepairDigestResponse response;
+  const ReplicaVerdict verdict = CheckScope(message.scope, !message.buckets.empty());
+  if (verdict == ReplicaVerdict::kAccepted) response = CompareDigests(batch_jobs_, message);
+  response.verdict = verdict;
+  respond(codec::Encode(response));
 }
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/replication_messages.h
+++ b/src/tier/batch/replication_messages.h
@@ -26,14 +26,14 @@
 };
 
 enum class ReplicaVerdict : std::uint8_t {
-  kTaken,           // durable here
+  kAccepted,        // durable here
   kUnsynchronised,  // not the next of a stream that this replica knows: synchronise first
   kStale,           // the sender's table is an earlier one
   kSuperseded,      // the sender's process or attempt is an earlier one, it seems
   kBehind,          // this replica has yet to learn of the sender's table
 };
 
-// Changes from the primary: next ones of a stream, or whole lots of a synchronisation.
+// Changes from the primary: next ones of a stream, or whole batch jobs of a synchronisation.
 struct Replicate {
   ReplicaScope scope;
   std::uint64_t first = 0;  // sequence of the first operation; with `begin`: of the next to come
@@ -47,19 +47,20 @@
 };
 
 struct ReplicateResponse {
-  ReplicaVerdict verdict = ReplicaVerdict::kTaken;
-  std::uint64_t room = 0;  // bytes that the replica's disk has for further lots; only if taken
+  ReplicaVerdict verdict = ReplicaVerdict::kAccepted;
+  // What the replica's disk has for further batch jobs; only with kAccepted.
+  std::uint64_t available_bytes = 0;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& verdict& room;
+    archive& verdict& available_bytes;
   }
 };
 
-// First with `buckets` alone, then with the lots of the buckets that differ.
+// First with `buckets` alone, then with the batch jobs of the buckets that differ.
 struct RepairDigest {
   ReplicaScope scope;
   std::vector<std::uint64_t> buckets;
-  std::vector<std::uint32_t> listed;  // buckets of which `lots` holds all
+  std::vector<std::uint32_t> listed;  // buckets of which `batch jobs` holds all
   std::vector<std::pair<std::string, std::uint64_t>> batch_jobs;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -68,10 +69,10 @@
 };
 
 struct RepairDigestResponse {
-  ReplicaVerdict verdict = ReplicaVerdict::kTaken;
+  ReplicaVerdict verdict = ReplicaVerdict::kAccepted;
   std::vector<std::uint32_t> differing;  // buckets
-  std::vector<std::string> wanted;       // lots that differ or are missing
-  std::vector<std::string> surplus;      // lots that the primary did not list
+  std::vector<std::string> wanted;       // batch jobs that differ or are missing
+  std::vector<std::string> surplus;      // batch jobs that the primary did not list
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& verdict& differing& wanted& surplus;
--- a/src/tier/server/node.cpp
+++ b/src/tier/server/node.cpp
@@ -221,7 +221,7 @@
                              settings_.zones},
       control::TimingOf(settings_.bounds).probe_period, settings_.policy.ask_silent_stores);
   control_->OnMembersChanged(
-      [this](const std::vector<std::string>&) { placement_controller_->Look(); });
+      [this](const std::vector<std::string>&) { placement_controller_->Reconcile(); });
   retire_api_ = std::make_unique<batch::RetireApi>(&timers_, control_.get(), replicas);
   retire_api_->AddTo(&router_);
   control_server_ = std::make_unique<http_server::HttpServer>(
--- a/tests/tier/batch/shutdown_check_test.cpp
+++ b/tests/tier/batch/shutdown_check_test.cpp
@@ -16,17 +16,17 @@
   return ids;
 }
 
-class LeaveCheckTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(LeaveCheckTest);
-  CPPUNIT_TEST(TestNobodyLeavesWithTheOnlyCopy);
+class ShutdownCheckTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ShutdownCheckTest);
+  CPPUNIT_TEST(RefusesShutdownWithTheOnlyReplica);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // Of store a1; one partition with these replicas and joining stores, one of others.
-  void TestNobodyLeavesWithTheOnlyCopy() {
+  void RefusesShutdownWithTheOnlyReplica() {
     const struct {
       std::string what, replicas, joining, live;
-      bool may_leave;
+      bool may_shut_down;
     } cases[] = {
         {"another holds all", "a1 b1", "", "a1 b1 c1", true},
         {"a backup", "b1 a1", "", "a1 b1 c1", true},
@@ -45,15 +45,16 @@
       table.partitions.push_back({1, Ids(test.replicas), Ids(test.joining)});
       const auto ids = Ids(test.live);
       const std::set<StoreId> live(ids.begin(), ids.end());
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(
-          test.what, test.may_leave,
-          OthersHoldAll(table, {"a", "1"}, [&](const StoreId& id) { return live.count(id) > 0; }));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(test.what, test.may_shut_down,
+                                   PeersHoldAllData(table, {"a", "1"}, [&](const StoreId& id) {
+                                     return live.count(id) > 0;
+                                   }));
     }
-    CPPUNIT_ASSERT(OthersHoldAll({}, {"a", "1"}, [](const StoreId&) { return false; }));
+    CPPUNIT_ASSERT(PeersHoldAllData({}, {"a", "1"}, [](const StoreId&) { return false; }));
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(LeaveCheckTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ShutdownCheckTest);
 
 }  // namespace
 }  // namespace pearreach::batch
--- a/tests/tier/batch/store_fleet.h
+++ b/tests/tier/batch/store_fleet.h
@@ -22,6 +22,7 @@
 #include "tier/batch/repair_throttle.h"
 #include "tier/batch/store_context.h"
 #include "tier/batch/store_quota.h"
+#include "virtual_time.h"
 
 namespace pearreach::batch::fleet_test {
 
@@ -53,20 +54,22 @@
   void OnActive(std::uint32_t partition) override;
   void OnInactive(std::uint32_t partition) override;
   void OnFilled(std::uint32_t) override {}
-  std::uint64_t Room() const override { return room_.Own(disk_->space()); }
-  void NoteRoom(const StoreId& store, std::uint64_t bytes) override {
-    room_.NotePeer(store, bytes);
+  std::uint64_t AvailableDiskBytes() const override {
+    return disk_capacity_.AvailableBytes(disk_->space());
+  }
+  void SetPeerAvailableBytes(const StoreId& store, std::uint64_t bytes) override {
+    disk_capacity_.SetPeerAvailableBytes(store, bytes);
   }
   bool HasDiskCapacity(const Partition& table, std::uint64_t bytes) override {
-    return !room_.Lacking(table, id_, disk_->space(), bytes).has_value();
+    return !disk_capacity_.FindStoreWithoutCapacity(table, id_, disk_->space(), bytes).has_value();
   }
   bool ReserveDiskCapacity(const Partition& table, std::uint64_t bytes) override {
     if (!HasDiskCapacity(table, bytes)) return false;
-    room_.Take(table, id_, bytes);
+    disk_capacity_.Reserve(table, id_, bytes);
     return true;
   }
-  void PaceRepair(bool urgent, RepairThrottle::Send send) override {
-    pacer_.Ask(urgent, std::move(send));
+  void ThrottleRepair(bool urgent, RepairThrottle::Send send) override {
+    repair_throttle_.Schedule(urgent, std::move(send));
   }
   const StoreId& Self() const override { return id_; }
   const PlacementTable& Placement() const override { return placement_; }
@@ -83,8 +86,8 @@
   std::set<Timers::Id> timers_;
   Micros disk_free_ = 0;
   int ticks_ = 0;
-  DiskCapacity room_;
-  RepairThrottle pacer_;
+  DiskCapacity disk_capacity_;
+  RepairThrottle repair_throttle_;
   BatchJobReads reads_;
   QuotaService quota_;
   BatchJobItems items_;
@@ -93,7 +96,7 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-class Fleet {
+class Fleet : public VirtualTime {
  public:
   struct Machine {
     StoreId id;
@@ -102,33 +105,16 @@
     int wipes = 0;
   };
 
-  Fleet(std::uint64_t seed, int stores) : random(seed) {
+  Fleet(std::uint64_t seed, int stores) : VirtualTime(seed, 1000 * kSecond) {
     for (int i = 0; i < stores; ++i) {
       const std::string name = "s" + std::to_string(i);
       machines[name] = {{name, name + "-disk0"}, std::make_unique<MemoryDisk>(), nullptr, 0};
       Start(name);
     }
-    Look();
+    Reconcile();
     Tick();
   }
 
-  void At(Micros delay, std::function<void()> callback) {
-    events_.emplace(std::make_pair(now + delay, ++last_), std::move(callback));
-  }
-  void RunUntil(Micros end) {
-    while (!events_.empty() && events_.begin()->first.first <= end) {
-      auto node = events_.extract(events_.begin());
-      now = std::max(now, node.key().first);
-      node.mapped()();
-    }
-    now = std::max(now, end);
-  }
-  Micros Between(Micros low, Micros high) {
-    return std::uniform_int_distribution<Micros>(low, high)(random);
-  }
-  bool Chance(double probability) {
-    return std::uniform_real_distribution<double>(0, 1)(random) < probability;
-  }
   VirtualStore* Find(const StoreId& id) {
     const auto at = machines.find(id.name);
     return at != machines.end() && at->second.id == id ? at->second.store.get() : nullptr;
@@ -151,7 +137,7 @@
   }
 
   // The placement duty looks, and all stores learn of a new table within a moment.
-  void Look() {
+  void Reconcile() {
     PlacementInput input;
     for (const auto& [name, machine] : machines) {
       const auto condition = machine.store ? StoreCondition::kLive : StoreCondition::kGone;
@@ -173,8 +159,6 @@
     }
   }
 
-  std::mt19937_64 random;
-  Micros now = 1000 * kSecond;
   PlacementTable table;
   double loss = 0;
   int muted = -1;  // a partition whose replicas do not hear each other
@@ -187,19 +171,16 @@
     }
     At(500 * kMs, [this] { Tick(); });
   }
-
-  std::map<std::pair<Micros, std::uint64_t>, std::function<void()>> events_;
-  std::uint64_t last_ = 0;
 };
 
 inline VirtualStore::VirtualStore(Fleet* fleet, StoreId id, MemoryDisk* disk)
     : fleet_(fleet),
       id_(std::move(id)),
       disk_(disk),
-      pacer_({[fleet] { return fleet->now; },
-              [this](Micros delay, std::function<void()> callback) {
-                After(delay, std::move(callback));
-              }}),
+      repair_throttle_({[fleet] { return fleet->now; },
+                        [this](Micros delay, std::function<void()> callback) {
+                          After(delay, std::move(callback));
+                        }}),
       reads_(this),
       quota_(this),
       items_(
@@ -226,16 +207,16 @@
 inline void VirtualStore::Tick() {
   quota_.Tick();
   if (++ticks_ % 4 != 0) return;
-  changes_.Sweep(room_.IsShort(disk_->space()));
-  std::uint64_t owed = 0;
+  changes_.Sweep(disk_capacity_.IsNearlyFull(disk_->space()));
+  std::uint64_t pending_result_bytes = 0;
   std::set<std::string> stores;
   for (const auto& replica : replicas_) {
     for (const auto& [batch_job_id, batch_job] : replica->batch_jobs().batch_jobs())
-      owed += OwedBytes(batch_job);
+      pending_result_bytes += PendingResultBytes(batch_job);
     for (const StoreId& store : replica->table().replicas) stores.insert(store.name);
   }
-  room_.SetOwed(owed);
-  room_.SetStores(stores.size(), 2);
+  disk_capacity_.SetPendingResultBytes(pending_result_bytes);
+  disk_capacity_.SetStores(stores.size(), 2);
 }
 
 inline Micros VirtualStore::Now() const { return fleet_->now; }
@@ -294,9 +275,9 @@
     return static_cast<int>(scope.partition) == fleet_->muted;
   };
   if (type == rpc::MessageType::kReplicate) {
-    auto message = *codec::Decode<Replicate>(body);
+    const auto message = *codec::Decode<Replicate>(body);
     if (is_muted(message.scope)) return;
-    Replica(message.scope.partition).OnReplicate(std::move(message), respond);
+    Replica(message.scope.partition).OnReplicate(message, respond);
   } else if (type == rpc::MessageType::kRepairDigest) {
     const auto message = *codec::Decode<RepairDigest>(body);
     if (!is_muted(message.scope)) Replica(message.scope.partition).OnRepairDigest(message, respond);
@@ -312,7 +293,7 @@
   disk_free_ = std::max(disk_free_, fleet_->now) + fleet_->Between(1, 6 * kMs);
   fleet_->At(disk_free_ - fleet_->now,
              Guard([this, batch = std::move(batch), done = std::move(done)] {
-               done(disk_->TryWrite(batch));
+               done(disk_->WriteWithinLimit(batch));
              }));
 }
 
--- a/tests/tier/batch/store_quota_test.cpp
+++ b/tests/tier/batch/store_quota_test.cpp
@@ -47,7 +47,7 @@
     const ItemResult result{batch_job->first, item, 1, RunOutcome::kComplete, "text"};
     batch_job->second.erase(batch_job->second.begin());
     if (batch_job->second.empty()) open_.erase(batch_job);
-    Tell(result);
+    ReportResult(result);
   }
 
   void End() {
@@ -73,7 +73,7 @@
   }
 
   int accepted = 0, over = 0;
-  double most = 0;
+  double max_waiting = 0;
 
  private:
   void Try(const BatchJobSpec& batch_job, int attempts) {
@@ -109,18 +109,19 @@
     }
     ++accepted;
     for (const ItemSpec& item : batch_job.items) open_[batch_job.batch_job_id].insert(item.item_id);
-    most = std::max(most, Waiting());
+    max_waiting = std::max(max_waiting, Waiting());
   }
 
-  void Tell(const ItemResult& result) {
+  void ReportResult(const ItemResult& result) {
     fleet_->At(fleet_->Between(1 * kMs, 100 * kMs), [this, result] {
       VirtualStore* primary = fleet_->PrimaryOf(result.batch_job_id);
-      auto told = std::make_shared<bool>(false);
-      fleet_->At(1 * kSecond, [this, result, told] {
-        if (!*told) Tell(result);
+      auto acknowledged = std::make_shared<bool>(false);
+      fleet_->At(1 * kSecond, [this, result, acknowledged] {
+        if (!*acknowledged) ReportResult(result);
       });
       if (primary == nullptr) return;
-      primary->items().OnResult(result, [told](const auto& answer) { *told = answer.ok(); });
+      primary->items().OnResult(
+          result, [acknowledged](const auto& answer) { *acknowledged = answer.ok(); });
     });
   }
 
@@ -131,15 +132,15 @@
 
 class StoreQuotaFleetTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreQuotaFleetTest);
-  CPPUNIT_TEST(ALotWithAReservationIsGrantedAgain);
-  CPPUNIT_TEST(AReservationEndsWithALaterReportOnly);
-  CPPUNIT_TEST(AnotherPrimarysReportEndsIt);
-  CPPUNIT_TEST(ASilentPartitionStopsNoOther);
+  CPPUNIT_TEST(BatchJobWithReservationIsGrantedAgain);
+  CPPUNIT_TEST(ReservationEndsOnlyWithLaterReport);
+  CPPUNIT_TEST(ReportOfAnotherPrimaryEndsReservation);
+  CPPUNIT_TEST(UnresponsivePartitionBlocksNoOther);
   CPPUNIT_TEST(SeededRunsKeepTheCap);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ALotWithAReservationIsGrantedAgain() {
+  void BatchJobWithReservationIsGrantedAgain() {
     QuotaTracker tracker({}, 0);
     CPPUNIT_ASSERT(QuotaDecision::kGranted == tracker.Reserve(Reserve("a", 60, 5), 0));
     CPPUNIT_ASSERT(QuotaDecision::kOver == tracker.Reserve(Reserve("b", 60, 6), 0));
@@ -147,12 +148,12 @@
     CPPUNIT_ASSERT_EQUAL(60.0, tracker.Sum());
   }
 
-  void AReservationEndsWithALaterReportOnly() {
+  void ReservationEndsOnlyWithLaterReport() {
     QuotaTracker tracker({}, 0);
     tracker.Reserve(Reserve("a", 60, 5), 0);
     CPPUNIT_ASSERT(tracker.Report(Report(1, 1, 4), 1).empty());
     QuotaReport asked = Report(1, 1, 6);
-    asked.asked = {"a"};
+    asked.pending_reservations = {"a"};
     CPPUNIT_ASSERT(tracker.Report(asked, 2).empty());
     CPPUNIT_ASSERT_EQUAL(60.0, tracker.Sum());
     QuotaReport taken = Report(1, 1, 7);
@@ -165,7 +166,7 @@
     CPPUNIT_ASSERT_EQUAL(0.0, tracker.Sum());
   }
 
-  void AnotherPrimarysReportEndsIt() {
+  void ReportOfAnotherPrimaryEndsReservation() {
     QuotaTracker tracker({{"a", Reserve("a", 60, 5).reservation}}, 0);
     CPPUNIT_ASSERT(!tracker.IsFresh());
     CPPUNIT_ASSERT_EQUAL(60.0, tracker.Sum());
@@ -176,22 +177,22 @@
 
   // One partition cannot report, and the route's owner is lost: what it was granted stays counted,
   // the others go on.
-  void ASilentPartitionStopsNoOther() {
+  void UnresponsivePartitionBlocksNoOther() {
     Fleet fleet(3, 4);
     Clients clients(&fleet);
     fleet.RunUntil(fleet.now + 3 * kSecond);
     for (int i = 0; i < 40; ++i) Step(&fleet, &clients, 0.3);
-    std::uint32_t silent = 0;
+    std::uint32_t unresponsive = 0;
     const auto owner = fleet.table.partitions[PartitionOf(kRoute)].replicas.front();
-    while (silent == PartitionOf(kRoute) || !clients.AnyOpenIn(silent)) ++silent;
-    CPPUNIT_ASSERT(silent < kPartitions);
-    fleet.muted = static_cast<int>(silent);
+    while (unresponsive == PartitionOf(kRoute) || !clients.AnyOpenIn(unresponsive)) ++unresponsive;
+    CPPUNIT_ASSERT(unresponsive < kPartitions);
+    fleet.muted = static_cast<int>(unresponsive);
     fleet.Stop(owner.name, false);
     for (int i = 0; i < 20; ++i) Step(&fleet, &clients, 1);
     const int before = clients.accepted;
     for (int i = 0; i < 100; ++i) Step(&fleet, &clients, 1);
     CPPUNIT_ASSERT(clients.accepted > before + 10);
-    CPPUNIT_ASSERT(clients.most <= kCap);
+    CPPUNIT_ASSERT(clients.max_waiting <= kCap);
   }
 
   void SeededRunsKeepTheCap() {
@@ -202,10 +203,10 @@
       Fleet fleet(seed, 4);
       Clients clients(&fleet);
       Play(seed, &fleet, &clients);
-      const bool kept = clients.most <= kCap && clients.most > 0.75 * kCap;
+      const bool kept = clients.max_waiting <= kCap && clients.max_waiting > 0.75 * kCap;
       const bool served = clients.accepted > 60 && clients.over > 10;
       if (kept && served) continue;
-      failures += "seed " + std::to_string(seed) + ": most " + std::to_string(clients.most) +
+      failures += "seed " + std::to_string(seed) + ": most " + std::to_string(clients.max_waiting) +
                   ", accepted " + std::to_string(clients.accepted) + ", over " +
                   std::to_string(clients.over) + "\n";
     }
@@ -233,7 +234,7 @@
     }
     if (fleet->Chance(0.03)) clients->End();
     fleet->RunUntil(fleet->now + 100 * kMs);
-    fleet->Look();
+    fleet->Reconcile();
   }
 
   static void Play(std::uint64_t seed, Fleet* fleet, Clients* clients) {
