--- a/src/tier/batch/batch_job_api.h
+++ b/src/tier/batch/batch_job_api.h
@@ -27,7 +27,7 @@
   BatchJobApi(Timers* timers, StoreClient* stores, control::ControlClient* control,
               BatchJobLimits bounds, bool offers = true);
 
-  void SetBounds(BatchJobLimits bounds) { bounds_ = bounds; }
+  void SetLimits(BatchJobLimits bounds) { bounds_ = bounds; }
   // GET or DELETE of /lots/ID, GET of /items/ID.
   static bool IsBatchJobCall(const http::Message& request);
   // Answers a call for which IsBatchJobCall is true.
--- a/src/tier/batch/item_request.cpp
+++ b/src/tier/batch/item_request.cpp
@@ -62,7 +62,7 @@
   spec.attempt_id = std::move(leased.item.item_id);
   spec.due = Now() + time;
   spec.target_ms = static_cast<double>(time / kMs);
-  spec.gap_aim_ms = route.gap_aim_ms;
+  spec.gap_target_ms = route.gap_target_ms;
   spec.rank = route.rank;
   spec.attempts = kWorkersOfRun;
   spec.repeatable = true;
--- a/src/tier/batch/retire_api.cpp
+++ b/src/tier/batch/retire_api.cpp
@@ -45,11 +45,11 @@
 void RetireApi::AddTo(control::ApiRouter* router) {
   router->Add("POST", "/Retire.Begin/*",
               [this](std::shared_ptr<http_server::Exchange> exchange, const std::string& node) {
-                Begin(std::move(exchange), node);
+                StartRetirement(std::move(exchange), node);
               });
   router->Add("GET", "/Retire.Read/*",
               [this](const std::shared_ptr<http_server::Exchange>& exchange,
-                     const std::string& node) { Read(exchange, node); });
+                     const std::string& node) { ReadRetirement(exchange, node); });
 }
 
 bool RetireApi::IsKnown(const PlacementTable& table, const std::string& node) const {
@@ -71,7 +71,8 @@
   return left;
 }
 
-void RetireApi::Begin(std::shared_ptr<http_server::Exchange> exchange, const std::string& node) {
+void RetireApi::StartRetirement(std::shared_ptr<http_server::Exchange> exchange,
+                                const std::string& node) {
   auto order = std::make_shared<Order>();
   order->exchange = std::move(exchange);
   order->node = node;
@@ -145,8 +146,8 @@
   });
 }
 
-void RetireApi::Read(const std::shared_ptr<http_server::Exchange>& exchange,
-                     const std::string& node) const {
+void RetireApi::ReadRetirement(const std::shared_ptr<http_server::Exchange>& exchange,
+                               const std::string& node) const {
   const auto snapshot = control_->Current();
   if (snapshot->stores.empty()) {
     Answer(exchange, 503, "{}");
--- a/src/tier/batch/retire_api.h
+++ b/src/tier/batch/retire_api.h
@@ -24,8 +24,9 @@
   RetireApi& operator=(const RetireApi&) = delete;
 
   void AddTo(control::ApiRouter* router);
-  void Begin(std::shared_ptr<http_server::Exchange> exchange, const std::string& node);
-  void Read(const std::shared_ptr<http_server::Exchange>& exchange, const std::string& node) const;
+  void StartRetirement(std::shared_ptr<http_server::Exchange> exchange, const std::string& node);
+  void ReadRetirement(const std::shared_ptr<http_server::Exchange>& exchange,
+                      const std::string& node) const;
 
  private:
   struct Order;
--- a/src/tier/gateway/request_builder.cpp
+++ b/src/tier/gateway/request_builder.cpp
@@ -63,10 +63,10 @@
   spec.service = routing::RouteTable::Pick(route, PointOf(spec.attempt_id)).service;
   spec.due = arrived + static_cast<Micros>(AllowedMs(route, *request) * kMs);
   spec.target_ms = route.target_ms;
-  spec.gap_aim_ms = route.gap_aim_ms;
+  spec.gap_target_ms = route.gap_target_ms;
   spec.rank = route.rank;
   spec.attempts = route.attempts;
-  spec.repeatable = route.Repeatable();
+  spec.repeatable = route.IsIdempotent();
   spec.streamed = route.variant == routing::Variant::kStreamed;
   spec.resumable = spec.streamed && route.resumable;
   spec.last_event_id = ReadNumber<std::uint64_t>(request->Find("Last-Event-Id")).value_or(0);
--- a/src/tier/proxy/active_request.cpp
+++ b/src/tier/proxy/active_request.cpp
@@ -397,7 +397,7 @@
       return line_->silence.Limit(FromMs(spec_.target_ms), spec_.due - sent_);
     return std::max(kPlainSilence, FromMs(kPlainSilenceTargets * spec_.target_ms));
   }
-  const Micros between = std::max(kStreamSilence, FromMs(kStreamSilenceGaps * spec_.gap_aim_ms));
+  const Micros between = std::max(kStreamSilence, FromMs(kStreamSilenceGaps * spec_.gap_target_ms));
   if (heard_ != 0) return between;
   return std::max(between, FromMs(kFirstEventTargets * spec_.target_ms));
 }
--- a/src/tier/proxy/request.h
+++ b/src/tier/proxy/request.h
@@ -23,7 +23,7 @@
   std::string attempt_id;    // X-Attempt-Id
   Micros due = 0;            // on Now()'s clock: when the client gives up or the route's limit ends
   double target_ms = 0;      // objective for the first byte, from `due`'s start
-  double gap_aim_ms = 0;     // streamed: longest pause between events that keeps it in time
+  double gap_target_ms = 0;  // streamed: longest pause between events that keeps it in time
   int rank = 0;              // 0 is the most urgent
   int attempts = 1;          // most workers that it may be sent to
   bool repeatable = false;   // may run more than once
--- a/src/tier/registry/anti_entropy.cpp
+++ b/src/tier/registry/anti_entropy.cpp
@@ -95,9 +95,9 @@
   if (wanted.items.size() > kMaxRecords) wanted.items.resize(kMaxRecords);
   take_(answer.update);
   if (!wanted.items.empty()) {
-    SpreadRequest request;
+    DisseminateRequest request;
     request.update = codec::Encode(wanted);
-    transport_->Call(address, rpc::MessageType::kWorkerSpread, codec::Encode(request),
+    transport_->Call(address, rpc::MessageType::kWorkerDisseminate, codec::Encode(request),
                      kAnswerTimeout, [](absl::StatusOr<std::string>) {});
   }
   if (answer.more) return Ask(address);
--- a/src/tier/registry/spreader.cpp
+++ b/src/tier/registry/spreader.cpp
@@ -40,7 +40,7 @@
 Spreader::Spreader(control::TimeSource* time, rpc::Transport* transport, EdgeNodes* nodes,
                    Take take)
     : time_(time), transport_(transport), nodes_(nodes), take_(std::move(take)) {
-  transport_->Handle(rpc::MessageType::kWorkerSpread,
+  transport_->Handle(rpc::MessageType::kWorkerDisseminate,
                      callbacks_.Bind([this](const std::string&, std::string_view body,
                                             rpc::Respond respond) { OnSpread(body, respond); }));
 }
@@ -69,7 +69,7 @@
 }
 
 void Spreader::OnSpread(std::string_view body, const rpc::Respond& respond) {
-  auto request = codec::Decode<SpreadRequest>(body);
+  auto request = codec::Decode<DisseminateRequest>(body);
   if (!request.ok()) return respond(request.status());
   const auto update = codec::Decode<WorkerUpdate>(request->update);
   if (!update.ok()) return respond(update.status());
@@ -79,14 +79,14 @@
           ? EdgeList()
           : Between(nodes_->Recent(time_->Now()), request->first, request->last, nodes_->self());
   const std::uint64_t self = HashOf(nodes_->self());
-  if (!request->confirm) respond(codec::Encode(SpreadResponse()));
-  if (request->confirm && range.empty()) return respond(codec::Encode(SpreadResponse{{self}}));
+  if (!request->confirm) respond(codec::Encode(DisseminateResponse()));
+  if (request->confirm && range.empty()) return respond(codec::Encode(DisseminateResponse{{self}}));
   if (range.empty()) return;
   const Micros budget = request->budget_ms * kMs;
   Done done;
   if (request->confirm)
     done = [respond, self](const Reached& reached) {
-      SpreadResponse answer{reached.nodes};
+      DisseminateResponse answer{reached.nodes};
       answer.reached.push_back(self);
       respond(codec::Encode(answer));
     };
@@ -118,7 +118,7 @@
   // Each sender has relays of its own, so that no node relays for all.
   const std::size_t chosen = (HashOf(nodes_->self()) ^ HashOf(range.front()->key)) % range.size();
   const EdgeRef relay = range[chosen];
-  SpreadRequest request;
+  DisseminateRequest request;
   request.first = range.front()->key;
   request.last = range.back()->key;
   range.erase(range.begin() + static_cast<std::ptrdiff_t>(chosen));
@@ -139,7 +139,7 @@
     return CoverRange(run, std::move(rest));
   }
   if (!run->confirm) return run->Close();
-  const auto told = codec::Decode<SpreadResponse>(*answer);
+  const auto told = codec::Decode<DisseminateResponse>(*answer);
   std::unordered_set<std::uint64_t> reached{relay->id};
   if (told.ok()) reached.insert(told->reached.begin(), told->reached.end());
   run->reached.insert(run->reached.end(), reached.begin(), reached.end());
@@ -154,16 +154,17 @@
 void Spreader::CoverOne(const std::shared_ptr<Run>& run, const EdgeRef& node) {
   const Micros timeout = std::min(run->until - time_->Now(), kTryTimeout);
   if (timeout < kMinTimeout) return;  // stays open: not all have it
-  Send(run, node, SpreadRequest(), timeout, [this, run, node](absl::StatusOr<std::string> answer) {
-    if (answer.ok()) {
-      run->reached.push_back(node->id);
-      return run->Close();
-    }
-    time_->After(kTryPause, callbacks_.Bind([this, run, node] { CoverOne(run, node); }));
-  });
+  Send(run, node, DisseminateRequest(), timeout,
+       [this, run, node](absl::StatusOr<std::string> answer) {
+         if (answer.ok()) {
+           run->reached.push_back(node->id);
+           return run->Close();
+         }
+         time_->After(kTryPause, callbacks_.Bind([this, run, node] { CoverOne(run, node); }));
+       });
 }
 
-void Spreader::Send(const std::shared_ptr<Run>& run, const EdgeRef& to, SpreadRequest request,
+void Spreader::Send(const std::shared_ptr<Run>& run, const EdgeRef& to, DisseminateRequest request,
                     Micros timeout, rpc::Done done) {
   request.budget_ms = timeout * kRelayShare / kRelayWhole / kMs;
   request.confirm = run->confirm;
@@ -171,7 +172,7 @@
   // A node that came back may listen elsewhere.
   std::string address = nodes_->AddressOf(to->name);
   if (address.empty()) address = to->address;
-  transport_->Call(address, rpc::MessageType::kWorkerSpread, codec::Encode(request), timeout,
+  transport_->Call(address, rpc::MessageType::kWorkerDisseminate, codec::Encode(request), timeout,
                    callbacks_.Bind(std::move(done)));
 }
 
--- a/src/tier/registry/spreader.h
+++ b/src/tier/registry/spreader.h
@@ -46,7 +46,7 @@
   void CoverOne(const std::shared_ptr<Run>& run, const EdgeRef& node);
   void RangeAnswered(const std::shared_ptr<Run>& run, const EdgeRef& relay, EdgeList rest,
                      const absl::StatusOr<std::string>& answer);
-  void Send(const std::shared_ptr<Run>& run, const EdgeRef& to, SpreadRequest request,
+  void Send(const std::shared_ptr<Run>& run, const EdgeRef& to, DisseminateRequest request,
             Micros timeout, rpc::Done done);
 
   control::TimeSource* time_;
--- a/src/tier/registry/worker_messages.h
+++ b/src/tier/registry/worker_messages.h
@@ -16,11 +16,11 @@
   struct Item {
     WorkerRecord record;  // its warm_at is meaningless to others
     std::int64_t warm_left_ms = 0;
-    std::int64_t unheard_ms = 0;  // since the worker's last sign that the sender knows of
-    bool orphaned = false;        // unheard_ms counts from the end of its taker instead
+    std::int64_t heartbeat_age_ms = 0;  // since the worker's last sign that the sender knows of
+    bool orphaned = false;              // heartbeat_age_ms counts from the end of its taker instead
     template <class Archive>
     void serialize(Archive& archive, unsigned) {
-      archive& record& warm_left_ms& unheard_ms& orphaned;
+      archive& record& warm_left_ms& heartbeat_age_ms& orphaned;
     }
   };
   std::vector<Item> items;
@@ -30,9 +30,9 @@
   }
 };
 
-// kWorkerSpread: records for the receiver and, through it, for all edge nodes whose place in the
-// common order is from `first` to `last`.
-struct SpreadRequest {
+// kWorkerDisseminate: records for the receiver and, through it, for all edge nodes whose place in
+// the common order is from `first` to `last`.
+struct DisseminateRequest {
   std::string first, last;     // EdgeNode::key; empty: the receiver alone
   std::int64_t budget_ms = 0;  // the answer is due within it
   bool confirm = false;        // answer once the others have it, naming them
@@ -43,7 +43,7 @@
   }
 };
 
-struct SpreadResponse {
+struct DisseminateResponse {
   std::vector<std::uint64_t> reached;  // HashOf the names of the nodes that have it
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
--- a/src/tier/registry/worker_registry.cpp
+++ b/src/tier/registry/worker_registry.cpp
@@ -58,7 +58,7 @@
                 [this](const WorkerUpdate& update) { Import(update); }),
       anti_entropy_(time_.get(), transport, &nodes_, &state_, period_,
                     [this](const WorkerUpdate& update) { Import(update); }) {
-  transport_->Handle(rpc::MessageType::kWorkerPass,
+  transport_->Handle(rpc::MessageType::kWorkerForward,
                      callbacks_.Bind([this](const std::string&, std::string_view body,
                                             rpc::Respond respond) { OnPassed(body, respond); }));
   time_->After(period_, callbacks_.Bind([this] { Tick(); }));
@@ -160,7 +160,7 @@
   WorkerUpdate update;
   update.items.push_back(
       {record, std::max<Micros>(0, record.warm_at - time_->Now()) / kMs, 0, false});
-  transport_->Call(nodes_.AddressOf(record.taker), rpc::MessageType::kWorkerPass,
+  transport_->Call(nodes_.AddressOf(record.taker), rpc::MessageType::kWorkerForward,
                    codec::Encode(update), kPassTimeout,
                    callbacks_.Bind([this, id](absl::StatusOr<std::string> answer) {
                      if (answer.ok()) return;
@@ -178,7 +178,7 @@
     WorkerRecord record = item.record;
     record.warm_at = now + item.warm_left_ms * kMs;
     record.taker = nodes_.self();
-    if (!state_.Merge(now, record, item.unheard_ms * kMs)) continue;
+    if (!state_.Merge(now, record, item.heartbeat_age_ms * kMs)) continue;
     QueueTelling(record.worker_id);
     any = true;
   }
--- a/src/tier/registry/worker_state.cpp
+++ b/src/tier/registry/worker_state.cpp
@@ -93,7 +93,7 @@
 bool WorkerState::Adopt(Micros now, const WorkerUpdate::Item& item) {
   WorkerRecord record = item.record;
   record.warm_at = now + item.warm_left_ms * kMs;
-  const Micros unheard = std::max<Micros>(item.unheard_ms, 0) * kMs;
+  const Micros unheard = std::max<Micros>(item.heartbeat_age_ms, 0) * kMs;
   const Micros since = now - unheard;
   Known* known = FindKnown(record.worker_id);
   if (known == nullptr) {
--- a/src/tier/routing/configuration_reader.cpp
+++ b/src/tier/routing/configuration_reader.cpp
@@ -109,7 +109,7 @@
   // Items of a batch job stand outside limit_ms, so that such a route may go without.
   reader.ReadNumber("limit_ms", bulk ? Need::kOptional : Need::kRequired, &route->limit_ms);
   reader.ReadNumber("target_ms", Need::kOptional, &route->target_ms);
-  reader.ReadNumber("gap_aim_ms", Need::kOptional, &route->gap_aim_ms);
+  reader.ReadNumber("gap_aim_ms", Need::kOptional, &route->gap_target_ms);
   reader.ReadNumber("due_ms", bulk ? Need::kRequired : Need::kOptional, &route->due_ms);
   reader.ReadNumber("retain_s", bulk ? Need::kRequired : Need::kOptional, &route->retain_s);
 }
--- a/src/tier/routing/route_table.h
+++ b/src/tier/routing/route_table.h
@@ -27,14 +27,14 @@
 struct Route {
   std::string name, host, path_prefix;
   Variant variant = Variant::kEffectful;
-  double limit_ms = 0, target_ms = 0, gap_aim_ms = 0;
+  double limit_ms = 0, target_ms = 0, gap_target_ms = 0;
   double due_ms = 0, retain_s = 0, token_cap = 0;  // bulk only; token_cap 0: no limit
   int rank = 0, attempts = 1;
   bool pinned = false, resumable = false;
   std::vector<Target> targets;  // one, or a weighted split; shares sum to more than 0
 
   // Whether a request may reach more than one worker without a promise that it has not run.
-  bool Repeatable() const {
+  bool IsIdempotent() const {
     return variant == Variant::kIdempotent || variant == Variant::kBulk ||
            (variant == Variant::kStreamed && resumable);
   }
--- a/src/tier/rpc/transport.h
+++ b/src/tier/rpc/transport.h
@@ -23,26 +23,26 @@
   kControlWrite = 3,  // a node passes an operator's or a duty's change on to the head
   kControlRead = 4,   // a strict read of the control state
   // 5 and 6 were a worker's record and a summary of workers.
-  kWorkerSpread = 7,     // worker records on their way to all edge nodes
-  kWorkerPass = 8,       // heartbeats, to the node that should take them
-  kWorkerDigest = 9,     // are the workers the same at both?
-  kWorkerRepair = 10,    // what of them differs
-  kBatchJobCreate = 20,  // edge -> primary store
-  kBatchJobRead = 21,    // edge -> primary store
-  kItemBody = 22,        // edge -> primary store
-  kBatchJobCancel = 23,  // edge -> primary store
-  kItemPull = 24,        // edge -> primary store: lease items to run (held until there are some)
-  kItemResult = 25,      // edge -> primary store: result of a leased item
-  kItemRenew = 26,       // edge -> primary store: leases still held
-  kBatchJobOffer = 27,   // edge -> primary store: may this lot be handed in?
-  kReplicate = 30,       // primary store -> backup store
-  kRepairDigest = 31,    // primary store -> backup store: digests over ranges of lots
-  kQuotaReserve = 32,    // primary store -> quota owner
-  kQuotaReport = 33,     // primary store -> quota owner
-  kStoreStatus = 34,     // store or edge -> placement duty
-  kQuotaQuery = 35,      // edge -> quota owner: would a lot fit?
-  kStorePing = 36,       // placement duty -> store: answered at once
-  kStoreRelay = 37,      // edge -> edge: a call to a store that the sender does not reach
+  kWorkerDisseminate = 7,  // worker records on their way to all edge nodes
+  kWorkerForward = 8,      // heartbeats, to the node that should take them
+  kWorkerDigest = 9,       // are the workers the same at both?
+  kWorkerRepair = 10,      // what of them differs
+  kBatchJobCreate = 20,    // edge -> primary store
+  kBatchJobRead = 21,      // edge -> primary store
+  kItemBody = 22,          // edge -> primary store
+  kBatchJobCancel = 23,    // edge -> primary store
+  kItemPull = 24,          // edge -> primary store: lease items to run (held until there are some)
+  kItemResult = 25,        // edge -> primary store: result of a leased item
+  kItemRenew = 26,         // edge -> primary store: leases still held
+  kBatchJobOffer = 27,     // edge -> primary store: may this lot be handed in?
+  kReplicate = 30,         // primary store -> backup store
+  kRepairDigest = 31,      // primary store -> backup store: digests over ranges of lots
+  kQuotaReserve = 32,      // primary store -> quota owner
+  kQuotaReport = 33,       // primary store -> quota owner
+  kStoreStatus = 34,       // store or edge -> placement duty
+  kQuotaQuery = 35,        // edge -> quota owner: would a lot fit?
+  kStorePing = 36,         // placement duty -> store: answered at once
+  kStoreRelay = 37,        // edge -> edge: a call to a store that the sender does not reach
 };
 
 using Respond = std::function<void(absl::StatusOr<std::string> answer)>;
--- a/src/tier/server/node.cpp
+++ b/src/tier/server/node.cpp
@@ -254,7 +254,7 @@
   // Where this process listens and what it holds stand for its life; bounds are taken over.
   settings_.bounds = settings.bounds;
   if (lot_api_ != nullptr)
-    lot_api_->SetBounds({settings.bounds.status_s, settings.bounds.quota_excess});
+    lot_api_->SetLimits({settings.bounds.status_s, settings.bounds.quota_excess});
   logging::Info(kModule, "settings read again", {});
 }
 
--- a/tests/fuzz/tier_fuzz.cpp
+++ b/tests/fuzz/tier_fuzz.cpp
@@ -123,8 +123,8 @@
       (void)proxy::PrefixKey("m", bytes);
     },
     AsMessage<registry::WorkerUpdate>,
-    AsMessage<registry::SpreadRequest>,
-    AsMessage<registry::SpreadResponse>,
+    AsMessage<registry::DisseminateRequest>,
+    AsMessage<registry::DisseminateResponse>,
     AsMessage<registry::DigestResponse>,
     AsMessage<registry::RepairRequest>,
     AsMessage<registry::RepairResponse>,
--- a/tests/fuzz/tier_state_fuzz.cpp
+++ b/tests/fuzz/tier_state_fuzz.cpp
@@ -174,7 +174,7 @@
       case 2: {
         registry::WorkerUpdate::Item item;
         item.record = record;
-        item.unheard_ms = input->ConsumeIntegral<std::int64_t>();
+        item.heartbeat_age_ms = input->ConsumeIntegral<std::int64_t>();
         item.orphaned = input->ConsumeBool();
         state.Adopt(now, item);
         break;
--- a/tests/tier/batch/placement_controller_test.cpp
+++ b/tests/tier/batch/placement_controller_test.cpp
@@ -25,14 +25,14 @@
   CPPUNIT_TEST(TakesReportsOfFilledStores);
   CPPUNIT_TEST(RefusesReportsOffDuty);
   CPPUNIT_TEST(AsksAReportedStoreItself);
-  CPPUNIT_TEST(AnswersRetireBegin);
+  CPPUNIT_TEST(RespondsToStartRetirement);
   CPPUNIT_TEST(RepeatsAfterAConflict);
   CPPUNIT_TEST(TellsCompletion);
   CPPUNIT_TEST_SUITE_END();
 
-  static std::shared_ptr<FakeExchange> Begin(RetireApi* api, const std::string& node) {
+  static std::shared_ptr<FakeExchange> StartRetirement(RetireApi* api, const std::string& node) {
     auto exchange = std::make_shared<FakeExchange>();
-    api->Begin(exchange, node);
+    api->StartRetirement(exchange, node);
     TurnUntil([&] { return exchange->status != 0; });
     return exchange;
   }
@@ -147,7 +147,7 @@
     CPPUNIT_ASSERT(absl::IsFailedPrecondition(Send({{"s1", "d"}, {{5, 7}}}).status()));
   }
 
-  void AnswersRetireBegin() {
+  void RespondsToStartRetirement() {
     AddStores(3);
     control_.SetTable(TableOf({"s0", "d"}, {"s1", "d"}));
     RetireApi api(&timers_, &control_, 2);
@@ -157,7 +157,7 @@
     };
     const std::vector<Case> cases = {{"unknown", 404}, {"s0", 200}, {"s0", 200}, {"s1", 409}};
     for (const Case& c : cases) {
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(c.node, c.status, Begin(&api, c.node)->status);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(c.node, c.status, StartRetirement(&api, c.node)->status);
     }
     CPPUNIT_ASSERT(control_.Table().retiring == std::vector<std::string>({"s0"}));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, control_.Table().epoch);
@@ -168,7 +168,7 @@
     control_.SetTable(TableOf({"s0", "d"}, {"s1", "d"}));
     control_.conflicts = 1;
     RetireApi api(&timers_, &control_, 2);
-    CPPUNIT_ASSERT_EQUAL(200, Begin(&api, "s0")->status);
+    CPPUNIT_ASSERT_EQUAL(200, StartRetirement(&api, "s0")->status);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, control_.changed_keys.size());
   }
 
@@ -177,7 +177,7 @@
     RetireApi api(&timers_, &control_, 2);
     const auto read = [&] {
       auto exchange = std::make_shared<FakeExchange>();
-      api.Read(exchange, "s2");
+      api.ReadRetirement(exchange, "s2");
       return std::to_string(exchange->status) + " " + exchange->body;
     };
     CPPUNIT_ASSERT_EQUAL(std::string("503 {}"), read());
--- a/tests/tier/golden/samples_control.cpp
+++ b/tests/tier/golden/samples_control.cpp
@@ -66,8 +66,8 @@
   return {
       Coded("registry.worker_record", SomeUpdate().items[0].record),
       Coded("registry.worker_update", SomeUpdate()),
-      Coded("registry.spread_request", SpreadRequest{"first", "last", 250, true, "update"}),
-      Coded("registry.spread_answer", SpreadResponse{{11, 12}}),
+      Coded("registry.spread_request", DisseminateRequest{"first", "last", 250, true, "update"}),
+      Coded("registry.spread_answer", DisseminateResponse{{11, 12}}),
       Coded("registry.digest_entry", DigestEntry{13, 14}),
       Coded("registry.digest_request", DigestRequest{15}),
       Coded("registry.digest_answer", DigestResponse{{16, 17}}),
--- a/tests/tier/golden/samples_values.cpp
+++ b/tests/tier/golden/samples_values.cpp
@@ -39,9 +39,9 @@
       return "control_write";
     case MessageType::kControlRead:
       return "control_read";
-    case MessageType::kWorkerSpread:
+    case MessageType::kWorkerDisseminate:
       return "worker_spread";
-    case MessageType::kWorkerPass:
+    case MessageType::kWorkerForward:
       return "worker_pass";
     case MessageType::kWorkerDigest:
       return "worker_digest";
--- a/tests/tier/proxy/proxy_rig.h
+++ b/tests/tier/proxy/proxy_rig.h
@@ -301,7 +301,7 @@
   spec.streamed = true;
   spec.repeatable = spec.resumable = resumable;
   spec.attempts = attempts;
-  spec.gap_aim_ms = 50;
+  spec.gap_target_ms = 50;
   return spec;
 }
 
--- a/tests/tier/registry/worker_state_test.cpp
+++ b/tests/tier/registry/worker_state_test.cpp
@@ -237,7 +237,7 @@
     WorkerState other({kExpiry, 60 * kSecond});
     constexpr Micros kElsewhere = 5 * kSecond;  // another clock
     for (const WorkerUpdate::Item& item : state_.Export(kStart))
-      other.Merge(kElsewhere, item.record, item.unheard_ms * kMs);
+      other.Merge(kElsewhere, item.record, item.heartbeat_age_ms * kMs);
     CPPUNIT_ASSERT_EQUAL(state_.BuildTable()->size(), other.BuildTable()->size());
     CPPUNIT_ASSERT(other.Find("b")->phase == WorkerPhase::kDraining);
     CPPUNIT_ASSERT(other.Find("c")->phase == WorkerPhase::kGone);
--- a/tests/tier/routing/route_table_test.cpp
+++ b/tests/tier/routing/route_table_test.cpp
@@ -77,7 +77,7 @@
     CPPUNIT_ASSERT(split->variant == Variant::kStreamed);
     CPPUNIT_ASSERT(split->pinned && split->resumable);
     CPPUNIT_ASSERT_EQUAL(2, split->attempts);
-    CPPUNIT_ASSERT_EQUAL(250.0, split->gap_aim_ms);
+    CPPUNIT_ASSERT_EQUAL(250.0, split->gap_target_ms);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, split->targets.size());
     CPPUNIT_ASSERT_EQUAL(std::string("wuno96b"), split->targets[1].service);
     const Route* bulk = table->FindRoute("r-bulk");
@@ -117,10 +117,10 @@
 
   void KnowsWhatMayBeRepeated() {
     const auto table = Example();
-    CPPUNIT_ASSERT(table->FindRoute("r-split")->Repeatable());
-    CPPUNIT_ASSERT(!table->FindRoute("r-one")->Repeatable());
-    CPPUNIT_ASSERT(table->FindRoute("r-bulk")->Repeatable());
-    CPPUNIT_ASSERT(table->FindRoute("r-other")->Repeatable());
+    CPPUNIT_ASSERT(table->FindRoute("r-split")->IsIdempotent());
+    CPPUNIT_ASSERT(!table->FindRoute("r-one")->IsIdempotent());
+    CPPUNIT_ASSERT(table->FindRoute("r-bulk")->IsIdempotent());
+    CPPUNIT_ASSERT(table->FindRoute("r-other")->IsIdempotent());
   }
 
   void MatchesTheLongestPrefix() {
