--- a/src/tier/batch/batch_job_api.cpp
+++ b/src/tier/batch/batch_job_api.cpp
@@ -21,28 +21,28 @@
 constexpr std::string_view kBatchJobsPath = "/lots/";
 constexpr std::string_view kItemsPath = "/items/";
 constexpr char kWriteRetryAfter[] = "0.5";
-constexpr char kNoRoomRetryAfter[] = "2";  // disks are freed as lots grow old
+constexpr char kDiskFullRetryAfter[] = "2";  // disks are freed as lots grow old
 constexpr char kReadRetryAfter[] = "0.3";
 // The longest hold of a read, whatever the client allows.
 constexpr std::int64_t kMaxWaitMs = 10'000;
 // Beyond the time that a read may be held: its client waits 1.5 s longer than it allows.
-constexpr Micros kReadTime = 1200 * kMs;
-constexpr Micros kReadAttempt = 800 * kMs;
-constexpr Micros kEndTime = 2500 * kMs;
+constexpr Micros kReadTimeout = 1200 * kMs;
+constexpr Micros kReadAttemptTimeout = 800 * kMs;
+constexpr Micros kCancelTimeout = 2500 * kMs;
 // A hand-in: the longest wait where the client names none; the least before it is refused; what is
 // kept for the way back of the answer.
-constexpr Micros kSubmitTime = 5 * kSecond;
-constexpr Micros kMinUnsentTime = 1 * kSecond;  // clients take a longer silence for a loss
-constexpr Micros kMaxMargin = 200 * kMs;
+constexpr Micros kDefaultSubmitTimeout = 5 * kSecond;
+constexpr Micros kMinUnsentTimeout = 1 * kSecond;  // clients take a longer silence for a loss
+constexpr Micros kMaxResponseMargin = 200 * kMs;
 
 struct Target {
   std::string_view path, query;
 };
 
 Target SplitTarget(std::string_view target) {
-  const std::size_t change_id = target.find('?');
-  if (change_id == std::string_view::npos) return {target, {}};
-  return {target.substr(0, change_id), target.substr(change_id + 1)};
+  const std::size_t query_mark = target.find('?');
+  if (query_mark == std::string_view::npos) return {target, {}};
+  return {target.substr(0, query_mark), target.substr(query_mark + 1)};
 }
 
 int HexDigit(char c) {
@@ -52,7 +52,7 @@
   return -1;
 }
 
-std::string Unescaped(std::string_view text) {
+std::string PercentDecode(std::string_view text) {
   std::string plain;
   plain.reserve(text.size());
   for (std::size_t at = 0; at < text.size(); ++at) {
@@ -96,66 +96,67 @@
   return ParseNumber<double>(*text);
 }
 
-void Answer(const std::shared_ptr<http_server::Exchange>& exchange, int status,
-            std::string_view body) {
+void RespondJson(const std::shared_ptr<http_server::Exchange>& exchange, int status,
+                 std::string_view body) {
   exchange->Respond(status, {{"Content-Type", "application/json"}}, body);
 }
 
-void Refuse(const std::shared_ptr<http_server::Exchange>& exchange, int status,
-            const std::string& retry_after) {
+void RejectWithRetryAfter(const std::shared_ptr<http_server::Exchange>& exchange, int status,
+                          const std::string& retry_after) {
   exchange->Respond(status, {{"Retry-After", retry_after}}, {});
 }
 
 // Seconds with fractions, as clients take them.
-std::string RetryAfterOf(const CreateBatchJobResponse& answer) {
-  if (answer.retry_after_ms <= 0) return kWriteRetryAfter;
-  return fmt::format("{:.1f}", static_cast<double>(answer.retry_after_ms) / 1000);
+std::string RetryAfterOf(const CreateBatchJobResponse& response) {
+  if (response.retry_after_ms <= 0) return kWriteRetryAfter;
+  return fmt::format("{:.1f}", static_cast<double>(response.retry_after_ms) / 1000);
 }
 
 // The last segment after `prefix`; empty: it is not one.
-std::string_view IdAfter(std::string_view path, std::string_view prefix) {
+std::string_view LastSegmentAfter(std::string_view path, std::string_view prefix) {
   if (path.substr(0, prefix.size()) != prefix) return {};
   path.remove_prefix(prefix.size());
   return path.find('/') == std::string_view::npos ? path : std::string_view();
 }
 
 // How long a hand-in may take from its arrival on.
-Micros SubmitTime(const http::Message& request, const routing::Route& route) {
-  Micros time = kSubmitTime;
+Micros SubmitTimeout(const http::Message& request, const routing::Route& route) {
+  Micros time = kDefaultSubmitTimeout;
   const auto deadline = NumberHeader(request, "X-Deadline-Ms");
   const auto shorten = [&time](double ms) {
     if (ms > 0 && ms < static_cast<double>(time / kMs)) time = static_cast<Micros>(ms * kMs);
   };
   if (deadline.has_value()) shorten(*deadline);
   shorten(route.limit_ms);
-  return time - std::min(time / 10, kMaxMargin);
+  return time - std::min(time / 10, kMaxResponseMargin);
 }
 
-BatchJobSpec SpecOf(const routing::Route& route, const BatchJobLimits& bounds) {
+BatchJobSpec SpecOf(const routing::Route& route, const BatchJobLimits& limits) {
   BatchJobSpec batch_job;
   batch_job.route = route.name;
   batch_job.host = route.host;
   batch_job.token_cap = route.token_cap;
-  batch_job.quota_excess = bounds.quota_excess;
+  batch_job.quota_excess = limits.quota_excess;
   batch_job.attempts = route.attempts;
   batch_job.due_ms = route.due_ms;
   batch_job.retain_s = route.retain_s;
-  batch_job.status_s = bounds.status_s;
+  batch_job.status_s = limits.status_s;
   return batch_job;
 }
 
-void AnswerSubmit(const std::shared_ptr<http_server::Exchange>& exchange,
-                  const absl::StatusOr<CreateBatchJobResponse>& answer) {
-  if (!answer.ok())
-    logging::Warning(kModule, "lot not taken", {{"why", std::string(answer.status().message())}});
-  if (answer.ok() && answer->status == CreateStatus::kAccepted) {
-    Answer(exchange, 202, "{}");
-  } else if (answer.ok() && answer->status == CreateStatus::kNoRoom) {
-    Refuse(exchange, 503, kNoRoomRetryAfter);
-  } else if (answer.ok()) {
-    Refuse(exchange, 429, RetryAfterOf(*answer));
-  } else if (absl::IsUnavailable(answer.status())) {
-    Refuse(exchange, 503, kWriteRetryAfter);
+void RespondToSubmit(const std::shared_ptr<http_server::Exchange>& exchange,
+                     const absl::StatusOr<CreateBatchJobResponse>& response) {
+  if (!response.ok())
+    logging::Warning(kModule, "batch job not accepted",
+                     {{"why", std::string(response.status().message())}});
+  if (response.ok() && response->status == CreateStatus::kAccepted) {
+    RespondJson(exchange, 202, "{}");
+  } else if (response.ok() && response->status == CreateStatus::kNoRoom) {
+    RejectWithRetryAfter(exchange, 503, kDiskFullRetryAfter);
+  } else if (response.ok()) {
+    RejectWithRetryAfter(exchange, 429, RetryAfterOf(*response));
+  } else if (absl::IsUnavailable(response.status())) {
+    RejectWithRetryAfter(exchange, 503, kWriteRetryAfter);
   } else {
     // A 503 would promise that nothing of it runs.
     exchange->Respond(504, {}, {});
@@ -165,36 +166,36 @@
 }  // namespace
 
 BatchJobApi::BatchJobApi(Timers* timers, StoreClient* stores, control::ControlClient* control,
-                         BatchJobLimits bounds, bool offers)
-    : timers_(timers), stores_(stores), control_(control), bounds_(bounds), offers_(offers) {}
+                         BatchJobLimits limits, bool offers)
+    : timers_(timers), stores_(stores), control_(control), limits_(limits), offers_(offers) {}
 
 bool BatchJobApi::IsBatchJobCall(const http::Message& request) {
   const std::string_view path = SplitTarget(request.target).path;
-  if (!IdAfter(path, kBatchJobsPath).empty()) {
+  if (!LastSegmentAfter(path, kBatchJobsPath).empty()) {
     return request.method == "GET" || request.method == "DELETE";
   }
-  return request.method == "GET" && !IdAfter(path, kItemsPath).empty();
+  return request.method == "GET" && !LastSegmentAfter(path, kItemsPath).empty();
 }
 
-void BatchJobApi::CancelWith(const std::shared_ptr<http_server::Exchange>& exchange,
-                             StoreClient::CallId call) {
+void BatchJobApi::CancelOnDisconnect(const std::shared_ptr<http_server::Exchange>& exchange,
+                                     StoreClient::CallId call) {
   exchange->OnClosed([stores = stores_, call] { stores->Cancel(call); });
 }
 
 void BatchJobApi::Handle(const std::shared_ptr<http_server::Exchange>& exchange) {
   const http::Message& request = exchange->request();
   if (control_->Current()->routes == nullptr || stores_->Table() == nullptr) {
-    Refuse(exchange, 503, kReadRetryAfter);
+    RejectWithRetryAfter(exchange, 503, kReadRetryAfter);
     return;
   }
   const Target target = SplitTarget(request.target);
-  const std::string_view batch_job = IdAfter(target.path, kBatchJobsPath);
+  const std::string_view batch_job = LastSegmentAfter(target.path, kBatchJobsPath);
   if (batch_job.empty()) {
-    ReadBody(exchange, Unescaped(IdAfter(target.path, kItemsPath)), target.query);
+    ReadBody(exchange, PercentDecode(LastSegmentAfter(target.path, kItemsPath)), target.query);
   } else if (request.method == "DELETE") {
-    End(exchange, Unescaped(batch_job));
+    CancelBatch(exchange, PercentDecode(batch_job));
   } else {
-    Read(exchange, Unescaped(batch_job), target.query);
+    Read(exchange, PercentDecode(batch_job), target.query);
   }
 }
 
@@ -203,34 +204,34 @@
   http::Message& request = exchange->mutable_request();
   const std::string* id = request.Find("X-Attempt-Id");
   if (id == nullptr || id->empty()) {
-    Answer(exchange, 400, R"({"error":"X-Attempt-Id: missing"})");
+    RespondJson(exchange, 400, R"({"error":"X-Attempt-Id: missing"})");
     return;
   }
-  BatchJobSpec batch_job = SpecOf(route, bounds_);
+  BatchJobSpec batch_job = SpecOf(route, limits_);
   batch_job.batch_job_id = *id;
   batch_job.fingerprint = Fingerprint(request.body);
   auto items = ParseItems(std::move(request.body));
   if (!items.ok()) {
-    logging::Warning("batch", "hand-in does not read",
-                     {logging::F("lot", batch_job.batch_job_id),
+    logging::Warning(kModule, "malformed batch job submission",
+                     {logging::F("batch_job", batch_job.batch_job_id),
                       {"why", std::string(items.status().message())}});
-    Answer(exchange, 400, R"({"error":"not a lot"})");
+    RespondJson(exchange, 400, R"({"error":"not a lot"})");
     return;
   }
   batch_job.items = *std::move(items);
   CallTime time;
   const Micros spent = std::max<Micros>(Now() - exchange->arrived(), 0);
-  time.overall = std::max<Micros>(SubmitTime(request, route) - spent, 0);
-  const Micros aim = static_cast<Micros>(route.target_ms * kMs);
-  time.unsent = std::min(time.overall, std::max(aim, kMinUnsentTime));
-  const auto hand_in = std::make_shared<BatchJobSubmission>(
+  time.overall = std::max<Micros>(SubmitTimeout(request, route) - spent, 0);
+  const Micros target = static_cast<Micros>(route.target_ms * kMs);
+  time.unsent = std::min(time.overall, std::max(target, kMinUnsentTimeout));
+  const auto submission = std::make_shared<BatchJobSubmission>(
       timers_, stores_, std::move(batch_job), time, offers_,
-      [exchange](const absl::StatusOr<CreateBatchJobResponse>& answer) {
-        AnswerSubmit(exchange, answer);
+      [exchange](const absl::StatusOr<CreateBatchJobResponse>& response) {
+        RespondToSubmit(exchange, response);
       });
   // The client's connection keeps the hand-in.
-  exchange->OnClosed([hand_in] { hand_in->Cancel(); });
-  hand_in->Start();
+  exchange->OnClosed([submission] { submission->Cancel(); });
+  submission->Start();
 }
 
 void BatchJobApi::Read(const std::shared_ptr<http_server::Exchange>& exchange,
@@ -240,7 +241,7 @@
   if (const auto text = QueryValue(query, "start_after"); text.has_value() && !text->empty()) {
     const auto start = ParseNumber<std::uint64_t>(*text);
     if (!start.has_value()) {
-      Answer(exchange, 400, R"({"error":"start_after: not a number"})");
+      RespondJson(exchange, 400, R"({"error":"start_after: not a number"})");
       return;
     }
     read.start_after = *start;
@@ -250,62 +251,62 @@
     read.wait_ms = static_cast<std::int64_t>(std::min(wait_ms, static_cast<double>(kMaxWaitMs)));
   }
   CallTime time;
-  time.overall = read.wait_ms * kMs + kReadTime;
-  time.attempt = read.wait_ms * kMs + kReadAttempt;
+  time.overall = read.wait_ms * kMs + kReadTimeout;
+  time.attempt = read.wait_ms * kMs + kReadAttemptTimeout;
   const std::uint64_t start = read.start_after;
-  const auto answered = [exchange, start](const absl::StatusOr<ReadBatchJobResponse>& answer) {
-    if (!answer.ok()) {
-      Refuse(exchange, 503, kReadRetryAfter);
-    } else if (!answer->found) {
-      Answer(exchange, 404, R"({"error":"no such lot"})");
+  const auto on_response = [exchange, start](const absl::StatusOr<ReadBatchJobResponse>& response) {
+    if (!response.ok()) {
+      RejectWithRetryAfter(exchange, 503, kReadRetryAfter);
+    } else if (!response->found) {
+      RespondJson(exchange, 404, R"({"error":"no such lot"})");
     } else {
-      Answer(exchange, 200, WriteOutputs(*answer, start));
+      RespondJson(exchange, 200, WriteOutputs(*response, start));
     }
   };
-  CancelWith(exchange, stores_->Read(std::move(read), time, answered));
+  CancelOnDisconnect(exchange, stores_->Read(std::move(read), time, on_response));
 }
 
 void BatchJobApi::ReadBody(const std::shared_ptr<http_server::Exchange>& exchange,
                            std::string batch_job_id, std::string_view query) {
   const auto item = QueryValue(query, "worker_id");
   if (!item.has_value() || item->empty()) {
-    Answer(exchange, 400, R"({"error":"worker_id: missing"})");
+    RespondJson(exchange, 400, R"({"error":"worker_id: missing"})");
     return;
   }
   ReadItemBody read;
   read.batch_job_id = std::move(batch_job_id);
-  read.item_id = Unescaped(*item);
+  read.item_id = PercentDecode(*item);
   CallTime time;
-  time.overall = kReadTime;
-  time.attempt = kReadAttempt;
-  const auto answered = [exchange](const absl::StatusOr<ReadItemBodyResponse>& answer) {
-    if (!answer.ok()) {
-      Refuse(exchange, 503, kReadRetryAfter);
-    } else if (!answer->found) {
-      Answer(exchange, 404, R"({"error":"no such item"})");
+  time.overall = kReadTimeout;
+  time.attempt = kReadAttemptTimeout;
+  const auto on_response = [exchange](const absl::StatusOr<ReadItemBodyResponse>& response) {
+    if (!response.ok()) {
+      RejectWithRetryAfter(exchange, 503, kReadRetryAfter);
+    } else if (!response->found) {
+      RespondJson(exchange, 404, R"({"error":"no such item"})");
     } else {
-      exchange->Respond(200, {{"Content-Type", "application/octet-stream"}}, answer->body);
+      exchange->Respond(200, {{"Content-Type", "application/octet-stream"}}, response->body);
     }
   };
-  CancelWith(exchange, stores_->ReadBody(std::move(read), time, answered));
+  CancelOnDisconnect(exchange, stores_->ReadBody(std::move(read), time, on_response));
 }
 
-void BatchJobApi::End(const std::shared_ptr<http_server::Exchange>& exchange,
-                      std::string batch_job_id) {
+void BatchJobApi::CancelBatch(const std::shared_ptr<http_server::Exchange>& exchange,
+                              std::string batch_job_id) {
   CancelBatchJob cancel;
   cancel.batch_job_id = std::move(batch_job_id);
   CallTime time;
-  time.overall = kEndTime;
-  const auto answered = [exchange](const absl::StatusOr<CancelBatchJobResponse>& answer) {
-    if (!answer.ok()) {
-      Refuse(exchange, 503, kReadRetryAfter);
-    } else if (!answer->found) {
-      Answer(exchange, 404, R"({"error":"no such lot"})");
+  time.overall = kCancelTimeout;
+  const auto on_response = [exchange](const absl::StatusOr<CancelBatchJobResponse>& response) {
+    if (!response.ok()) {
+      RejectWithRetryAfter(exchange, 503, kReadRetryAfter);
+    } else if (!response->found) {
+      RespondJson(exchange, 404, R"({"error":"no such lot"})");
     } else {
-      Answer(exchange, 200, "{}");
+      RespondJson(exchange, 200, "{}");
     }
   };
-  CancelWith(exchange, stores_->End(std::move(cancel), time, answered));
+  CancelOnDisconnect(exchange, stores_->CancelBatch(std::move(cancel), time, on_response));
 }
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/batch_job_api.h
+++ b/src/tier/batch/batch_job_api.h
@@ -25,9 +25,9 @@
  public:
   // `offers`: see BatchJobSubmission.
   BatchJobApi(Timers* timers, StoreClient* stores, control::ControlClient* control,
-              BatchJobLimits bounds, bool offers = true);
+              BatchJobLimits limits, bool offers = true);
 
-  void SetLimits(BatchJobLimits bounds) { bounds_ = bounds; }
+  void SetLimits(BatchJobLimits limits) { limits_ = limits; }
   // GET or DELETE of /lots/ID, GET of /items/ID.
   static bool IsBatchJobCall(const http::Message& request);
   // Answers a call for which IsBatchJobCall is true.
@@ -40,14 +40,16 @@
             std::string_view query);
   void ReadBody(const std::shared_ptr<http_server::Exchange>& exchange, std::string batch_job_id,
                 std::string_view query);
-  void End(const std::shared_ptr<http_server::Exchange>& exchange, std::string batch_job_id);
+  void CancelBatch(const std::shared_ptr<http_server::Exchange>& exchange,
+                   std::string batch_job_id);
   // The call is dropped when the client leaves.
-  void CancelWith(const std::shared_ptr<http_server::Exchange>& exchange, StoreClient::CallId call);
+  void CancelOnDisconnect(const std::shared_ptr<http_server::Exchange>& exchange,
+                          StoreClient::CallId call);
 
   Timers* timers_;
   StoreClient* stores_;
   control::ControlClient* control_;
-  BatchJobLimits bounds_;
+  BatchJobLimits limits_;
   const bool offers_;
 };
 
--- a/src/tier/batch/batch_job_json.cpp
+++ b/src/tier/batch/batch_job_json.cpp
@@ -19,9 +19,9 @@
 
 // An answer is a little under 1 MB also where contents grow by escapes; and what an output takes
 // besides its texts.
-constexpr std::size_t kMaxAnswerBytes = 900'000, kOutputFrame = 64;
+constexpr std::size_t kMaxResponseBytes = 900'000, kOutputOverheadBytes = 64;
 
-std::string_view View(const Value& text) { return {text.GetString(), text.GetStringLength()}; }
+std::string_view ToView(const Value& text) { return {text.GetString(), text.GetStringLength()}; }
 
 absl::Status Malformed(std::string_view what) {
   return absl::InvalidArgumentError(std::string(what));
@@ -52,8 +52,9 @@
   if (!headers->value.IsObject()) return Malformed("headers: not an object");
   for (const auto& header : headers->value.GetObject()) {
     if (!header.value.IsString()) return Malformed("headers: a value is not a string");
-    if (!IsHeader(View(header.name), View(header.value))) return Malformed("headers: not a header");
-    item->headers.emplace_back(View(header.name), View(header.value));
+    if (!IsHeader(ToView(header.name), ToView(header.value)))
+      return Malformed("headers: not a header");
+    item->headers.emplace_back(ToView(header.name), ToView(header.value));
   }
   return absl::OkStatus();
 }
@@ -67,7 +68,7 @@
   return absl::OkStatus();
 }
 
-bool Unpack(const Value& payload, std::string* body) {
+bool DecodePayload(const Value& payload, std::string* body) {
   const absl::string_view text(payload.GetString(), payload.GetStringLength());
   return absl::Base64Unescape(text, body);
 }
@@ -78,13 +79,13 @@
   const Value* path = StringMember(entry, "path");
   const Value* payload = StringMember(entry, "payload");
   ItemSpec item;
-  if (id == nullptr || !IsHeader("id", View(*id)) || id->GetStringLength() == 0) {
+  if (id == nullptr || !IsHeader("id", ToView(*id)) || id->GetStringLength() == 0) {
     return Malformed("worker_id: missing or not an id");
   }
-  if (path == nullptr || !IsTarget(View(*path))) return Malformed("path: missing or not a path");
-  item.item_id = View(*id);
-  item.path = View(*path);
-  if (payload != nullptr && !Unpack(*payload, &item.body)) {
+  if (path == nullptr || !IsTarget(ToView(*path))) return Malformed("path: missing or not a path");
+  item.item_id = ToView(*id);
+  item.path = ToView(*path);
+  if (payload != nullptr && !DecodePayload(*payload, &item.body)) {
     return Malformed("payload: not base64");
   }
   if (const auto status = ReadHeaders(entry, &item); !status.ok()) return status;
@@ -116,7 +117,7 @@
   return items;
 }
 
-std::string WriteOutputs(const ReadBatchJobResponse& answer, std::uint64_t start_after) {
+std::string WriteOutputs(const ReadBatchJobResponse& response, std::uint64_t start_after) {
   rapidjson::StringBuffer buffer;
   rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
   const auto text = [&writer](std::string_view value) {
@@ -125,12 +126,12 @@
   std::uint64_t next = start_after;
   writer.StartObject();
   writer.Key("total");
-  writer.Uint64(answer.total);
+  writer.Uint64(response.total);
   writer.Key("outputs");
   writer.StartArray();
-  for (const ItemOutput& output : answer.outputs) {
-    const std::size_t size = output.content.size() + output.item_id.size() + kOutputFrame;
-    if (next > start_after && buffer.GetSize() + size > kMaxAnswerBytes) break;
+  for (const ItemOutput& output : response.outputs) {
+    const std::size_t size = output.content.size() + output.item_id.size() + kOutputOverheadBytes;
+    if (next > start_after && buffer.GetSize() + size > kMaxResponseBytes) break;
     writer.StartObject();
     writer.Key("worker_id");
     text(output.item_id);
--- a/src/tier/batch/batch_job_json.h
+++ b/src/tier/batch/batch_job_json.h
@@ -22,7 +22,7 @@
 
 // {"total":..,"outputs":[..],"next_token":..}; the bytes of contents are kept as they are. Outputs
 // that would make the answer too long are left for the next read; there is one at least.
-std::string WriteOutputs(const ReadBatchJobResponse& answer, std::uint64_t start_after);
+std::string WriteOutputs(const ReadBatchJobResponse& response, std::uint64_t start_after);
 
 // A hash of a hand-in, the same on every node.
 std::uint64_t Fingerprint(std::string_view body);
--- a/src/tier/batch/batch_job_submission.h
+++ b/src/tier/batch/batch_job_submission.h
@@ -37,30 +37,32 @@
 
  private:
   void Offer();
-  void AskQuota();
-  void OnOffer(const absl::StatusOr<OfferBatchJobResponse>& answer);
-  void OnQuota(const absl::StatusOr<QuotaResponse>& answer);
+  void RequestQuota();
+  void OnOffer(const absl::StatusOr<OfferBatchJobResponse>& response);
+  void OnQuota(const absl::StatusOr<QuotaResponse>& response);
   void Decide();
   void AwaitOffer();
   void Create();
-  void GiveUp();
-  void RefuseOverQuota();
-  void Finish(const absl::StatusOr<CreateBatchJobResponse>& answer);
-  bool IsOver() const { return fits_.has_value() && *fits_ == QuotaDecision::kOver; }
-  CallTime QuestionTime() const;
+  void FailOnTimeout();
+  void RejectOverQuota();
+  void Finish(const absl::StatusOr<CreateBatchJobResponse>& response);
+  bool IsOverQuota() const {
+    return quota_decision_.has_value() && *quota_decision_ == QuotaDecision::kOver;
+  }
+  CallTime PreCheckTime() const;
 
   Timers* const timers_;
   StoreClient* const stores_;
   BatchJobSpec batch_job_;
-  const Micros began_;
+  const Micros started_at_;
   const CallTime time_;
   const bool offers_;
   Done done_;  // null: it has ended
   StoreClient::CallId offer_call_ = 0, quota_call_ = 0, create_call_ = 0;
   std::optional<OfferVerdict> offer_;
-  std::optional<QuotaDecision> fits_;
+  std::optional<QuotaDecision> quota_decision_;
   std::int64_t retry_after_ms_ = 0;
-  Timers::Id give_up_timer_ = 0, offer_timer_ = 0;
+  Timers::Id timeout_timer_ = 0, offer_timer_ = 0;
 };
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/item_puller.cpp
+++ b/src/tier/batch/item_puller.cpp
@@ -10,31 +10,31 @@
 namespace {
 
 // How long a store may hold a call until there are items, and its answer's way back.
-constexpr std::int64_t kTakeWaitMs = 1000;
-constexpr Micros kAnswerTime = 1 * kSecond;
+constexpr std::int64_t kPullWaitMs = 1000;
+constexpr Micros kResponseMargin = 1 * kSecond;
 // How often the room is looked at while there is none: with items about, and without.
-constexpr Micros kBusyPoll = 100 * kMs;
-constexpr Micros kCalmPoll = 1 * kSecond;
+constexpr Micros kBusyPollPeriod = 100 * kMs;
+constexpr Micros kIdlePollPeriod = 1 * kSecond;
 // Items are about for this long after the last one was seen.
-constexpr Micros kWorkMemory = 5 * kSecond;
+constexpr Micros kRecentWorkSpan = 5 * kSecond;
 // After an error of a store, or an empty answer that came too early.
-constexpr Micros kErrorPause = 200 * kMs;
-constexpr Micros kMinHold = 100 * kMs;
-constexpr Micros kHoldOff = 200 * kMs;
+constexpr Micros kErrorBackoff = 200 * kMs;
+constexpr Micros kMinLongPoll = 100 * kMs;
+constexpr Micros kFailureBackoff = 200 * kMs;
 // Most items of a route that are asked for at once.
-constexpr int kMaxAtOnce = 32;
+constexpr int kMaxItemsPerPull = 32;
 
-int RoomOf(const routing::Route& route, const proxy::RequestRunner& runner) {
+int CapacityOf(const routing::Route& route, const proxy::RequestRunner& runner) {
   std::set<std::string_view> services;
   int room = 0;
   for (const routing::Target& target : route.targets) {
-    if (target.share <= 0 || !services.insert(target.service).second) continue;
+    if (target.weight <= 0 || !services.insert(target.service).second) continue;
     room += std::max(runner.BulkRoom(target.service), 0);
   }
-  return std::min(room, kMaxAtOnce);
+  return std::min(room, kMaxItemsPerPull);
 }
 
-bool HasBulk(const routing::RouteTable& routes) {
+bool HasBulkRoute(const routing::RouteTable& routes) {
   return std::any_of(routes.routes().begin(), routes.routes().end(),
                      [](const auto& route) { return route.variant == routing::Variant::kBulk; });
 }
@@ -43,14 +43,14 @@
 
 ItemPuller::ItemPuller(Timers* timers, StoreClient* stores, control::ControlClient* control,
                        proxy::RequestRunner* runner, std::string node, std::uint64_t process,
-                       Taken taken)
+                       ItemHandler taken)
     : timers_(timers),
       stores_(stores),
       control_(control),
       runner_(runner),
       node_(std::move(node)),
-      process_(process),
-      taken_(std::move(taken)) {}
+      fallback_incarnation_(process),
+      item_handler_(std::move(taken)) {}
 
 ItemPuller::~ItemPuller() { Stop(); }
 
@@ -60,95 +60,96 @@
   timers_->Cancel(&timer_);
 }
 
-void ItemPuller::AskLater(Micros delay) {
+void ItemPuller::PollLater(Micros delay) {
   timers_->Cancel(&timer_);
   timer_ = timers_->After(delay, [this] {
     timer_ = 0;
-    Ask();
+    Poll();
   });
 }
 
-bool ItemPuller::WorkIsKnown(Micros now) const {
-  return work_seen_ != 0 && now - work_seen_ < kWorkMemory;
+bool ItemPuller::HasRecentWork(Micros now) const {
+  return last_item_at_ != 0 && now - last_item_at_ < kRecentWorkSpan;
 }
 
 // The room by route, a store's share of it.
-std::map<std::string, int> ItemPuller::Room(const routing::RouteTable& routes, int stores) const {
+std::map<std::string, int> ItemPuller::Capacity(const routing::RouteTable& routes,
+                                                int stores) const {
   std::map<std::string, int> room;
   for (const routing::Route& route : routes.routes()) {
     if (route.variant != routing::Variant::kBulk) continue;
-    const int here = RoomOf(route, *runner_);
+    const int here = CapacityOf(route, *runner_);
     if (here > 0) room[route.name] = (here + stores - 1) / stores;
   }
   return room;
 }
 
-void ItemPuller::Ask() {
+void ItemPuller::Poll() {
   if (stopped_) return;
   const auto routes = control_->Current()->routes;
-  if (routes == nullptr || !HasBulk(*routes)) return;  // a new configuration asks again
+  if (routes == nullptr || !HasBulkRoute(*routes)) return;  // a new configuration asks again
   const Micros now = Now();
-  Micros next = WorkIsKnown(now) ? kBusyPoll : kCalmPoll;
-  if (now < hold_off_until_) {
-    AskLater(hold_off_until_ - now);
+  Micros next = HasRecentWork(now) ? kBusyPollPeriod : kIdlePollPeriod;
+  if (now < backoff_until_) {
+    PollLater(backoff_until_ - now);
     return;
   }
   const std::vector<StoreId> primaries = stores_->Primaries();
-  const auto room = Room(*routes, std::max<int>(static_cast<int>(primaries.size()), 1));
+  const auto room = Capacity(*routes, std::max<int>(static_cast<int>(primaries.size()), 1));
   if (primaries.empty() || room.empty()) {
-    AskLater(next);
+    PollLater(next);
     return;
   }
   bool all_open = true;
   for (const StoreId& store : primaries) {
-    Asked& asked = asked_[store];
-    if (!asked.open && asked.not_before <= now) AskStore(store, room);
-    if (asked.open) continue;
+    StorePoll& poll = polls_[store];
+    if (!poll.open && poll.not_before <= now) PullFrom(store, room);
+    if (poll.open) continue;
     all_open = false;
-    next = std::min(next, std::max<Micros>(asked.not_before - now, kMs));
+    next = std::min(next, std::max<Micros>(poll.not_before - now, kMs));
   }
-  if (!all_open) AskLater(next);
+  if (!all_open) PollLater(next);
 }
 
-std::uint64_t ItemPuller::Process() const {
+std::uint64_t ItemPuller::Incarnation() const {
   const auto self = control_->members().find(node_);
-  return self == control_->members().end() ? process_ : self->second.info.incarnation;
+  return self == control_->members().end() ? fallback_incarnation_ : self->second.info.incarnation;
 }
 
-void ItemPuller::AskStore(const StoreId& store, std::map<std::string, int> room) {
-  asked_[store].open = true;
-  PullItems take;
-  take.node = node_;
-  take.process = Process();
-  take.room = std::move(room);
-  take.wait_ms = kTakeWaitMs;
-  const Micros timeout = kTakeWaitMs * kMs + kAnswerTime;
-  stores_->Take(
-      store, std::move(take), timeout,
-      [this, alive = alive_, store, at = Now()](absl::StatusOr<PullItemsResponse> answer) {
-        if (*alive) OnAnswer(store, at, std::move(answer));
+void ItemPuller::PullFrom(const StoreId& store, std::map<std::string, int> room) {
+  polls_[store].open = true;
+  PullItems pull;
+  pull.node = node_;
+  pull.process = Incarnation();
+  pull.room = std::move(room);
+  pull.wait_ms = kPullWaitMs;
+  const Micros timeout = kPullWaitMs * kMs + kResponseMargin;
+  stores_->Pull(
+      store, std::move(pull), timeout,
+      [this, alive = alive_, store, at = Now()](absl::StatusOr<PullItemsResponse> response) {
+        if (*alive) OnPulled(store, at, std::move(response));
       });
 }
 
-void ItemPuller::OnAnswer(const StoreId& store, Micros asked_at,
-                          absl::StatusOr<PullItemsResponse> answer) {
+void ItemPuller::OnPulled(const StoreId& store, Micros sent_at,
+                          absl::StatusOr<PullItemsResponse> response) {
   const Micros now = Now();
-  Asked& asked = asked_[store];
-  asked.open = false;
-  const bool is_empty = answer.ok() && answer->items.empty();
-  if (!answer.ok() || (is_empty && now - asked_at < kMinHold)) {
-    asked.not_before = now + kErrorPause;
+  StorePoll& poll = polls_[store];
+  poll.open = false;
+  const bool is_empty = response.ok() && response->items.empty();
+  if (!response.ok() || (is_empty && now - sent_at < kMinLongPoll)) {
+    poll.not_before = now + kErrorBackoff;
   }
-  if (answer.ok() && !is_empty) {
-    work_seen_ = now;
-    for (LeasedItem& item : answer->items) taken_(std::move(item));
+  if (response.ok() && !is_empty) {
+    last_item_at_ = now;
+    for (LeasedItem& item : response->items) item_handler_(std::move(item));
   }
-  Ask();
+  Poll();
 }
 
-void ItemPuller::HoldOff() {
-  hold_off_until_ = Now() + kHoldOff;
-  work_seen_ = Now();
+void ItemPuller::BackOff() {
+  backoff_until_ = Now() + kFailureBackoff;
+  last_item_at_ = Now();
 }
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/item_request.cpp
+++ b/src/tier/batch/item_request.cpp
@@ -12,48 +12,48 @@
 namespace {
 
 // Most workers that one run may go to.
-constexpr int kWorkersOfRun = 3;
+constexpr int kMaxWorkersPerRun = 3;
 
 // Headers of a hand-in that the run sets itself or that concern one connection only.
-bool IsOwnHeader(std::string_view name) {
-  constexpr std::array<std::string_view, 9> kOwn = {
+bool IsReservedHeader(std::string_view name) {
+  constexpr std::array<std::string_view, 9> kReserved = {
       "Host",    "X-Attempt-Id", "Content-Length", "Transfer-Encoding", "Connection", "Keep-Alive",
       "Upgrade", "TE",           "Trailer"};
-  return std::any_of(kOwn.begin(), kOwn.end(),
-                     [name](std::string_view own) { return http::SameName(own, name); });
+  return std::any_of(kReserved.begin(), kReserved.end(),
+                     [name](std::string_view reserved) { return http::SameName(reserved, name); });
 }
 
-std::string_view HeaderOf(const ItemSpec& item, std::string_view name) {
+std::string_view FindHeader(const ItemSpec& item, std::string_view name) {
   for (const auto& [header, value] : item.headers) {
     if (http::SameName(header, name)) return value;
   }
   return {};
 }
 
-std::vector<http::Header> HeadersOf(const LeasedItem& leased, const routing::Route& route) {
+std::vector<http::Header> MakeHeaders(const LeasedItem& leased, const routing::Route& route) {
   std::vector<http::Header> headers;
   headers.reserve(leased.item.headers.size() + 2);
   headers.push_back({"Host", route.host});
   headers.push_back({"X-Attempt-Id", leased.item.item_id});
   for (const auto& [name, value] : leased.item.headers) {
-    if (!IsOwnHeader(name)) headers.push_back({name, value});
+    if (!IsReservedHeader(name)) headers.push_back({name, value});
   }
   return headers;
 }
 
 }  // namespace
 
-proxy::RequestSpec RequestOf(LeasedItem leased, const routing::Route& route, std::string service,
-                             Micros time) {
+proxy::RequestSpec MakeItemRequest(LeasedItem leased, const routing::Route& route,
+                                   std::string service, Micros time) {
   proxy::RequestSpec spec;
   spec.service = std::move(service);
   spec.method = "POST";
-  spec.headers = HeadersOf(leased, route);
-  const std::string_view counts = HeaderOf(leased.item, proxy::kTokenCountHeader);
+  spec.headers = MakeHeaders(leased, route);
+  const std::string_view counts = FindHeader(leased.item, proxy::kTokenCountHeader);
   spec.tokens = counts.empty() ? leased.item.tokens : proxy::TokenCount(counts);
   const proxy::PromptShape prompt =
-      proxy::ReadPromptShape(HeaderOf(leased.item, proxy::kModelHeader),
-                             HeaderOf(leased.item, proxy::kPromptPrefixHeader));
+      proxy::ReadPromptShape(FindHeader(leased.item, proxy::kModelHeader),
+                             FindHeader(leased.item, proxy::kPromptPrefixHeader));
   spec.prefix_key = prompt.key;
   spec.shared_tokens = prompt.shared_tokens;
   spec.own_tokens = prompt.own_tokens;
@@ -64,7 +64,7 @@
   spec.target_ms = static_cast<double>(time / kMs);
   spec.gap_target_ms = route.gap_target_ms;
   spec.rank = route.rank;
-  spec.attempts = kWorkersOfRun;
+  spec.attempts = kMaxWorkersPerRun;
   spec.repeatable = true;
   spec.streamed = true;
   spec.resumable = true;
--- a/src/tier/batch/item_request.h
+++ b/src/tier/batch/item_request.h
@@ -13,8 +13,8 @@
 
 // A bulk job at a worker of `service` that is over within `time` from now. It ends at the first
 // answer of 500: the store counts these.
-proxy::RequestSpec RequestOf(LeasedItem leased, const routing::Route& route, std::string service,
-                             Micros time);
+proxy::RequestSpec MakeItemRequest(LeasedItem leased, const routing::Route& route,
+                                   std::string service, Micros time);
 
 }  // namespace pearreach::batch
 
--- a/src/tier/batch/item_worker.h
+++ b/src/tier/batch/item_worker.h
@@ -32,33 +32,33 @@
 
   // Takes no more items; those that still run after `linger` are returned to the stores. `idle` is
   // called once when no item is held any more; the caller bounds its wait for that.
-  void Stop(Micros linger, std::function<void()> idle);
-  std::size_t held() const { return held_.size(); }
+  void Stop(Micros grace_period, std::function<void()> idle);
+  std::size_t in_flight() const { return in_flight_.size(); }
 
  private:
   using Key = std::pair<std::string, std::string>;  // lot and item
   class Run;                                        // hears of one run of an item
-  struct Held;
+  struct InFlightItem;
 
-  void OnTaken(LeasedItem item);
-  void LeaseAgain(Held* held, const LeasedItem& leased);
-  void Launch(const Key& key, LeasedItem leased, const routing::Route& route);
+  void OnItemPulled(LeasedItem item);
+  void OnLeasedAgain(InFlightItem* item, const LeasedItem& leased);
+  void StartRun(const Key& key, LeasedItem leased, const routing::Route& route);
   const routing::Target& PickTarget(const routing::Route& route);
   void OnRunEnd(const Key& key, const proxy::RequestResult& result);
-  void Conclude(const Key& key, RunOutcome outcome, std::string content);
+  void FinishRun(const Key& key, RunOutcome outcome, std::string content);
   void Report(const Key& key);
   void OnReported(const Key& key, const absl::Status& status);
   void Drop(const Key& key);
-  void TellIdle();
-  void Return(const Key& key);
-  void ReturnRunning();
+  void NotifyIdle();
+  void ReturnToStore(const Key& key);
+  void ReturnAllRunning();
   void OnControlChange();
 
-  void TickLater();
-  void Tick();
-  void GiveUpExpired(Micros now);
+  void ScheduleRenewal();
+  void OnRenewTimer();
+  void DropExpired(Micros now);
   void RenewAll(Micros now);
-  void OnRenewed(const std::vector<Key>& asked, Micros sent,
+  void OnRenewed(const std::vector<Key>& requested, Micros sent,
                  const absl::StatusOr<RenewLeasesResponse>& answer);
 
   Timers* timers_;
@@ -67,13 +67,13 @@
   proxy::RequestRunner* runner_;
   const std::string node_;
   std::minstd_rand random_;
-  std::map<Key, std::unique_ptr<Held>> held_;
+  std::map<Key, std::unique_ptr<InFlightItem>> in_flight_;
   std::uint64_t routes_revision_ = 0, stores_revision_ = 0;
-  Timers::Id tick_ = 0, linger_ = 0;
+  Timers::Id renew_timer_ = 0, grace_timer_ = 0;
   bool stopping_ = false;
   std::function<void()> idle_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  ItemPuller taker_;
+  ItemPuller puller_;
 };
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/retire_api.cpp
+++ b/src/tier/batch/retire_api.cpp
@@ -13,17 +13,17 @@
 namespace {
 
 // An order is tried for this long; then the operator is asked to send it again.
-constexpr Micros kOrderTime = 2500 * kMs;
-constexpr Micros kStepTime = 1 * kSecond;
-constexpr Micros kRetryPause = 100 * kMs;
+constexpr Micros kRequestTimeout = 2500 * kMs;
+constexpr Micros kStepTimeout = 1 * kSecond;
+constexpr Micros kRetryDelay = 100 * kMs;
 constexpr char kRetryAfterSeconds[] = "0.3";
 
 bool Contains(const std::vector<std::string>& list, const std::string& name) {
   return std::find(list.begin(), list.end(), name) != list.end();
 }
 
-void Answer(const std::shared_ptr<http_server::Exchange>& exchange, int status,
-            std::string_view body) {
+void RespondJson(const std::shared_ptr<http_server::Exchange>& exchange, int status,
+                 std::string_view body) {
   std::vector<http::Header> headers = {{"Content-Type", "application/json"}};
   if (status == 503) headers.push_back({"Retry-After", kRetryAfterSeconds});
   exchange->Respond(status, std::move(headers), body);
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-struct RetireApi::Order {
+struct RetireApi::RetireRequest {
   std::shared_ptr<http_server::Exchange> exchange;
   std::string node;
   Micros deadline = 0;
@@ -61,7 +61,8 @@
          Contains(table.retired, node);
 }
 
-std::size_t RetireApi::OthersLeft(const PlacementTable& table, const std::string& node) const {
+std::size_t RetireApi::CountOtherStores(const PlacementTable& table,
+                                        const std::string& node) const {
   std::size_t left = 0;
   for (const auto& [name, store] : StoresOf(control_->members())) {
     if (name == node || store.condition == StoreCondition::kGone) continue;
@@ -73,76 +74,77 @@
 
 void RetireApi::StartRetirement(std::shared_ptr<http_server::Exchange> exchange,
                                 const std::string& node) {
-  auto order = std::make_shared<Order>();
-  order->exchange = std::move(exchange);
-  order->node = node;
-  order->deadline = Now() + kOrderTime;
-  Try(order);
+  auto request = std::make_shared<RetireRequest>();
+  request->exchange = std::move(exchange);
+  request->node = node;
+  request->deadline = Now() + kRequestTimeout;
+  ReadPlacement(request);
 }
 
-void RetireApi::Try(const std::shared_ptr<Order>& order) {
-  if (!order->exchange->open()) return;
-  const Micros left = order->deadline - Now();
+void RetireApi::ReadPlacement(const std::shared_ptr<RetireRequest>& request) {
+  if (!request->exchange->open()) return;
+  const Micros left = request->deadline - Now();
   if (left <= 0) {
-    Answer(order->exchange, 503, "{}");
+    RespondJson(request->exchange, 503, "{}");
     return;
   }
   using Snapshot = std::shared_ptr<const control::ControlSnapshot>;
-  control_->StrictRead(std::min(left, kStepTime),
-                       [this, alive = alive_, order](const absl::StatusOr<Snapshot>& snapshot) {
+  control_->StrictRead(std::min(left, kStepTimeout),
+                       [this, alive = alive_, request](const absl::StatusOr<Snapshot>& snapshot) {
                          if (!*alive) return;
                          if (snapshot.ok() && *snapshot != nullptr) {
-                           Decide(order, **snapshot);
+                           StoreRetirement(request, **snapshot);
                          } else {
-                           Again(order);
+                           RetryLater(request);
                          }
                        });
 }
 
-void RetireApi::Decide(const std::shared_ptr<Order>& order,
-                       const control::ControlSnapshot& snapshot) {
+void RetireApi::StoreRetirement(const std::shared_ptr<RetireRequest>& request,
+                                const control::ControlSnapshot& snapshot) {
   if (snapshot.stores.empty()) {
-    Again(order);  // no partition is placed yet: that does not take long
+    RetryLater(request);  // no partition is placed yet: that does not take long
     return;
   }
   auto table = codec::Decode<PlacementTable>(snapshot.stores);
   if (!table.ok()) {
-    Answer(order->exchange, 503, "{}");
+    RespondJson(request->exchange, 503, "{}");
     return;
   }
-  if (!IsKnown(*table, order->node)) {
-    Answer(order->exchange, 404, R"({"error":"no such storage machine"})");
+  if (!IsKnown(*table, request->node)) {
+    RespondJson(request->exchange, 404, R"({"error":"no such storage machine"})");
     return;
   }
-  if (Contains(table->retiring, order->node) || Contains(table->retired, order->node)) {
-    Answer(order->exchange, 200, "{}");
+  if (Contains(table->retiring, request->node) || Contains(table->retired, request->node)) {
+    RespondJson(request->exchange, 200, "{}");
     return;
   }
-  if (OthersLeft(*table, order->node) < replicas_) {
-    Answer(order->exchange, 409, R"({"error":"too few storage machines would be left"})");
+  if (CountOtherStores(*table, request->node) < replicas_) {
+    RespondJson(request->exchange, 409, R"({"error":"too few storage machines would be left"})");
     return;
   }
-  table->retiring.push_back(order->node);
+  table->retiring.push_back(request->node);
   ++table->epoch;
-  const Micros left = std::max<Micros>(order->deadline - Now(), kMs);
+  const Micros left = std::max<Micros>(request->deadline - Now(), kMs);
   control_->Change({control::kStoresKey, snapshot.stores_revision, codec::Encode(*table)},
-                   std::min(left, kStepTime),
-                   [this, alive = alive_, order](const control::ChangeOutcome& outcome) {
-                     if (*alive) OnChanged(order, outcome);
+                   std::min(left, kStepTimeout),
+                   [this, alive = alive_, request](const control::ChangeOutcome& outcome) {
+                     if (*alive) OnChanged(request, outcome);
                    });
 }
 
-void RetireApi::OnChanged(const std::shared_ptr<Order>& order, control::ChangeOutcome outcome) {
+void RetireApi::OnChanged(const std::shared_ptr<RetireRequest>& request,
+                          control::ChangeOutcome outcome) {
   if (outcome.status == coordination::ChangeStatus::kCommitted) {
-    Answer(order->exchange, 200, "{}");
+    RespondJson(request->exchange, 200, "{}");
     return;
   }
-  Again(order);
+  RetryLater(request);
 }
 
-void RetireApi::Again(const std::shared_ptr<Order>& order) {
-  timers_->After(kRetryPause, [this, alive = alive_, order] {
-    if (*alive) Try(order);
+void RetireApi::RetryLater(const std::shared_ptr<RetireRequest>& request) {
+  timers_->After(kRetryDelay, [this, alive = alive_, request] {
+    if (*alive) ReadPlacement(request);
   });
 }
 
@@ -150,20 +152,20 @@
                                const std::string& node) const {
   const auto snapshot = control_->Current();
   if (snapshot->stores.empty()) {
-    Answer(exchange, 503, "{}");
+    RespondJson(exchange, 503, "{}");
     return;
   }
   const auto table = codec::Decode<PlacementTable>(snapshot->stores);
   if (!table.ok()) {
-    Answer(exchange, 503, "{}");
+    RespondJson(exchange, 503, "{}");
     return;
   }
   if (!IsKnown(*table, node)) {
-    Answer(exchange, 404, R"({"error":"no such storage machine"})");
+    RespondJson(exchange, 404, R"({"error":"no such storage machine"})");
     return;
   }
   const bool complete = Contains(table->retired, node) && IsSettled(*table, replicas_);
-  Answer(exchange, 200, complete ? R"({"phase":"complete"})" : R"({"phase":"serving"})");
+  RespondJson(exchange, 200, complete ? R"({"phase":"complete"})" : R"({"phase":"serving"})");
 }
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/retire_api.h
+++ b/src/tier/batch/retire_api.h
@@ -29,14 +29,15 @@
                       const std::string& node) const;
 
  private:
-  struct Order;
+  struct RetireRequest;
 
-  void Try(const std::shared_ptr<Order>& order);
-  void Decide(const std::shared_ptr<Order>& order, const control::ControlSnapshot& snapshot);
-  void Again(const std::shared_ptr<Order>& order);
-  void OnChanged(const std::shared_ptr<Order>& order, control::ChangeOutcome outcome);
+  void ReadPlacement(const std::shared_ptr<RetireRequest>& request);
+  void StoreRetirement(const std::shared_ptr<RetireRequest>& request,
+                       const control::ControlSnapshot& snapshot);
+  void RetryLater(const std::shared_ptr<RetireRequest>& request);
+  void OnChanged(const std::shared_ptr<RetireRequest>& request, control::ChangeOutcome outcome);
   bool IsKnown(const PlacementTable& table, const std::string& node) const;
-  std::size_t OthersLeft(const PlacementTable& table, const std::string& node) const;
+  std::size_t CountOtherStores(const PlacementTable& table, const std::string& node) const;
 
   Timers* timers_;
   control::ControlClient* control_;
--- a/src/tier/batch/store_client.cpp
+++ b/src/tier/batch/store_client.cpp
@@ -12,20 +12,20 @@
 constexpr char kModule[] = "batch";
 
 // Between two tries of a call: time for a new placement to come.
-constexpr Micros kRetryPause = 100 * kMs;
+constexpr Micros kRetryDelay = 100 * kMs;
 // Of a read's time, kept for the way back of the answer.
-constexpr Micros kReadMargin = 300 * kMs;
+constexpr Micros kReadResponseMargin = 300 * kMs;
 
-template <class Answer>
-absl::StatusOr<Answer> Decoded(absl::StatusOr<std::string> bytes) {
+template <class Response>
+absl::StatusOr<Response> DecodeResponse(absl::StatusOr<std::string> bytes) {
   if (!bytes.ok()) return bytes.status();
-  return codec::Decode<Answer>(*bytes);
+  return codec::Decode<Response>(*bytes);
 }
 
 // Whether a store that answered so has surely not carried the call out.
-bool IsRefusal(const absl::Status& status) { return absl::IsFailedPrecondition(status); }
+bool IsRejection(const absl::Status& status) { return absl::IsFailedPrecondition(status); }
 
-bool IsWorthRetry(const absl::Status& status) {
+bool IsRetryable(const absl::Status& status) {
   return absl::IsFailedPrecondition(status) || absl::IsUnavailable(status) ||
          absl::IsDeadlineExceeded(status);
 }
@@ -38,14 +38,14 @@
   Micros deadline = 0, unsent_deadline = 0, attempt = 0;
   Encoder encode;
   Finished finished;
-  bool pausing = false;  // until its next attempt
-  bool unclear = false;  // a store may have carried it out without saying so
+  bool awaits_retry = false;       // until its next attempt
+  bool may_have_executed = false;  // a store may have carried it out without saying so
   // Epochs of the partition under which it was asked last, and last without an answer.
-  std::uint64_t asked_epoch = 0, unclear_epoch = 0;
+  std::uint64_t attempted_epoch = 0, uncertain_epoch = 0;
   std::uint64_t attempts = 0;  // numbers the attempt whose answer counts
   std::string last_error;      // of a store, for the log
-  StoreId asked;               // the last store
-  Micros began = 0;
+  StoreId last_store;          // the last store
+  Micros started_at = 0;
   Timers::Id timer = 0;
 };
 
@@ -57,24 +57,24 @@
       unresponsive_stores_(transport, control),
       path_(transport, control, std::move(self)) {
   control_->OnChange([this, alive = alive_] {
-    if (*alive && control_->Current()->stores_revision != table_revision_) WakeMoved();
+    if (*alive && control_->Current()->stores_revision != table_revision_) RetryMovedCalls();
   });
 }
 
 // Calls that pause until a new placement comes go to the partition's new primary at once.
-void StoreClient::WakeMoved() {
+void StoreClient::RetryMovedCalls() {
   const auto table = Table();
   if (table == nullptr) return;
   std::vector<CallId> moved;
   for (const auto& [id, call] : calls_) {
     const std::uint64_t epoch = table->partitions[PartitionOf(call->batch_job_id)].epoch;
-    if (call->pausing && call->asked_epoch != epoch) moved.push_back(id);
+    if (call->awaits_retry && call->attempted_epoch != epoch) moved.push_back(id);
   }
   for (const CallId id : moved) {
     const auto found = calls_.find(id);
     if (found == calls_.end()) continue;
     timers_->Cancel(&found->second->timer);
-    found->second->pausing = false;
+    found->second->awaits_retry = false;
     Attempt(id);
   }
 }
@@ -90,7 +90,7 @@
   if (table_ != nullptr && snapshot->stores_revision == table_revision_) return table_;
   auto table = codec::Decode<PlacementTable>(snapshot->stores);
   if (!table.ok() || table->partitions.size() != kPartitions) {
-    logging::Error(kModule, "placement table does not read",
+    logging::Error(kModule, "placement table cannot be decoded",
                    {logging::F("revision", snapshot->stores_revision)});
     return table_;
   }
@@ -129,7 +129,7 @@
   const Micros now = Now();
   call->type = type;
   call->batch_job_id = std::move(batch_job_id);
-  call->began = now;
+  call->started_at = now;
   call->deadline = now + time.overall;
   call->unsent_deadline = now + (time.unsent > 0 ? time.unsent : time.overall);
   call->attempt = time.attempt > 0 ? time.attempt : kAttemptTime;
@@ -145,59 +145,60 @@
   if (found == calls_.end()) return;
   Call* call = found->second.get();
   call->timer = 0;
-  call->pausing = false;
+  call->awaits_retry = false;
   const StoreId* primary = PrimaryOf(call->batch_job_id);
-  const bool there = primary != nullptr && !path_.AddressOf(*primary).empty();
+  const bool reachable = primary != nullptr && !path_.AddressOf(*primary).empty();
   const Micros left = call->deadline - Now();
-  if (!there || left <= 0) {
+  if (!reachable || left <= 0) {
     RetryLater(id, call);
     return;
   }
   const std::uint64_t number = ++call->attempts;
-  call->asked = *primary;
-  const Asking asking{table_->epoch, table_->partitions[PartitionOf(call->batch_job_id)].epoch,
-                      left};
-  call->asked_epoch = asking.partition_epoch;
-  path_.Call(call->asked, call->type, call->encode(asking), std::min(left, call->attempt),
-             [this, alive = alive_, id, number](absl::StatusOr<std::string> answer) {
+  call->last_store = *primary;
+  const AttemptContext context{table_->epoch,
+                               table_->partitions[PartitionOf(call->batch_job_id)].epoch, left};
+  call->attempted_epoch = context.partition_epoch;
+  path_.Call(call->last_store, call->type, call->encode(context), std::min(left, call->attempt),
+             [this, alive = alive_, id, number](absl::StatusOr<std::string> response) {
                if (!*alive) return;
                const auto at = calls_.find(id);
                if (at == calls_.end() || at->second->attempts != number) return;
-               OnAnswer(id, std::move(answer));
+               OnResponse(id, std::move(response));
              });
 }
 
-void StoreClient::OnAnswer(CallId id, absl::StatusOr<std::string> answer) {
+void StoreClient::OnResponse(CallId id, absl::StatusOr<std::string> response) {
   Call* call = calls_.at(id).get();
-  if (answer.ok() || !IsWorthRetry(answer.status())) {
+  if (response.ok() || !IsRetryable(response.status())) {
     // An active primary of a later epoch has spoken: what was asked under an earlier one has been
     // carried out and shows in its answer, or it never will be.
-    if (call->unclear && call->asked_epoch > call->unclear_epoch) call->unclear = false;
-    Finish(id, std::move(answer));
+    if (call->may_have_executed && call->attempted_epoch > call->uncertain_epoch)
+      call->may_have_executed = false;
+    Finish(id, std::move(response));
     return;
   }
-  if (!IsRefusal(answer.status())) {
-    call->unclear = true;
-    call->unclear_epoch = call->asked_epoch;
+  if (!IsRejection(response.status())) {
+    call->may_have_executed = true;
+    call->uncertain_epoch = call->attempted_epoch;
   }
-  call->last_error = std::string(answer.status().message());
+  call->last_error = std::string(response.status().message());
   const bool is_short = call->attempt < kAttemptTime;  // others may wait for something
-  if (is_short && absl::IsDeadlineExceeded(answer.status()))
-    unresponsive_stores_.Report(call->asked, Now());
+  if (is_short && absl::IsDeadlineExceeded(response.status()))
+    unresponsive_stores_.Report(call->last_store, Now());
   RetryLater(id, call);
 }
 
 void StoreClient::RetryLater(CallId id, Call* call) {
-  const Micros until = call->unclear ? call->deadline : call->unsent_deadline;
+  const Micros until = call->may_have_executed ? call->deadline : call->unsent_deadline;
   const Micros left = until - Now();
-  if (left <= kRetryPause) {
+  if (left <= kRetryDelay) {
     // From the timer in any case: `finished` is never called from inside Start.
-    call->timer =
-        timers_->After(std::max<Micros>(left, 0), [this, id] { GiveUp(id, *calls_.at(id)); });
+    call->timer = timers_->After(std::max<Micros>(left, 0),
+                                 [this, id] { FailOnTimeout(id, *calls_.at(id)); });
     return;
   }
-  call->pausing = true;
-  call->timer = timers_->After(kRetryPause, [this, id] { Attempt(id); });
+  call->awaits_retry = true;
+  call->timer = timers_->After(kRetryDelay, [this, id] { Attempt(id); });
 }
 
 // A lot that is neither taken nor refused costs its client all of it: what it waited for must show.
@@ -208,37 +209,39 @@
           ? nullptr
           : &table_->partitions[PartitionOf(call.batch_job_id)].replicas.front();
   logging::Warning(
-      kModule, "lot without an answer",
-      {logging::F("lot", call.batch_job_id), logging::F("why", why),
+      kModule, "batch job submission unresolved",
+      {logging::F("batch_job", call.batch_job_id), logging::F("why", why),
        logging::F("partition", PartitionOf(call.batch_job_id)),
        logging::F("primary", primary == nullptr ? std::string("none") : primary->name),
-       logging::F("asked_last", call.asked.name), logging::F("tries", call.attempts),
-       logging::F("unclear", call.unclear), logging::F("waited_ms", (Now() - call.began) / kMs),
+       logging::F("last_store", call.last_store.name), logging::F("attempts", call.attempts),
+       logging::F("may_have_executed", call.may_have_executed),
+       logging::F("waited_ms", (Now() - call.started_at) / kMs),
        logging::F("last_error", call.last_error)});
 }
 
-void StoreClient::GiveUp(CallId id, const Call& call) {
-  if (call.unclear) {
-    LogAbandonedBatchJob(call, "its time is over");
-    Finish(id, absl::DeadlineExceededError("no store has answered; it may have been carried out: " +
-                                           call.last_error));
+void StoreClient::FailOnTimeout(CallId id, const Call& call) {
+  if (call.may_have_executed) {
+    LogAbandonedBatchJob(call, "deadline exceeded");
+    Finish(id, absl::DeadlineExceededError(
+                   "no store responded before the deadline, the call may have been executed: " +
+                   call.last_error));
     return;
   }
-  Finish(id, absl::UnavailableError("no store could be asked: " + call.last_error));
+  Finish(id, absl::UnavailableError("no store could execute the call: " + call.last_error));
 }
 
-void StoreClient::Finish(CallId id, absl::StatusOr<std::string> answer) {
+void StoreClient::Finish(CallId id, absl::StatusOr<std::string> response) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   const std::unique_ptr<Call> call = std::move(found->second);
   calls_.erase(found);
-  call->finished(std::move(answer), call->unclear);
+  call->finished(std::move(response), call->may_have_executed);
 }
 
 void StoreClient::Cancel(CallId id) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
-  LogAbandonedBatchJob(*found->second, "its client has left");
+  LogAbandonedBatchJob(*found->second, "client disconnected");
   timers_->Cancel(&found->second->timer);
   calls_.erase(found);
 }
@@ -250,124 +253,127 @@
   auto message = std::make_shared<CreateBatchJob>();
   message->batch_job = std::move(batch_job);
   const std::string batch_job_id = message->batch_job.batch_job_id;
-  Encoder encode = [message](const Asking& asking) {
-    message->placement_epoch = asking.placement_epoch;
-    message->partition_epoch = asking.partition_epoch;
+  Encoder encode = [message](const AttemptContext& context) {
+    message->placement_epoch = context.placement_epoch;
+    message->partition_epoch = context.partition_epoch;
     return codec::Encode(*message);
   };
   return Start(rpc::MessageType::kBatchJobCreate, batch_job_id, time, std::move(encode),
-               [done = std::move(done)](absl::StatusOr<std::string> bytes, bool unclear) {
-                 auto answer = Decoded<CreateBatchJobResponse>(std::move(bytes));
+               [done = std::move(done)](absl::StatusOr<std::string> bytes, bool may_have_executed) {
+                 auto response = DecodeResponse<CreateBatchJobResponse>(std::move(bytes));
                  // An earlier attempt may still reach a store: a refusal would promise too much.
-                 const bool refused = answer.ok() && answer->status != CreateStatus::kAccepted;
-                 if (refused && unclear) {
-                   answer = absl::DeadlineExceededError("refused after an unclear attempt");
+                 const bool refused = response.ok() && response->status != CreateStatus::kAccepted;
+                 if (refused && may_have_executed) {
+                   response = absl::DeadlineExceededError(
+                       "rejected after an attempt that may have been executed");
                  }
-                 done(std::move(answer));
+                 done(std::move(response));
                });
 }
 
 StoreClient::CallId StoreClient::Offer(OfferBatchJob offer, CallTime time,
                                        Done<OfferBatchJobResponse> done) {
   const std::string batch_job_id = offer.batch_job_id;
-  Encoder encode = [offer = std::move(offer)](const Asking& asking) {
+  Encoder encode = [offer = std::move(offer)](const AttemptContext& context) {
     OfferBatchJob message = offer;
-    message.placement_epoch = asking.placement_epoch;
+    message.placement_epoch = context.placement_epoch;
     return codec::Encode(message);
   };
   return Start(rpc::MessageType::kBatchJobOffer, batch_job_id, time, std::move(encode),
                [done = std::move(done)](absl::StatusOr<std::string> bytes, bool) {
-                 done(Decoded<OfferBatchJobResponse>(std::move(bytes)));
+                 done(DecodeResponse<OfferBatchJobResponse>(std::move(bytes)));
                });
 }
 
 // The owner of a route is the primary of the partition that its name falls into.
-StoreClient::CallId StoreClient::AskQuota(QuotaQuery question, CallTime time,
-                                          Done<QuotaResponse> done) {
-  const std::string route = question.route;
-  Encoder encode = [question = std::move(question)](const Asking&) {
-    return codec::Encode(question);
+StoreClient::CallId StoreClient::RequestQuota(QuotaQuery query, CallTime time,
+                                              Done<QuotaResponse> done) {
+  const std::string route = query.route;
+  Encoder encode = [query = std::move(query)](const AttemptContext&) {
+    return codec::Encode(query);
   };
   return Start(rpc::MessageType::kQuotaQuery, route, time, std::move(encode),
                [done = std::move(done)](absl::StatusOr<std::string> bytes, bool) {
-                 done(Decoded<QuotaResponse>(std::move(bytes)));
+                 done(DecodeResponse<QuotaResponse>(std::move(bytes)));
                });
 }
 
 StoreClient::CallId StoreClient::Read(ReadBatchJob read, CallTime time,
                                       Done<ReadBatchJobResponse> done) {
   const std::string batch_job_id = read.batch_job_id;
-  Encoder encode = [read = std::move(read)](const Asking& asking) {
+  Encoder encode = [read = std::move(read)](const AttemptContext& context) {
     ReadBatchJob message = read;
-    message.placement_epoch = asking.placement_epoch;
-    const Micros longest = std::max<Micros>(asking.left - kReadMargin, 0);
+    message.placement_epoch = context.placement_epoch;
+    const Micros longest = std::max<Micros>(context.left - kReadResponseMargin, 0);
     message.wait_ms = std::min<std::int64_t>(message.wait_ms, longest / kMs);
     return codec::Encode(message);
   };
   return Start(rpc::MessageType::kBatchJobRead, batch_job_id, time, std::move(encode),
                [done = std::move(done)](absl::StatusOr<std::string> bytes, bool) {
-                 done(Decoded<ReadBatchJobResponse>(std::move(bytes)));
+                 done(DecodeResponse<ReadBatchJobResponse>(std::move(bytes)));
                });
 }
 
 StoreClient::CallId StoreClient::ReadBody(ReadItemBody read, CallTime time,
                                           Done<ReadItemBodyResponse> done) {
   const std::string batch_job_id = read.batch_job_id;
-  Encoder encode = [read = std::move(read)](const Asking& asking) {
+  Encoder encode = [read = std::move(read)](const AttemptContext& context) {
     ReadItemBody message = read;
-    message.placement_epoch = asking.placement_epoch;
+    message.placement_epoch = context.placement_epoch;
     return codec::Encode(message);
   };
   return Start(rpc::MessageType::kItemBody, batch_job_id, time, std::move(encode),
                [done = std::move(done)](absl::StatusOr<std::string> bytes, bool) {
-                 done(Decoded<ReadItemBodyResponse>(std::move(bytes)));
+                 done(DecodeResponse<ReadItemBodyResponse>(std::move(bytes)));
                });
 }
 
-StoreClient::CallId StoreClient::End(CancelBatchJob cancel, CallTime time,
-                                     Done<CancelBatchJobResponse> done) {
+StoreClient::CallId StoreClient::CancelBatch(CancelBatchJob cancel, CallTime time,
+                                             Done<CancelBatchJobResponse> done) {
   const std::string batch_job_id = cancel.batch_job_id;
-  Encoder encode = [cancel = std::move(cancel)](const Asking& asking) {
+  Encoder encode = [cancel = std::move(cancel)](const AttemptContext& context) {
     CancelBatchJob message = cancel;
-    message.placement_epoch = asking.placement_epoch;
+    message.placement_epoch = context.placement_epoch;
     return codec::Encode(message);
   };
   return Start(rpc::MessageType::kBatchJobCancel, batch_job_id, time, std::move(encode),
                [done = std::move(done)](absl::StatusOr<std::string> bytes, bool) {
-                 done(Decoded<CancelBatchJobResponse>(std::move(bytes)));
+                 done(DecodeResponse<CancelBatchJobResponse>(std::move(bytes)));
                });
 }
 
 StoreClient::CallId StoreClient::Report(ItemResult result, CallTime time,
                                         std::function<void(absl::Status)> done) {
   const std::string batch_job_id = result.batch_job_id;
-  Encoder encode = [result = std::move(result)](const Asking&) { return codec::Encode(result); };
+  Encoder encode = [result = std::move(result)](const AttemptContext&) {
+    return codec::Encode(result);
+  };
   return Start(
       rpc::MessageType::kItemResult, batch_job_id, time, std::move(encode),
       [done = std::move(done)](absl::StatusOr<std::string> bytes, bool) { done(bytes.status()); });
 }
 
-template <class Answer>
+template <class Response>
 void StoreClient::CallStore(const StoreId& store, rpc::MessageType type, std::string body,
-                            Micros timeout, Done<Answer> done) {
+                            Micros timeout, Done<Response> done) {
   const std::string address = path_.AddressOf(store);
   if (address.empty()) {
     timers_->After(0, [alive = alive_, done = std::move(done)] {
-      if (*alive) done(absl::UnavailableError("the store is not there"));
+      if (*alive) done(absl::UnavailableError("the store is not a live member"));
     });
     return;
   }
   transport_->Call(address, type, std::move(body), timeout,
                    [alive = alive_, done = std::move(done)](absl::StatusOr<std::string> bytes) {
-                     if (*alive) done(Decoded<Answer>(std::move(bytes)));
+                     if (*alive) done(DecodeResponse<Response>(std::move(bytes)));
                    });
 }
 
-void StoreClient::Take(const StoreId& store, PullItems take, Micros timeout,
+void StoreClient::Pull(const StoreId& store, PullItems pull, Micros timeout,
                        Done<PullItemsResponse> done) {
   const auto table = Table();
-  take.placement_epoch = table == nullptr ? 0 : table->epoch;
-  CallStore<PullItemsResponse>(store, rpc::MessageType::kItemPull, codec::Encode(take), timeout,
+  pull.placement_epoch = table == nullptr ? 0 : table->epoch;
+  CallStore<PullItemsResponse>(store, rpc::MessageType::kItemPull, codec::Encode(pull), timeout,
                                std::move(done));
 }
 
--- a/src/tier/batch/store_client.h
+++ b/src/tier/batch/store_client.h
@@ -36,8 +36,8 @@
 
 class StoreClient {
  public:
-  template <class Answer>
-  using Done = std::function<void(absl::StatusOr<Answer>)>;
+  template <class Response>
+  using Done = std::function<void(absl::StatusOr<Response>)>;
   using CallId = std::uint64_t;  // 0 is never a call
 
   // `self`: see StorePath.
@@ -54,16 +54,16 @@
   CallId Create(BatchJobSpec batch_job, CallTime time, Done<CreateBatchJobResponse> done);
   // These change nothing at the stores.
   CallId Offer(OfferBatchJob offer, CallTime time, Done<OfferBatchJobResponse> done);
-  CallId AskQuota(QuotaQuery question, CallTime time, Done<QuotaResponse> done);
+  CallId RequestQuota(QuotaQuery query, CallTime time, Done<QuotaResponse> done);
   CallId Read(ReadBatchJob read, CallTime time, Done<ReadBatchJobResponse> done);
   CallId ReadBody(ReadItemBody read, CallTime time, Done<ReadItemBodyResponse> done);
-  CallId End(CancelBatchJob cancel, CallTime time, Done<CancelBatchJobResponse> done);
+  CallId CancelBatch(CancelBatchJob cancel, CallTime time, Done<CancelBatchJobResponse> done);
   CallId Report(ItemResult result, CallTime time, std::function<void(absl::Status)> done);
   // The call's `done` is not called any more. Does nothing for 0 or a call that is over.
   void Cancel(CallId call);
 
   // Calls to one store, tried once.
-  void Take(const StoreId& store, PullItems take, Micros timeout, Done<PullItemsResponse> done);
+  void Pull(const StoreId& store, PullItems pull, Micros timeout, Done<PullItemsResponse> done);
   void Renew(const StoreId& store, RenewLeases renew, Micros timeout,
              Done<RenewLeasesResponse> done);
 
@@ -78,25 +78,25 @@
  private:
   struct Call;
   // The placement as the caller knows it, and what is left of the call's time.
-  struct Asking {
+  struct AttemptContext {
     std::uint64_t placement_epoch = 0, partition_epoch = 0;
     Micros left = 0;
   };
-  using Encoder = std::function<std::string(const Asking& asking)>;
-  using Finished = std::function<void(absl::StatusOr<std::string>, bool unclear)>;
+  using Encoder = std::function<std::string(const AttemptContext& context)>;
+  using Finished = std::function<void(absl::StatusOr<std::string>, bool may_have_executed)>;
 
   CallId Start(rpc::MessageType type, std::string batch_job_id, CallTime time, Encoder encode,
                Finished finished);
   void Attempt(CallId id);
-  void OnAnswer(CallId id, absl::StatusOr<std::string> answer);
+  void OnResponse(CallId id, absl::StatusOr<std::string> response);
   void RetryLater(CallId id, Call* call);
-  void WakeMoved();
-  void GiveUp(CallId id, const Call& call);
+  void RetryMovedCalls();
+  void FailOnTimeout(CallId id, const Call& call);
   void LogAbandonedBatchJob(const Call& call, std::string_view why) const;
-  void Finish(CallId id, absl::StatusOr<std::string> answer);
-  template <class Answer>
+  void Finish(CallId id, absl::StatusOr<std::string> response);
+  template <class Response>
   void CallStore(const StoreId& store, rpc::MessageType type, std::string body, Micros timeout,
-                 Done<Answer> done);
+                 Done<Response> done);
 
   Timers* timers_;
   rpc::Transport* transport_;
--- a/src/tier/batch/store_path.cpp
+++ b/src/tier/batch/store_path.cpp
@@ -16,18 +16,19 @@
 
 // A way is kept for so long before the direct one is tried again: about as long as a cut lasts that
 // is worth going round.
-constexpr Micros kRelayedFor = 2 * kSecond;
+constexpr Micros kRelayPeriod = 2 * kSecond;
 // Of a relayed call's time, for the way to the other node and back.
 constexpr Micros kRelayMargin = 20 * kMs;
 
-constexpr std::array<MessageType, 7> kRelayed = {
+constexpr std::array<MessageType, 7> kRelayedTypes = {
     MessageType::kBatchJobCreate, MessageType::kBatchJobRead, MessageType::kItemBody,
     MessageType::kBatchJobCancel, MessageType::kItemResult,   MessageType::kBatchJobOffer,
     MessageType::kQuotaQuery};
 
 bool MayBeRelayed(std::uint8_t type) {
-  return std::any_of(kRelayed.begin(), kRelayed.end(),
-                     [type](MessageType one) { return static_cast<std::uint8_t>(one) == type; });
+  return std::any_of(kRelayedTypes.begin(), kRelayedTypes.end(), [type](MessageType relayed) {
+    return static_cast<std::uint8_t>(relayed) == type;
+  });
 }
 
 }  // namespace
@@ -41,7 +42,7 @@
   transport_->Handle(MessageType::kStoreRelay,
                      [this, alive = std::weak_ptr<bool>(alive_)](
                          const std::string&, std::string_view body, const rpc::Respond& respond) {
-                       if (!alive.expired()) Serve(body, respond);
+                       if (!alive.expired()) OnRelayedCall(body, respond);
                      });
 }
 
@@ -52,19 +53,20 @@
   const auto found = members.find(store.name);
   if (found == members.end()) return {};
   const coordination::Member& member = found->second;
-  const bool there = member.info.disk_id == store.disk_id && member.status != MemberStatus::kDead &&
-                     member.status != MemberStatus::kLeft;
-  return there ? member.info.address : std::string();
+  const bool reachable = member.info.disk_id == store.disk_id &&
+                         member.status != MemberStatus::kDead &&
+                         member.status != MemberStatus::kLeft;
+  return reachable ? member.info.address : std::string();
 }
 
 // Nodes outside the quorum: what cuts its members off does not concern them.
 std::string StorePath::ChooseRelay() {
   std::vector<const std::string*> relays;
   for (const auto& [name, member] : control_->members()) {
-    const bool fits = member.status == MemberStatus::kAlive && name != self_ &&
-                      member.info.Is(MemberInfo::kServesEdge) &&
-                      !member.info.Is(MemberInfo::kQuorumMember);
-    if (fits) relays.push_back(&member.info.address);
+    const bool is_relay = member.status == MemberStatus::kAlive && name != self_ &&
+                          member.info.Is(MemberInfo::kServesEdge) &&
+                          !member.info.Is(MemberInfo::kQuorumMember);
+    if (is_relay) relays.push_back(&member.info.address);
   }
   if (self_.empty() || relays.empty()) return {};
   return *relays[std::uniform_int_distribution<std::size_t>(0, relays.size() - 1)(random_)];
@@ -72,44 +74,47 @@
 
 void StorePath::Call(const StoreId& store, MessageType type, std::string body, Micros timeout,
                      rpc::Done done) {
-  const auto way = ways_.find(store);
-  const bool wanted = way != ways_.end() && way->second.relayed && Now() < way->second.until;
-  const std::string relay = wanted ? ChooseRelay() : std::string();
+  const auto path = paths_.find(store);
+  const bool prefers_relay =
+      path != paths_.end() && path->second.relayed && Now() < path->second.until;
+  const std::string relay = prefers_relay ? ChooseRelay() : std::string();
   const bool relayed = !relay.empty();
-  const auto answered = [this, alive = std::weak_ptr<bool>(alive_), store, relayed,
-                         done = std::move(done)](absl::StatusOr<std::string> answer) {
-    if (!alive.expired()) OnAnswer(store, relayed, answer.status());
-    done(std::move(answer));
+  const auto on_response = [this, alive = std::weak_ptr<bool>(alive_), store, relayed,
+                            done = std::move(done)](absl::StatusOr<std::string> response) {
+    if (!alive.expired()) OnResponse(store, relayed, response.status());
+    done(std::move(response));
   };
-  if (!relayed) return transport_->Call(AddressOf(store), type, std::move(body), timeout, answered);
+  if (!relayed)
+    return transport_->Call(AddressOf(store), type, std::move(body), timeout, on_response);
   const Micros left = std::max(timeout - kRelayMargin, timeout / 2);
   const RelayedCall call{store, static_cast<std::uint8_t>(type), std::move(body), left / kMs};
-  transport_->Call(relay, MessageType::kStoreRelay, codec::Encode(call), timeout, answered);
+  transport_->Call(relay, MessageType::kStoreRelay, codec::Encode(call), timeout, on_response);
 }
 
-void StorePath::OnAnswer(const StoreId& store, bool relayed, const absl::Status& status) {
+void StorePath::OnResponse(const StoreId& store, bool relayed, const absl::Status& status) {
   if (self_.empty()) return;
   if (!absl::IsDeadlineExceeded(status)) {
-    const auto way = ways_.find(store);
-    if (!relayed && way != ways_.end() && !way->second.relayed) ways_.erase(way);
+    const auto path = paths_.find(store);
+    if (!relayed && path != paths_.end() && !path->second.relayed) paths_.erase(path);
     return;
   }
-  Way& way = ways_[store];
-  if (way.relayed != relayed) return;  // an answer to a call of before the last turn
-  way.relayed = !relayed;
-  way.until = Now() + kRelayedFor;
+  PathState& path = paths_[store];
+  if (path.relayed != relayed) return;  // an answer to a call of before the last turn
+  path.relayed = !relayed;
+  path.until = Now() + kRelayPeriod;
 }
 
-void StorePath::Serve(std::string_view body, const rpc::Respond& respond) {
+void StorePath::OnRelayedCall(std::string_view body, const rpc::Respond& respond) {
   auto call = codec::Decode<RelayedCall>(body);
   if (!call.ok()) return respond(call.status());
   const std::string address = AddressOf(call->store);
   if (address.empty() || !MayBeRelayed(call->type)) {
     return respond(absl::FailedPreconditionError("no such store, or no call to pass on"));
   }
-  transport_->Call(address, static_cast<MessageType>(call->type), std::move(call->body),
-                   std::max<Micros>(call->timeout_ms, 1) * kMs,
-                   [respond](absl::StatusOr<std::string> answer) { respond(std::move(answer)); });
+  transport_->Call(
+      address, static_cast<MessageType>(call->type), std::move(call->body),
+      std::max<Micros>(call->timeout_ms, 1) * kMs,
+      [respond](absl::StatusOr<std::string> response) { respond(std::move(response)); });
 }
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/store_path.h
+++ b/src/tier/batch/store_path.h
@@ -45,20 +45,20 @@
   std::string AddressOf(const StoreId& store) const;
 
  private:
-  struct Way {
+  struct PathState {
     bool relayed = false;
     Micros until = 0;  // then the direct way is tried again
   };
 
-  void OnAnswer(const StoreId& store, bool relayed, const absl::Status& status);
+  void OnResponse(const StoreId& store, bool relayed, const absl::Status& status);
   std::string ChooseRelay();
-  void Serve(std::string_view body, const rpc::Respond& respond);
+  void OnRelayedCall(std::string_view body, const rpc::Respond& respond);
 
   rpc::Transport* const transport_;
   const control::ControlClient* const control_;
   const std::string self_;
   std::minstd_rand random_;
-  std::map<StoreId, Way> ways_;
+  std::map<StoreId, PathState> paths_;
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/tier/batch/unresponsive_store_reporter.cpp
+++ b/src/tier/batch/unresponsive_store_reporter.cpp
@@ -7,8 +7,8 @@
 namespace pearreach::batch {
 namespace {
 
-constexpr Micros kReportPause = 300 * kMs;
-constexpr Micros kReportTime = 500 * kMs;
+constexpr Micros kMinReportInterval = 300 * kMs;
+constexpr Micros kReportTimeout = 500 * kMs;
 
 }  // namespace
 
@@ -25,11 +25,12 @@
 }
 
 void UnresponsiveStoreReporter::Report(const StoreId& silent, Micros now) {
-  std::erase_if(reported_, [now](const auto& entry) { return now - entry.second >= kReportPause; });
+  std::erase_if(reported_,
+                [now](const auto& entry) { return now - entry.second >= kMinReportInterval; });
   if (!reported_.emplace(silent, now).second) return;
   StoreStatus status;
   status.silent.push_back(silent);
-  SendToPlacementController(transport_, *control_, status, kReportTime);
+  SendToPlacementController(transport_, *control_, status, kReportTimeout);
 }
 
 }  // namespace pearreach::batch
--- a/src/tier/registry/anti_entropy.cpp
+++ b/src/tier/registry/anti_entropy.cpp
@@ -8,20 +8,20 @@
 namespace pearreach::registry {
 namespace {
 
-constexpr Micros kFirstPeriod = 100 * kMs;  // until the first comparison has succeeded
-constexpr Micros kAnswerTimeout = kSecond;  // of one call
-constexpr std::size_t kMaxRecords = 1000;   // of one answer
+constexpr Micros kInitialPeriod = 100 * kMs;          // until the first comparison has succeeded
+constexpr Micros kResponseTimeout = kSecond;          // of one call
+constexpr std::size_t kMaxRecordsPerResponse = 1000;  // of one answer
 
 }  // namespace
 
 AntiEntropy::AntiEntropy(control::TimeSource* time, rpc::Transport* transport, EdgeNodes* nodes,
-                         WorkerState* state, Micros period, Take take)
+                         WorkerState* state, Micros period, UpdateHandler update_handler)
     : time_(time),
       transport_(transport),
       nodes_(nodes),
       state_(state),
       period_(period),
-      take_(std::move(take)) {
+      update_handler_(std::move(update_handler)) {
   transport_->Handle(
       rpc::MessageType::kWorkerDigest,
       callbacks_.Bind([this](const std::string&, std::string_view body, rpc::Respond respond) {
@@ -40,35 +40,35 @@
 }
 
 void AntiEntropy::Tick() {
-  const std::string partner = Partner();
-  if (!partner.empty()) Ask(partner);
-  const Micros period = compared_ ? period_ : std::min(period_, kFirstPeriod);
+  const std::string partner = ChoosePartner();
+  if (!partner.empty()) RequestDigest(partner);
+  const Micros period = compared_ ? period_ : std::min(period_, kInitialPeriod);
   time_->After(period, callbacks_.Bind([this] { Tick(); }));
 }
 
-std::string AntiEntropy::Partner() {
+std::string AntiEntropy::ChoosePartner() {
   const EdgeList& nodes = nodes_->Recent(time_->Now());
   const auto self = std::find_if(nodes.begin(), nodes.end(), [this](const EdgeRef& node) {
     return node->name == nodes_->self();
   });
   if (self == nodes.end() || nodes.size() < 2) return "";
   if (distance_ >= nodes.size()) distance_ = 1;
-  const std::size_t place = static_cast<std::size_t>(self - nodes.begin()) + distance_;
+  const std::size_t position = static_cast<std::size_t>(self - nodes.begin()) + distance_;
   distance_ *= 2;
-  return nodes[place % nodes.size()]->address;
+  return nodes[position % nodes.size()]->address;
 }
 
-void AntiEntropy::Ask(const std::string& address) {
+void AntiEntropy::RequestDigest(const std::string& address) {
   transport_->Call(address, rpc::MessageType::kWorkerDigest,
-                   codec::Encode(DigestRequest{state_->Digest()}), kAnswerTimeout,
+                   codec::Encode(DigestRequest{state_->Digest()}), kResponseTimeout,
                    callbacks_.Bind([this, address](absl::StatusOr<std::string> bytes) {
                      if (!bytes.ok()) return;
-                     const auto answer = codec::Decode<DigestResponse>(*bytes);
-                     if (!answer.ok()) return;
-                     if (answer->shards.empty())
+                     const auto response = codec::Decode<DigestResponse>(*bytes);
+                     if (!response.ok()) return;
+                     if (response->shards.empty())
                        compared_ = true;
                      else
-                       Repair(address, answer->shards);
+                       Repair(address, response->shards);
                    }));
 }
 
@@ -80,27 +80,28 @@
     if (ours[i] != theirs[i])
       request.shards.push_back({static_cast<std::uint32_t>(i), state_->Entries(i)});
   if (request.shards.empty()) return;  // the same by now
-  transport_->Call(address, rpc::MessageType::kWorkerRepair, codec::Encode(request), kAnswerTimeout,
+  transport_->Call(address, rpc::MessageType::kWorkerRepair, codec::Encode(request),
+                   kResponseTimeout,
                    callbacks_.Bind([this, address](absl::StatusOr<std::string> bytes) {
                      if (!bytes.ok()) return;
-                     const auto answer = codec::Decode<RepairResponse>(*bytes);
-                     if (answer.ok()) TakeRepair(address, *answer);
+                     const auto response = codec::Decode<RepairResponse>(*bytes);
+                     if (response.ok()) ApplyRepair(address, *response);
                    }));
 }
 
-void AntiEntropy::TakeRepair(const std::string& address, const RepairResponse& answer) {
+void AntiEntropy::ApplyRepair(const std::string& address, const RepairResponse& response) {
   // Exported before the other's records come in: then both end with the newer of the two.
   WorkerUpdate wanted;
-  wanted.items = state_->ExportHashed(time_->Now(), answer.wanted);
-  if (wanted.items.size() > kMaxRecords) wanted.items.resize(kMaxRecords);
-  take_(answer.update);
+  wanted.items = state_->ExportHashed(time_->Now(), response.wanted);
+  if (wanted.items.size() > kMaxRecordsPerResponse) wanted.items.resize(kMaxRecordsPerResponse);
+  update_handler_(response.update);
   if (!wanted.items.empty()) {
     DisseminateRequest request;
     request.update = codec::Encode(wanted);
     transport_->Call(address, rpc::MessageType::kWorkerDisseminate, codec::Encode(request),
-                     kAnswerTimeout, [](absl::StatusOr<std::string>) {});
+                     kResponseTimeout, [](absl::StatusOr<std::string>) {});
   }
-  if (answer.more) return Ask(address);
+  if (response.more) return RequestDigest(address);
   compared_ = true;
 }
 
@@ -110,10 +111,10 @@
 }
 
 RepairResponse AntiEntropy::OnRepair(const RepairRequest& request) const {
-  RepairResponse answer;
+  RepairResponse response;
   for (const RepairRequest::Shard& shard : request.shards)
-    state_->Compare(time_->Now(), shard, kMaxRecords, &answer);
-  return answer;
+    state_->Compare(time_->Now(), shard, kMaxRecordsPerResponse, &response);
+  return response;
 }
 
 }  // namespace pearreach::registry
--- a/src/tier/registry/anti_entropy.h
+++ b/src/tier/registry/anti_entropy.h
@@ -18,18 +18,18 @@
 
 class AntiEntropy {
  public:
-  using Take = std::function<void(const WorkerUpdate&)>;
+  using UpdateHandler = std::function<void(const WorkerUpdate&)>;
 
   // Begins at once and compares every `period`, more often until it has succeeded once.
   AntiEntropy(control::TimeSource* time, rpc::Transport* transport, EdgeNodes* nodes,
-              WorkerState* state, Micros period, Take take);
+              WorkerState* state, Micros period, UpdateHandler update_handler);
 
  private:
   void Tick();
-  std::string Partner();  // address; empty: there is none
-  void Ask(const std::string& address);
+  std::string ChoosePartner();  // address; empty: there is none
+  void RequestDigest(const std::string& address);
   void Repair(const std::string& address, const std::vector<std::uint64_t>& theirs);
-  void TakeRepair(const std::string& address, const RepairResponse& answer);
+  void ApplyRepair(const std::string& address, const RepairResponse& response);
   DigestResponse OnDigest(const DigestRequest& request) const;
   RepairResponse OnRepair(const RepairRequest& request) const;
 
@@ -38,7 +38,7 @@
   EdgeNodes* nodes_;
   WorkerState* state_;
   const Micros period_;
-  Take take_;
+  UpdateHandler update_handler_;
   std::size_t distance_ = 1;
   bool compared_ = false;  // with any node
   control::CallbackOwner callbacks_;
--- a/src/tier/registry/edge_nodes.cpp
+++ b/src/tier/registry/edge_nodes.cpp
@@ -11,8 +11,8 @@
 using coordination::MemberInfo;
 using coordination::MemberStatus;
 
-constexpr Micros kRecent = kSecond;        // a list of nodes serves for so long
-constexpr std::size_t kEdgesPerTaker = 8;  // edge nodes for one that takes heartbeats
+constexpr Micros kMaxListAge = kSecond;           // a list of nodes serves for so long
+constexpr std::size_t kEdgeNodesPerReceiver = 8;  // edge nodes for one that takes heartbeats
 constexpr char kKeySeparator = '/';
 
 bool IsLiveStatus(MemberStatus status) {
@@ -20,17 +20,17 @@
 }
 
 // Of these, those that take heartbeats: all quorum members, and others up to the share.
-std::vector<std::string> ChooseTakers(const std::vector<const EdgeNode*>& nodes) {
+std::vector<std::string> ChooseReceivers(const std::vector<const EdgeNode*>& nodes) {
   std::vector<const EdgeNode*> able;
   for (const EdgeNode* node : nodes)
-    if (node->takes_beats && !node->suspect) able.push_back(node);
+    if (node->receives_heartbeats && !node->suspect) able.push_back(node);
   std::sort(able.begin(), able.end(), [](const EdgeNode* a, const EdgeNode* b) {
     if (a->quorum_member != b->quorum_member) return a->quorum_member;
     return std::pair(a->id, a->name) < std::pair(b->id, b->name);
   });
   const auto members = static_cast<std::size_t>(std::count_if(
       able.begin(), able.end(), [](const EdgeNode* node) { return node->quorum_member; }));
-  const std::size_t share = (nodes.size() + kEdgesPerTaker - 1) / kEdgesPerTaker;
+  const std::size_t share = (nodes.size() + kEdgeNodesPerReceiver - 1) / kEdgeNodesPerReceiver;
   able.resize(std::min(able.size(), std::max({members, share, std::size_t{1}})));
   std::vector<std::string> names;
   for (const EdgeNode* node : able) names.push_back(node->name);
@@ -39,18 +39,18 @@
 
 }  // namespace
 
-EdgeList Between(const EdgeList& nodes, std::string_view first, std::string_view last,
-                 const std::string& but) {
+EdgeList NodesInRange(const EdgeList& nodes, std::string_view first, std::string_view last,
+                      const std::string& excluded) {
   EdgeList part;
   const auto begin =
       std::lower_bound(nodes.begin(), nodes.end(), first,
                        [](const EdgeRef& node, std::string_view key) { return node->key < key; });
   for (auto it = begin; it != nodes.end() && (*it)->key <= last; ++it)
-    if ((*it)->name != but) part.push_back(*it);
+    if ((*it)->name != excluded) part.push_back(*it);
   return part;
 }
 
-std::vector<EdgeList> Split(const EdgeList& nodes, std::size_t parts) {
+std::vector<EdgeList> SplitEvenly(const EdgeList& nodes, std::size_t parts) {
   std::vector<EdgeList> split;
   parts = std::min(parts, nodes.size());
   for (std::size_t i = 0; i < parts; ++i) {
@@ -61,16 +61,17 @@
   return split;
 }
 
-Takers::Takers(const EdgeList& nodes) {
+HeartbeatReceivers::HeartbeatReceivers(const EdgeList& nodes) {
   std::map<std::string, std::vector<const EdgeNode*>> zones;
   for (const EdgeRef& node : nodes) {
     zones[""].push_back(node.get());
     if (!node->zone.empty()) zones[node->zone].push_back(node.get());
   }
-  for (const auto& [zone, members] : zones) by_zone_[zone] = ChooseTakers(members);
+  for (const auto& [zone, members] : zones) by_zone_[zone] = ChooseReceivers(members);
 }
 
-std::string Takers::Choose(const std::string& worker_id, const std::string& zone) const {
+std::string HeartbeatReceivers::Choose(const std::string& worker_id,
+                                       const std::string& zone) const {
   for (const std::string& where : {zone, std::string()}) {
     const auto found = by_zone_.find(where);
     if (found == by_zone_.end() || found->second.empty()) continue;
@@ -80,13 +81,13 @@
 }
 
 const EdgeList& EdgeNodes::Recent(Micros now) {
-  if (looked_ != 0 && now - looked_ < kRecent) return nodes_;
+  if (refreshed_at_ != 0 && now - refreshed_at_ < kMaxListAge) return nodes_;
   return Current(now);
 }
 
 const EdgeList& EdgeNodes::Current(Micros now) {
-  looked_ = now;
-  takers_known_ = false;
+  refreshed_at_ = now;
+  receivers_known_ = false;
   nodes_.clear();
   for (const auto& [name, member] : control_->members()) {
     if (!member.info.Is(MemberInfo::kServesEdge) || !IsLiveStatus(member.status)) continue;
@@ -97,7 +98,7 @@
     node.zone = member.info.zone;
     node.id = HashOf(name);
     node.suspect = member.status == MemberStatus::kSuspect;
-    node.takes_beats = member.info.Is(MemberInfo::kServesControl);
+    node.receives_heartbeats = member.info.Is(MemberInfo::kServesControl);
     node.quorum_member = member.info.Is(MemberInfo::kQuorumMember);
     nodes_.push_back(std::make_shared<const EdgeNode>(std::move(node)));
   }
@@ -106,11 +107,11 @@
   return nodes_;
 }
 
-const Takers& EdgeNodes::RecentTakers(Micros now) {
+const HeartbeatReceivers& EdgeNodes::RecentReceivers(Micros now) {
   const EdgeList& nodes = Recent(now);
-  if (!takers_known_) takers_ = Takers(nodes);
-  takers_known_ = true;
-  return takers_;
+  if (!receivers_known_) receivers_ = HeartbeatReceivers(nodes);
+  receivers_known_ = true;
+  return receivers_;
 }
 
 bool EdgeNodes::IsLive(const std::string& name) const {
--- a/src/tier/registry/edge_nodes.h
+++ b/src/tier/registry/edge_nodes.h
@@ -20,26 +20,26 @@
   std::string name, address, zone;
   std::uint64_t id = 0;  // HashOf(name)
   bool suspect = false;
-  bool takes_beats = false;    // serves control
-  bool quorum_member = false;  // has a disk
+  bool receives_heartbeats = false;  // serves control
+  bool quorum_member = false;        // has a disk
 };
 
 using EdgeRef = std::shared_ptr<const EdgeNode>;
 using EdgeList = std::vector<EdgeRef>;  // sorted by key
 
 // Both ends included, `but` left out.
-EdgeList Between(const EdgeList& nodes, std::string_view first, std::string_view last,
-                 const std::string& but);
+EdgeList NodesInRange(const EdgeList& nodes, std::string_view first, std::string_view last,
+                      const std::string& excluded);
 
 // Consecutive parts of about one size, at most `parts` of them.
-std::vector<EdgeList> Split(const EdgeList& nodes, std::size_t parts);
+std::vector<EdgeList> SplitEvenly(const EdgeList& nodes, std::size_t parts);
 
 // The node that should take a worker's heartbeats, empty: none can. In the worker's own zone where
-// one can; one in `kEdgesPerTaker` edge nodes takes them, those with a disk first.
-class Takers {
+// one can; one in `kEdgeNodesPerReceiver` edge nodes takes them, those with a disk first.
+class HeartbeatReceivers {
  public:
-  Takers() = default;
-  explicit Takers(const EdgeList& nodes);
+  HeartbeatReceivers() = default;
+  explicit HeartbeatReceivers(const EdgeList& nodes);
   std::string Choose(const std::string& worker_id, const std::string& zone) const;
 
  private:
@@ -55,7 +55,7 @@
 
   const EdgeList& Recent(Micros now);   // this node among them
   const EdgeList& Current(Micros now);  // as membership is now
-  const Takers& RecentTakers(Micros now);
+  const HeartbeatReceivers& RecentReceivers(Micros now);
   bool IsLive(const std::string& name) const;
   std::string AddressOf(const std::string& name) const;  // empty: not known
   const std::string& self() const { return self_; }
@@ -64,9 +64,9 @@
   const control::ControlClient* control_;
   const std::string self_;
   EdgeList nodes_;
-  Takers takers_;
-  Micros looked_ = 0;
-  bool takers_known_ = false;
+  HeartbeatReceivers receivers_;
+  Micros refreshed_at_ = 0;
+  bool receivers_known_ = false;
 };
 
 }  // namespace pearreach::registry
--- a/src/tier/registry/worker_registry.cpp
+++ b/src/tier/registry/worker_registry.cpp
@@ -10,24 +10,26 @@
 namespace {
 
 constexpr char kModule[] = "registry";
-constexpr int kMissedBeats = 3;  // heartbeats that may be missed before a worker leaves the table
-constexpr Micros kPassTimeout = 250 * kMs;
+constexpr int kMaxMissedHeartbeats =
+    3;  // heartbeats that may be missed before a worker leaves the table
+constexpr Micros kForwardTimeout = 250 * kMs;
 // Callers move on after a second of silence: so long for the others, and for the control state.
-constexpr Micros kAnswerBound = 700 * kMs;
-constexpr Micros kContactBound = 200 * kMs;
+constexpr Micros kMaxAckTimeout = 700 * kMs;
+constexpr Micros kQuorumReadTimeout = 200 * kMs;
 // Changes within these spans go together: the spans grow with what one message or one swap costs.
-constexpr Micros kTellPauseEach = 500;  // an edge node
-constexpr Micros kMaxTellPause = 100 * kMs;
-constexpr Micros kSwapPauseEach = 20;  // a worker
-constexpr Micros kMaxSwapPause = 50 * kMs;
-constexpr std::size_t kToldMargin = 1000;  // told_leaving_ may hold so many more than are known
+constexpr Micros kDisseminationDelayPerEdgeNode = 500;  // an edge node
+constexpr Micros kMaxDisseminationDelay = 100 * kMs;
+constexpr Micros kSwapDelayPerWorker = 20;  // a worker
+constexpr Micros kMaxSwapDelay = 50 * kMs;
+constexpr std::size_t kMaxUnknownDepartures =
+    1000;  // disseminated_departures_ may hold so many more than are known
 
 WorkerStateOptions StateOptions(const settings::NodeSettings& settings, const EdgeNodes* nodes) {
   WorkerStateOptions options;
-  options.expiry = static_cast<Micros>(kMissedBeats * settings.beat_ms * 1000) +
+  options.expiry = static_cast<Micros>(kMaxMissedHeartbeats * settings.beat_ms * 1000) +
                    static_cast<Micros>(settings.bounds.contact_ms * 1000);
   options.self = settings.node_name;
-  options.taker_is_live = [nodes](const std::string& node) { return nodes->IsLive(node); };
+  options.receiver_is_live = [nodes](const std::string& node) { return nodes->IsLive(node); };
   return options;
 }
 
@@ -50,17 +52,19 @@
       nodes_(control, settings.node_name),
       control_port_(settings.bind.control.empty() ? "" : PortOf(settings.bind.control)),
       period_(static_cast<Micros>(settings.beat_ms * 1000 / 2)),
-      ack_bound_(
-          std::min<Micros>(kAnswerBound, static_cast<Micros>(settings.bounds.drain_ms * 1000 / 2))),
-      spread_bound_(static_cast<Micros>(settings.bounds.drain_ms * 1000) + ack_bound_),
+      ack_timeout_(std::min<Micros>(kMaxAckTimeout,
+                                    static_cast<Micros>(settings.bounds.drain_ms * 1000 / 2))),
+      dissemination_budget_(static_cast<Micros>(settings.bounds.drain_ms * 1000) + ack_timeout_),
       state_(StateOptions(settings, &nodes_)),
-      spreader_(time_.get(), transport, &nodes_,
-                [this](const WorkerUpdate& update) { Import(update); }),
+      disseminator_(time_.get(), transport, &nodes_,
+                    [this](const WorkerUpdate& update) { Import(update); }),
       anti_entropy_(time_.get(), transport, &nodes_, &state_, period_,
                     [this](const WorkerUpdate& update) { Import(update); }) {
-  transport_->Handle(rpc::MessageType::kWorkerForward,
-                     callbacks_.Bind([this](const std::string&, std::string_view body,
-                                            rpc::Respond respond) { OnPassed(body, respond); }));
+  transport_->Handle(
+      rpc::MessageType::kWorkerForward,
+      callbacks_.Bind([this](const std::string&, std::string_view body, rpc::Respond respond) {
+        OnForwardedHeartbeat(body, respond);
+      }));
   time_->After(period_, callbacks_.Bind([this] { Tick(); }));
 }
 
@@ -82,12 +86,12 @@
   const Micros now = time_->Now();
   auto record = ParseHeartbeat(worker_id, exchange->request().body, now);
   if (!record.ok()) {
-    logging::Warning(kModule, "heartbeat refused",
+    logging::Warning(kModule, "heartbeat rejected",
                      {logging::F("worker", worker_id),
                       logging::F("why", std::string(record.status().message()))});
     return exchange->Respond(400, {}, std::string(record.status().message()));
   }
-  record->taker = TakerOf(*record);
+  record->receiver = ReceiverOf(*record);
   const bool changed = state_.Merge(now, *record, 0);
   const bool leaving = record->phase == WorkerPhase::kDraining;
   if (changed) {
@@ -95,20 +99,20 @@
                   {logging::F("worker", worker_id), logging::F("service", record->service),
                    logging::F("address", record->address),
                    logging::F("phase", static_cast<int>(record->phase))});
-    Changed(leaving);
+    ScheduleSwap(leaving);
   }
   if (!leaving) {
     Acknowledge(exchange.get(), worker_id);
-    return OnReady(*record, changed);
+    return OnReadyHeartbeat(*record, changed);
   }
-  if (told_leaving_.contains(worker_id)) return Acknowledge(exchange.get(), worker_id);
-  waiting_[worker_id].push_back(std::move(exchange));
-  if (waiting_[worker_id].size() > 1) return;
-  TellLeaving(worker_id, [this, worker_id](bool reached) {
-    if (reached) told_leaving_.insert(worker_id);
-    for (const auto& each : std::exchange(waiting_[worker_id], {}))
-      AnswerLeaving(each.get(), worker_id, reached);
-    waiting_.erase(worker_id);
+  if (disseminated_departures_.contains(worker_id)) return Acknowledge(exchange.get(), worker_id);
+  pending_acks_[worker_id].push_back(std::move(exchange));
+  if (pending_acks_[worker_id].size() > 1) return;
+  DisseminateDeparture(worker_id, [this, worker_id](bool reached) {
+    if (reached) disseminated_departures_.insert(worker_id);
+    for (const auto& each : std::exchange(pending_acks_[worker_id], {}))
+      RespondToDeparture(each.get(), worker_id, reached);
+    pending_acks_.erase(worker_id);
   });
 }
 
@@ -116,22 +120,22 @@
                                  const std::string& worker_id) {
   if (state_.Depart(time_->Now(), worker_id)) {
     logging::Info(kModule, "worker departed", {logging::F("worker", worker_id)});
-    Changed(true);
+    ScheduleSwap(true);
   }
-  TellLeaving(worker_id, [this, exchange, worker_id](bool reached) {
-    AnswerLeaving(exchange.get(), worker_id, reached);
+  DisseminateDeparture(worker_id, [this, exchange, worker_id](bool reached) {
+    RespondToDeparture(exchange.get(), worker_id, reached);
   });
 }
 
-void WorkerRegistry::AnswerLeaving(http_server::Exchange* exchange, const std::string& worker_id,
-                                   bool reached) {
+void WorkerRegistry::RespondToDeparture(http_server::Exchange* exchange,
+                                        const std::string& worker_id, bool reached) {
   if (reached) return Acknowledge(exchange, worker_id);
   exchange->Respond(503, {}, "not enough other nodes can be reached");
 }
 
 void WorkerRegistry::Acknowledge(http_server::Exchange* exchange, const std::string& worker_id) {
   const WorkerRecord* record = state_.Find(worker_id);
-  const std::string address = record == nullptr ? "" : nodes_.AddressOf(record->taker);
+  const std::string address = record == nullptr ? "" : nodes_.AddressOf(record->receiver);
   const bool named = !address.empty() && !control_port_.empty();
   const std::string body =
       named ? "{\"beat_target\":\"" + IpOf(address) + ":" + control_port_ + "\"}" : "{}";
@@ -141,35 +145,35 @@
 // ---------------------------------------------------------------- takers
 
 // The one that it has, as long as that is a live member; else the one that the rule names.
-std::string WorkerRegistry::TakerOf(const WorkerRecord& record) {
+std::string WorkerRegistry::ReceiverOf(const WorkerRecord& record) {
   const WorkerRecord* known = state_.Find(record.worker_id);
-  if (known != nullptr && nodes_.IsLive(known->taker)) return known->taker;
+  if (known != nullptr && nodes_.IsLive(known->receiver)) return known->receiver;
   const std::string chosen =
-      nodes_.RecentTakers(time_->Now()).Choose(record.worker_id, record.zone);
+      nodes_.RecentReceivers(time_->Now()).Choose(record.worker_id, record.zone);
   return chosen.empty() ? nodes_.self() : chosen;
 }
 
-void WorkerRegistry::OnReady(const WorkerRecord& record, bool changed) {
-  if (record.taker != nodes_.self()) return Pass(record);
-  if (changed) QueueTelling(record.worker_id);
+void WorkerRegistry::OnReadyHeartbeat(const WorkerRecord& record, bool changed) {
+  if (record.receiver != nodes_.self()) return ForwardHeartbeat(record);
+  if (changed) QueueUpdate(record.worker_id);
 }
 
 // To its taker, which tells the others; where that cannot be reached, this node takes its place.
-void WorkerRegistry::Pass(const WorkerRecord& record) {
+void WorkerRegistry::ForwardHeartbeat(const WorkerRecord& record) {
   const std::string id = record.worker_id;
   WorkerUpdate update;
   update.items.push_back(
       {record, std::max<Micros>(0, record.warm_at - time_->Now()) / kMs, 0, false});
-  transport_->Call(nodes_.AddressOf(record.taker), rpc::MessageType::kWorkerForward,
-                   codec::Encode(update), kPassTimeout,
+  transport_->Call(nodes_.AddressOf(record.receiver), rpc::MessageType::kWorkerForward,
+                   codec::Encode(update), kForwardTimeout,
                    callbacks_.Bind([this, id](absl::StatusOr<std::string> answer) {
                      if (answer.ok()) return;
                      state_.TakeOver(time_->Now(), id);
-                     QueueTelling(id);
+                     QueueUpdate(id);
                    }));
 }
 
-void WorkerRegistry::OnPassed(std::string_view body, const rpc::Respond& respond) {
+void WorkerRegistry::OnForwardedHeartbeat(std::string_view body, const rpc::Respond& respond) {
   const auto update = codec::Decode<WorkerUpdate>(body);
   if (!update.ok()) return respond(update.status());
   const Micros now = time_->Now();
@@ -177,56 +181,58 @@
   for (const WorkerUpdate::Item& item : update->items) {
     WorkerRecord record = item.record;
     record.warm_at = now + item.warm_left_ms * kMs;
-    record.taker = nodes_.self();
+    record.receiver = nodes_.self();
     if (!state_.Merge(now, record, item.heartbeat_age_ms * kMs)) continue;
-    QueueTelling(record.worker_id);
+    QueueUpdate(record.worker_id);
     any = true;
   }
-  if (any) Changed(false);
+  if (any) ScheduleSwap(false);
   respond(std::string());
 }
 
 // ---------------------------------------------------------------- telling the others
 
-void WorkerRegistry::TellLeaving(const std::string& worker_id, LeavingTold done) {
+void WorkerRegistry::DisseminateDeparture(const std::string& worker_id, DisseminationDone done) {
   WorkerUpdate update;
   update.items.push_back(state_.ExportOne(time_->Now(), worker_id));
   const bool alone = nodes_.Current(time_->Now()).size() < 2;
-  spreader_.Spread(update, spread_bound_, ack_bound_,
-                   [this, alone, done = std::move(done)](const Spreader::Reached& reached) {
-                     // Where others are alive and not one has it, this node is the one cut off.
-                     const bool told = alone || reached.all || !reached.nodes.empty();
-                     if (!told) return done(false);
-                     ConfirmContact(done);
-                   });
+  disseminator_.Disseminate(
+      update, dissemination_budget_, ack_timeout_,
+      [this, alone, done = std::move(done)](const Disseminator::Coverage& reached) {
+        // Where others are alive and not one has it, this node is the one cut off.
+        const bool told = alone || reached.all || !reached.nodes.empty();
+        if (!told) return done(false);
+        ConfirmQuorumContact(done);
+      });
 }
 
 // Nodes that are cut off together take all others for dead, and would be sure that all have it.
-void WorkerRegistry::ConfirmContact(LeavingTold done) {
-  control_->StrictRead(kContactBound, callbacks_.Bind([done = std::move(done)](const auto& newest) {
-    done(newest.ok());
-  }));
+void WorkerRegistry::ConfirmQuorumContact(DisseminationDone done) {
+  control_->StrictRead(
+      kQuorumReadTimeout,
+      callbacks_.Bind([done = std::move(done)](const auto& newest) { done(newest.ok()); }));
 }
 
-void WorkerRegistry::QueueTelling(const std::string& worker_id) {
+void WorkerRegistry::QueueUpdate(const std::string& worker_id) {
   queued_.insert(worker_id);
-  if (telling_ != 0) return;
+  if (dissemination_timer_ != 0) return;
   const Micros now = time_->Now();
   const auto edges = static_cast<Micros>(nodes_.Recent(now).size());
-  const Micros pause = std::min(edges * kTellPauseEach, kMaxTellPause);
-  telling_ = time_->After(std::max<Micros>(told_at_ + pause - now, 0), callbacks_.Bind([this] {
-    telling_ = 0;
-    TellQueued();
-  }));
+  const Micros pause = std::min(edges * kDisseminationDelayPerEdgeNode, kMaxDisseminationDelay);
+  dissemination_timer_ =
+      time_->After(std::max<Micros>(disseminated_at_ + pause - now, 0), callbacks_.Bind([this] {
+        dissemination_timer_ = 0;
+        DisseminateQueued();
+      }));
 }
 
-void WorkerRegistry::TellQueued() {
+void WorkerRegistry::DisseminateQueued() {
   const Micros now = time_->Now();
-  told_at_ = now;
+  disseminated_at_ = now;
   WorkerUpdate update;
   for (const std::string& id : std::exchange(queued_, {}))
     if (state_.Find(id) != nullptr) update.items.push_back(state_.ExportOne(now, id));
-  if (!update.items.empty()) spreader_.Spread(update, spread_bound_, 0, nullptr);
+  if (!update.items.empty()) disseminator_.Disseminate(update, dissemination_budget_, 0, nullptr);
 }
 
 void WorkerRegistry::Import(const WorkerUpdate& update) {
@@ -237,39 +243,39 @@
     changed = true;
     urgent = urgent || item.record.phase != WorkerPhase::kReady;
   }
-  if (changed) Changed(urgent);
+  if (changed) ScheduleSwap(urgent);
 }
 
 // ---------------------------------------------------------------- the table
 
-void WorkerRegistry::Changed(bool urgent) {
-  if (urgent) return Swap();
-  if (swap_ != 0) return;
+void WorkerRegistry::ScheduleSwap(bool urgent) {
+  if (urgent) return SwapTable();
+  if (swap_timer_ != 0) return;
   const Micros now = time_->Now();
   const auto workers = static_cast<Micros>(state_.size());
-  const Micros pause = std::min(workers * kSwapPauseEach, kMaxSwapPause);
-  if (now - swapped_at_ >= pause) return Swap();
-  swap_ = time_->After(swapped_at_ + pause - now, callbacks_.Bind([this] {
-    swap_ = 0;
-    Swap();
+  const Micros pause = std::min(workers * kSwapDelayPerWorker, kMaxSwapDelay);
+  if (now - swapped_at_ >= pause) return SwapTable();
+  swap_timer_ = time_->After(swapped_at_ + pause - now, callbacks_.Bind([this] {
+    swap_timer_ = 0;
+    SwapTable();
   }));
 }
 
-void WorkerRegistry::Swap() {
-  time_->Cancel(&swap_);
+void WorkerRegistry::SwapTable() {
+  time_->Cancel(&swap_timer_);
   swapped_at_ = time_->Now();
   table_ = state_.BuildTable();
   for (const auto& listener : listeners_) listener();
 }
 
 void WorkerRegistry::Tick() {
-  if (state_.Expire(time_->Now())) Changed(false);
+  if (state_.Expire(time_->Now())) ScheduleSwap(false);
   for (const std::string& id : state_.TakeLost()) {
     logging::Info(kModule, "worker lost", {logging::F("worker", id)});
-    QueueTelling(id);
+    QueueUpdate(id);
   }
-  if (told_leaving_.size() > state_.size() + kToldMargin)
-    std::erase_if(told_leaving_,
+  if (disseminated_departures_.size() > state_.size() + kMaxUnknownDepartures)
+    std::erase_if(disseminated_departures_,
                   [this](const std::string& id) { return state_.Find(id) == nullptr; });
   time_->After(period_, callbacks_.Bind([this] { Tick(); }));
 }
--- a/src/tier/registry/worker_registry.h
+++ b/src/tier/registry/worker_registry.h
@@ -16,8 +16,8 @@
 #include "tier/control/control_client.h"
 #include "tier/control/time_source.h"
 #include "tier/registry/anti_entropy.h"
+#include "tier/registry/disseminator.h"
 #include "tier/registry/edge_nodes.h"
-#include "tier/registry/spreader.h"
 #include "tier/registry/worker_state.h"
 #include "tier/registry/worker_table.h"
 #include "tier/rpc/transport.h"
@@ -49,25 +49,26 @@
  private:
   // Whether any other node has it, where there are others, and this one is no part of the system
   // that is cut off from the rest.
-  using LeavingTold = std::function<void(bool reached)>;
+  using DisseminationDone = std::function<void(bool reached)>;
 
-  void OnReady(const WorkerRecord& record, bool changed);
-  void OnPassed(std::string_view body, const rpc::Respond& respond);
-  void Pass(const WorkerRecord& record);
-  std::string TakerOf(const WorkerRecord& record);
+  void OnReadyHeartbeat(const WorkerRecord& record, bool changed);
+  void OnForwardedHeartbeat(std::string_view body, const rpc::Respond& respond);
+  void ForwardHeartbeat(const WorkerRecord& record);
+  std::string ReceiverOf(const WorkerRecord& record);
   void Import(const WorkerUpdate& update);
   // Swaps the table: at once if `urgent`, else together with what comes soon after.
-  void Changed(bool urgent);
-  void Swap();
+  void ScheduleSwap(bool urgent);
+  void SwapTable();
   // Tells all live edge nodes of a worker that leaves.
-  void TellLeaving(const std::string& worker_id, LeavingTold done);
+  void DisseminateDeparture(const std::string& worker_id, DisseminationDone done);
   // Whether this node reaches a majority of the control state's members right now.
-  void ConfirmContact(LeavingTold done);
+  void ConfirmQuorumContact(DisseminationDone done);
   // Tells them of others, together with what comes soon after.
-  void QueueTelling(const std::string& worker_id);
-  void TellQueued();
+  void QueueUpdate(const std::string& worker_id);
+  void DisseminateQueued();
   void Acknowledge(http_server::Exchange* exchange, const std::string& worker_id);
-  void AnswerLeaving(http_server::Exchange* exchange, const std::string& worker_id, bool reached);
+  void RespondToDeparture(http_server::Exchange* exchange, const std::string& worker_id,
+                          bool reached);
   void Tick();
 
   const std::unique_ptr<control::TimeSource> time_;
@@ -76,18 +77,19 @@
   EdgeNodes nodes_;
   const std::string control_port_;  // the same on all machines
   const Micros period_;             // between looks at what has expired
-  const Micros ack_bound_;          // longest wait for the others before a leaving is acknowledged
-  const Micros spread_bound_;       // the spreading goes on for so long
+  const Micros ack_timeout_;        // longest wait for the others before a leaving is acknowledged
+  const Micros dissemination_budget_;  // the spreading goes on for so long
   WorkerState state_;
   std::shared_ptr<const WorkerTable> table_ = std::make_shared<WorkerTable>();
   std::vector<std::function<void()>> listeners_;
-  std::map<std::string, std::vector<std::shared_ptr<http_server::Exchange>>> waiting_;  // by worker
-  std::set<std::string> told_leaving_;  // workers whose leaving has been brought to all
-  std::set<std::string> queued_;        // workers to tell the others of
-  Timers::Id telling_ = 0, swap_ = 0;
-  Micros told_at_ = 0, swapped_at_ = 0;
+  std::map<std::string, std::vector<std::shared_ptr<http_server::Exchange>>>
+      pending_acks_;                               // by worker
+  std::set<std::string> disseminated_departures_;  // workers whose leaving has been brought to all
+  std::set<std::string> queued_;                   // workers to tell the others of
+  Timers::Id dissemination_timer_ = 0, swap_timer_ = 0;
+  Micros disseminated_at_ = 0, swapped_at_ = 0;
   control::CallbackOwner callbacks_;
-  Spreader spreader_;
+  Disseminator disseminator_;
   AntiEntropy anti_entropy_;
 };
 
--- a/src/tier/registry/worker_state.cpp
+++ b/src/tier/registry/worker_state.cpp
@@ -7,66 +7,70 @@
 namespace pearreach::registry {
 namespace {
 
-std::uint64_t Mix(std::uint64_t hash, std::uint64_t value) {
+std::uint64_t MixHash(std::uint64_t hash, std::uint64_t value) {
   hash = (hash ^ value) * 0x9e3779b97f4a7c15ull;
   return hash ^ hash >> 29;
 }
 
-bool Ended(const WorkerRecord& record) { return record.phase == WorkerPhase::kGone || record.lost; }
+bool HasEnded(const WorkerRecord& record) {
+  return record.phase == WorkerPhase::kGone || record.lost;
+}
 
-bool Newer(const WorkerRecord& a, const WorkerRecord& b) {
-  return std::tie(a.version, a.lost, a.taker) > std::tie(b.version, b.lost, b.taker);
+bool IsNewer(const WorkerRecord& a, const WorkerRecord& b) {
+  return std::tie(a.version, a.lost, a.receiver) > std::tie(b.version, b.lost, b.receiver);
 }
 
 }  // namespace
 
 // ---------------------------------------------------------------- heartbeats
 
-bool WorkerState::Merge(Micros now, const WorkerRecord& record, Micros unheard) {
-  const Micros heard = now - std::max<Micros>(unheard, 0);
-  Known* known = FindKnown(record.worker_id);
-  if (known == nullptr) {
+bool WorkerState::Merge(Micros now, const WorkerRecord& record, Micros heartbeat_age) {
+  const Micros heard = now - std::max<Micros>(heartbeat_age, 0);
+  Entry* entry = FindEntry(record.worker_id);
+  if (entry == nullptr) {
     const bool alive = record.phase != WorkerPhase::kGone && heard + options_.expiry > now;
     return Add(record, heard, alive);
   }
-  const bool later = record.call_seq > known->last_seq;
-  const WorkerPhase phase = std::max(known->record.phase, record.phase);
+  const bool is_newer_call = record.call_seq > entry->last_seq;
+  const WorkerPhase phase = std::max(entry->record.phase, record.phase);
   // Only a later sign of life brings a worker back that expired or whose address another one had.
-  const bool back = !known->listed && later && heard > known->heard &&
-                    phase != WorkerPhase::kGone && heard + options_.expiry > now;
-  const bool moved =
-      later && phase != WorkerPhase::kGone && record.address != known->record.address;
-  const bool retaken = later && phase != WorkerPhase::kGone && record.taker != known->record.taker;
-  known->heard = std::max(known->heard, heard);
-  known->last_seq = std::max(known->last_seq, record.call_seq);
-  if (phase == known->record.phase && !back && !moved && !retaken) return false;
-
-  Uncount(known);
-  const std::uint64_t version = std::max(known->record.version + 1, record.call_seq);
-  if (later) {
-    SetListed(known, known->listed && !moved);
-    known->record = record;
-    known->record.lost = false;
-    known->orphaned = 0;
+  const bool returned = !entry->listed && is_newer_call && heard > entry->heard &&
+                        phase != WorkerPhase::kGone && heard + options_.expiry > now;
+  const bool address_changed =
+      is_newer_call && phase != WorkerPhase::kGone && record.address != entry->record.address;
+  const bool receiver_changed =
+      is_newer_call && phase != WorkerPhase::kGone && record.receiver != entry->record.receiver;
+  entry->heard = std::max(entry->heard, heard);
+  entry->last_seq = std::max(entry->last_seq, record.call_seq);
+  if (phase == entry->record.phase && !returned && !address_changed && !receiver_changed)
+    return false;
+
+  RemoveFromDigest(entry);
+  const std::uint64_t version = std::max(entry->record.version + 1, record.call_seq);
+  if (is_newer_call) {
+    SetListed(entry, entry->listed && !address_changed);
+    entry->record = record;
+    entry->record.lost = false;
+    entry->orphaned = 0;
   }
   // A call that overtook a later one says nothing new; but a later phase always holds.
-  known->record.phase = phase;
-  known->record.version = version;
-  SetListed(known, phase != WorkerPhase::kGone && (known->listed || back || moved));
-  if (known->listed) ClaimAddress(known, true);
-  Recount(known);
+  entry->record.phase = phase;
+  entry->record.version = version;
+  SetListed(entry, phase != WorkerPhase::kGone && (entry->listed || returned || address_changed));
+  if (entry->listed) ClaimAddress(entry, true);
+  AddToDigest(entry);
   return true;
 }
 
 bool WorkerState::Add(const WorkerRecord& record, Micros heard, bool listed) {
-  Known& known = shards_[WorkerTable::ShardOf(record.worker_id)][record.worker_id];
-  known.record = record;
-  known.record.version = std::max<std::uint64_t>({record.version, record.call_seq, 1});
-  known.heard = heard;
-  known.last_seq = record.call_seq;
-  SetListed(&known, listed);
-  if (listed) ClaimAddress(&known, true);
-  Recount(&known);
+  Entry& entry = shards_[WorkerTable::ShardOf(record.worker_id)][record.worker_id];
+  entry.record = record;
+  entry.record.version = std::max<std::uint64_t>({record.version, record.call_seq, 1});
+  entry.heard = heard;
+  entry.last_seq = record.call_seq;
+  SetListed(&entry, listed);
+  if (listed) ClaimAddress(&entry, true);
+  AddToDigest(&entry);
   return true;
 }
 
@@ -78,14 +82,14 @@
 }
 
 void WorkerState::TakeOver(Micros now, const std::string& worker_id) {
-  Known* known = FindKnown(worker_id);
-  if (known == nullptr || known->record.phase == WorkerPhase::kGone) return;
-  Uncount(known);
-  known->record.taker = options_.self;
-  ++known->record.version;
-  known->heard = now;
-  known->orphaned = 0;
-  Recount(known);
+  Entry* entry = FindEntry(worker_id);
+  if (entry == nullptr || entry->record.phase == WorkerPhase::kGone) return;
+  RemoveFromDigest(entry);
+  entry->record.receiver = options_.self;
+  ++entry->record.version;
+  entry->heard = now;
+  entry->orphaned = 0;
+  AddToDigest(entry);
 }
 
 // ---------------------------------------------------------------- what other nodes say
@@ -93,107 +97,109 @@
 bool WorkerState::Adopt(Micros now, const WorkerUpdate::Item& item) {
   WorkerRecord record = item.record;
   record.warm_at = now + item.warm_left_ms * kMs;
-  const Micros unheard = std::max<Micros>(item.heartbeat_age_ms, 0) * kMs;
-  const Micros since = now - unheard;
-  Known* known = FindKnown(record.worker_id);
-  if (known == nullptr) {
-    if ((Ended(record) || item.orphaned) && unheard >= options_.keep_departed / 2) return false;
-    known = &shards_[WorkerTable::ShardOf(record.worker_id)][record.worker_id];
-    known->record.worker_id = record.worker_id;
-    known->record.phase = record.phase;
-    known->record.version = 0;
+  const Micros heartbeat_age = std::max<Micros>(item.heartbeat_age_ms, 0) * kMs;
+  const Micros since = now - heartbeat_age;
+  Entry* entry = FindEntry(record.worker_id);
+  if (entry == nullptr) {
+    if ((HasEnded(record) || item.orphaned) && heartbeat_age >= options_.departed_retention / 2)
+      return false;
+    entry = &shards_[WorkerTable::ShardOf(record.worker_id)][record.worker_id];
+    entry->record.worker_id = record.worker_id;
+    entry->record.phase = record.phase;
+    entry->record.version = 0;
   }
-  const bool newer = Newer(record, known->record);
-  const WorkerPhase phase = std::max(known->record.phase, record.phase);
-  if (!newer && phase == known->record.phase) return false;
-  Uncount(known);
+  const bool newer = IsNewer(record, entry->record);
+  const WorkerPhase phase = std::max(entry->record.phase, record.phase);
+  if (!newer && phase == entry->record.phase) return false;
+  RemoveFromDigest(entry);
   // This node has just begun to take its heartbeats, or has forgotten when they came.
-  const bool own = record.taker == options_.self;
-  known->heard = std::max(known->heard, own && !Ended(record) ? now : since);
-  known->last_seq = std::max(known->last_seq, record.call_seq);
-  bool listed = known->listed;
+  const bool own = record.receiver == options_.self;
+  entry->heard = std::max(entry->heard, own && !HasEnded(record) ? now : since);
+  entry->last_seq = std::max(entry->last_seq, record.call_seq);
+  bool listed = entry->listed;
   if (newer) {
-    if (record.address != known->record.address) SetListed(known, false);
-    known->record = record;
-    known->orphaned = item.orphaned ? since : 0;
-    listed = !item.orphaned || unheard < options_.expiry;
+    if (record.address != entry->record.address) SetListed(entry, false);
+    entry->record = record;
+    entry->orphaned = item.orphaned ? since : 0;
+    listed = !item.orphaned || heartbeat_age < options_.expiry;
   }
-  known->record.phase = phase;
-  SetListed(known, listed && !Ended(known->record));
-  if (known->listed) ClaimAddress(known, false);
-  Recount(known);
+  entry->record.phase = phase;
+  SetListed(entry, listed && !HasEnded(entry->record));
+  if (entry->listed) ClaimAddress(entry, false);
+  AddToDigest(entry);
   return true;
 }
 
 // An address belongs to one worker at a time: whoever had it before has most likely ended. It is
 // not taken for gone, since the record may be the late one; its next heartbeat would list it again.
-void WorkerState::ClaimAddress(Known* known, bool always) {
-  const std::string& address = known->record.address;
+void WorkerState::ClaimAddress(Entry* entry, bool always) {
+  const std::string& address = entry->record.address;
   if (address.empty()) return;
-  std::string& holder = holders_[address];
-  if (!holder.empty() && holder != known->record.worker_id) {
-    Known* other = FindKnown(holder);
+  std::string& owner = address_owners_[address];
+  if (!owner.empty() && owner != entry->record.worker_id) {
+    Entry* other = FindEntry(owner);
     const bool held = other != nullptr && other->listed && other->record.address == address;
-    if (held && !always && other->heard > known->heard) return SetListed(known, false);
+    if (held && !always && other->heard > entry->heard) return SetListed(entry, false);
     if (held) SetListed(other, false);
   }
-  holders_[address] = known->record.worker_id;
+  address_owners_[address] = entry->record.worker_id;
 }
 
 // ---------------------------------------------------------------- time
 
 // What the age of a worker that has ended counts from.
-Micros WorkerState::Base(const Known& known) const {
-  return known.orphaned != 0 && !Ended(known.record) ? known.orphaned : known.heard;
+Micros WorkerState::ExpiryBase(const Entry& entry) const {
+  return entry.orphaned != 0 && !HasEnded(entry.record) ? entry.orphaned : entry.heard;
 }
 
-bool WorkerState::ExpireOne(Micros now, Known* known) {
-  WorkerRecord& record = known->record;
-  if (Ended(record)) return false;
-  const bool own = !record.taker.empty() && record.taker == options_.self;
-  if (own && known->heard + options_.expiry <= now) {
-    Uncount(known);
+bool WorkerState::ExpireOne(Micros now, Entry* entry) {
+  WorkerRecord& record = entry->record;
+  if (HasEnded(record)) return false;
+  const bool own = !record.receiver.empty() && record.receiver == options_.self;
+  if (own && entry->heard + options_.expiry <= now) {
+    RemoveFromDigest(entry);
     record.lost = true;
-    SetListed(known, false);
-    Recount(known);
+    SetListed(entry, false);
+    AddToDigest(entry);
     lost_.push_back(record.worker_id);
     return true;
   }
-  if (own || TakerIsLive(record.taker)) {
-    known->orphaned = 0;
+  if (own || ReceiverIsLive(record.receiver)) {
+    entry->orphaned = 0;
     return false;
   }
-  if (known->orphaned == 0) known->orphaned = now;
-  if (record.taker.empty()) known->orphaned = known->heard;  // nobody was to take them
-  if (!known->listed || known->orphaned + options_.expiry > now) return false;
-  SetListed(known, false);
+  if (entry->orphaned == 0) entry->orphaned = now;
+  if (record.receiver.empty()) entry->orphaned = entry->heard;  // nobody was to take them
+  if (!entry->listed || entry->orphaned + options_.expiry > now) return false;
+  SetListed(entry, false);
   return true;
 }
 
-bool WorkerState::TakerIsLive(const std::string& taker) {
-  if (taker.empty() || options_.taker_is_live == nullptr) return false;
-  const auto [found, fresh] = live_takers_.try_emplace(taker, false);
-  if (fresh) found->second = options_.taker_is_live(taker);
+bool WorkerState::ReceiverIsLive(const std::string& receiver) {
+  if (receiver.empty() || options_.receiver_is_live == nullptr) return false;
+  const auto [found, fresh] = live_receivers_.try_emplace(receiver, false);
+  if (fresh) found->second = options_.receiver_is_live(receiver);
   return found->second;
 }
 
 bool WorkerState::Expire(Micros now) {
   bool changed = false;
-  live_takers_.clear();
+  live_receivers_.clear();
   for (Shard& shard : shards_) {
     for (auto it = shard.begin(); it != shard.end();) {
-      Known& known = it->second;
-      changed = ExpireOne(now, &known) || changed;
-      const bool ended = Ended(known.record) || (known.orphaned != 0 && !known.listed);
-      const Micros age = ended ? now - Base(known) : 0;
+      Entry& entry = it->second;
+      changed = ExpireOne(now, &entry) || changed;
+      const bool ended = HasEnded(entry.record) || (entry.orphaned != 0 && !entry.listed);
+      const Micros age = ended ? now - ExpiryBase(entry) : 0;
       // It leaves the digest well before any node forgets it, so that none is told of it anew.
-      if (age >= options_.keep_departed / 2) Uncount(&known);
-      if (age < options_.keep_departed) {
+      if (age >= options_.departed_retention / 2) RemoveFromDigest(&entry);
+      if (age < options_.departed_retention) {
         ++it;
         continue;
       }
-      const auto holder = holders_.find(known.record.address);
-      if (holder != holders_.end() && holder->second == it->first) holders_.erase(holder);
+      const auto owner = address_owners_.find(entry.record.address);
+      if (owner != address_owners_.end() && owner->second == it->first)
+        address_owners_.erase(owner);
       it = shard.erase(it);
     }
   }
@@ -204,7 +210,7 @@
 
 // ---------------------------------------------------------------- reads
 
-WorkerState::Known* WorkerState::FindKnown(const std::string& worker_id) {
+WorkerState::Entry* WorkerState::FindEntry(const std::string& worker_id) {
   Shard& shard = shards_[WorkerTable::ShardOf(worker_id)];
   const auto found = shard.find(worker_id);
   return found == shard.end() ? nullptr : &found->second;
@@ -216,20 +222,20 @@
   return found == shard.end() ? nullptr : &found->second.record;
 }
 
-WorkerUpdate::Item WorkerState::ExportKnown(Micros now, const Known& known) const {
-  return {known.record, std::max<Micros>(0, known.record.warm_at - now) / kMs,
-          (now - Base(known)) / kMs, known.orphaned != 0};
+WorkerUpdate::Item WorkerState::ExportEntry(Micros now, const Entry& entry) const {
+  return {entry.record, std::max<Micros>(0, entry.record.warm_at - now) / kMs,
+          (now - ExpiryBase(entry)) / kMs, entry.orphaned != 0};
 }
 
 WorkerUpdate::Item WorkerState::ExportOne(Micros now, const std::string& worker_id) const {
-  return ExportKnown(now, shards_[WorkerTable::ShardOf(worker_id)].at(worker_id));
+  return ExportEntry(now, shards_[WorkerTable::ShardOf(worker_id)].at(worker_id));
 }
 
 std::vector<WorkerUpdate::Item> WorkerState::Export(Micros now) const {
   std::vector<WorkerUpdate::Item> items;
   items.reserve(size());
   for (const Shard& shard : shards_)
-    for (const auto& [id, known] : shard) items.push_back(ExportKnown(now, known));
+    for (const auto& [id, entry] : shard) items.push_back(ExportEntry(now, entry));
   return items;
 }
 
@@ -239,9 +245,9 @@
   return sum;
 }
 
-void WorkerState::SetListed(Known* known, bool listed) {
-  if (known->listed || listed) dirty_[WorkerTable::ShardOf(known->record.worker_id)] = true;
-  known->listed = listed;
+void WorkerState::SetListed(Entry* entry, bool listed) {
+  if (entry->listed || listed) dirty_[WorkerTable::ShardOf(entry->record.worker_id)] = true;
+  entry->listed = listed;
 }
 
 std::shared_ptr<const WorkerTable> WorkerState::BuildTable() {
@@ -250,8 +256,8 @@
     if (!std::exchange(dirty_[i], false)) continue;
     WorkerTable::Shard listed;
     listed.reserve(shards_[i].size());
-    for (const auto& [id, known] : shards_[i])
-      if (known.listed) listed.emplace(id, known.record);
+    for (const auto& [id, entry] : shards_[i])
+      if (entry.listed) listed.emplace(id, entry.record);
     next->SetShard(i, std::move(listed));
   }
   table_ = std::move(next);
@@ -261,64 +267,64 @@
 // ---------------------------------------------------------------- digests
 
 std::uint64_t WorkerState::StateHash(const WorkerRecord& record) {
-  std::uint64_t hash = Mix(HashOf(record.worker_id), static_cast<std::uint64_t>(record.phase));
+  std::uint64_t hash = MixHash(HashOf(record.worker_id), static_cast<std::uint64_t>(record.phase));
   if (record.phase == WorkerPhase::kGone) return hash;
-  hash = Mix(hash, record.version);
-  hash = Mix(hash, record.lost ? 1 : 0);
-  return Mix(hash, HashOf(record.taker));
+  hash = MixHash(hash, record.version);
+  hash = MixHash(hash, record.lost ? 1 : 0);
+  return MixHash(hash, HashOf(record.receiver));
 }
 
-void WorkerState::Uncount(Known* known) {
-  if (!std::exchange(known->counted, false)) return;
-  digests_[WorkerTable::ShardOf(known->record.worker_id)] -= StateHash(known->record);
+void WorkerState::RemoveFromDigest(Entry* entry) {
+  if (!std::exchange(entry->in_digest, false)) return;
+  digests_[WorkerTable::ShardOf(entry->record.worker_id)] -= StateHash(entry->record);
 }
 
-void WorkerState::Recount(Known* known) {
-  known->counted = true;
-  digests_[WorkerTable::ShardOf(known->record.worker_id)] += StateHash(known->record);
+void WorkerState::AddToDigest(Entry* entry) {
+  entry->in_digest = true;
+  digests_[WorkerTable::ShardOf(entry->record.worker_id)] += StateHash(entry->record);
 }
 
 std::uint64_t WorkerState::Digest() const {
   std::uint64_t total = 0;
-  for (const std::uint64_t digest : digests_) total = Mix(total, digest);
+  for (const std::uint64_t digest : digests_) total = MixHash(total, digest);
   return total;
 }
 
 std::vector<DigestEntry> WorkerState::Entries(std::size_t shard) const {
   std::vector<DigestEntry> entries;
   entries.reserve(shards_[shard].size());
-  for (const auto& [id, known] : shards_[shard])
-    if (known.counted) entries.push_back({HashOf(id), StateHash(known.record)});
+  for (const auto& [id, entry] : shards_[shard])
+    if (entry.in_digest) entries.push_back({HashOf(id), StateHash(entry.record)});
   return entries;
 }
 
 void WorkerState::Compare(Micros now, const RepairRequest::Shard& other, std::size_t most,
-                          RepairResponse* answer) const {
+                          RepairResponse* response) const {
   if (other.index >= shards_.size()) return;
   std::unordered_map<std::uint64_t, std::uint64_t> theirs;
   for (const DigestEntry& entry : other.entries) theirs[entry.worker] = entry.state;
-  for (const auto& [id, known] : shards_[other.index]) {
+  for (const auto& [id, entry] : shards_[other.index]) {
     const auto found = theirs.find(HashOf(id));
-    const bool same = found != theirs.end() && found->second == StateHash(known.record);
+    const bool same = found != theirs.end() && found->second == StateHash(entry.record);
     if (found != theirs.end()) {
-      if (!same) answer->wanted.push_back(found->first);
+      if (!same) response->wanted.push_back(found->first);
       theirs.erase(found);
     }
-    if (same || !known.counted) continue;
-    if (answer->update.items.size() < most)
-      answer->update.items.push_back(ExportKnown(now, known));
+    if (same || !entry.in_digest) continue;
+    if (response->update.items.size() < most)
+      response->update.items.push_back(ExportEntry(now, entry));
     else
-      answer->more = true;
+      response->more = true;
   }
-  for (const auto& [worker, state] : theirs) answer->wanted.push_back(worker);
+  for (const auto& [worker, state] : theirs) response->wanted.push_back(worker);
 }
 
 std::vector<WorkerUpdate::Item> WorkerState::ExportHashed(
     Micros now, const std::vector<std::uint64_t>& workers) const {
   std::vector<WorkerUpdate::Item> items;
   for (const std::uint64_t worker : workers)
-    for (const auto& [id, known] : shards_[worker % shards_.size()])
-      if (HashOf(id) == worker) items.push_back(ExportKnown(now, known));
+    for (const auto& [id, entry] : shards_[worker % shards_.size()])
+      if (HashOf(id) == worker) items.push_back(ExportEntry(now, entry));
   return items;
 }
 
--- a/src/tier/registry/worker_state.h
+++ b/src/tier/registry/worker_state.h
@@ -24,11 +24,11 @@
 
 struct WorkerStateOptions {
   Micros expiry = 6 * kSecond;  // a worker that nobody has heard for so long leaves the table
-  Micros keep_departed =
+  Micros departed_retention =
       120 * kSecond;      // departed ones are remembered, so that late calls do no harm
   std::string self = {};  // name of this node, as a taker of heartbeats
   // Whether that node is a live member; null: none is.
-  std::function<bool(const std::string& node)> taker_is_live = {};
+  std::function<bool(const std::string& node)> receiver_is_live = {};
 };
 
 class WorkerState {
@@ -38,7 +38,7 @@
   // A heartbeat or departure that came to this node or was passed on to it, `unheard` since then.
   // Returns whether it changed what others must know (a new worker, a later phase, another address
   // or taker). Phases never go back within an incarnation.
-  bool Merge(Micros now, const WorkerRecord& record, Micros unheard);
+  bool Merge(Micros now, const WorkerRecord& record, Micros heartbeat_age);
   bool Depart(Micros now, const std::string& worker_id);
   // This node takes the worker's heartbeats from now on.
   void TakeOver(Micros now, const std::string& worker_id);
@@ -61,42 +61,43 @@
   std::vector<DigestEntry> Entries(std::size_t shard) const;
   // Adds to `answer` what differs between the other's entries and this shard, up to `most` records.
   void Compare(Micros now, const RepairRequest::Shard& other, std::size_t most,
-               RepairResponse* answer) const;
+               RepairResponse* response) const;
   // Records of the workers whose ids hash to these.
   std::vector<WorkerUpdate::Item> ExportHashed(Micros now,
                                                const std::vector<std::uint64_t>& workers) const;
 
  private:
-  struct Known {
+  struct Entry {
     WorkerRecord record;
     Micros heard = 0;            // the worker's last sign that is known here, on this clock
     Micros orphaned = 0;         // its taker is no live member since then; 0: it is
     std::uint64_t last_seq = 0;  // of its heartbeats
     bool listed = false;         // in the table
-    bool counted = false;        // in the digest
+    bool in_digest = false;      // in the digest
   };
-  using Shard = std::unordered_map<std::string, Known>;
+  using Shard = std::unordered_map<std::string, Entry>;
 
-  Known* FindKnown(const std::string& worker_id);
-  void Uncount(Known* known);
-  void Recount(Known* known);
-  void SetListed(Known* known, bool listed);
-  void ClaimAddress(Known* known, bool always);
+  Entry* FindEntry(const std::string& worker_id);
+  void RemoveFromDigest(Entry* entry);
+  void AddToDigest(Entry* entry);
+  void SetListed(Entry* entry, bool listed);
+  void ClaimAddress(Entry* entry, bool always);
   bool Add(const WorkerRecord& record, Micros heard, bool listed);
-  Micros Base(const Known& known) const;
-  bool ExpireOne(Micros now, Known* known);
-  bool TakerIsLive(const std::string& taker);
-  WorkerUpdate::Item ExportKnown(Micros now, const Known& known) const;
+  Micros ExpiryBase(const Entry& entry) const;
+  bool ExpireOne(Micros now, Entry* entry);
+  bool ReceiverIsLive(const std::string& receiver);
+  WorkerUpdate::Item ExportEntry(Micros now, const Entry& entry) const;
   static std::uint64_t StateHash(const WorkerRecord& record);
 
   WorkerStateOptions options_;
   std::array<Shard, WorkerTable::kShards> shards_;
   std::array<std::uint64_t, WorkerTable::kShards> digests_{};  // sums of StateHash
   std::array<bool, WorkerTable::kShards> dirty_{};
-  std::unordered_map<std::string, std::string> holders_;  // address -> the worker listed there
+  std::unordered_map<std::string, std::string>
+      address_owners_;  // address -> the worker listed there
   std::shared_ptr<const WorkerTable> table_ = std::make_shared<WorkerTable>();
   std::vector<std::string> lost_;
-  std::unordered_map<std::string, bool> live_takers_;  // as they were asked for in this Expire
+  std::unordered_map<std::string, bool> live_receivers_;  // as they were asked for in this Expire
 };
 
 }  // namespace pearreach::registry
--- a/src/tier/registry/worker_table.h
+++ b/src/tier/registry/worker_table.h
@@ -22,14 +22,14 @@
   WorkerPhase phase = WorkerPhase::kReady;
   std::uint64_t call_seq = 0;  // of the heartbeat that this record rests on
   std::int64_t warm_at = 0;    // local steady clock, microseconds: slow until then
-  std::string taker;           // the node that takes its heartbeats; empty: unknown
+  std::string receiver;        // the node that takes its heartbeats; empty: unknown
   std::uint64_t version = 0;   // rises with each change that nodes tell one another
   bool lost = false;           // the taker has missed its heartbeats
 
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& worker_id& service& address& zone& capacity& phase& call_seq& warm_at& taker& version&
-        lost;
+    archive& worker_id& service& address& zone& capacity& phase& call_seq& warm_at& receiver&
+        version& lost;
   }
 };
 
@@ -74,18 +74,18 @@
     shards_[index] = std::make_shared<const Shard>(std::move(shard));
   }
   void Put(const WorkerRecord& record) {
-    Shard shard = CopyOf(ShardOf(record.worker_id));
+    Shard shard = CopyShard(ShardOf(record.worker_id));
     shard[record.worker_id] = record;
     SetShard(ShardOf(record.worker_id), std::move(shard));
   }
   void Erase(const std::string& worker_id) {
-    Shard shard = CopyOf(ShardOf(worker_id));
+    Shard shard = CopyShard(ShardOf(worker_id));
     shard.erase(worker_id);
     SetShard(ShardOf(worker_id), std::move(shard));
   }
 
  private:
-  Shard CopyOf(std::size_t index) const {
+  Shard CopyShard(std::size_t index) const {
     return shards_[index] == nullptr ? Shard() : *shards_[index];
   }
   std::array<std::shared_ptr<const Shard>, kShards> shards_;
--- a/src/tier/routing/configuration.h
+++ b/src/tier/routing/configuration.h
@@ -29,7 +29,7 @@
 std::string NormalizeHost(std::string_view host);
 
 // "routes[3]".
-std::string PlaceInList(std::string_view list, std::size_t position);
+std::string ElementPath(std::string_view list, std::size_t position);
 
 }  // namespace pearreach::routing
 
--- a/src/tier/routing/configuration_checks.cpp
+++ b/src/tier/routing/configuration_checks.cpp
@@ -9,11 +9,12 @@
 namespace pearreach::routing {
 namespace {
 
-using FirstPlaces = std::unordered_map<std::string, std::size_t>;
+using FirstPositions = std::unordered_map<std::string, std::size_t>;
 
 // Which entry had `key` first; the entry itself where it is the first.
-std::size_t FirstWith(const std::string& key, std::size_t position, FirstPlaces* first_places) {
-  return first_places->try_emplace(key, position).first->second;
+std::size_t FirstWith(const std::string& key, std::size_t position,
+                      FirstPositions* first_positions) {
+  return first_positions->try_emplace(key, position).first->second;
 }
 
 class Checker {
@@ -28,12 +29,12 @@
 
  private:
   void CheckServices() {
-    FirstPlaces names;
+    FirstPositions names;
     for (std::size_t i = 0; i < configuration_.services.size(); ++i) {
       const std::string& name = configuration_.services[i].name;
       const std::size_t first = FirstWith(name, i, &names);
       if (first != i) {
-        findings_->Add(PlaceInList("services", i) + ".name",
+        findings_->Add(ElementPath("services", i) + ".name",
                        fmt::format("'{}' is the name of services[{}] too", name, first));
       }
       services_.insert(name);
@@ -42,56 +43,56 @@
 
   void CheckRoute(std::size_t position) {
     const Route& route = configuration_.routes[position];
-    const std::string place = PlaceInList("routes", position);
-    CheckName(route, place, position);
-    CheckPrefix(route, place);
-    CheckHostAndPrefix(route, place, position);
-    CheckTargets(route, place);
+    const std::string path = ElementPath("routes", position);
+    CheckName(route, path, position);
+    CheckPrefix(route, path);
+    CheckHostAndPrefix(route, path, position);
+    CheckTargets(route, path);
   }
 
-  void CheckName(const Route& route, const std::string& place, std::size_t position) {
+  void CheckName(const Route& route, const std::string& path, std::size_t position) {
     if (route.name.empty()) return;  // reported when it was read
     const std::size_t first = FirstWith(route.name, position, &route_names_);
     if (first == position) return;
-    findings_->Add(place + ".name",
+    findings_->Add(path + ".name",
                    fmt::format("'{}' is the name of routes[{}] too", route.name, first));
   }
 
-  void CheckPrefix(const Route& route, const std::string& place) {
+  void CheckPrefix(const Route& route, const std::string& path) {
     const std::string& prefix = route.path_prefix;
     if (prefix.empty()) return;  // reported when it was read
     if (prefix.front() == '/' && prefix.back() == '/') return;
-    findings_->Add(place + ".path_prefix", "does not begin and end with '/'");
+    findings_->Add(path + ".path_prefix", "does not begin and end with '/'");
   }
 
-  void CheckHostAndPrefix(const Route& route, const std::string& place, std::size_t position) {
+  void CheckHostAndPrefix(const Route& route, const std::string& path, std::size_t position) {
     if (route.host.empty() || route.path_prefix.empty()) return;
     const std::string key = NormalizeHost(route.host) + route.path_prefix;
     const std::size_t first = FirstWith(key, position, &host_prefixes_);
     if (first == position) return;
-    findings_->Add(place, fmt::format("host and path_prefix are those of routes[{}]", first));
+    findings_->Add(path, fmt::format("host and path_prefix are those of routes[{}]", first));
   }
 
-  void CheckTargets(const Route& route, const std::string& place) {
+  void CheckTargets(const Route& route, const std::string& path) {
     if (route.targets.empty()) return;  // reported when it was read
     double sum = 0;
     for (const Target& target : route.targets) {
-      sum += target.share;
-      CheckService(target, place);
+      sum += target.weight;
+      CheckService(target, path);
     }
-    if (sum <= 0) findings_->Add(place + ".split", "shares sum to 0");
+    if (sum <= 0) findings_->Add(path + ".split", "shares sum to 0");
   }
 
-  void CheckService(const Target& target, const std::string& place) {
+  void CheckService(const Target& target, const std::string& path) {
     const bool reported = target.service.empty();
     if (reported || services_.contains(target.service)) return;
-    findings_->Add(place + ".target", fmt::format("unknown service '{}'", target.service));
+    findings_->Add(path + ".target", fmt::format("unknown service '{}'", target.service));
   }
 
   const Configuration& configuration_;
   Findings* findings_;
   std::unordered_set<std::string> services_;
-  FirstPlaces route_names_, host_prefixes_;
+  FirstPositions route_names_, host_prefixes_;
 };
 
 }  // namespace
--- a/src/tier/routing/configuration_reader.cpp
+++ b/src/tier/routing/configuration_reader.cpp
@@ -13,7 +13,7 @@
 namespace pearreach::routing {
 namespace {
 
-constexpr int kDeepestNesting = 64;  // far beyond any configuration; bounds the recursion below
+constexpr int kMaxNesting = 64;  // far beyond any configuration; bounds the recursion below
 
 // Iterative, so that no text can exhaust the stack.
 constexpr unsigned kParseFlags = rapidjson::kParseIterativeFlag |
@@ -44,44 +44,44 @@
   return {value.GetString(), value.GetStringLength()};
 }
 
-std::string PlaceBelow(const std::string& place, std::string_view field) {
-  return place.empty() ? std::string(field) : fmt::format("{}.{}", place, field);
+std::string ChildPath(const std::string& path, std::string_view field) {
+  return path.empty() ? std::string(field) : fmt::format("{}.{}", path, field);
 }
 
-void FindRepeatedKeys(const rapidjson::Value& value, const std::string& place, int depth,
+void FindRepeatedKeys(const rapidjson::Value& value, const std::string& path, int depth,
                       Findings* findings);
 
-void FindRepeatedKeysInObject(const rapidjson::Value& object, const std::string& place, int depth,
+void FindRepeatedKeysInObject(const rapidjson::Value& object, const std::string& path, int depth,
                               Findings* findings) {
   std::unordered_set<std::string_view> seen;
   for (const auto& member : object.GetObject()) {
     const std::string_view name = TextOf(member.name);
-    if (!seen.insert(name).second) findings->Add(PlaceBelow(place, name), "given more than once");
+    if (!seen.insert(name).second) findings->Add(ChildPath(path, name), "given more than once");
     const bool nested = member.value.IsObject() || member.value.IsArray();
-    if (nested) FindRepeatedKeys(member.value, PlaceBelow(place, name), depth + 1, findings);
+    if (nested) FindRepeatedKeys(member.value, ChildPath(path, name), depth + 1, findings);
   }
 }
 
-void FindRepeatedKeys(const rapidjson::Value& value, const std::string& place, int depth,
+void FindRepeatedKeys(const rapidjson::Value& value, const std::string& path, int depth,
                       Findings* findings) {
-  if (depth > kDeepestNesting) return findings->Add(place, "nested too deeply");
-  if (value.IsObject()) return FindRepeatedKeysInObject(value, place, depth, findings);
+  if (depth > kMaxNesting) return findings->Add(path, "nested too deeply");
+  if (value.IsObject()) return FindRepeatedKeysInObject(value, path, depth, findings);
   if (!value.IsArray()) return;
   for (rapidjson::SizeType i = 0; i < value.Size(); ++i) {
     const bool nested = value[i].IsObject() || value[i].IsArray();
-    if (nested) FindRepeatedKeys(value[i], PlaceInList(place, i), depth + 1, findings);
+    if (nested) FindRepeatedKeys(value[i], ElementPath(path, i), depth + 1, findings);
   }
 }
 
-std::vector<Target> ReadSplit(const rapidjson::Value& split, const std::string& place,
+std::vector<Target> ReadSplit(const rapidjson::Value& split, const std::string& path,
                               Findings* findings) {
   std::vector<Target> targets;
   targets.reserve(split.Size());
   for (rapidjson::SizeType i = 0; i < split.Size(); ++i) {
-    const ObjectReader reader(split[i], PlaceInList(place, i), findings);
+    const ObjectReader reader(split[i], ElementPath(path, i), findings);
     Target target;
     reader.ReadText("target", Need::kRequired, &target.service);
-    reader.ReadNumber("share", Need::kRequired, &target.share);
+    reader.ReadNumber("share", Need::kRequired, &target.weight);
     targets.push_back(std::move(target));
   }
   return targets;
@@ -90,13 +90,13 @@
 void ReadTargets(const ObjectReader& reader, Findings* findings, Route* route) {
   const bool has_target = reader.Has("target");
   const bool has_split = reader.Has("split");
-  if (has_target && has_split) findings->Add(reader.place(), "both target and split");
-  if (!has_target && !has_split) findings->Add(reader.place(), "neither target nor split");
+  if (has_target && has_split) findings->Add(reader.path(), "both target and split");
+  if (!has_target && !has_split) findings->Add(reader.path(), "neither target nor split");
   if (has_split) {
     const rapidjson::Value* split = reader.ReadArray("split", Need::kRequired);
     if (split == nullptr) return;
-    if (split->Empty()) findings->Add(reader.PlaceOf("split"), "no target");
-    route->targets = ReadSplit(*split, reader.PlaceOf("split"), findings);
+    if (split->Empty()) findings->Add(reader.PathOf("split"), "no target");
+    route->targets = ReadSplit(*split, reader.PathOf("split"), findings);
   } else if (has_target) {
     Target target;
     reader.ReadText("target", Need::kRequired, &target.service);
@@ -114,8 +114,8 @@
   reader.ReadNumber("retain_s", bulk ? Need::kRequired : Need::kOptional, &route->retain_s);
 }
 
-Route ReadRoute(const rapidjson::Value& value, const std::string& place, Findings* findings) {
-  const ObjectReader reader(value, place, findings);
+Route ReadRoute(const rapidjson::Value& value, const std::string& path, Findings* findings) {
+  const ObjectReader reader(value, path, findings);
   Route route;
   std::string variant = "effectful";
   reader.ReadText("name", Need::kRequired, &route.name);
@@ -125,35 +125,35 @@
   route.variant = VariantOf(variant);
   ReadTimes(reader, &route);
   if (reader.Has("limit_ms") && route.limit_ms <= 0) {
-    findings->Add(reader.PlaceOf("limit_ms"), "not above 0");
+    findings->Add(reader.PathOf("limit_ms"), "not above 0");
   }
   reader.ReadNumber("token_cap", Need::kOptional, &route.token_cap);
   reader.ReadCount("rank", Need::kOptional, &route.rank);
   reader.ReadCount("tries", Need::kOptional, &route.attempts);
   route.attempts = std::max(route.attempts, 1);
-  reader.ReadFlag("pinned", Need::kOptional, &route.pinned);
+  reader.ReadFlag("pinned", Need::kOptional, &route.affinity);
   reader.ReadFlag("resumable", Need::kOptional, &route.resumable);
   ReadTargets(reader, findings, &route);
   return route;
 }
 
-Service ReadService(const rapidjson::Value& value, const std::string& place, Findings* findings) {
-  const ObjectReader reader(value, place, findings);
+Service ReadService(const rapidjson::Value& value, const std::string& path, Findings* findings) {
+  const ObjectReader reader(value, path, findings);
   Service service;
   reader.ReadText("name", Need::kRequired, &service.name);
   reader.ReadText("health_path", Need::kOptional, &service.health_path);
   reader.ReadCount("max_conns", Need::kOptional, &service.max_conns);
   const rapidjson::Value* engine = reader.ReadObject("engine", Need::kOptional);
   if (engine == nullptr) return service;
-  const ObjectReader engine_reader(*engine, reader.PlaceOf("engine"), findings);
+  const ObjectReader engine_reader(*engine, reader.PathOf("engine"), findings);
   service.has_engine = true;
   engine_reader.ReadCount("capacity", Need::kOptional, &service.engine_capacity);
   engine_reader.ReadNumber("cache_tokens", Need::kOptional, &service.engine_cache_tokens);
   return service;
 }
 
-HttpLimits ReadLimits(const rapidjson::Value& value, const std::string& place, Findings* findings) {
-  const ObjectReader reader(value, place, findings);
+HttpLimits ReadLimits(const rapidjson::Value& value, const std::string& path, Findings* findings) {
+  const ObjectReader reader(value, path, findings);
   HttpLimits limits;
   reader.ReadSize("max_header_bytes", Need::kOptional, &limits.max_header_bytes);
   reader.ReadSize("max_body_bytes", Need::kOptional, &limits.max_body_bytes);
@@ -173,7 +173,7 @@
   if (list == nullptr) return elements;
   elements.reserve(list->Size());
   for (rapidjson::SizeType i = 0; i < list->Size(); ++i) {
-    elements.push_back(read((*list)[i], PlaceInList(field, i), findings));
+    elements.push_back(read((*list)[i], ElementPath(field, i), findings));
   }
   return elements;
 }
@@ -181,7 +181,7 @@
 Configuration ReadRoot(const rapidjson::Value& root, Findings* findings) {
   Configuration configuration;
   const ObjectReader reader(root, "", findings);
-  reader.ReadWhole("version_no", Need::kRequired, &configuration.version);
+  reader.ReadInteger("version_no", Need::kRequired, &configuration.version);
   if (reader.Has("version_no") && configuration.version <= 0) {
     findings->Add("version_no", "not a positive whole number");
   }
@@ -194,7 +194,7 @@
 
 }  // namespace
 
-std::string PlaceInList(std::string_view list, std::size_t position) {
+std::string ElementPath(std::string_view list, std::size_t position) {
   return fmt::format("{}[{}]", list, position);
 }
 
--- a/src/tier/routing/findings.h
+++ b/src/tier/routing/findings.h
@@ -14,9 +14,9 @@
 
 class Findings {
  public:
-  void Add(std::string_view place, std::string_view text) {
+  void Add(std::string_view path, std::string_view text) {
     ++count_;
-    if (lines_.size() < kMaxLines) lines_.push_back(std::string(place) + ": " + std::string(text));
+    if (lines_.size() < kMaxLines) lines_.push_back(std::string(path) + ": " + std::string(text));
   }
 
   bool empty() const { return count_ == 0; }
--- a/src/tier/routing/object_reader.cpp
+++ b/src/tier/routing/object_reader.cpp
@@ -7,20 +7,21 @@
 namespace pearreach::routing {
 namespace {
 
-constexpr double kMaxWhole = 9007199254740992.0;  // 2^53: above it a double skips whole numbers
+constexpr double kMaxExactInteger =
+    9007199254740992.0;  // 2^53: above it a double skips whole numbers
 
 }  // namespace
 
-ObjectReader::ObjectReader(const rapidjson::Value& value, std::string place, Findings* findings)
-    : object_(value.IsObject() ? &value : nullptr), place_(std::move(place)), findings_(findings) {
+ObjectReader::ObjectReader(const rapidjson::Value& value, std::string path, Findings* findings)
+    : object_(value.IsObject() ? &value : nullptr), path_(std::move(path)), findings_(findings) {
   if (object_ == nullptr) {
-    findings_->Add(place_.empty() ? "configuration" : place_, "not an object");
+    findings_->Add(path_.empty() ? "configuration" : path_, "not an object");
   }
 }
 
-std::string ObjectReader::PlaceOf(std::string_view field) const {
-  if (place_.empty()) return std::string(field);
-  return place_ + "." + std::string(field);
+std::string ObjectReader::PathOf(std::string_view field) const {
+  if (path_.empty()) return std::string(field);
+  return path_ + "." + std::string(field);
 }
 
 const rapidjson::Value* ObjectReader::Find(std::string_view field) const {
@@ -31,7 +32,7 @@
   return member == object_->MemberEnd() ? nullptr : &member->value;
 }
 
-const rapidjson::Value* ObjectReader::FindNeeded(std::string_view field, Need need) const {
+const rapidjson::Value* ObjectReader::FindOrReportMissing(std::string_view field, Need need) const {
   const rapidjson::Value* value = Find(field);
   const bool missing = value == nullptr && object_ != nullptr;
   if (missing && need == Need::kRequired) Report(field, "missing");
@@ -39,11 +40,11 @@
 }
 
 void ObjectReader::Report(std::string_view field, std::string_view text) const {
-  findings_->Add(PlaceOf(field), text);
+  findings_->Add(PathOf(field), text);
 }
 
 void ObjectReader::ReadText(std::string_view field, Need need, std::string* out) const {
-  const rapidjson::Value* value = FindNeeded(field, need);
+  const rapidjson::Value* value = FindOrReportMissing(field, need);
   if (value == nullptr) return;
   if (!value->IsString()) return Report(field, "not a text");
   out->assign(value->GetString(), value->GetStringLength());
@@ -51,22 +52,22 @@
 }
 
 void ObjectReader::ReadFlag(std::string_view field, Need need, bool* out) const {
-  const rapidjson::Value* value = FindNeeded(field, need);
+  const rapidjson::Value* value = FindOrReportMissing(field, need);
   if (value == nullptr) return;
   if (!value->IsBool()) return Report(field, "neither true nor false");
   *out = value->GetBool();
 }
 
 void ObjectReader::ReadNumber(std::string_view field, Need need, double* out) const {
-  const rapidjson::Value* value = FindNeeded(field, need);
+  const rapidjson::Value* value = FindOrReportMissing(field, need);
   if (value == nullptr) return;
   if (!value->IsNumber()) return Report(field, "not a number");
   if (value->GetDouble() < 0) return Report(field, "negative");
   *out = value->GetDouble();
 }
 
-void ObjectReader::ReadWhole(std::string_view field, Need need, std::int64_t* out) const {
-  const rapidjson::Value* value = FindNeeded(field, need);
+void ObjectReader::ReadInteger(std::string_view field, Need need, std::int64_t* out) const {
+  const rapidjson::Value* value = FindOrReportMissing(field, need);
   if (value == nullptr) return;
   if (!value->IsNumber()) return Report(field, "not a number");
   if (value->IsInt64()) {
@@ -75,34 +76,34 @@
   }
   const double number = value->GetDouble();
   if (number != std::floor(number)) return Report(field, "not a whole number");
-  if (std::abs(number) > kMaxWhole) return Report(field, "too large");
+  if (std::abs(number) > kMaxExactInteger) return Report(field, "too large");
   *out = static_cast<std::int64_t>(number);
 }
 
 void ObjectReader::ReadCount(std::string_view field, Need need, int* out) const {
-  std::int64_t whole = *out;
-  ReadWhole(field, need, &whole);
-  if (whole < 0) return Report(field, "negative");
-  if (whole > std::numeric_limits<int>::max()) return Report(field, "too large");
-  *out = static_cast<int>(whole);
+  std::int64_t integer = *out;
+  ReadInteger(field, need, &integer);
+  if (integer < 0) return Report(field, "negative");
+  if (integer > std::numeric_limits<int>::max()) return Report(field, "too large");
+  *out = static_cast<int>(integer);
 }
 
 void ObjectReader::ReadSize(std::string_view field, Need need, std::size_t* out) const {
-  auto whole = static_cast<std::int64_t>(*out);
-  ReadWhole(field, need, &whole);
-  if (whole < 0) return Report(field, "negative");
-  *out = static_cast<std::size_t>(whole);
+  auto integer = static_cast<std::int64_t>(*out);
+  ReadInteger(field, need, &integer);
+  if (integer < 0) return Report(field, "negative");
+  *out = static_cast<std::size_t>(integer);
 }
 
 const rapidjson::Value* ObjectReader::ReadArray(std::string_view field, Need need) const {
-  const rapidjson::Value* value = FindNeeded(field, need);
+  const rapidjson::Value* value = FindOrReportMissing(field, need);
   if (value == nullptr || value->IsArray()) return value;
   Report(field, "not a list");
   return nullptr;
 }
 
 const rapidjson::Value* ObjectReader::ReadObject(std::string_view field, Need need) const {
-  const rapidjson::Value* value = FindNeeded(field, need);
+  const rapidjson::Value* value = FindOrReportMissing(field, need);
   if (value == nullptr || value->IsObject()) return value;
   Report(field, "not an object");
   return nullptr;
--- a/src/tier/routing/object_reader.h
+++ b/src/tier/routing/object_reader.h
@@ -18,16 +18,16 @@
 class ObjectReader {
  public:
   // A value that is no object is a finding; all its fields then count as absent without findings.
-  ObjectReader(const rapidjson::Value& value, std::string place, Findings* findings);
+  ObjectReader(const rapidjson::Value& value, std::string path, Findings* findings);
 
-  const std::string& place() const { return place_; }
-  std::string PlaceOf(std::string_view field) const;
+  const std::string& path() const { return path_; }
+  std::string PathOf(std::string_view field) const;
 
   // Each leaves `out` as it is where the field is absent or does not fit.
   void ReadText(std::string_view field, Need need, std::string* out) const;
   void ReadFlag(std::string_view field, Need need, bool* out) const;
   void ReadNumber(std::string_view field, Need need, double* out) const;  // not negative
-  void ReadWhole(std::string_view field, Need need, std::int64_t* out) const;
+  void ReadInteger(std::string_view field, Need need, std::int64_t* out) const;
   void ReadCount(std::string_view field, Need need, int* out) const;  // whole, not negative
   void ReadSize(std::string_view field, Need need, std::size_t* out) const;
 
@@ -38,11 +38,11 @@
 
  private:
   const rapidjson::Value* Find(std::string_view field) const;
-  const rapidjson::Value* FindNeeded(std::string_view field, Need need) const;
+  const rapidjson::Value* FindOrReportMissing(std::string_view field, Need need) const;
   void Report(std::string_view field, std::string_view text) const;
 
   const rapidjson::Value* object_;  // null: no object was there
-  std::string place_;
+  std::string path_;
   Findings* findings_;
 };
 
--- a/src/tier/routing/route_table.cpp
+++ b/src/tier/routing/route_table.cpp
@@ -95,14 +95,14 @@
 }
 
 const Target& RouteTable::Pick(const Route& route, double point) {
-  const auto add_share = [](double sum, const Target& target) { return sum + target.share; };
-  const double sum = std::accumulate(route.targets.begin(), route.targets.end(), 0.0, add_share);
+  const auto add_weight = [](double sum, const Target& target) { return sum + target.weight; };
+  const double sum = std::accumulate(route.targets.begin(), route.targets.end(), 0.0, add_weight);
   double left = point * sum;
   const Target* last = &route.targets.front();
   for (const Target& target : route.targets) {
-    if (target.share <= 0) continue;
-    if (left < target.share) return target;
-    left -= target.share;
+    if (target.weight <= 0) continue;
+    if (left < target.weight) return target;
+    left -= target.weight;
     last = &target;
   }
   return *last;  // rounding: the last that has a share
--- a/src/tier/routing/route_table.h
+++ b/src/tier/routing/route_table.h
@@ -21,7 +21,7 @@
 
 struct Target {
   std::string service;
-  double share = 1;
+  double weight = 1;
 };
 
 struct Route {
@@ -30,7 +30,7 @@
   double limit_ms = 0, target_ms = 0, gap_target_ms = 0;
   double due_ms = 0, retain_s = 0, token_cap = 0;  // bulk only; token_cap 0: no limit
   int rank = 0, attempts = 1;
-  bool pinned = false, resumable = false;
+  bool affinity = false, resumable = false;
   std::vector<Target> targets;  // one, or a weighted split; shares sum to more than 0
 
   // Whether a request may reach more than one worker without a promise that it has not run.
--- a/tests/tier/batch/batch_job_age_test.cpp
+++ b/tests/tier/batch/batch_job_age_test.cpp
@@ -8,18 +8,18 @@
 
 constexpr Micros kStart = 500 * kSecond;
 
-class LotAgeTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(LotAgeTest);
-  CPPUNIT_TEST(TheTimeOfDayIsNoAge);
-  CPPUNIT_TEST(OpenItemsAreGivenUpInTime);
-  CPPUNIT_TEST(EndedLotsAreForgottenInTime);
-  CPPUNIT_TEST(WithoutLimitNothingIsGivenUp);
-  CPPUNIT_TEST(ALotIsStampedOnce);
+class BatchJobAgeTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(BatchJobAgeTest);
+  CPPUNIT_TEST(AgeIgnoresTheWallClock);
+  CPPUNIT_TEST(AbandonsOpenItemsAfterRetention);
+  CPPUNIT_TEST(ForgetsEndedBatchJobsAfterRetention);
+  CPPUNIT_TEST(AbandonsNothingWithoutRetention);
+  CPPUNIT_TEST(StampsABatchJobOnce);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // Taken by a primary whose clock was years off.
-  void TheTimeOfDayIsNoAge() {
+  void AgeIgnoresTheWallClock() {
     for (const std::int64_t created : {std::int64_t{1}, std::int64_t{1} << 60}) {
       BatchJobTable table(0);
       BatchJob* batch_job = Add(&table, 40, created);
@@ -31,7 +31,7 @@
     }
   }
 
-  void OpenItemsAreGivenUpInTime() {
+  void AbandonsOpenItemsAfterRetention() {
     BatchJobTable table(0);
     BatchJob* batch_job = Add(&table, 40, 1);
     table.StampNew(kStart);
@@ -47,7 +47,7 @@
     CPPUNIT_ASSERT(!MayAbandon(*batch_job, kStart + 500 * kSecond));
   }
 
-  void EndedLotsAreForgottenInTime() {
+  void ForgetsEndedBatchJobsAfterRetention() {
     BatchJobTable table(0);
     BatchJob* batch_job = Add(&table, 40, 1);
     table.StampNew(kStart);
@@ -60,7 +60,7 @@
     CPPUNIT_ASSERT(!MayForget(*batch_job, kStart + 120 * kSecond, true));
   }
 
-  void WithoutLimitNothingIsGivenUp() {
+  void AbandonsNothingWithoutRetention() {
     BatchJobTable table(0);
     BatchJob* batch_job = Add(&table, 0, 1);
     table.StampNew(kStart);
@@ -68,7 +68,7 @@
     CPPUNIT_ASSERT(RunLeftMs(*batch_job, kStart + 500 * kSecond) > 0);
   }
 
-  void ALotIsStampedOnce() {
+  void StampsABatchJobOnce() {
     BatchJobTable table(0);
     const BatchJob* batch_job = Add(&table, 40, 1);
     table.StampNew(kStart);
@@ -90,7 +90,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(LotAgeTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(BatchJobAgeTest);
 
 }  // namespace
 }  // namespace pearreach::batch
--- a/tests/tier/batch/edge_batch_job_api_test.cpp
+++ b/tests/tier/batch/edge_batch_job_api_test.cpp
@@ -13,24 +13,25 @@
 using namespace edge_test;
 using rpc::MessageType;
 
-constexpr char kLot[] = R"({"entries":[{"worker_id":"i1","path":"/b/1","headers":{"X-Model":"m"},)"
-                        R"("payload":"q83vEjRWeJA=","tokens":940}]})";
+constexpr char kBatchJob[] =
+    R"({"entries":[{"worker_id":"i1","path":"/b/1","headers":{"X-Model":"m"},)"
+    R"("payload":"q83vEjRWeJA=","tokens":940}]})";
 
-class EdgeLotApiTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(EdgeLotApiTest);
-  CPPUNIT_TEST(HandsALotIn);
-  CPPUNIT_TEST(AnswersEveryOutcomeOfACreate);
-  CPPUNIT_TEST(RefusesMalformedLots);
-  CPPUNIT_TEST(PromisesNothingAfterAnUnclearCreate);
-  CPPUNIT_TEST(RefusesWhatWasNeverSent);
+class EdgeBatchJobApiTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(EdgeBatchJobApiTest);
+  CPPUNIT_TEST(SubmitsABatchJob);
+  CPPUNIT_TEST(MapsEveryCreateOutcomeToAStatus);
+  CPPUNIT_TEST(RejectsMalformedBatchJobs);
+  CPPUNIT_TEST(ReportsTimeoutAfterAnUncertainCreate);
+  CPPUNIT_TEST(RejectsWhatWasNeverSent);
   CPPUNIT_TEST(FollowsANewPrimary);
   CPPUNIT_TEST(ReadsOutputs);
-  CPPUNIT_TEST(KeepsAnswersShort);
-  CPPUNIT_TEST(ReadsABody);
-  CPPUNIT_TEST(EndsALot);
-  CPPUNIT_TEST(AnswersNothingBeforeAConfiguration);
-  CPPUNIT_TEST(DropsTheCallOfALeavingClient);
-  CPPUNIT_TEST(KnowsItsCalls);
+  CPPUNIT_TEST(BoundsTheResponseSize);
+  CPPUNIT_TEST(ReadsAnItemBody);
+  CPPUNIT_TEST(CancelsABatchJob);
+  CPPUNIT_TEST(RejectsCallsBeforeAConfiguration);
+  CPPUNIT_TEST(CancelsTheCallOfADisconnectedClient);
+  CPPUNIT_TEST(RecognizesItsPaths);
   CPPUNIT_TEST_SUITE_END();
 
   static std::shared_ptr<FakeExchange> Request(const std::string& method, const std::string& target,
@@ -53,7 +54,7 @@
   }
 
   // The stores answer that the lot may come.
-  void Admit() {
+  void GrantQuotaAndOffer() {
     transport_.Next(MessageType::kQuotaQuery).Reply(QuotaResponse{QuotaDecision::kGranted, 0});
     transport_.Next(MessageType::kBatchJobOffer)
         .Reply(OfferBatchJobResponse{OfferVerdict::kWelcome});
@@ -80,9 +81,9 @@
     control_.SetTable(TableOf({"s0", "d"}, {"s1", "d"}));
   }
 
-  void HandsALotIn() {
-    const auto exchange = Submit(kLot);
-    Admit();
+  void SubmitsABatchJob() {
+    const auto exchange = Submit(kBatchJob);
+    GrantQuotaAndOffer();
     const FakeCall call = transport_.Next(MessageType::kBatchJobCreate);
     CPPUNIT_ASSERT_EQUAL(std::string("s0:1"), call.address);
     const auto create = call.As<CreateBatchJob>();
@@ -97,14 +98,14 @@
     CPPUNIT_ASSERT_EQUAL(std::string("\xab\xcd\xef\x12\x34\x56\x78\x90"),
                          create.batch_job.items[0].body);
     CPPUNIT_ASSERT_EQUAL(940.0, create.batch_job.items[0].tokens);
-    CPPUNIT_ASSERT_EQUAL(Fingerprint(kLot), create.batch_job.fingerprint);
+    CPPUNIT_ASSERT_EQUAL(Fingerprint(kBatchJob), create.batch_job.fingerprint);
     call.Reply(CreateBatchJobResponse{});
     CPPUNIT_ASSERT_EQUAL(202, exchange->status);
   }
 
-  void AnswersEveryOutcomeOfACreate() {
+  void MapsEveryCreateOutcomeToAStatus() {
     struct Case {
-      absl::StatusOr<std::string> answer;
+      absl::StatusOr<std::string> response;
       int status;
     };
     const std::vector<Case> cases = {
@@ -114,14 +115,14 @@
         {absl::InternalError("x"), 504},
     };
     for (const Case& c : cases) {
-      const auto exchange = Submit(kLot);
-      Admit();
-      transport_.Next(MessageType::kBatchJobCreate).done(c.answer);
+      const auto exchange = Submit(kBatchJob);
+      GrantQuotaAndOffer();
+      transport_.Next(MessageType::kBatchJobCreate).done(c.response);
       CPPUNIT_ASSERT_EQUAL(c.status, exchange->status);
     }
   }
 
-  void RefusesMalformedLots() {
+  void RejectsMalformedBatchJobs() {
     std::string too_many = R"({"entries":[)";
     for (int at = 0; at < 201; ++at) {
       too_many += (at > 0 ? "," : "") + std::string(R"({"worker_id":"i)") + std::to_string(at) +
@@ -150,17 +151,17 @@
     CPPUNIT_ASSERT(transport_.calls.empty());
   }
 
-  void PromisesNothingAfterAnUnclearCreate() {
-    const auto exchange = Submit(kLot, "300");
-    Admit();
+  void ReportsTimeoutAfterAnUncertainCreate() {
+    const auto exchange = Submit(kBatchJob, "300");
+    GrantQuotaAndOffer();
     transport_.Next(MessageType::kBatchJobCreate).done(absl::UnavailableError("connection"));
     transport_.Next(MessageType::kBatchJobCreate)
         .Reply(CreateBatchJobResponse{CreateStatus::kOverQuota, 0});
     CPPUNIT_ASSERT_EQUAL(504, exchange->status);
   }
 
-  void RefusesWhatWasNeverSent() {
-    const auto exchange = Submit(kLot, "250");
+  void RejectsWhatWasNeverSent() {
+    const auto exchange = Submit(kBatchJob, "250");
     transport_.Next(MessageType::kQuotaQuery).Reply(QuotaResponse{QuotaDecision::kGranted, 0});
     transport_.Next(MessageType::kBatchJobOffer).done(absl::FailedPreconditionError("not primary"));
     control_.member_map["s0"].status = coordination::MemberStatus::kDead;
@@ -170,8 +171,8 @@
   }
 
   void FollowsANewPrimary() {
-    const auto exchange = Submit(kLot);
-    Admit();
+    const auto exchange = Submit(kBatchJob);
+    GrantQuotaAndOffer();
     transport_.Next(MessageType::kBatchJobCreate)
         .done(absl::FailedPreconditionError("not primary"));
     PlacementTable table = TableOf({"s1", "d"}, {"s0", "d"});
@@ -191,12 +192,12 @@
     CPPUNIT_ASSERT_EQUAL(std::string("lot"), read.batch_job_id);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, read.start_after);
     CPPUNIT_ASSERT(read.wait_ms > 800 && read.wait_ms <= 1000);
-    ReadBatchJobResponse answer;
-    answer.found = true;
-    answer.total = 40;
-    answer.outputs = {{"a", ItemPhase::kComplete, "\xc3\xa9\"\\\n\x01"},
-                      {"b", ItemPhase::kAbandoned, ""}};
-    call.Reply(answer);
+    ReadBatchJobResponse response;
+    response.found = true;
+    response.total = 40;
+    response.outputs = {{"a", ItemPhase::kComplete, "\xc3\xa9\"\\\n\x01"},
+                        {"b", ItemPhase::kAbandoned, ""}};
+    call.Reply(response);
     CPPUNIT_ASSERT_EQUAL(200, exchange->status);
     CPPUNIT_ASSERT_EQUAL(
         std::string("{\"total\":40,\"outputs\":[{\"worker_id\":\"a\",\"phase\":"
@@ -209,19 +210,19 @@
     CPPUNIT_ASSERT_EQUAL(400, Handle("GET", "/lots/lot?start_after=x")->status);
   }
 
-  void KeepsAnswersShort() {
-    ReadBatchJobResponse answer;
-    answer.total = 4;
-    answer.outputs.assign(4, {"a", ItemPhase::kComplete, std::string(400'000, '\n')});
-    const std::string one = WriteOutputs(answer, 1);
+  void BoundsTheResponseSize() {
+    ReadBatchJobResponse response;
+    response.total = 4;
+    response.outputs.assign(4, {"a", ItemPhase::kComplete, std::string(400'000, '\n')});
+    const std::string one = WriteOutputs(response, 1);
     CPPUNIT_ASSERT(one.find("\"next_token\":2}") != std::string::npos);
-    answer.outputs.assign(4, {"a", ItemPhase::kComplete, std::string(400'000, 'x')});
-    CPPUNIT_ASSERT(WriteOutputs(answer, 1).find("\"next_token\":3}") != std::string::npos);
-    answer.outputs.assign(4, {"a", ItemPhase::kComplete, std::string(2'000'000, 'x')});
-    CPPUNIT_ASSERT(WriteOutputs(answer, 1).find("\"next_token\":2}") != std::string::npos);
+    response.outputs.assign(4, {"a", ItemPhase::kComplete, std::string(400'000, 'x')});
+    CPPUNIT_ASSERT(WriteOutputs(response, 1).find("\"next_token\":3}") != std::string::npos);
+    response.outputs.assign(4, {"a", ItemPhase::kComplete, std::string(2'000'000, 'x')});
+    CPPUNIT_ASSERT(WriteOutputs(response, 1).find("\"next_token\":2}") != std::string::npos);
   }
 
-  void ReadsABody() {
+  void ReadsAnItemBody() {
     const auto exchange = Handle("GET", "/items/lot?worker_id=i1");
     const FakeCall call = transport_.Next(MessageType::kItemBody);
     CPPUNIT_ASSERT_EQUAL(std::string("i1"), call.As<ReadItemBody>().item_id);
@@ -233,7 +234,7 @@
     CPPUNIT_ASSERT_EQUAL(404, missing->status);
   }
 
-  void EndsALot() {
+  void CancelsABatchJob() {
     for (const bool found : {true, false}) {
       const auto exchange = Handle("DELETE", "/lots/lot");
       transport_.Next(MessageType::kBatchJobCancel).Reply(CancelBatchJobResponse{found});
@@ -241,7 +242,7 @@
     }
   }
 
-  void AnswersNothingBeforeAConfiguration() {
+  void RejectsCallsBeforeAConfiguration() {
     auto empty = std::make_shared<control::ControlSnapshot>(*control_.snapshot);
     empty->routes = nullptr;
     control_.Set(empty);
@@ -249,7 +250,7 @@
     CPPUNIT_ASSERT(transport_.calls.empty());
   }
 
-  void DropsTheCallOfALeavingClient() {
+  void CancelsTheCallOfADisconnectedClient() {
     const auto exchange = Handle("GET", "/lots/lot");
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, stores_.pending());
     exchange->closed();
@@ -258,7 +259,7 @@
     CPPUNIT_ASSERT_EQUAL(0, exchange->status);
   }
 
-  void KnowsItsCalls() {
+  void RecognizesItsPaths() {
     struct Case {
       const char *method, *target;
       bool is_call;
@@ -275,7 +276,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(EdgeLotApiTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(EdgeBatchJobApiTest);
 
 }  // namespace
 }  // namespace pearreach::batch
--- a/tests/tier/batch/edge_batch_job_submission_test.cpp
+++ b/tests/tier/batch/edge_batch_job_submission_test.cpp
@@ -17,25 +17,25 @@
 using rpc::MessageType;
 
 constexpr char kRoute[] = "route";
-constexpr char kLot[] = "lot";
-
-class EdgeHandInTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(EdgeHandInTest);
-  CPPUNIT_TEST(AnswersByTable);
-  CPPUNIT_TEST(SendsNothingToAStoreThatDoesNotAnswer);
-  CPPUNIT_TEST(RefusesWhatDoesNotFitThoughItsStoresAreSilent);
-  CPPUNIT_TEST(AsksNoQuotaWithoutACap);
-  CPPUNIT_TEST(ALaterEpochMakesAnUnclearHandInClear);
-  CPPUNIT_TEST(TheSameEpochLeavesItUnclear);
-  CPPUNIT_TEST(CancelEndsEveryQuestion);
-  CPPUNIT_TEST(SendsAtOnceWhereOffersAreOff);
+constexpr char kBatchJob[] = "lot";
+
+class EdgeBatchJobSubmissionTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(EdgeBatchJobSubmissionTest);
+  CPPUNIT_TEST(DecidesByOfferAndQuota);
+  CPPUNIT_TEST(SendsNothingToAnUnresponsiveStore);
+  CPPUNIT_TEST(RejectsOverQuotaThoughStoresAreUnresponsive);
+  CPPUNIT_TEST(QueriesNoQuotaWithoutACap);
+  CPPUNIT_TEST(ALaterEpochSettlesAnUncertainSubmission);
+  CPPUNIT_TEST(TheSameEpochLeavesItUncertain);
+  CPPUNIT_TEST(CancelEndsEveryCall);
+  CPPUNIT_TEST(CreatesAtOnceWithoutOffers);
   CPPUNIT_TEST_SUITE_END();
 
   using Result = std::optional<absl::StatusOr<CreateBatchJobResponse>>;
 
-  std::shared_ptr<BatchJobSubmission> Begin(double cap = 100, Micros unsent = kSecond) {
+  std::shared_ptr<BatchJobSubmission> StartSubmission(double cap = 100, Micros unsent = kSecond) {
     BatchJobSpec batch_job;
-    batch_job.batch_job_id = kLot;
+    batch_job.batch_job_id = kBatchJob;
     batch_job.route = kRoute;
     batch_job.token_cap = cap;
     batch_job.items.resize(1);
@@ -43,19 +43,19 @@
     CallTime time;
     time.overall = 2 * kSecond;
     time.unsent = unsent;
-    auto hand_in = std::make_shared<BatchJobSubmission>(
+    auto submission = std::make_shared<BatchJobSubmission>(
         &timers_, &stores_, std::move(batch_job), time, offers_,
-        [this](const absl::StatusOr<CreateBatchJobResponse>& answer) { result_ = answer; });
-    hand_in->Start();
-    return hand_in;
+        [this](const absl::StatusOr<CreateBatchJobResponse>& response) { result_ = response; });
+    submission->Start();
+    return submission;
   }
-  void AnswerOffer(OfferVerdict verdict) {
+  void RespondToOffer(OfferVerdict verdict) {
     transport_.Next(MessageType::kBatchJobOffer).Reply(OfferBatchJobResponse{verdict});
   }
-  void AnswerQuota(QuotaDecision verdict) {
+  void RespondToQuotaQuery(QuotaDecision verdict) {
     transport_.Next(MessageType::kQuotaQuery).Reply(QuotaResponse{verdict, 0});
   }
-  bool Ended() {
+  bool WaitForResult() {
     return TurnUntil([this] { return result_.has_value(); });
   }
   CreateStatus Status() const { return (*result_)->status; }
@@ -80,7 +80,7 @@
     control_.SetTable(TableOf({"s0", "d"}, {"s1", "d"}));
   }
 
-  void AnswersByTable() {
+  void DecidesByOfferAndQuota() {
     const struct {
       const char* what;
       OfferVerdict offer;
@@ -96,9 +96,9 @@
     for (const auto& c : kCases) {
       result_.reset();
       transport_.calls.clear();
-      const auto hand_in = Begin();
-      AnswerQuota(c.quota);
-      AnswerOffer(c.offer);
+      const auto submission = StartSubmission();
+      RespondToQuotaQuery(c.quota);
+      RespondToOffer(c.offer);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(c.what, c.status.has_value(), result_.has_value());
       CPPUNIT_ASSERT_EQUAL_MESSAGE(c.what, !c.status.has_value(),
                                    transport_.Has(MessageType::kBatchJobCreate));
@@ -112,35 +112,35 @@
   }
 
   // The offer goes again, the lot does not go out, and the refusal is a promise.
-  void SendsNothingToAStoreThatDoesNotAnswer() {
-    const auto hand_in = Begin(100, 250 * kMs);
-    AnswerQuota(QuotaDecision::kGranted);
+  void SendsNothingToAnUnresponsiveStore() {
+    const auto submission = StartSubmission(100, 250 * kMs);
+    RespondToQuotaQuery(QuotaDecision::kGranted);
     transport_.Next(MessageType::kBatchJobOffer).done(absl::DeadlineExceededError("silence"));
-    CPPUNIT_ASSERT(Ended());
+    CPPUNIT_ASSERT(WaitForResult());
     CPPUNIT_ASSERT(absl::IsUnavailable(result_->status()));
     CPPUNIT_ASSERT(transport_.Has(MessageType::kBatchJobOffer));
     CPPUNIT_ASSERT(!transport_.Has(MessageType::kBatchJobCreate));
   }
 
-  void RefusesWhatDoesNotFitThoughItsStoresAreSilent() {
-    const auto hand_in = Begin();
-    AnswerQuota(QuotaDecision::kOver);
+  void RejectsOverQuotaThoughStoresAreUnresponsive() {
+    const auto submission = StartSubmission();
+    RespondToQuotaQuery(QuotaDecision::kOver);
     CPPUNIT_ASSERT(!result_.has_value());
-    CPPUNIT_ASSERT(Ended());
+    CPPUNIT_ASSERT(WaitForResult());
     CPPUNIT_ASSERT(result_->ok() && Status() == CreateStatus::kOverQuota);
   }
 
-  void AsksNoQuotaWithoutACap() {
-    const auto hand_in = Begin(0);
+  void QueriesNoQuotaWithoutACap() {
+    const auto submission = StartSubmission(0);
     CPPUNIT_ASSERT(!transport_.Has(MessageType::kQuotaQuery));
-    AnswerOffer(OfferVerdict::kWelcome);
+    RespondToOffer(OfferVerdict::kWelcome);
     CPPUNIT_ASSERT(transport_.Has(MessageType::kBatchJobCreate));
   }
 
-  void ALaterEpochMakesAnUnclearHandInClear() {
-    const auto hand_in = Begin();
-    AnswerQuota(QuotaDecision::kGranted);
-    AnswerOffer(OfferVerdict::kWelcome);
+  void ALaterEpochSettlesAnUncertainSubmission() {
+    const auto submission = StartSubmission();
+    RespondToQuotaQuery(QuotaDecision::kGranted);
+    RespondToOffer(OfferVerdict::kWelcome);
     const FakeCall lost = transport_.Next(MessageType::kBatchJobCreate);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, lost.As<CreateBatchJob>().partition_epoch);
     lost.done(absl::UnavailableError("connection"));
@@ -152,10 +152,10 @@
     CPPUNIT_ASSERT(Status() == CreateStatus::kOverQuota);
   }
 
-  void TheSameEpochLeavesItUnclear() {
-    const auto hand_in = Begin();
-    AnswerQuota(QuotaDecision::kGranted);
-    AnswerOffer(OfferVerdict::kWelcome);
+  void TheSameEpochLeavesItUncertain() {
+    const auto submission = StartSubmission();
+    RespondToQuotaQuery(QuotaDecision::kGranted);
+    RespondToOffer(OfferVerdict::kWelcome);
     transport_.Next(MessageType::kBatchJobCreate).done(absl::UnavailableError("connection"));
     transport_.Next(MessageType::kBatchJobCreate)
         .Reply(CreateBatchJobResponse{CreateStatus::kOverQuota, 0});
@@ -163,23 +163,23 @@
     CPPUNIT_ASSERT(absl::IsDeadlineExceeded(result_->status()));
   }
 
-  void CancelEndsEveryQuestion() {
-    const auto hand_in = Begin();
+  void CancelEndsEveryCall() {
+    const auto submission = StartSubmission();
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, stores_.pending());
-    hand_in->Cancel();
+    submission->Cancel();
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, stores_.pending());
     CPPUNIT_ASSERT(!result_.has_value());
   }
 
-  void SendsAtOnceWhereOffersAreOff() {
+  void CreatesAtOnceWithoutOffers() {
     offers_ = false;
-    const auto hand_in = Begin();
+    const auto submission = StartSubmission();
     CPPUNIT_ASSERT(!transport_.Has(MessageType::kBatchJobOffer));
     CPPUNIT_ASSERT(transport_.Has(MessageType::kBatchJobCreate));
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(EdgeHandInTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(EdgeBatchJobSubmissionTest);
 
 }  // namespace
 }  // namespace pearreach::batch
--- a/tests/tier/batch/edge_fakes.h
+++ b/tests/tier/batch/edge_fakes.h
@@ -43,8 +43,8 @@
     return *codec::Decode<Message>(body);
   }
   template <class Answer>
-  void Reply(const Answer& answer) const {
-    done(codec::Encode(answer));
+  void Reply(const Answer& response) const {
+    done(codec::Encode(response));
   }
 };
 
--- a/tests/tier/batch/edge_item_worker_test.cpp
+++ b/tests/tier/batch/edge_item_worker_test.cpp
@@ -17,17 +17,17 @@
   CPPUNIT_TEST_SUITE(EdgeItemWorkerTest);
   CPPUNIT_TEST(JoinsTheDataOfEvents);
   CPPUNIT_TEST(ReadsPromptHeaders);
-  CPPUNIT_TEST(AsksOnlyWithRoom);
+  CPPUNIT_TEST(PullsOnlyWithCapacity);
   CPPUNIT_TEST(RunsALeasedItem);
-  CPPUNIT_TEST(TellsEveryOutcome);
-  CPPUNIT_TEST(RepeatsAResultUntilAcknowledged);
-  CPPUNIT_TEST(StopsWhatTheStoreEnds);
-  CPPUNIT_TEST(ReturnsItemsOfADroppedRoute);
-  CPPUNIT_TEST(GoesOnUnderANewLease);
+  CPPUNIT_TEST(ReportsEveryOutcome);
+  CPPUNIT_TEST(RetriesAResultUntilAcknowledged);
+  CPPUNIT_TEST(StopsRunsThatTheStoreEnds);
+  CPPUNIT_TEST(ReturnsItemsOfARemovedTarget);
+  CPPUNIT_TEST(ContinuesUnderANewLease);
   CPPUNIT_TEST(CountsAFailureOnce);
-  CPPUNIT_TEST(KeepsAResultThatIsNotRenewed);
+  CPPUNIT_TEST(KeepsAResultWhoseLeaseEnds);
   CPPUNIT_TEST(RenewsAtANewPrimary);
-  CPPUNIT_TEST(ReturnsItemsAtItsEnd);
+  CPPUNIT_TEST(ReturnsItemsAtShutdown);
   CPPUNIT_TEST_SUITE_END();
 
   static LeasedItem Leased() {
@@ -113,15 +113,15 @@
     CPPUNIT_ASSERT(proxy::PrefixKey("m", "a:1,b:2") != proxy::PrefixKey("m", "d:1,b:2"));
   }
 
-  void AsksOnlyWithRoom() {
+  void PullsOnlyWithCapacity() {
     runner_.room.clear();
     ItemWorker worker(&timers_, &stores_, &control_, &runner_, "edge", 1);
     CPPUNIT_ASSERT(transport_.calls.empty());
     runner_.room["s1"] = 3;
-    const auto take = transport_.Next(MessageType::kItemPull).As<PullItems>();
-    CPPUNIT_ASSERT_EQUAL(std::string("edge"), take.node);
-    CPPUNIT_ASSERT_EQUAL(3, take.room.at("bulk"));
-    CPPUNIT_ASSERT(take.wait_ms > 0);
+    const auto pull = transport_.Next(MessageType::kItemPull).As<PullItems>();
+    CPPUNIT_ASSERT_EQUAL(std::string("edge"), pull.node);
+    CPPUNIT_ASSERT_EQUAL(3, pull.room.at("bulk"));
+    CPPUNIT_ASSERT(pull.wait_ms > 0);
   }
 
   void RunsALeasedItem() {
@@ -148,10 +148,10 @@
     CPPUNIT_ASSERT_EQUAL(std::string("a\nb"), result.content);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, result.lease);
     call.done(std::string());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, worker.held());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, worker.in_flight());
   }
 
-  void TellsEveryOutcome() {
+  void ReportsEveryOutcome() {
     using proxy::RequestEnd;
     struct Case {
       int head;
@@ -185,7 +185,7 @@
     }
   }
 
-  void RepeatsAResultUntilAcknowledged() {
+  void RetriesAResultUntilAcknowledged() {
     ItemWorker worker(&timers_, &stores_, &control_, &runner_, "edge", 1);
     Lease();
     Stream(runner_.jobs[0], "data: a\n\n");
@@ -197,21 +197,21 @@
     again = transport_.Next(MessageType::kItemResult);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), again.As<ItemResult>().content);
     again.done(std::string());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, worker.held());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, worker.in_flight());
   }
 
-  void StopsWhatTheStoreEnds() {
+  void StopsRunsThatTheStoreEnds() {
     ItemWorker worker(&timers_, &stores_, &control_, &runner_, "edge", 1);
     Lease();
     const FakeCall renew = transport_.Next(MessageType::kItemRenew);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, renew.As<RenewLeases>().held.size());
     renew.Reply(RenewLeasesResponse{{{"lot", "i1"}}});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runner_.cancelled.size());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, worker.held());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, worker.in_flight());
     CPPUNIT_ASSERT(!transport_.Has(MessageType::kItemResult));
   }
 
-  void ReturnsItemsOfADroppedRoute() {
+  void ReturnsItemsOfARemovedTarget() {
     ItemWorker worker(&timers_, &stores_, &control_, &runner_, "edge", 1);
     Lease();
     std::string moved = kBulkConfig;
@@ -222,7 +222,7 @@
     CPPUNIT_ASSERT(result.outcome == RunOutcome::kReturned);
   }
 
-  void GoesOnUnderANewLease() {
+  void ContinuesUnderANewLease() {
     ItemWorker worker(&timers_, &stores_, &control_, &runner_, "edge", 1);
     Lease();
     LeasedItem again = Leased();
@@ -249,18 +249,18 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, returned.lease);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, failed.As<ItemResult>().lease);
     failed.done(std::string());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, worker.held());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, worker.in_flight());
   }
 
-  void KeepsAResultThatIsNotRenewed() {
+  void KeepsAResultWhoseLeaseEnds() {
     ItemWorker worker(&timers_, &stores_, &control_, &runner_, "edge", 1);
     Lease();
     const FakeCall renew = transport_.Next(MessageType::kItemRenew);
     Stream(runner_.jobs[0], "data: a\n\n");
     renew.Reply(RenewLeasesResponse{{{"lot", "i1"}}});
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, worker.held());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, worker.in_flight());
     transport_.Next(MessageType::kItemResult).done(std::string());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, worker.held());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, worker.in_flight());
   }
 
   void RenewsAtANewPrimary() {
@@ -273,7 +273,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("s1:1"), transport_.Next(MessageType::kItemRenew).address);
   }
 
-  void ReturnsItemsAtItsEnd() {
+  void ReturnsItemsAtShutdown() {
     ItemWorker worker(&timers_, &stores_, &control_, &runner_, "edge", 1);
     Lease();
     bool idle = false;
--- a/tests/tier/batch/edge_store_path_test.cpp
+++ b/tests/tier/batch/edge_store_path_test.cpp
@@ -14,11 +14,11 @@
 
 class EdgeStorePathTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EdgeStorePathTest);
-  CPPUNIT_TEST(GoesRoundASilentWay);
-  CPPUNIT_TEST(TurnsBackWhereTheOtherWayIsSilentToo);
-  CPPUNIT_TEST(ARefusalIsNoSilence);
-  CPPUNIT_TEST(WithoutANameItStaysOnTheDirectWay);
-  CPPUNIT_TEST(PassesOnCallsAboutLotsAlone);
+  CPPUNIT_TEST(RelaysWhenTheDirectPathTimesOut);
+  CPPUNIT_TEST(ReturnsToTheDirectPathWhenTheRelayTimesOut);
+  CPPUNIT_TEST(ARejectionIsNoTimeout);
+  CPPUNIT_TEST(UsesTheDirectPathWithoutANodeName);
+  CPPUNIT_TEST(RelaysOnlyBatchJobCalls);
   CPPUNIT_TEST_SUITE_END();
 
   void AddEdge(const std::string& name, std::uint8_t roles) {
@@ -30,9 +30,9 @@
   }
   void Call(StorePath* path) {
     path->Call(kStore, MessageType::kBatchJobOffer, "body", kSecond,
-               [this](const absl::StatusOr<std::string>& answer) { last_ = answer.status(); });
+               [this](const absl::StatusOr<std::string>& response) { last_ = response.status(); });
   }
-  FakeCall Made() {
+  FakeCall TakeOnlyCall() {
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, transport_.calls.size());
     FakeCall call = std::move(transport_.calls.front());
     transport_.calls.clear();
@@ -51,14 +51,14 @@
     AddEdge("other", 0);
   }
 
-  void GoesRoundASilentWay() {
+  void RelaysWhenTheDirectPathTimesOut() {
     StorePath path(&transport_, &control_, "self");
     Call(&path);
-    const FakeCall direct = Made();
+    const FakeCall direct = TakeOnlyCall();
     CPPUNIT_ASSERT_EQUAL(std::string("s0:1"), direct.address);
     direct.done(absl::DeadlineExceededError("silence"));
     Call(&path);
-    const FakeCall relayed = Made();
+    const FakeCall relayed = TakeOnlyCall();
     CPPUNIT_ASSERT_EQUAL(std::string("other:1"), relayed.address);
     CPPUNIT_ASSERT(relayed.type == MessageType::kStoreRelay);
     const auto call = relayed.As<RelayedCall>();
@@ -68,45 +68,45 @@
     relayed.done(std::string("answer"));
     CPPUNIT_ASSERT(last_.ok());
     Call(&path);
-    CPPUNIT_ASSERT_EQUAL(std::string("other:1"), Made().address);
+    CPPUNIT_ASSERT_EQUAL(std::string("other:1"), TakeOnlyCall().address);
   }
 
-  void TurnsBackWhereTheOtherWayIsSilentToo() {
+  void ReturnsToTheDirectPathWhenTheRelayTimesOut() {
     StorePath path(&transport_, &control_, "self");
     for (const char* address : {"s0:1", "other:1", "s0:1", "other:1"}) {
       Call(&path);
-      const FakeCall call = Made();
+      const FakeCall call = TakeOnlyCall();
       CPPUNIT_ASSERT_EQUAL(std::string(address), call.address);
       call.done(absl::DeadlineExceededError("silence"));
     }
   }
 
-  void ARefusalIsNoSilence() {
+  void ARejectionIsNoTimeout() {
     StorePath path(&transport_, &control_, "self");
     for (int i = 0; i < 2; ++i) {
       Call(&path);
-      const FakeCall call = Made();
+      const FakeCall call = TakeOnlyCall();
       CPPUNIT_ASSERT_EQUAL(std::string("s0:1"), call.address);
       call.done(absl::FailedPreconditionError("not primary"));
     }
   }
 
-  void WithoutANameItStaysOnTheDirectWay() {
+  void UsesTheDirectPathWithoutANodeName() {
     StorePath path(&transport_, &control_, "");
     for (int i = 0; i < 2; ++i) {
       Call(&path);
-      const FakeCall call = Made();
+      const FakeCall call = TakeOnlyCall();
       CPPUNIT_ASSERT_EQUAL(std::string("s0:1"), call.address);
       call.done(absl::DeadlineExceededError("silence"));
     }
   }
 
-  void PassesOnCallsAboutLotsAlone() {
+  void RelaysOnlyBatchJobCalls() {
     StorePath path(&transport_, &control_, "self");
     const struct {
       StoreId store;
       MessageType type;
-      bool passed;
+      bool is_relayed;
     } kCases[] = {{kStore, MessageType::kBatchJobCreate, true},
                   {kStore, MessageType::kItemResult, true},
                   {kStore, MessageType::kReplicate, false},
@@ -114,21 +114,21 @@
                   {{"s0", "another disk"}, MessageType::kBatchJobCreate, false},
                   {{"none", "d"}, MessageType::kBatchJobCreate, false}};
     for (const auto& c : kCases) {
-      absl::StatusOr<std::string> answer = absl::UnknownError("none yet");
+      absl::StatusOr<std::string> response = absl::UnknownError("none yet");
       const RelayedCall call{c.store, static_cast<std::uint8_t>(c.type), "body", 100};
       transport_.handlers.at(MessageType::kStoreRelay)(
           "ip", codec::Encode(call),
-          [&](absl::StatusOr<std::string> given) { answer = std::move(given); });
-      CPPUNIT_ASSERT_EQUAL(c.passed, absl::IsUnknown(answer.status()));
-      if (!c.passed) {
-        CPPUNIT_ASSERT(absl::IsFailedPrecondition(answer.status()));
+          [&](absl::StatusOr<std::string> given) { response = std::move(given); });
+      CPPUNIT_ASSERT_EQUAL(c.is_relayed, absl::IsUnknown(response.status()));
+      if (!c.is_relayed) {
+        CPPUNIT_ASSERT(absl::IsFailedPrecondition(response.status()));
         continue;
       }
-      const FakeCall made = Made();
-      CPPUNIT_ASSERT_EQUAL(std::string("s0:1"), made.address);
-      CPPUNIT_ASSERT(made.type == c.type);
-      made.done(std::string("answer"));
-      CPPUNIT_ASSERT(answer.ok() && *answer == "answer");
+      const FakeCall forwarded = TakeOnlyCall();
+      CPPUNIT_ASSERT_EQUAL(std::string("s0:1"), forwarded.address);
+      CPPUNIT_ASSERT(forwarded.type == c.type);
+      forwarded.done(std::string("answer"));
+      CPPUNIT_ASSERT(response.ok() && *response == "answer");
     }
   }
 };
