--- a/tests/tier/registry/registry_cluster.cpp
+++ b/tests/tier/registry/registry_cluster.cpp
@@ -11,27 +11,27 @@
 using coordination::MemberStatus;
 
 constexpr Micros kCallTimeout = kSecond;  // workers move on after it
-constexpr Micros kWay = 500;              // between a worker and a node
+constexpr Micros kOneWayDelay = 500;      // between a worker and a node
 constexpr char kControlPort[] = ":8146";
 
 // Hands the answer on as soon as it is given.
 class WorkerCall : public control::FakeExchange {
  public:
   WorkerCall(const std::string& worker, std::string body,
-             std::function<void(int, const std::string&)> answered)
-      : FakeExchange("POST", "/Workers.Heartbeat/" + worker), answered_(std::move(answered)) {
+             std::function<void(int, const std::string&)> on_response)
+      : FakeExchange("POST", "/Workers.Heartbeat/" + worker), on_response_(std::move(on_response)) {
     mutable_request().body = std::move(body);
   }
   void Respond(int given, std::vector<http::Header> with, std::string_view bytes) override {
     FakeExchange::Respond(given, std::move(with), bytes);
-    answered_(given, std::string(bytes));
+    on_response_(given, std::string(bytes));
   }
 
  private:
-  std::function<void(int, const std::string&)> answered_;
+  std::function<void(int, const std::string&)> on_response_;
 };
 
-std::string BeatTargetIn(const std::string& body) {
+std::string ParseBeatTarget(const std::string& body) {
   const std::string name = "\"beat_target\":\"";
   const std::size_t begin = body.find(name);
   if (begin == std::string::npos) return "";
@@ -50,7 +50,7 @@
     node->address = fmt::format("10.0.{}.{}:7660", i / 250, i % 250);
     nodes.push_back(std::move(node));
   }
-  for (std::size_t i = 0; i < nodes.size(); ++i) Open(i);
+  for (std::size_t i = 0; i < nodes.size(); ++i) StartNode(i);
   for (int i = 0; i < options_.workers; ++i) {
     auto worker = std::make_unique<Worker>();
     worker->id = fmt::format("worker-{:05}", i);
@@ -60,10 +60,10 @@
   }
 }
 
-void RegistryCluster::Open(std::size_t index) {
+void RegistryCluster::StartNode(std::size_t index) {
   Node& node = *nodes[index];
   for (std::size_t i = 0; i < nodes.size(); ++i) {
-    coordination::Member& member = node.members.known[nodes[i]->name];
+    coordination::Member& member = node.members.member_map[nodes[i]->name];
     member.info.name = nodes[i]->name;
     member.info.address = nodes[i]->address;
     member.info.zone = fmt::format("zone-{}", i % static_cast<std::size_t>(options_.zones));
@@ -71,11 +71,11 @@
     if (i < static_cast<std::size_t>(options_.quorum))
       member.info.roles |= MemberInfo::kQuorumMember;
   }
-  node.members.in_touch = [this, &node] { return ReachesMajority(node); };
+  node.members.reaches_majority = [this, &node] { return ReachesMajority(node); };
   node.transport = std::make_unique<control::VirtualMesh>(&network, node.address);
   settings::NodeSettings settings;
   settings.node_name = node.name;
-  settings.beat_ms = static_cast<double>(kBeat) / kMs;
+  settings.beat_ms = static_cast<double>(kHeartbeatPeriod) / kMs;
   settings.bounds.drain_ms = static_cast<double>(kDrain) / kMs;
   settings.bounds.contact_ms = 3000;
   settings.bind.control = "10.0.0.0" + std::string(kControlPort);
@@ -85,7 +85,7 @@
 }
 
 void RegistryCluster::SetStatus(std::size_t of, MemberStatus status) {
-  for (const auto& node : nodes) node->members.known[nodes[of]->name].status = status;
+  for (const auto& node : nodes) node->members.member_map[nodes[of]->name].status = status;
 }
 
 bool RegistryCluster::ReachesMajority(const Node& node) const {
@@ -96,12 +96,12 @@
   return 2 * reached > std::min(options_.quorum, options_.nodes);
 }
 
-void RegistryCluster::CutOff(const std::set<std::size_t>& island) {
+void RegistryCluster::Partition(const std::set<std::size_t>& island) {
   for (std::size_t a = 0; a < nodes.size(); ++a) {
     for (std::size_t b = 0; b < nodes.size(); ++b) {
       if (island.count(a) == island.count(b)) continue;
       network.Cut(nodes[a]->address, nodes[b]->address);
-      nodes[a]->members.known[nodes[b]->name].status = MemberStatus::kDead;
+      nodes[a]->members.member_map[nodes[b]->name].status = MemberStatus::kDead;
     }
   }
 }
@@ -119,13 +119,13 @@
   Node& node = *nodes[index];
   node.registry.reset();
   node.transport.reset();
-  time.After(kDetect, [this, index] {
+  time.After(kDetectionTime, [this, index] {
     if (!nodes[index]->up()) SetStatus(index, MemberStatus::kDead);
   });
 }
 
 void RegistryCluster::Restart(std::size_t index) {
-  Open(index);
+  StartNode(index);
   SetStatus(index, MemberStatus::kAlive);
 }
 
@@ -133,25 +133,25 @@
 
 void RegistryCluster::StartWorkers() {
   for (const auto& worker : workers) {
-    const Micros first = std::uniform_int_distribution<Micros>(0, kBeat)(random_);
-    time.After(first, [this, raw = worker.get()] { Beat(raw); });
+    const Micros first = std::uniform_int_distribution<Micros>(0, kHeartbeatPeriod)(random_);
+    time.After(first, [this, raw = worker.get()] { SendHeartbeat(raw); });
   }
 }
 
 void RegistryCluster::Drain(std::size_t index) {
   Worker* worker = workers[index].get();
   worker->draining = true;
-  worker->drain_began = time.now();
-  Call(worker, Choose(*worker));
+  worker->drain_started = time.now();
+  Call(worker, ChooseNode(*worker));
 }
 
-void RegistryCluster::Beat(Worker* worker) {
+void RegistryCluster::SendHeartbeat(Worker* worker) {
   if (!worker->running) return;
-  if (!worker->draining || worker->drain_acknowledged != 0) Call(worker, Choose(*worker));
-  time.After(kBeat, [this, worker] { Beat(worker); });
+  if (!worker->draining || worker->drain_acknowledged != 0) Call(worker, ChooseNode(*worker));
+  time.After(kHeartbeatPeriod, [this, worker] { SendHeartbeat(worker); });
 }
 
-std::size_t RegistryCluster::Choose(const Worker& worker) {
+std::size_t RegistryCluster::ChooseNode(const Worker& worker) {
   for (std::size_t i = 0; i < nodes.size(); ++i) {
     const std::string& address = nodes[i]->address;
     if (address.substr(0, address.find(':')) + kControlPort == worker.target) return i;
@@ -166,25 +166,25 @@
       R"({{"target":"svc","address":"{}","zone":"{}","capacity":4,"phase":"{}","call_seq":{}}})",
       worker->address, worker->zone, worker->draining ? "draining" : "ready", ++worker->seq);
   const bool draining = worker->draining;
-  const auto answered = [this, worker, call, draining](int status, const std::string& answer) {
-    time.After(kWay, [=, this] {
+  const auto on_response = [this, worker, call, draining](int status, const std::string& response) {
+    time.After(kOneWayDelay, [=, this] {
       if (worker->call != call || status != 200) return;
       ++worker->call;  // settled
-      worker->target = BeatTargetIn(answer);
+      worker->target = ParseBeatTarget(response);
       if (draining && worker->drain_acknowledged == 0) worker->drain_acknowledged = time.now();
     });
   };
-  time.After(kWay, [=, this] {
+  time.After(kOneWayDelay, [=, this] {
     Node& node = *nodes[index];
     if (!node.up()) return;
-    ++node.beats;
-    node.registry->OnHeartbeat(std::make_shared<WorkerCall>(worker->id, body, answered),
+    ++node.heartbeats;
+    node.registry->OnHeartbeat(std::make_shared<WorkerCall>(worker->id, body, on_response),
                                worker->id);
   });
   time.After(kCallTimeout, [this, worker, call] {
     if (worker->call != call) return;
     worker->target.clear();
-    Call(worker, Choose(*worker));
+    Call(worker, ChooseNode(*worker));
   });
 }
 
@@ -196,7 +196,7 @@
   return found != nullptr && found->phase == phase;
 }
 
-int RegistryCluster::HoldAsReady(const std::string& worker) const {
+int RegistryCluster::CountNodesListingReady(const std::string& worker) const {
   int count = 0;
   for (const auto& node : nodes)
     if (node->up() && Lists(*node, worker, WorkerPhase::kReady)) ++count;
--- a/tests/tier/registry/registry_cluster.h
+++ b/tests/tier/registry/registry_cluster.h
@@ -22,14 +22,14 @@
   void OnChange(std::function<void()>) override {}
   void Change(control::ControlChange, Micros, ChangeDone) override {}
   void StrictRead(Micros, ReadDone done) override {
-    if (!in_touch()) return done(absl::UnavailableError("no majority in reach"));
+    if (!reaches_majority()) return done(absl::UnavailableError("no majority in reach"));
     done(snapshot_);
   }
   bool IsSingletonRoleCandidate() const override { return false; }
-  const std::map<std::string, coordination::Member>& members() const override { return known; }
+  const std::map<std::string, coordination::Member>& members() const override { return member_map; }
 
-  std::map<std::string, coordination::Member> known;
-  std::function<bool()> in_touch = [] { return true; };
+  std::map<std::string, coordination::Member> member_map;
+  std::function<bool()> reaches_majority = [] { return true; };
 
  private:
   std::shared_ptr<const control::ControlSnapshot> snapshot_ =
@@ -44,24 +44,25 @@
 
 class RegistryCluster {
  public:
-  static constexpr Micros kBeat = 1200 * kMs;
+  static constexpr Micros kHeartbeatPeriod = 1200 * kMs;
   static constexpr Micros kDrain = 2 * kSecond;
-  static constexpr Micros kExpiry = 3 * kBeat + 3 * kSecond;  // as the registry reckons it
-  static constexpr Micros kDetect = 2 * kSecond;              // a node's end, by the others
+  static constexpr Micros kExpiry =
+      3 * kHeartbeatPeriod + 3 * kSecond;                // as the registry reckons it
+  static constexpr Micros kDetectionTime = 2 * kSecond;  // a node's end, by the others
 
   struct Node {
     std::string name, address;
     std::unique_ptr<control::VirtualMesh> transport;
     FakeMembers members;
     std::unique_ptr<WorkerRegistry> registry;
-    int beats = 0;  // heartbeats that came here
+    int heartbeats = 0;  // heartbeats that came here
     bool up() const { return registry != nullptr; }
   };
   struct Worker {
     std::string id, address, zone, target;
     std::uint64_t seq = 0, call = 0;
     bool running = true, draining = false;
-    Micros drain_began = 0, drain_acknowledged = 0;  // 0: not
+    Micros drain_started = 0, drain_acknowledged = 0;  // 0: not
   };
 
   explicit RegistryCluster(ClusterOptions options);
@@ -70,17 +71,17 @@
   void StartWorkers();
   void Drain(std::size_t worker);  // goes on calling until it is acknowledged
   void Crash(std::size_t worker) { workers[worker]->running = false; }
-  void Kill(std::size_t node);     // the others see it after kDetect
+  void Kill(std::size_t node);     // the others see it after kDetectionTime
   void Restart(std::size_t node);  // an empty process of the same name
   void Isolate(std::size_t node) { network.Isolate(nodes[node]->address); }
   // Cuts these off from all others, and lets each side take the other for dead.
-  void CutOff(const std::set<std::size_t>& island);
+  void Partition(const std::set<std::size_t>& island);
   // The node whose control address that is.
   std::size_t NodeAt(const std::string& target) const;
 
   bool Lists(const Node& node, const std::string& worker, WorkerPhase phase) const;
   // Nodes that are up and hold that worker as ready.
-  int HoldAsReady(const std::string& worker) const;
+  int CountNodesListingReady(const std::string& worker) const;
   // All nodes that are up list the same workers in the same phases, as many as `size`.
   bool Converged(std::size_t size) const;
 
@@ -90,11 +91,11 @@
   std::vector<std::unique_ptr<Worker>> workers;
 
  private:
-  void Open(std::size_t node);
+  void StartNode(std::size_t node);
   void SetStatus(std::size_t of, coordination::MemberStatus status);
-  void Beat(Worker* worker);
+  void SendHeartbeat(Worker* worker);
   void Call(Worker* worker, std::size_t node);
-  std::size_t Choose(const Worker& worker);
+  std::size_t ChooseNode(const Worker& worker);
   bool ReachesMajority(const Node& node) const;
 
   const ClusterOptions options_;
--- a/tests/tier/registry/registry_cluster_test.cpp
+++ b/tests/tier/registry/registry_cluster_test.cpp
@@ -24,25 +24,25 @@
 
 class RegistryClusterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RegistryClusterTest);
-  CPPUNIT_TEST(TestAFewNodesKnowAWorkerAtOnce);
-  CPPUNIT_TEST(TestAllNodesKnowAllWorkers);
-  CPPUNIT_TEST(TestTablesConvergeUnderLoss);
-  CPPUNIT_TEST(TestADrainIsKnownByAllBeforeItsAcknowledgement);
-  CPPUNIT_TEST(TestADrainIsKnownInTimeUnderLoss);
-  CPPUNIT_TEST(TestADrainIsKnownInTimeWhileNodesEnd);
-  CPPUNIT_TEST(TestADrainAtANodeThatIsCutOffIsRefused);
-  CPPUNIT_TEST(TestADrainAtNodesThatAreCutOffTogetherIsRefused);
-  CPPUNIT_TEST(TestACutOffNodeCatchesUp);
-  CPPUNIT_TEST(TestANewNodeLearnsAll);
-  CPPUNIT_TEST(TestAWorkerThatEndsLeavesAllTables);
-  CPPUNIT_TEST(TestWorkersOutliveTheirTakers);
-  CPPUNIT_TEST(TestTakersAreSpreadOverZones);
-  CPPUNIT_TEST(TestHeartbeatsCostTheOthersNothing);
-  CPPUNIT_TEST(TestRegistrationCostsANodeLittle);
+  CPPUNIT_TEST(AFewNodesListAWorkerAtOnce);
+  CPPUNIT_TEST(AllNodesListAllWorkers);
+  CPPUNIT_TEST(TablesConvergeUnderLoss);
+  CPPUNIT_TEST(ADrainIsAcknowledgedOnlyOnceAllNodesKnowIt);
+  CPPUNIT_TEST(ADrainReachesAllNodesInTimeUnderLoss);
+  CPPUNIT_TEST(ADrainReachesAllNodesInTimeWhileNodesCrash);
+  CPPUNIT_TEST(RejectsADrainAtAnIsolatedNode);
+  CPPUNIT_TEST(RejectsADrainInAMinorityPartition);
+  CPPUNIT_TEST(AnIsolatedNodeCatchesUp);
+  CPPUNIT_TEST(ANewNodeLearnsAllWorkers);
+  CPPUNIT_TEST(ACrashedWorkerLeavesAllTables);
+  CPPUNIT_TEST(WorkersOutliveTheirHeartbeatReceivers);
+  CPPUNIT_TEST(ReceiversAreDistributedOverZones);
+  CPPUNIT_TEST(HeartbeatsCauseNoCallsBetweenNodes);
+  CPPUNIT_TEST(RegistrationCostsFewCallsPerNode);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void TestAFewNodesKnowAWorkerAtOnce() {
+  void AFewNodesListAWorkerAtOnce() {
     RegistryCluster cluster({});
     cluster.Run(kSecond);
     cluster.workers.resize(1);
@@ -53,17 +53,17 @@
     CPPUNIT_ASSERT(cluster.Converged(1));
   }
 
-  void TestAllNodesKnowAllWorkers() {
+  void AllNodesListAllWorkers() {
     for (const int nodes : {1, 2, 17, 60, 300}) {
       RegistryCluster cluster({.nodes = nodes, .zones = std::min(nodes, 3), .workers = nodes});
       cluster.StartWorkers();
-      cluster.Run(RegistryCluster::kBeat + 400 * kMs);
+      cluster.Run(RegistryCluster::kHeartbeatPeriod + 400 * kMs);
       CPPUNIT_ASSERT_MESSAGE(fmt::format("{} nodes", nodes),
                              cluster.Converged(static_cast<std::size_t>(nodes)));
     }
   }
 
-  void TestTablesConvergeUnderLoss() {
+  void TablesConvergeUnderLoss() {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       RegistryCluster cluster({.nodes = 60, .workers = 100, .loss = 0.2, .seed = seed});
       cluster.StartWorkers();
@@ -76,7 +76,7 @@
     }
   }
 
-  void TestADrainIsKnownByAllBeforeItsAcknowledgement() {
+  void ADrainIsAcknowledgedOnlyOnceAllNodesKnowIt() {
     for (const int nodes : {2, 11, 60, 300}) {
       RegistryCluster cluster({.nodes = nodes, .zones = 2, .workers = 20});
       cluster.StartWorkers();
@@ -86,17 +86,17 @@
         cluster.Run(kMs);
         for (std::size_t i = 0; i < 10; ++i)
           if (cluster.workers[i]->drain_acknowledged != 0)
-            CPPUNIT_ASSERT_EQUAL(0, cluster.HoldAsReady(cluster.workers[i]->id));
+            CPPUNIT_ASSERT_EQUAL(0, cluster.CountNodesListingReady(cluster.workers[i]->id));
       }
       for (std::size_t i = 0; i < 10; ++i) {
         const auto& worker = *cluster.workers[i];
         CPPUNIT_ASSERT(worker.drain_acknowledged != 0);
-        CPPUNIT_ASSERT(worker.drain_acknowledged - worker.drain_began < 20 * kMs);
+        CPPUNIT_ASSERT(worker.drain_acknowledged - worker.drain_started < 20 * kMs);
       }
     }
   }
 
-  void TestADrainIsKnownInTimeUnderLoss() {
+  void ADrainReachesAllNodesInTimeUnderLoss() {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
       RegistryCluster cluster({.nodes = 60, .workers = 30, .loss = 0.2, .seed = seed});
       cluster.StartWorkers();
@@ -106,7 +106,7 @@
     }
   }
 
-  void TestADrainIsKnownInTimeWhileNodesEnd() {
+  void ADrainReachesAllNodesInTimeWhileNodesCrash() {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
       RegistryCluster cluster({.nodes = 60, .workers = 30, .seed = seed});
       cluster.StartWorkers();
@@ -121,7 +121,7 @@
   }
 
   // Nobody else knows of it: the worker is to try another node.
-  void TestADrainAtANodeThatIsCutOffIsRefused() {
+  void RejectsADrainAtAnIsolatedNode() {
     RegistryCluster cluster({.nodes = 20, .quorum = 3, .workers = 1});
     cluster.StartWorkers();
     cluster.Run(3 * kSecond);
@@ -136,12 +136,12 @@
     CPPUNIT_ASSERT_EQUAL(Micros{0}, cluster.workers[0]->drain_acknowledged);
     cluster.Run(3 * kSecond);
     CPPUNIT_ASSERT(cluster.workers[0]->drain_acknowledged != 0);
-    CPPUNIT_ASSERT(cluster.HoldAsReady(cluster.workers[0]->id) == 0);
+    CPPUNIT_ASSERT(cluster.CountNodesListingReady(cluster.workers[0]->id) == 0);
   }
 
   // They tell one another and take all others for dead, but nobody else knows of the drain. Islands
   // of any size without a majority, the worker's taker among them.
-  void TestADrainAtNodesThatAreCutOffTogetherIsRefused() {
+  void RejectsADrainInAMinorityPartition() {
     int occurred = 0;
     for (const std::size_t size : {2u, 5u, 12u}) {
       RegistryCluster cluster({.nodes = 20, .quorum = 5, .workers = 1});
@@ -149,19 +149,19 @@
       cluster.Run(3 * kSecond);
       std::set<std::size_t> island{cluster.NodeAt(cluster.workers[0]->target)};
       for (std::size_t i = 19; island.size() < size; --i) island.insert(i);
-      cluster.CutOff(island);
+      cluster.Partition(island);
       cluster.Drain(0);
-      const std::size_t asked = cluster.NodeAt(cluster.workers[0]->target);
-      CPPUNIT_ASSERT(island.count(asked) > 0);
+      const std::size_t called = cluster.NodeAt(cluster.workers[0]->target);
+      CPPUNIT_ASSERT(island.count(called) > 0);
       cluster.Run(990 * kMs);
       CPPUNIT_ASSERT_EQUAL(Micros{0}, cluster.workers[0]->drain_acknowledged);
       const std::string& worker = cluster.workers[0]->id;
-      occurred += cluster.HoldAsReady(worker) == 20 - static_cast<int>(size) ? 1 : 0;
+      occurred += cluster.CountNodesListingReady(worker) == 20 - static_cast<int>(size) ? 1 : 0;
     }
     CPPUNIT_ASSERT_EQUAL(3, occurred);  // the island knew, the others did not
   }
 
-  void TestACutOffNodeCatchesUp() {
+  void AnIsolatedNodeCatchesUp() {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       RegistryCluster cluster({.nodes = 40, .workers = 60, .seed = seed});
       cluster.StartWorkers();
@@ -175,7 +175,7 @@
     }
   }
 
-  void TestANewNodeLearnsAll() {
+  void ANewNodeLearnsAllWorkers() {
     RegistryCluster cluster({.nodes = 40, .workers = 200});
     cluster.StartWorkers();
     cluster.Run(3 * kSecond);
@@ -190,22 +190,22 @@
         cluster.Lists(*cluster.nodes[5], cluster.workers[0]->id, WorkerPhase::kDraining));
   }
 
-  void TestAWorkerThatEndsLeavesAllTables() {
+  void ACrashedWorkerLeavesAllTables() {
     RegistryCluster cluster({.nodes = 40, .workers = 50});
     cluster.StartWorkers();
     cluster.Run(5 * kSecond);
     cluster.Crash(3);
-    cluster.Run(RegistryCluster::kExpiry - RegistryCluster::kBeat);
+    cluster.Run(RegistryCluster::kExpiry - RegistryCluster::kHeartbeatPeriod);
     CPPUNIT_ASSERT(cluster.Converged(50));
-    cluster.Run(2 * RegistryCluster::kBeat);
+    cluster.Run(2 * RegistryCluster::kHeartbeatPeriod);
     CPPUNIT_ASSERT(cluster.Converged(49));
-    CPPUNIT_ASSERT_EQUAL(0, cluster.HoldAsReady(cluster.workers[3]->id));
+    CPPUNIT_ASSERT_EQUAL(0, cluster.CountNodesListingReady(cluster.workers[3]->id));
     cluster.Run(60 * kSecond);
     CPPUNIT_ASSERT(cluster.Converged(49));
   }
 
   // A taker that ends, or ends and comes back empty, costs no worker its place in any table.
-  void TestWorkersOutliveTheirTakers() {
+  void WorkersOutliveTheirHeartbeatReceivers() {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       RegistryCluster cluster({.nodes = 40, .workers = 120, .seed = seed});
       cluster.StartWorkers();
@@ -222,19 +222,19 @@
     }
   }
 
-  void TestTakersAreSpreadOverZones() {
+  void ReceiversAreDistributedOverZones() {
     RegistryCluster cluster({.nodes = 120, .workers = 600});
     cluster.StartWorkers();
     cluster.Run(5 * kSecond);
-    for (const auto& node : cluster.nodes) node->beats = 0;
-    cluster.Run(10 * RegistryCluster::kBeat);
-    std::size_t takers = 0;
+    for (const auto& node : cluster.nodes) node->heartbeats = 0;
+    cluster.Run(10 * RegistryCluster::kHeartbeatPeriod);
+    std::size_t receivers = 0;
     int most = 0;
     for (const auto& node : cluster.nodes) {
-      takers += node->beats > 0 ? 1 : 0;
-      most = std::max(most, node->beats);
+      receivers += node->heartbeats > 0 ? 1 : 0;
+      most = std::max(most, node->heartbeats);
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{15}, takers);  // one of eight in each of three zones
+    CPPUNIT_ASSERT_EQUAL(std::size_t{15}, receivers);  // one of eight in each of three zones
     CPPUNIT_ASSERT(most < 2 * 600 * 10 / 15);
     for (const auto& worker : cluster.workers)
       for (std::size_t i = 0; i < cluster.nodes.size(); ++i) {
@@ -244,7 +244,7 @@
       }
   }
 
-  void TestHeartbeatsCostTheOthersNothing() {
+  void HeartbeatsCauseNoCallsBetweenNodes() {
     RegistryCluster cluster({.nodes = 60, .workers = 600});
     cluster.StartWorkers();
     cluster.Run(10 * kSecond);
@@ -254,7 +254,7 @@
     CPPUNIT_ASSERT(Calls(cluster) - before <= 60 * 21);
   }
 
-  void TestRegistrationCostsANodeLittle() {
+  void RegistrationCostsFewCallsPerNode() {
     RegistryCluster cluster({.nodes = 150, .workers = 1500});
     cluster.Run(2 * kSecond);
     const std::size_t before = Calls(cluster);
@@ -275,7 +275,8 @@
         const Micros acknowledged = worker.drain_acknowledged;
         if (acknowledged == 0 || cluster->time.now() < acknowledged + RegistryCluster::kDrain)
           continue;
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(Seeded(seed, worker.id), 0, cluster->HoldAsReady(worker.id));
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(Seeded(seed, worker.id), 0,
+                                     cluster->CountNodesListingReady(worker.id));
       }
     }
     for (std::size_t i = 0; i < count; ++i)
--- a/tests/tier/registry/worker_state_test.cpp
+++ b/tests/tier/registry/worker_state_test.cpp
@@ -30,31 +30,31 @@
 
 class WorkerStateTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(WorkerStateTest);
-  CPPUNIT_TEST(ANewWorkerIsAChangeAndIsListed);
-  CPPUNIT_TEST(APhaseNeverGoesBack);
-  CPPUNIT_TEST(ADepartureOfAnUnknownWorkerIsRemembered);
+  CPPUNIT_TEST(ListsANewWorker);
+  CPPUNIT_TEST(PhasesNeverGoBack);
+  CPPUNIT_TEST(RemembersTheDepartureOfAnUnknownWorker);
   CPPUNIT_TEST(AnAddressBelongsToTheLaterWorker);
   CPPUNIT_TEST(ALateHeartbeatOfAnEndedWorkerDoesNotKeepTheAddress);
-  CPPUNIT_TEST(AWorkerThatNobodyHearsLeavesTheTableAndComesBack);
-  CPPUNIT_TEST(ADigestTellsADrainThatIsNotKnown);
-  CPPUNIT_TEST(TwoNodesThatExchangeWhatDiffersEndWithTheSame);
-  CPPUNIT_TEST(RecordsComeToTheSameInAnyOrder);
-  CPPUNIT_TEST(AWorkerStaysAsLongAsItsTakerLives);
-  CPPUNIT_TEST(ATakerTellsOfAWorkerThatItLost);
-  CPPUNIT_TEST(AnOrphanThatAnotherTookOverStays);
-  CPPUNIT_TEST(WhatHasEndedIsNotToldAnewByWhoRemembersIt);
-  CPPUNIT_TEST(ATableKeepsWhatHasNotChanged);
+  CPPUNIT_TEST(ExpiresAWorkerWithoutHeartbeatsAndListsItAgain);
+  CPPUNIT_TEST(TheDigestShowsAnUnknownDrain);
+  CPPUNIT_TEST(ARepairMakesTwoNodesEqual);
+  CPPUNIT_TEST(RecordsConvergeInAnyOrder);
+  CPPUNIT_TEST(ListsAWorkerWhileItsReceiverIsLive);
+  CPPUNIT_TEST(TheReceiverReportsALostWorkerOnce);
+  CPPUNIT_TEST(ATakenOverOrphanStaysListed);
+  CPPUNIT_TEST(DoesNotRelearnAWorkerThatHasEnded);
+  CPPUNIT_TEST(SnapshotsShareUnchangedShards);
   CPPUNIT_TEST(AnExportMergesToTheSameTable);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ANewWorkerIsAChangeAndIsListed() {
+  void ListsANewWorker() {
     CPPUNIT_ASSERT(state_.Merge(kStart, Record("a", "1:1", 1), 0));
     CPPUNIT_ASSERT(!state_.Merge(kStart + 1, Record("a", "1:1", 2), 0));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, state_.BuildTable()->size());
   }
 
-  void APhaseNeverGoesBack() {
+  void PhasesNeverGoBack() {
     struct Case {
       WorkerPhase first, second, then;
     };
@@ -71,7 +71,7 @@
     }
   }
 
-  void ADepartureOfAnUnknownWorkerIsRemembered() {
+  void RemembersTheDepartureOfAnUnknownWorker() {
     CPPUNIT_ASSERT(state_.Depart(kStart, "a"));
     CPPUNIT_ASSERT(!state_.Merge(kStart + 1, Record("a", "1:1", 9), 0));
     CPPUNIT_ASSERT(state_.BuildTable()->empty());
@@ -94,7 +94,7 @@
     CPPUNIT_ASSERT(!table->contains("a"));
   }
 
-  void AWorkerThatNobodyHearsLeavesTheTableAndComesBack() {
+  void ExpiresAWorkerWithoutHeartbeatsAndListsItAgain() {
     state_.Merge(kStart, Record("a", "1:1", 1), 0);
     CPPUNIT_ASSERT(!state_.Expire(kStart + kExpiry - 1));
     CPPUNIT_ASSERT(state_.Expire(kStart + kExpiry));
@@ -103,7 +103,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, state_.BuildTable()->size());
   }
 
-  void ADigestTellsADrainThatIsNotKnown() {
+  void TheDigestShowsAnUnknownDrain() {
     WorkerState other({kExpiry, 60 * kSecond});
     state_.Merge(kStart, Record("a", "1:1", 1), 0);
     Exchange(&state_, &other);
@@ -118,7 +118,7 @@
     CPPUNIT_ASSERT(state_.Digest() != other.Digest());
   }
 
-  void TwoNodesThatExchangeWhatDiffersEndWithTheSame() {
+  void ARepairMakesTwoNodesEqual() {
     WorkerState other({kExpiry, 60 * kSecond});
     for (int i = 0; i < 300; ++i) {
       const std::string id = "w" + std::to_string(i), address = "1:" + std::to_string(i);
@@ -135,13 +135,13 @@
     CPPUNIT_ASSERT(state_.Find("w11")->phase == WorkerPhase::kDraining);
   }
 
-  void RecordsComeToTheSameInAnyOrder() {
+  void RecordsConvergeInAnyOrder() {
     std::vector<WorkerUpdate::Item> items;
     for (int i = 0; i < 40; ++i) {
       WorkerRecord record =
           Record("a", "1:" + std::to_string(i % 2), static_cast<std::uint64_t>(i));
       record.version = static_cast<std::uint64_t>(1 + i % 5);
-      record.taker = "n" + std::to_string(i % 3);
+      record.receiver = "n" + std::to_string(i % 3);
       record.lost = i % 4 == 0;
       if (i % 9 == 0) record.phase = WorkerPhase::kDraining;
       items.push_back({record, 0, 0, false});
@@ -157,10 +157,10 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, ends.size());
   }
 
-  void AWorkerStaysAsLongAsItsTakerLives() {
+  void ListsAWorkerWhileItsReceiverIsLive() {
     bool live = true;
     WorkerState state({kExpiry, 60 * kSecond, "here", [&](const std::string&) { return live; }});
-    state.Adopt(kStart, {Taken("a", "there", 1), 0, 0, false});
+    state.Adopt(kStart, {WithReceiver("a", "there", 1), 0, 0, false});
     CPPUNIT_ASSERT(!state.Expire(kStart + 100 * kSecond));
     live = false;
     CPPUNIT_ASSERT(!state.Expire(kStart + 101 * kSecond));
@@ -171,52 +171,54 @@
     CPPUNIT_ASSERT(state.TakeLost().empty());  // no other node's affair
   }
 
-  void ATakerTellsOfAWorkerThatItLost() {
-    WorkerState taker({kExpiry, 60 * kSecond, "here", nullptr});
+  void TheReceiverReportsALostWorkerOnce() {
+    WorkerState receiver({kExpiry, 60 * kSecond, "here", nullptr});
     WorkerState other({kExpiry, 60 * kSecond, "there", [](const std::string&) { return true; }});
-    taker.Merge(kStart, Taken("a", "here", 1), 0);
-    taker.Merge(kStart + kSecond, Taken("a", "here", 2), 0);
-    Exchange(&taker, &other);
-    CPPUNIT_ASSERT(!taker.Expire(kStart + kSecond + kExpiry - 1));
-    CPPUNIT_ASSERT(taker.Expire(kStart + kSecond + kExpiry));
-    CPPUNIT_ASSERT(taker.TakeLost() == std::vector<std::string>{"a"});
-    CPPUNIT_ASSERT(taker.TakeLost().empty());
-    CPPUNIT_ASSERT(other.Adopt(kStart + 8 * kSecond, taker.ExportOne(kStart + 8 * kSecond, "a")));
+    receiver.Merge(kStart, WithReceiver("a", "here", 1), 0);
+    receiver.Merge(kStart + kSecond, WithReceiver("a", "here", 2), 0);
+    Exchange(&receiver, &other);
+    CPPUNIT_ASSERT(!receiver.Expire(kStart + kSecond + kExpiry - 1));
+    CPPUNIT_ASSERT(receiver.Expire(kStart + kSecond + kExpiry));
+    CPPUNIT_ASSERT(receiver.TakeLost() == std::vector<std::string>{"a"});
+    CPPUNIT_ASSERT(receiver.TakeLost().empty());
+    CPPUNIT_ASSERT(
+        other.Adopt(kStart + 8 * kSecond, receiver.ExportOne(kStart + 8 * kSecond, "a")));
     CPPUNIT_ASSERT(other.BuildTable()->empty());
-    CPPUNIT_ASSERT(taker.Merge(kStart + 9 * kSecond, Taken("a", "here", 3), 0));
-    CPPUNIT_ASSERT(other.Adopt(kStart + 9 * kSecond, taker.ExportOne(kStart + 9 * kSecond, "a")));
+    CPPUNIT_ASSERT(receiver.Merge(kStart + 9 * kSecond, WithReceiver("a", "here", 3), 0));
+    CPPUNIT_ASSERT(
+        other.Adopt(kStart + 9 * kSecond, receiver.ExportOne(kStart + 9 * kSecond, "a")));
     CPPUNIT_ASSERT(other.BuildTable()->contains("a"));
   }
 
-  void AnOrphanThatAnotherTookOverStays() {
+  void ATakenOverOrphanStaysListed() {
     const auto live = [](const std::string& node) { return node != "dead"; };
     WorkerState state({kExpiry, 60 * kSecond, "here", live});
     WorkerState other({kExpiry, 60 * kSecond, "there", live});
     for (WorkerState* each : {&state, &other}) {
-      each->Adopt(kStart, {Taken("a", "dead", 1), 0, 0, false});
+      each->Adopt(kStart, {WithReceiver("a", "dead", 1), 0, 0, false});
       each->Expire(kStart);
     }
-    CPPUNIT_ASSERT(state.Merge(kStart + kSecond, Taken("a", "here", 2), 0));
+    CPPUNIT_ASSERT(state.Merge(kStart + kSecond, WithReceiver("a", "here", 2), 0));
     other.Adopt(kStart + kSecond, state.ExportOne(kStart + kSecond, "a"));
     CPPUNIT_ASSERT(!other.Expire(kStart + 2 * kExpiry));
     CPPUNIT_ASSERT(other.BuildTable()->contains("a"));
     CPPUNIT_ASSERT_EQUAL(state.Digest(), other.Digest());
   }
 
-  void WhatHasEndedIsNotToldAnewByWhoRemembersIt() {
-    constexpr Micros kKeep = 60 * kSecond;
-    WorkerState other({kExpiry, kKeep});
+  void DoesNotRelearnAWorkerThatHasEnded() {
+    constexpr Micros kRetention = 60 * kSecond;
+    WorkerState other({kExpiry, kRetention});
     state_.Depart(kStart, "a");
     other.Depart(kStart + kSecond, "a");  // it heard of it later
-    state_.Expire(kStart + kKeep);
-    other.Expire(kStart + kKeep);
+    state_.Expire(kStart + kRetention);
+    other.Expire(kStart + kRetention);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, state_.size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, other.size());
     CPPUNIT_ASSERT_EQUAL(state_.Digest(), other.Digest());
-    CPPUNIT_ASSERT(!state_.Adopt(kStart + kKeep, other.ExportOne(kStart + kKeep, "a")));
+    CPPUNIT_ASSERT(!state_.Adopt(kStart + kRetention, other.ExportOne(kStart + kRetention, "a")));
   }
 
-  void ATableKeepsWhatHasNotChanged() {
+  void SnapshotsShareUnchangedShards() {
     for (int i = 0; i < 200; ++i)
       state_.Merge(kStart, Record("w" + std::to_string(i), "1:" + std::to_string(i), 1), 0);
     const auto before = state_.BuildTable();
@@ -244,20 +246,22 @@
   }
 
  private:
-  static WorkerRecord Taken(const std::string& id, const std::string& taker, std::uint64_t seq) {
+  static WorkerRecord WithReceiver(const std::string& id, const std::string& receiver,
+                                   std::uint64_t seq) {
     WorkerRecord record = Record(id, "9:" + id, seq);
-    record.taker = taker;
+    record.receiver = receiver;
     record.version = seq;
     return record;
   }
   // As two nodes do it: `asker` shows its entries, both take over what the other has newer.
-  static void Exchange(WorkerState* asker, WorkerState* asked) {
-    RepairResponse answer;
+  static void Exchange(WorkerState* initiator, WorkerState* peer) {
+    RepairResponse response;
     for (std::size_t i = 0; i < WorkerTable::kShards; ++i)
-      asked->Compare(kStart, {static_cast<std::uint32_t>(i), asker->Entries(i)}, 1000, &answer);
-    const auto wanted = asker->ExportHashed(kStart, answer.wanted);
-    for (const WorkerUpdate::Item& item : answer.update.items) asker->Adopt(kStart, item);
-    for (const WorkerUpdate::Item& item : wanted) asked->Adopt(kStart, item);
+      peer->Compare(kStart, {static_cast<std::uint32_t>(i), initiator->Entries(i)}, 1000,
+                    &response);
+    const auto wanted = initiator->ExportHashed(kStart, response.wanted);
+    for (const WorkerUpdate::Item& item : response.update.items) initiator->Adopt(kStart, item);
+    for (const WorkerUpdate::Item& item : wanted) peer->Adopt(kStart, item);
   }
 
   WorkerState state_{{kExpiry, 60 * kSecond}};
--- a/tests/tier/routing/route_table_test.cpp
+++ b/tests/tier/routing/route_table_test.cpp
@@ -57,12 +57,12 @@
   CPPUNIT_TEST_SUITE(RouteTableTest);
   CPPUNIT_TEST(ReadsRoutes);
   CPPUNIT_TEST(ReadsServicesAndLimits);
-  CPPUNIT_TEST(TakesDefaultsForWhatIsAbsent);
-  CPPUNIT_TEST(KnowsWhatMayBeRepeated);
+  CPPUNIT_TEST(UsesDefaultsForAbsentFields);
+  CPPUNIT_TEST(KnowsIdempotentRoutes);
   CPPUNIT_TEST(MatchesTheLongestPrefix);
-  CPPUNIT_TEST(PicksByShare);
-  CPPUNIT_TEST(RefusesWhatIsWrong);
-  CPPUNIT_TEST(RefusesEveryBeginningOfAConfiguration);
+  CPPUNIT_TEST(PicksTargetsByWeight);
+  CPPUNIT_TEST(RejectsInvalidConfigurations);
+  CPPUNIT_TEST(RejectsEveryTruncatedConfiguration);
   CPPUNIT_TEST(ReportsAllFindingsTogether);
   CPPUNIT_TEST(BoundsTheNestingAndTheReport);
   CPPUNIT_TEST_SUITE_END();
@@ -75,7 +75,7 @@
     const Route* split = table->FindRoute("r-split");
     CPPUNIT_ASSERT(split != nullptr);
     CPPUNIT_ASSERT(split->variant == Variant::kStreamed);
-    CPPUNIT_ASSERT(split->pinned && split->resumable);
+    CPPUNIT_ASSERT(split->affinity && split->resumable);
     CPPUNIT_ASSERT_EQUAL(2, split->attempts);
     CPPUNIT_ASSERT_EQUAL(250.0, split->gap_target_ms);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, split->targets.size());
@@ -104,7 +104,7 @@
     CPPUNIT_ASSERT_EQUAL(2500.0, table->limits().header_wait_ms);
   }
 
-  void TakesDefaultsForWhatIsAbsent() {
+  void UsesDefaultsForAbsentFields() {
     const auto table = RouteTable::Parse(R"({"version_no":1.0,"services":[{"name":"a"}],"routes":[
       {"name":"r","host":"h","path_prefix":"/","limit_ms":5,"target":"a","variant":"later"}]})");
     CPPUNIT_ASSERT_MESSAGE(std::string(table.status().message()), table.ok());
@@ -115,7 +115,7 @@
     CPPUNIT_ASSERT(RouteTable::Parse(R"({"version_no":1,"services":[],"routes":[]})").ok());
   }
 
-  void KnowsWhatMayBeRepeated() {
+  void KnowsIdempotentRoutes() {
     const auto table = Example();
     CPPUNIT_ASSERT(table->FindRoute("r-split")->IsIdempotent());
     CPPUNIT_ASSERT(!table->FindRoute("r-one")->IsIdempotent());
@@ -156,7 +156,7 @@
     }
   }
 
-  void PicksByShare() {
+  void PicksTargetsByWeight() {
     const auto table = Example();
     const Route& split = *table->FindRoute("r-split");
     CPPUNIT_ASSERT_EQUAL(std::string("huvo11a"), RouteTable::Pick(split, 0).service);
@@ -169,7 +169,7 @@
     }
   }
 
-  void RefusesWhatIsWrong() {
+  void RejectsInvalidConfigurations() {
     struct Case {
       std::string from, to, finding;
     };
@@ -242,10 +242,10 @@
     MessageOf("null");
   }
 
-  void RefusesEveryBeginningOfAConfiguration() {
-    const std::string whole(kExample);
-    for (std::size_t length = 0; length < whole.size(); ++length) {
-      const auto table = RouteTable::Parse(whole.substr(0, length));
+  void RejectsEveryTruncatedConfiguration() {
+    const std::string integer(kExample);
+    for (std::size_t length = 0; length < integer.size(); ++length) {
+      const auto table = RouteTable::Parse(integer.substr(0, length));
       CPPUNIT_ASSERT_MESSAGE(std::to_string(length) + " bytes taken", !table.ok());
     }
   }
