--- a/src/tier/batch/batch_job_age.cpp
+++ b/src/tier/batch/batch_job_age.cpp
@@ -5,7 +5,7 @@
 namespace pearreach::batch {
 namespace {
 
-// Later costs nothing.
+// Added to the spans that clients were promised: to be late by these costs nothing.
 constexpr double kAbandonMarginMs = 5'000, kForgetMarginMs = 30'000, kShortMarginMs = 5'000;
 constexpr double kUnlimitedMs = 24 * 3600 * 1000.0;  // of a route without `retain_s`
 
--- a/src/tier/batch/batch_job_age.h
+++ b/src/tier/batch/batch_job_age.h
@@ -1,7 +1,7 @@
-// How old a lot is, as far as this process can be sure: by its steady clock, from when it first
-// knew the lot. The time of day may step and differs between machines, so an age by it may be too
-// high, and items would be given up or lots forgotten before their time. This age never is; a
-// restart begins it anew.
+// The age of a batch job, by the steady clock of this process, from when it first knew the job. The
+// wall clock may step and differs between machines, so an age by it may be too high, and items would
+// be abandoned or jobs forgotten before their time. This age is never too high; it starts anew when
+// the process restarts. Pure functions.
 #ifndef PEARREACH_SRC_TIER_BATCH_BATCH_JOB_AGE_H_
 #define PEARREACH_SRC_TIER_BATCH_BATCH_JOB_AGE_H_
 
@@ -10,12 +10,13 @@
 
 namespace pearreach::batch {
 
-// `now` of all of these is of the clock that BatchJobTable::StampNew was given. A lot that was not
+// `now` of all of these is of the clock that BatchJobTable::StampNew was given. A batch job that was not
 // stamped yet counts as new.
 
-// Its open items have outlived `retain_s`: they may be listed as abandoned.
+// Whether its open items have outlived `retain_s`: they may be listed as abandoned.
 bool MayAbandon(const BatchJob& batch_job, Micros now);
-// Nobody may ask for it any more: its records may go. Sooner where the disk is short of room.
+// Whether no client may read it any more: its records may be deleted. Sooner if `is_short`, which says
+// that the disk is short of space.
 bool MayForget(const BatchJob& batch_job, Micros now, bool is_short);
 // Milliseconds for which its items may still be run.
 double RunLeftMs(const BatchJob& batch_job, Micros now);
--- a/src/tier/batch/batch_job_api.cpp
+++ b/src/tier/batch/batch_job_api.cpp
@@ -3,14 +3,13 @@
 #include <fmt/format.h>
 
 #include <algorithm>
-#include <charconv>
-#include <limits>
 #include <optional>
 #include <utility>
 #include <vector>
 
 #include "tier/batch/batch_job_json.h"
 #include "tier/batch/batch_job_submission.h"
+#include "tier/batch/request_target.h"
 #include "tier/logging/log.h"
 
 namespace pearreach::batch {
@@ -21,75 +20,21 @@
 constexpr std::string_view kBatchJobsPath = "/lots/";
 constexpr std::string_view kItemsPath = "/items/";
 constexpr char kWriteRetryAfter[] = "0.5";
-constexpr char kDiskFullRetryAfter[] = "2";  // disks are freed as lots grow old
+constexpr char kDiskFullRetryAfter[] = "2";  // disks are freed as batch jobs grow old
 constexpr char kReadRetryAfter[] = "0.3";
-// The longest hold of a read, whatever the client allows.
+constexpr std::string_view kNoSuchBatchJob = R"({"error":"no such lot"})";
+// The longest time that a read is held open, whatever the client allows.
 constexpr std::int64_t kMaxWaitMs = 10'000;
 // Beyond the time that a read may be held: its client waits 1.5 s longer than it allows.
 constexpr Micros kReadTimeout = 1200 * kMs;
 constexpr Micros kReadAttemptTimeout = 800 * kMs;
 constexpr Micros kCancelTimeout = 2500 * kMs;
-// A hand-in: the longest wait where the client names none; the least before it is refused; what is
-// kept for the way back of the answer.
+// A submission: the longest time if the client names none; the least time before it is rejected; what
+// is kept of the client's time for the way back of the response.
 constexpr Micros kDefaultSubmitTimeout = 5 * kSecond;
-constexpr Micros kMinUnsentTimeout = 1 * kSecond;  // clients take a longer silence for a loss
+constexpr Micros kMinUnsentTimeout = 1 * kSecond;  // clients take a longer wait for a loss
 constexpr Micros kMaxResponseMargin = 200 * kMs;
 
-struct Target {
-  std::string_view path, query;
-};
-
-Target SplitTarget(std::string_view target) {
-  const std::size_t query_mark = target.find('?');
-  if (query_mark == std::string_view::npos) return {target, {}};
-  return {target.substr(0, query_mark), target.substr(query_mark + 1)};
-}
-
-int HexDigit(char c) {
-  if (c >= '0' && c <= '9') return c - '0';
-  if (c >= 'a' && c <= 'f') return c - 'a' + 10;
-  if (c >= 'A' && c <= 'F') return c - 'A' + 10;
-  return -1;
-}
-
-std::string PercentDecode(std::string_view text) {
-  std::string plain;
-  plain.reserve(text.size());
-  for (std::size_t at = 0; at < text.size(); ++at) {
-    const bool is_code = text[at] == '%' && at + 2 < text.size() && HexDigit(text[at + 1]) >= 0 &&
-                         HexDigit(text[at + 2]) >= 0;
-    if (!is_code) {
-      plain.push_back(text[at]);
-      continue;
-    }
-    plain.push_back(static_cast<char>(HexDigit(text[at + 1]) * 16 + HexDigit(text[at + 2])));
-    at += 2;
-  }
-  return plain;
-}
-
-std::optional<std::string_view> QueryValue(std::string_view query, std::string_view name) {
-  while (!query.empty()) {
-    const std::size_t end = query.find('&');
-    const std::string_view pair = query.substr(0, end);
-    const std::size_t equals = pair.find('=');
-    if (pair.substr(0, equals) == name) {
-      return equals == std::string_view::npos ? std::string_view() : pair.substr(equals + 1);
-    }
-    if (end == std::string_view::npos) break;
-    query.remove_prefix(end + 1);
-  }
-  return std::nullopt;
-}
-
-template <class Number>
-std::optional<Number> ParseNumber(std::string_view text) {
-  Number value = 0;
-  const auto read = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (read.ec != std::errc() || read.ptr != text.data() + text.size()) return std::nullopt;
-  return value;
-}
-
 std::optional<double> NumberHeader(const http::Message& request, std::string_view name) {
   const std::string* text = request.Find(name);
   if (text == nullptr) return std::nullopt;
@@ -106,20 +51,28 @@
   exchange->Respond(status, {{"Retry-After", retry_after}}, {});
 }
 
+// Responds to a call about something that the stores may not have: by `respond` if it was found, 404
+// with `not_found` if it was not, 503 if no store has responded.
+template <class Response, class Respond>
+void RespondIfFound(const std::shared_ptr<http_server::Exchange>& exchange,
+                    const absl::StatusOr<Response>& response, std::string_view not_found,
+                    const Respond& respond) {
+  if (!response.ok()) {
+    RejectWithRetryAfter(exchange, 503, kReadRetryAfter);
+  } else if (!response->found) {
+    RespondJson(exchange, 404, not_found);
+  } else {
+    respond(*response);
+  }
+}
+
 // Seconds with fractions, as clients take them.
 std::string RetryAfterOf(const CreateBatchJobResponse& response) {
   if (response.retry_after_ms <= 0) return kWriteRetryAfter;
   return fmt::format("{:.1f}", static_cast<double>(response.retry_after_ms) / 1000);
 }
 
-// The last segment after `prefix`; empty: it is not one.
-std::string_view LastSegmentAfter(std::string_view path, std::string_view prefix) {
-  if (path.substr(0, prefix.size()) != prefix) return {};
-  path.remove_prefix(prefix.size());
-  return path.find('/') == std::string_view::npos ? path : std::string_view();
-}
-
-// How long a hand-in may take from its arrival on.
+// How long a submission may take from its arrival on.
 Micros SubmitTimeout(const http::Message& request, const routing::Route& route) {
   Micros time = kDefaultSubmitTimeout;
   const auto deadline = NumberHeader(request, "X-Deadline-Ms");
@@ -158,7 +111,7 @@
   } else if (absl::IsUnavailable(response.status())) {
     RejectWithRetryAfter(exchange, 503, kWriteRetryAfter);
   } else {
-    // A 503 would promise that nothing of it runs.
+    // A 503 would promise that no item of it runs.
     exchange->Respond(504, {}, {});
   }
 }
@@ -188,7 +141,7 @@
     RejectWithRetryAfter(exchange, 503, kReadRetryAfter);
     return;
   }
-  const Target target = SplitTarget(request.target);
+  const RequestTarget target = SplitTarget(request.target);
   const std::string_view batch_job = LastSegmentAfter(target.path, kBatchJobsPath);
   if (batch_job.empty()) {
     ReadBody(exchange, PercentDecode(LastSegmentAfter(target.path, kItemsPath)), target.query);
@@ -229,7 +182,7 @@
       [exchange](const absl::StatusOr<CreateBatchJobResponse>& response) {
         RespondToSubmit(exchange, response);
       });
-  // The client's connection keeps the hand-in.
+  // The client's connection owns the submission.
   exchange->OnClosed([submission] { submission->Cancel(); });
   submission->Start();
 }
@@ -255,13 +208,9 @@
   time.attempt = read.wait_ms * kMs + kReadAttemptTimeout;
   const std::uint64_t start = read.start_after;
   const auto on_response = [exchange, start](const absl::StatusOr<ReadBatchJobResponse>& response) {
-    if (!response.ok()) {
-      RejectWithRetryAfter(exchange, 503, kReadRetryAfter);
-    } else if (!response->found) {
-      RespondJson(exchange, 404, R"({"error":"no such lot"})");
-    } else {
-      RespondJson(exchange, 200, WriteOutputs(*response, start));
-    }
+    RespondIfFound(exchange, response, kNoSuchBatchJob,
+ [&](const ReadBatchJobResponse& found) {
+RespondJson(exchange, 200, WriteOutputs(found, start));});
   };
   CancelOnDisconnect(exchange, stores_->Read(std::move(read), time, on_response));
 }
@@ -280,13 +229,9 @@
   time.overall = kReadTimeout;
   time.attempt = kReadAttemptTimeout;
   const auto on_response = [exchange](const absl::StatusOr<ReadItemBodyResponse>& response) {
-    if (!response.ok()) {
-      RejectWithRetryAfter(exchange, 503, kReadRetryAfter);
-    } else if (!response->found) {
-      RespondJson(exchange, 404, R"({"error":"no such item"})");
-    } else {
-      exchange->Respond(200, {{"Content-Type", "application/octet-stream"}}, response->body);
-    }
+    RespondIfFound(exchange, response, R"({"error":"no such item"})",
+ [&](const ReadItemBodyResponse& found) {
+exchange->Respond(200, {{"Content-Type", "application/octet-stream"}}, found.body);});
   };
   CancelOnDisconnect(exchange, stores_->ReadBody(std::move(read), time, on_response));
 }
@@ -298,13 +243,9 @@
   CallTime time;
   time.overall = kCancelTimeout;
   const auto on_response = [exchange](const absl::StatusOr<CancelBatchJobResponse>& response) {
-    if (!response.ok()) {
-      RejectWithRetryAfter(exchange, 503, kReadRetryAfter);
-    } else if (!response->found) {
-      RespondJson(exchange, 404, R"({"error":"no such lot"})");
-    } else {
-      RespondJson(exchange, 200, "{}");
-    }
+    RespondIfFound(exchange, response, kNoSuchBatchJob,
+ [&](const CancelBatchJobResponse& ) {
+RespondJson(exchange, 200, "{}");});
   };
   CancelOnDisconnect(exchange, stores_->CancelBatch(std::move(cancel), time, on_response));
 }
--- a/src/tier/batch/batch_job_api.h
+++ b/src/tier/batch/batch_job_api.h
@@ -1,5 +1,5 @@
-// The clients' calls about lots at an edge node: hand in, read, body of an item, end. Nothing about
-// a lot is kept here; the stores answer.
+// The clients' calls about batch jobs at an edge node: submit, read, body of an item, cancel. Nothing
+// about a batch job is kept here; the stores respond.
 #ifndef PEARREACH_SRC_TIER_BATCH_BATCH_JOB_API_H_
 #define PEARREACH_SRC_TIER_BATCH_BATCH_JOB_API_H_
 
@@ -15,24 +15,28 @@
 
 namespace pearreach::batch {
 
-// What the operator's bounds say of lots.
+// The operator's limits for batch jobs.
 struct BatchJobLimits {
   double status_s = 120;
   double quota_excess = 0.1;
 };
 
+// Owned by the node; used on the event loop's thread only.
 class BatchJobApi {
  public:
-  // `offers`: see BatchJobSubmission.
+  // All pointers outlive this. `offers`: see BatchJobSubmission.
   BatchJobApi(Timers* timers, StoreClient* stores, control::ControlClient* control,
               BatchJobLimits limits, bool offers = true);
 
   void SetLimits(BatchJobLimits limits) { limits_ = limits; }
   // GET or DELETE of /lots/ID, GET of /items/ID.
   static bool IsBatchJobCall(const http::Message& request);
-  // Answers a call for which IsBatchJobCall is true.
+  // Responds to a call for which IsBatchJobCall is true: 404 if there is no such batch job or item,
+  // 503 with Retry-After if no store responds in time.
   void Handle(const std::shared_ptr<http_server::Exchange>& exchange);
-  // A POST under the prefix of a bulk route. `route` is needed for the time of the call only.
+  // A POST under the prefix of a bulk route. `route` is needed for the time of the call only. Responds
+  // 202 once the batch job is stored, 400 if it is malformed, 429 or 503 with Retry-After if it was
+  // rejected, and 504 if it may have been accepted.
   void Submit(const std::shared_ptr<http_server::Exchange>& exchange, const routing::Route& route);
 
  private:
@@ -42,7 +46,7 @@
                 std::string_view query);
   void CancelBatch(const std::shared_ptr<http_server::Exchange>& exchange,
                    std::string batch_job_id);
-  // The call is dropped when the client leaves.
+  // Cancels the call when the client disconnects.
   void CancelOnDisconnect(const std::shared_ptr<http_server::Exchange>& exchange,
                           StoreClient::CallId call);
 
--- a/src/tier/batch/batch_job_json.cpp
+++ b/src/tier/batch/batch_job_json.cpp
@@ -17,7 +17,7 @@
 
 using rapidjson::Value;
 
-// An answer is a little under 1 MB also where contents grow by escapes; and what an output takes
+// A response stays a little under 1 MB, also where contents grow by escapes; and what an output takes
 // besides its texts.
 constexpr std::size_t kMaxResponseBytes = 900'000, kOutputOverheadBytes = 64;
 
@@ -33,7 +33,7 @@
   return &found->value;
 }
 
-// A header as it can be sent on: no line ends, a name that is not empty.
+// Whether a header can be forwarded: no line ends, a name that is not empty.
 bool IsHeader(std::string_view name, std::string_view value) {
   constexpr std::string_view kNotInName("\r\n:\0 ", 5), kNotInValue("\r\n\0", 3);
   return !name.empty() && name.find_first_of(kNotInName) == std::string_view::npos &&
@@ -68,9 +68,11 @@
   return absl::OkStatus();
 }
 
-bool DecodePayload(const Value& payload, std::string* body) {
+absl::StatusOr<std::string> DecodePayload(const Value& payload) {
   const absl::string_view text(payload.GetString(), payload.GetStringLength());
-  return absl::Base64Unescape(text, body);
+  std::string body;
+  if (!absl::Base64Unescape(text, &body)) return Malformed("payload: not base64");
+  return body;
 }
 
 absl::StatusOr<ItemSpec> ReadItem(const Value& entry) {
@@ -85,8 +87,10 @@
   if (path == nullptr || !IsTarget(ToView(*path))) return Malformed("path: missing or not a path");
   item.item_id = ToView(*id);
   item.path = ToView(*path);
-  if (payload != nullptr && !DecodePayload(*payload, &item.body)) {
-    return Malformed("payload: not base64");
+  if (payload != nullptr) {
+    auto body = DecodePayload(*payload);
+    if (!body.ok()) return body.status();
+    item.body = *std::move(body);
   }
   if (const auto status = ReadHeaders(entry, &item); !status.ok()) return status;
   if (const auto status = ReadTokens(entry, &item); !status.ok()) return status;
--- a/src/tier/batch/batch_job_json.h
+++ b/src/tier/batch/batch_job_json.h
@@ -1,4 +1,4 @@
-// The JSON of lots on the wire: the items of a hand-in, and the outputs of a read.
+// The JSON of batch jobs on the wire: the items of a submission, and the outputs of a read.
 #ifndef PEARREACH_SRC_TIER_BATCH_BATCH_JOB_JSON_H_
 #define PEARREACH_SRC_TIER_BATCH_BATCH_JOB_JSON_H_
 
@@ -13,18 +13,19 @@
 
 namespace pearreach::batch {
 
-// Most items of a lot.
+// Most items of a batch job.
 constexpr std::size_t kMaxItems = 200;
 
-// The items of {"entries":[{"worker_id","path","headers","payload","tokens"}]}; INVALID_ARGUMENT
-// says what is wrong. `body` is overwritten.
+// The items of {"entries":[{"worker_id","path","headers","payload","tokens"}]}.
+// INVALID_ARGUMENT names the field at fault. `body` is overwritten.
 absl::StatusOr<std::vector<ItemSpec>> ParseItems(std::string body);
 
-// {"total":..,"outputs":[..],"next_token":..}; the bytes of contents are kept as they are. Outputs
-// that would make the answer too long are left for the next read; there is one at least.
+// {"total":..,"outputs":[..],"next_token":..}; contents are written byte by byte, whatever
+// their encoding. Outputs that would make the response too long are left for the next read; there is
+// one at least.
 std::string WriteOutputs(const ReadBatchJobResponse& response, std::uint64_t start_after);
 
-// A hash of a hand-in, the same on every node.
+// A hash of the body of a submission, the same on every node.
 std::uint64_t Fingerprint(std::string_view body);
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/batch_job_submission.cpp
+++ b/src/tier/batch/batch_job_submission.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr char kModule[] = "batch";
-// A question that is not answered within this goes again: several times the way to a store and on
-// to its replicas, and a small part of the second that clients wait.
+// An offer or a quota query without a response is sent again after this: several times the way to a
+// store and on to its replicas, and a small part of the second that clients wait.
 constexpr Micros kPreCheckTimeout = 300 * kMs;
 
 double TokensOf(const BatchJobSpec& batch_job) {
@@ -88,12 +88,12 @@
 
 void BatchJobSubmission::OnOffer(const absl::StatusOr<OfferBatchJobResponse>& response) {
   offer_call_ = 0;
-  if (!response.ok()) return;  // its time is over: FailOnTimeout comes
+  if (!response.ok()) return;  // its time is over: FailOnTimeout follows
   offer_ = response->verdict;
   Decide();
 }
 
-// A question that the owner cannot answer for sure is left to the reservation.
+// What the owner cannot decide for certain is left to the reservation at the store.
 void BatchJobSubmission::OnQuota(const absl::StatusOr<QuotaResponse>& response) {
   quota_call_ = 0;
   if (!response.ok()) return;
@@ -113,8 +113,8 @@
   Create();
 }
 
-// A lot that does not fit is refused also where the stores that would keep it do not answer. They
-// are given a moment, since one that was taken before is acknowledged again.
+// A batch job that exceeds its quota is rejected even if the stores that would hold it do not
+// respond. They get a moment, since a job that was accepted before is acknowledged again.
 void BatchJobSubmission::AwaitOffer() {
   if (!IsOverQuota() || offer_timer_ != 0) return;
   offer_timer_ = timers_->After(kPreCheckTimeout, [this] {
--- a/src/tier/batch/batch_job_submission.h
+++ b/src/tier/batch/batch_job_submission.h
@@ -1,7 +1,7 @@
-// One hand-in of a lot at an edge node: asks first whether the lot fits its route's quota and
-// whether the stores that would keep it answer, and sends its items only then. A hand-in that
-// cannot go on is therefore refused for sure, in time for its client to come again, except where a
-// store is lost in the few milliseconds between the offer and the answer.
+// One submission of a batch job at an edge node: asks first whether the job fits its route's quota
+// and whether the stores that would hold it respond, and sends its items only then. A submission that
+// cannot proceed is therefore rejected for certain, in time for its client to retry, unless a store
+// fails in the few milliseconds between the offer and the response.
 #ifndef PEARREACH_SRC_TIER_BATCH_BATCH_JOB_SUBMISSION_H_
 #define PEARREACH_SRC_TIER_BATCH_BATCH_JOB_SUBMISSION_H_
 
@@ -18,13 +18,14 @@
 
 namespace pearreach::batch {
 
+// Owned by the client's exchange through a shared pointer; used on the event loop's thread only.
 class BatchJobSubmission : public std::enable_shared_from_this<BatchJobSubmission> {
  public:
   using Done = StoreClient::Done<CreateBatchJobResponse>;
 
-  // `time`: see StoreClient::Create. `offers`: false sends the lot without a question. `done` is
-  // called exactly once, never from inside Start, unless Cancel comes first. UNAVAILABLE: surely
-  // not taken.
+  // `time`: see CallTime. `offers`: false sends the batch job at once. `done` is called exactly once,
+  // never from inside Start, unless Cancel comes first; for its errors see StoreClient::Create.
+  // UNAVAILABLE: certainly not accepted.
   BatchJobSubmission(Timers* timers, StoreClient* stores, BatchJobSpec batch_job, CallTime time,
                      bool offers, Done done);
   ~BatchJobSubmission();
@@ -32,7 +33,7 @@
   BatchJobSubmission& operator=(const BatchJobSubmission&) = delete;
 
   void Start();
-  // The client has left.
+  // The client has disconnected.
   void Cancel();
 
  private:
@@ -57,7 +58,7 @@
   const Micros started_at_;
   const CallTime time_;
   const bool offers_;
-  Done done_;  // null: it has ended
+  Done done_;  // null: ended or cancelled
   StoreClient::CallId offer_call_ = 0, quota_call_ = 0, create_call_ = 0;
   std::optional<OfferVerdict> offer_;
   std::optional<QuotaDecision> quota_decision_;
--- a/src/tier/batch/event_text.cpp
+++ b/src/tier/batch/event_text.cpp
@@ -1,28 +1,26 @@
 #include "tier/batch/event_text.h"
 
+#include <optional>
+
 namespace pearreach::batch {
 namespace {
 
-// The value of the line's `data` field, without the one space that may follow the colon.
-bool DataOf(std::string_view line, std::string_view* value) {
+// The value of the line's `data` field, without the one space that may follow the colon; none: the
+// line is another field.
+std::optional<std::string_view> DataOf(std::string_view line) {
   constexpr std::string_view kName = "data";
-  if (line.substr(0, kName.size()) != kName) return false;
+  if (line.substr(0, kName.size()) != kName) return std::nullopt;
   line.remove_prefix(kName.size());
-  if (line.empty()) {
-    *value = line;
-    return true;
-  }
-  if (line.front() != ':') return false;
+  if (line.empty()) return line;
+  if (line.front() != ':') return std::nullopt;
   line.remove_prefix(1);
   if (!line.empty() && line.front() == ' ') line.remove_prefix(1);
-  *value = line;
-  return true;
+  return line;
 }
 
 }  // namespace
 
 void EventText::EndLine() {
-  std::string_view value;
   if (line_.empty()) {
     if (has_data_) {
       if (has_event_) text_.push_back('\n');
@@ -31,9 +29,9 @@
     }
     data_.clear();
     has_data_ = false;
-  } else if (DataOf(line_, &value)) {
+  } else if (const auto value = DataOf(line_); value.has_value()) {
     if (has_data_) data_.push_back('\n');
-    data_ += value;
+    data_ += *value;
     has_data_ = true;
   }
   line_.clear();
--- a/src/tier/batch/item_puller.h
+++ b/src/tier/batch/item_puller.h
@@ -1,5 +1,5 @@
-// Takes items of lots from the stores: keeps a call open at each primary store for as long as this
-// node has room to run items.
+// Pulls items of batch jobs from the stores: keeps a long poll open at each primary store for as
+// long as this node has capacity to run items.
 #ifndef PEARREACH_SRC_TIER_BATCH_ITEM_PULLER_H_
 #define PEARREACH_SRC_TIER_BATCH_ITEM_PULLER_H_
 
@@ -13,29 +13,34 @@
 #include "tier/batch/messages.h"
 #include "tier/batch/store_client.h"
 #include "tier/control/control_client.h"
+#include "tier/control/time_source.h"
 #include "tier/proxy/request.h"
 #include "tier/routing/route_table.h"
 
 namespace pearreach::batch {
 
+// Owned by an ItemWorker; used on the event loop's thread only.
 class ItemPuller {
  public:
   using ItemHandler = std::function<void(LeasedItem item)>;
 
-  // `process`: this process of the node, greater for a later one, until membership says more.
+  // All pointers outlive this. `process`: the incarnation of this process of `node`, greater for a
+  // later one, as long as membership has none. `handler` is called for each item.
   ItemPuller(Timers* timers, StoreClient* stores, control::ControlClient* control,
              proxy::RequestRunner* runner, std::string node, std::uint64_t process,
-             ItemHandler taken);
-  // What stores know this process by: its incarnation in membership, which may have been raised.
+             ItemHandler handler);
+  // By what the stores know this process: its incarnation in membership, which may have been
+  // raised.
   std::uint64_t Incarnation() const;
   ~ItemPuller();
   ItemPuller(const ItemPuller&) = delete;
   ItemPuller& operator=(const ItemPuller&) = delete;
 
-  // Asks the stores that are not being asked, where there is room.
+  // Pulls from the stores that have no open pull, where there is capacity.
   void Poll();
-  // An item could not be run: asks no store for a short while.
+  // An item could not be run: starts no pull for a short while.
   void BackOff();
+  // Starts no more pulls; items that still come are dropped, and their leases expire.
   void Stop();
 
  private:
@@ -45,7 +50,7 @@
   };
 
   std::map<std::string, int> Capacity(const routing::RouteTable& routes, int stores) const;
-  void PullFrom(const StoreId& store, std::map<std::string, int> room);
+  void PullFrom(const StoreId& store, std::map<std::string, int> capacity);
   void OnPulled(const StoreId& store, Micros sent_at, absl::StatusOr<PullItemsResponse> response);
   void PollLater(Micros delay);
   bool HasRecentWork(Micros now) const;
@@ -61,7 +66,7 @@
   Timers::Id timer_ = 0;
   Micros last_item_at_ = 0, backoff_until_ = 0;
   bool stopped_ = false;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  control::CallbackOwner callbacks_;
 };
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/item_request.cpp
+++ b/src/tier/batch/item_request.cpp
@@ -11,10 +11,10 @@
 namespace pearreach::batch {
 namespace {
 
-// Most workers that one run may go to.
+// Most workers that one run may be sent to.
 constexpr int kMaxWorkersPerRun = 3;
 
-// Headers of a hand-in that the run sets itself or that concern one connection only.
+// Headers of a submission that the run sets itself or that concern one connection only.
 bool IsReservedHeader(std::string_view name) {
   constexpr std::array<std::string_view, 9> kReserved = {
       "Host",    "X-Attempt-Id", "Content-Length", "Transfer-Encoding", "Connection", "Keep-Alive",
--- a/src/tier/batch/item_request.h
+++ b/src/tier/batch/item_request.h
@@ -1,4 +1,4 @@
-// The job that runs an item of a lot.
+// The request that runs an item of a batch job.
 #ifndef PEARREACH_SRC_TIER_BATCH_ITEM_REQUEST_H_
 #define PEARREACH_SRC_TIER_BATCH_ITEM_REQUEST_H_
 
@@ -11,8 +11,8 @@
 
 namespace pearreach::batch {
 
-// A bulk job at a worker of `service` that is over within `time` from now. It ends at the first
-// answer of 500: the store counts these.
+// A bulk request to a worker of `service` that ends within `time` (microseconds) from now. It ends at
+// the first response of 500, as the store counts these.
 proxy::RequestSpec MakeItemRequest(LeasedItem leased, const routing::Route& route,
                                    std::string service, Micros time);
 
--- a/src/tier/batch/item_worker.cpp
+++ b/src/tier/batch/item_worker.cpp
@@ -3,27 +3,23 @@
 #include <algorithm>
 #include <string_view>
 
-#include "tier/batch/event_text.h"
 #include "tier/batch/item_request.h"
 
 namespace pearreach::batch {
 namespace {
 
-// The longest that one run of an item may take; items stand outside the route's limit.
+// The longest that one run of an item may take; the route's limit_ms does not apply to items.
 constexpr Micros kMaxRunTime = 30 * kSecond;
 constexpr Micros kRenewPeriod = 1 * kSecond;
 constexpr Micros kRenewTimeout = 1 * kSecond;
-// A result is offered to the stores for this long at a time, with pauses.
+// A result is reported for this long at a time, with delays between.
 constexpr Micros kReportTimeout = 5 * kSecond;
 constexpr Micros kReportRetryDelay = 500 * kMs;
-// A lease that is of no use is offered back for this long; then it runs out.
+// A lease that is of no use is returned to its store for this long; then it expires.
 constexpr Micros kReturnTimeout = 1 * kSecond;
-// A result that no store takes is kept this long beyond the time when its item may be given up.
+// A result that no store acknowledges is kept this long beyond the time when its item may be abandoned.
 constexpr Micros kResultRetention = 30 * kSecond;
 
-constexpr int kStatusWorkerFailed = 500;
-constexpr int kStatusItemImpossible = 422;
-
 bool RoutesTo(const routing::Route& route, std::string_view service) {
   return std::any_of(route.targets.begin(), route.targets.end(), [&](const auto& target) {
     return target.weight > 0 && target.service == service;
@@ -37,51 +33,14 @@
   std::uint64_t lease = 0;
   Micros lease_time = 0;  // that each renewal gives
   Micros expires = 0;
-  Micros result_expires = 0;  // a result that nobody takes is dropped then
-  std::shared_ptr<Run> run;   // null: the run has ended and `result` is to be reported
+  Micros result_expires = 0;     // a result that no store acknowledges is dropped then
+  std::shared_ptr<ItemRun> run;  // null: the run has ended and `result` is to be reported
   std::uint64_t request_id = 0;
   ItemResult result;
   StoreClient::CallId report_call = 0;
   Timers::Id report_timer = 0;
 };
 
-// ---------------------------------------------------------------- one run
-
-class ItemWorker::Run final : public proxy::RequestSink {
- public:
-  Run(ItemWorker* worker, Key key) : worker_(worker), key_(std::move(key)) {}
-
-  void OnHead(int status, const std::vector<http::Header>&) override { status_ = status; }
-  void OnBody(std::string_view bytes) override {
-    if (IsSuccess()) text_.Feed(bytes);
-  }
-  void OnEnd(const proxy::RequestResult& result) override {
-    if (worker_ == nullptr) return;
-    ItemWorker* worker = worker_;
-    worker_ = nullptr;
-    worker->OnRunEnd(key_, result);
-  }
-
-  void Detach() { worker_ = nullptr; }
-  RunOutcome Outcome(const proxy::RequestResult& result) const {
-    const int status = IsSuccess() || status_ == 0 ? result.worker_status : status_;
-    const bool is_complete = IsSuccess() && text_.AtEventEnd();
-    if (result.end == proxy::RequestEnd::kComplete && is_complete) return RunOutcome::kComplete;
-    if (status == kStatusWorkerFailed) return RunOutcome::kFailed;
-    if (status == kStatusItemImpossible) return RunOutcome::kImpossible;
-    return RunOutcome::kReturned;
-  }
-  std::string TakeText() { return text_.Take(); }
-
- private:
-  bool IsSuccess() const { return status_ >= 200 && status_ < 300; }
-
-  ItemWorker* worker_;
-  Key key_;
-  int status_ = 0;
-  EventText text_;
-};
-
 ItemWorker::ItemWorker(Timers* timers, StoreClient* stores, control::ControlClient* control,
                        proxy::RequestRunner* runner, std::string node, std::uint64_t process)
     : timers_(timers),
@@ -92,14 +51,11 @@
       random_(std::random_device()()),
       puller_(timers, stores, control, runner, node_, process,
               [this](LeasedItem item) { OnItemPulled(std::move(item)); }) {
-  control->OnChange([this, alive = alive_] {
-    if (*alive) OnControlChange();
-  });
+  control->OnChange(callbacks_.Bind([this] { OnControlChange(); }));
   puller_.Poll();
 }
 
 ItemWorker::~ItemWorker() {
-  *alive_ = false;
   timers_->Cancel(&renew_timer_);
   timers_->Cancel(&grace_timer_);
   for (auto& [key, item] : in_flight_) {
@@ -145,8 +101,9 @@
   StartRun(key, std::move(leased), *route);
 }
 
-// A store leases what this node has. A run goes on under the new lease. A result stays that of the
-// lease under which it came about, so that a failure counts once; the new lease goes back.
+// A store leases an item that this node has already. A run continues under the new lease. A result
+// stays that of the lease under which it came about, so that a failure counts once; the new lease is
+// returned.
 void ItemWorker::OnLeasedAgain(InFlightItem* item, const LeasedItem& leased) {
   if (item->run != nullptr) {
     item->lease = leased.lease;
@@ -176,8 +133,9 @@
   }
   InFlightItem* item = in_flight_.at(key).get();
   item->service = PickTarget(route).service;
-  item->run = std::make_shared<Run>(this, key);
-  const std::shared_ptr<Run> run = item->run;
+  item->run = std::make_shared<ItemRun>(
+      [this, key](const proxy::RequestResult& result) { OnRunEnd(key, result); });
+  const std::shared_ptr<ItemRun> run = item->run;
   const std::uint64_t request_id =
       runner_->Submit(MakeItemRequest(std::move(leased), route, item->service, time), run);
   // The run may have ended inside Submit.
@@ -189,7 +147,7 @@
 void ItemWorker::OnRunEnd(const Key& key, const proxy::RequestResult& result) {
   const auto found = in_flight_.find(key);
   if (found == in_flight_.end()) return;
-  const std::shared_ptr<Run> run = std::move(found->second->run);
+  const std::shared_ptr<ItemRun> run = std::move(found->second->run);
   if (run == nullptr) return;
   const RunOutcome outcome = run->Outcome(result);
   if (outcome == RunOutcome::kReturned) puller_.BackOff();
@@ -287,7 +245,7 @@
 void ItemWorker::RenewAll(Micros now) {
   std::map<StoreId, std::vector<Key>> by_store;
   for (const auto& [key, item] : in_flight_) {
-    if (item->run == nullptr) continue;  // its result speaks for itself
+    if (item->run == nullptr) continue;  // its result is being reported
     const StoreId* primary = stores_->PrimaryOf(key.first);
     if (primary != nullptr) by_store[*primary].push_back(key);
   }
@@ -297,17 +255,17 @@
     renew.process = puller_.Incarnation();
     renew.held = keys;
     stores_->Renew(store, std::move(renew), kRenewTimeout,
-                   [this, alive = alive_, keys = std::move(keys),
-                    now](const absl::StatusOr<RenewLeasesResponse>& answer) {
-                     if (*alive) OnRenewed(keys, now, answer);
-                   });
+                   callbacks_.Bind([this, keys = std::move(keys),
+                                    now](const absl::StatusOr<RenewLeasesResponse>& response) {
+                     OnRenewed(keys, now, response);
+                   }));
   }
 }
 
 void ItemWorker::OnRenewed(const std::vector<Key>& requested, Micros sent,
-                           const absl::StatusOr<RenewLeasesResponse>& answer) {
-  if (!answer.ok()) return;
-  for (const Key& key : answer->stop) {
+                           const absl::StatusOr<RenewLeasesResponse>& response) {
+  if (!response.ok()) return;
+  for (const Key& key : response->stop) {
     const auto found = in_flight_.find(key);
     if (found != in_flight_.end() && found->second->run != nullptr) Drop(key);
   }
@@ -320,7 +278,7 @@
 
 // ---------------------------------------------------------------- changes
 
-// Ends a run from here; the item goes back to its store.
+// Stops a run and returns the item to its store.
 void ItemWorker::ReturnToStore(const Key& key) {
   InFlightItem* item = in_flight_.at(key).get();
   item->run->Detach();
@@ -343,7 +301,7 @@
   }
   if (snapshot->stores_revision != stores_revision_) {
     stores_revision_ = snapshot->stores_revision;
-    RenewAll(Now());  // a new primary holds the items back for their holders for a short while only
+    RenewAll(Now());  // a new primary waits a short while only for the renewals of leases
   }
   puller_.Poll();
 }
--- a/src/tier/batch/item_worker.h
+++ b/src/tier/batch/item_worker.h
@@ -1,5 +1,5 @@
-// Runs items of lots at an edge node: items leased from the stores become bulk jobs, their results
-// go back to the stores until these acknowledge them.
+// Runs items of batch jobs at an edge node: items leased from the stores become bulk requests, and
+// their results are reported to the stores until these acknowledge them.
 #ifndef PEARREACH_SRC_TIER_BATCH_ITEM_WORKER_H_
 #define PEARREACH_SRC_TIER_BATCH_ITEM_WORKER_H_
 
@@ -14,30 +14,34 @@
 
 #include "common/event_loop/timers.h"
 #include "tier/batch/item_puller.h"
+#include "tier/batch/item_run.h"
 #include "tier/batch/messages.h"
 #include "tier/batch/store_client.h"
 #include "tier/control/control_client.h"
+#include "tier/control/time_source.h"
 #include "tier/proxy/request.h"
 
 namespace pearreach::batch {
 
+// Owned by the node; used on the event loop's thread only.
 class ItemWorker {
  public:
-  // `process`: this process of the node, greater for a later one (its incarnation in membership).
+  // All pointers outlive this. `process`: see ItemPuller.
   ItemWorker(Timers* timers, StoreClient* stores, control::ControlClient* control,
              proxy::RequestRunner* runner, std::string node, std::uint64_t process);
   ~ItemWorker();
   ItemWorker(const ItemWorker&) = delete;
   ItemWorker& operator=(const ItemWorker&) = delete;
 
-  // Takes no more items; those that still run after `linger` are returned to the stores. `idle` is
-  // called once when no item is held any more; the caller bounds its wait for that.
+  // Pulls no more items; those that still run after `grace_period` are returned to the stores.
+  // `idle` is called once, never from inside Stop, when no item is in flight any more; the caller
+  // bounds its wait for that.
   void Stop(Micros grace_period, std::function<void()> idle);
+  // Items that run or whose results are not acknowledged yet.
   std::size_t in_flight() const { return in_flight_.size(); }
 
  private:
-  using Key = std::pair<std::string, std::string>;  // lot and item
-  class Run;                                        // hears of one run of an item
+  using Key = std::pair<std::string, std::string>;  // batch job and item
   struct InFlightItem;
 
   void OnItemPulled(LeasedItem item);
@@ -59,7 +63,7 @@
   void DropExpired(Micros now);
   void RenewAll(Micros now);
   void OnRenewed(const std::vector<Key>& requested, Micros sent,
-                 const absl::StatusOr<RenewLeasesResponse>& answer);
+                 const absl::StatusOr<RenewLeasesResponse>& response);
 
   Timers* timers_;
   StoreClient* stores_;
@@ -72,7 +76,7 @@
   Timers::Id renew_timer_ = 0, grace_timer_ = 0;
   bool stopping_ = false;
   std::function<void()> idle_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  control::CallbackOwner callbacks_;
   ItemPuller puller_;
 };
 
--- a/src/tier/batch/retire_api.cpp
+++ b/src/tier/batch/retire_api.cpp
@@ -12,7 +12,7 @@
 namespace pearreach::batch {
 namespace {
 
-// An order is tried for this long; then the operator is asked to send it again.
+// A request is retried for this long; then the operator is asked to send it again.
 constexpr Micros kRequestTimeout = 2500 * kMs;
 constexpr Micros kStepTimeout = 1 * kSecond;
 constexpr Micros kRetryDelay = 100 * kMs;
@@ -40,8 +40,6 @@
 RetireApi::RetireApi(Timers* timers, control::ControlClient* control, std::size_t replicas)
     : timers_(timers), control_(control), replicas_(replicas) {}
 
-RetireApi::~RetireApi() { *alive_ = false; }
-
 void RetireApi::AddTo(control::ApiRouter* router) {
   router->Add("POST", "/Retire.Begin/*",
               [this](std::shared_ptr<http_server::Exchange> exchange, const std::string& node) {
@@ -90,14 +88,13 @@
   }
   using Snapshot = std::shared_ptr<const control::ControlSnapshot>;
   control_->StrictRead(std::min(left, kStepTimeout),
-                       [this, alive = alive_, request](const absl::StatusOr<Snapshot>& snapshot) {
-                         if (!*alive) return;
+                       callbacks_.Bind([this, request](const absl::StatusOr<Snapshot>& snapshot) {
                          if (snapshot.ok() && *snapshot != nullptr) {
                            StoreRetirement(request, **snapshot);
                          } else {
                            RetryLater(request);
                          }
-                       });
+                       }));
 }
 
 void RetireApi::StoreRetirement(const std::shared_ptr<RetireRequest>& request,
@@ -128,9 +125,9 @@
   const Micros left = std::max<Micros>(request->deadline - Now(), kMs);
   control_->Change({control::kStoresKey, snapshot.stores_revision, codec::Encode(*table)},
                    std::min(left, kStepTimeout),
-                   [this, alive = alive_, request](const control::ChangeOutcome& outcome) {
-                     if (*alive) OnChanged(request, outcome);
-                   });
+                   callbacks_.Bind([this, request](const control::ChangeOutcome& outcome) {
+                     OnChanged(request, outcome);
+                   }));
 }
 
 void RetireApi::OnChanged(const std::shared_ptr<RetireRequest>& request,
@@ -143,9 +140,7 @@
 }
 
 void RetireApi::RetryLater(const std::shared_ptr<RetireRequest>& request) {
-  timers_->After(kRetryDelay, [this, alive = alive_, request] {
-    if (*alive) ReadPlacement(request);
-  });
+  timers_->After(kRetryDelay, callbacks_.Bind([this, request] { ReadPlacement(request); }));
 }
 
 void RetireApi::ReadRetirement(const std::shared_ptr<http_server::Exchange>& exchange,
--- a/src/tier/batch/store_path.cpp
+++ b/src/tier/batch/store_path.cpp
@@ -14,10 +14,10 @@
 using coordination::MemberStatus;
 using rpc::MessageType;
 
-// A way is kept for so long before the direct one is tried again: about as long as a cut lasts that
-// is worth going round.
+// A relayed path is used for so long before the direct one is tried again: about as long as a network
+// partition lasts that is worth bypassing.
 constexpr Micros kRelayPeriod = 2 * kSecond;
-// Of a relayed call's time, for the way to the other node and back.
+// Of a relayed call's time, for the way to the relay and back.
 constexpr Micros kRelayMargin = 20 * kMs;
 
 constexpr std::array<MessageType, 7> kRelayedTypes = {
@@ -39,15 +39,12 @@
       control_(control),
       self_(std::move(self)),
       random_(std::random_device()()) {
-  transport_->Handle(MessageType::kStoreRelay,
-                     [this, alive = std::weak_ptr<bool>(alive_)](
-                         const std::string&, std::string_view body, const rpc::Respond& respond) {
-                       if (!alive.expired()) OnRelayedCall(body, respond);
-                     });
+  transport_->Handle(
+      MessageType::kStoreRelay,
+      callbacks_.Bind([this](const std::string&, std::string_view body,
+                             const rpc::Respond& respond) { OnRelayedCall(body, respond); }));
 }
 
-StorePath::~StorePath() = default;
-
 std::string StorePath::AddressOf(const StoreId& store) const {
   const auto& members = control_->members();
   const auto found = members.find(store.name);
@@ -59,7 +56,7 @@
   return reachable ? member.info.address : std::string();
 }
 
-// Nodes outside the quorum: what cuts its members off does not concern them.
+// Nodes outside the quorum: a partition that isolates its members may not affect them.
 std::string StorePath::ChooseRelay() {
   std::vector<const std::string*> relays;
   for (const auto& [name, member] : control_->members()) {
@@ -79,9 +76,12 @@
       path != paths_.end() && path->second.relayed && Now() < path->second.until;
   const std::string relay = prefers_relay ? ChooseRelay() : std::string();
   const bool relayed = !relay.empty();
-  const auto on_response = [this, alive = std::weak_ptr<bool>(alive_), store, relayed,
-                            done = std::move(done)](absl::StatusOr<std::string> response) {
-    if (!alive.expired()) OnResponse(store, relayed, response.status());
+  auto update_path = callbacks_.Bind(
+      [this, store, relayed](const absl::Status& status) { OnResponse(store, relayed, status); });
+  // The caller gets the response even if this object is destroyed before.
+  auto on_response = [update_path = std::move(update_path),
+                      done = std::move(done)](absl::StatusOr<std::string> response) mutable {
+    update_path(response.status());
     done(std::move(response));
   };
   if (!relayed)
@@ -99,7 +99,7 @@
     return;
   }
   PathState& path = paths_[store];
-  if (path.relayed != relayed) return;  // an answer to a call of before the last turn
+  if (path.relayed != relayed) return;  // the response to a call from before the last change of path
   path.relayed = !relayed;
   path.until = Now() + kRelayPeriod;
 }
--- a/src/tier/batch/store_path.h
+++ b/src/tier/batch/store_path.h
@@ -1,6 +1,6 @@
-// The way of an edge node's calls to the stores: the direct one, or through another edge node while
-// the direct one gives no answer. A node that is cut off from the stores goes on handing lots in,
-// reading them and delivering results.
+// The path of an edge node's calls to the stores: directly, or through another edge node while the
+// direct path gives no response. A node that a network partition separates from the stores can thus
+// still submit and read batch jobs and deliver results.
 #ifndef PEARREACH_SRC_TIER_BATCH_STORE_PATH_H_
 #define PEARREACH_SRC_TIER_BATCH_STORE_PATH_H_
 
@@ -14,6 +14,7 @@
 #include "common/event_loop/timers.h"
 #include "tier/batch/messages.h"
 #include "tier/control/control_client.h"
+#include "tier/control/time_source.h"
 #include "tier/rpc/transport.h"
 
 namespace pearreach::batch {
@@ -30,15 +31,16 @@
   }
 };
 
+// Owned by a StoreClient; used on the event loop's thread only. Handles kStoreRelay.
 class StorePath {
  public:
-  // `self`: this node's name; empty: no call goes through another node. Handles kStoreRelay.
+  // All pointers outlive this. `self`: this node's name; empty: no call goes through another node.
   StorePath(rpc::Transport* transport, const control::ControlClient* control, std::string self);
-  ~StorePath();
   StorePath(const StorePath&) = delete;
   StorePath& operator=(const StorePath&) = delete;
 
-  // As rpc::Mesh::Call. Where a call gets no answer, those that follow go another way for a while.
+  // As rpc::Transport::Call. After a call without a response the following ones take the other path
+  // for a while. `done` is called even if this object is destroyed before.
   void Call(const StoreId& store, rpc::MessageType type, std::string body, Micros timeout,
             rpc::Done done);
   // The mesh address of the store; empty: not known, dead, or its disk is another one.
@@ -47,7 +49,7 @@
  private:
   struct PathState {
     bool relayed = false;
-    Micros until = 0;  // then the direct way is tried again
+    Micros until = 0;  // then the direct path is used again
   };
 
   void OnResponse(const StoreId& store, bool relayed, const absl::Status& status);
@@ -59,7 +61,7 @@
   const std::string self_;
   std::minstd_rand random_;
   std::map<StoreId, PathState> paths_;
-  const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  control::CallbackOwner callbacks_;
 };
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/unresponsive_store_reporter.cpp
+++ b/src/tier/batch/unresponsive_store_reporter.cpp
@@ -24,12 +24,12 @@
   }
 }
 
-void UnresponsiveStoreReporter::Report(const StoreId& silent, Micros now) {
+void UnresponsiveStoreReporter::Report(const StoreId& store, Micros now) {
   std::erase_if(reported_,
                 [now](const auto& entry) { return now - entry.second >= kMinReportInterval; });
-  if (!reported_.emplace(silent, now).second) return;
+  if (!reported_.emplace(store, now).second) return;
   StoreStatus status;
-  status.silent.push_back(silent);
+  status.silent.push_back(store);
   SendToPlacementController(transport_, *control_, status, kReportTimeout);
 }
 
--- a/src/tier/registry/anti_entropy.h
+++ b/src/tier/registry/anti_entropy.h
@@ -1,6 +1,7 @@
-// Heals what a spread has missed: again and again this node compares the digest of its workers with
-// one other node's, in turn those at distances 1, 2, 4, ... in the common order, and where they
-// differ both exchange what differs. A node that has just started gets all workers in this way.
+// Anti-entropy: repairs what a dissemination has missed. Periodically this node compares the digest
+// of its workers with that of one other node, in turn those at distances 1, 2, 4, ... in the common
+// order, and both exchange the records that differ. A node that has just started gets all workers
+// in this way.
 #ifndef PEARREACH_SRC_TIER_REGISTRY_ANTI_ENTROPY_H_
 #define PEARREACH_SRC_TIER_REGISTRY_ANTI_ENTROPY_H_
 
@@ -16,11 +17,14 @@
 
 namespace pearreach::registry {
 
+// Owned by a WorkerRegistry; used on the event loop's thread only. Handles kWorkerDigest and
+// kWorkerRepair.
 class AntiEntropy {
  public:
   using UpdateHandler = std::function<void(const WorkerUpdate&)>;
 
-  // Begins at once and compares every `period`, more often until it has succeeded once.
+  // All pointers outlive this. Compares at once and then every `period` (microseconds), more often
+  // until a comparison has succeeded. `update_handler` is called with the records of other nodes.
   AntiEntropy(control::TimeSource* time, rpc::Transport* transport, EdgeNodes* nodes,
               WorkerState* state, Micros period, UpdateHandler update_handler);
 
--- a/src/tier/registry/disseminator.cpp
+++ b/src/tier/registry/disseminator.cpp
@@ -9,11 +9,11 @@
 namespace pearreach::registry {
 namespace {
 
-constexpr std::size_t kFanout = 16;              // calls of one node for one spread
+constexpr std::size_t kFanout = 16;              // calls of one node for one dissemination
 constexpr Micros kAttemptTimeout = 250 * kMs;    // of one call
 constexpr Micros kRetryDelay = 60 * kMs;         // before a node is called again
 constexpr Micros kMinAttemptTimeout = 20 * kMs;  // with less left, no call is made
-// A relay answers within this part of its call's time, having called its own nodes.
+// A relay responds within this part of its call's time, having called its own nodes.
 constexpr std::int64_t kRelayBudgetNumerator = 4, kRelayBudgetDenominator = 5;
 
 }  // namespace
@@ -22,7 +22,7 @@
   std::string update;  // encoded
   Micros until = 0;    // no call is made after that
   bool confirm = false;
-  int open = 0;  // ranges and nodes under way
+  int open = 0;  // ranges and nodes in flight
   std::vector<std::uint64_t> reached;
   Timers::Id timer = 0;
   Done done;
@@ -130,7 +130,7 @@
   range.erase(range.begin() + static_cast<std::ptrdiff_t>(chosen));
   const Micros left = run->until - time_->Now();
   const Micros timeout = std::min(left / 2, kAttemptTimeout);
-  if (timeout < kMinAttemptTimeout) return;  // stays open: not all have it
+  if (timeout < kMinAttemptTimeout) return;  // stays open: not all nodes have the records
   CallNode(run, relay, std::move(request), timeout,
            [this, run, relay, range](absl::StatusOr<std::string> response) {
              OnRangeResponse(run, relay, range, response);
@@ -159,7 +159,7 @@
 
 void Disseminator::SendToNode(const std::shared_ptr<Run>& run, const EdgeRef& node) {
   const Micros timeout = std::min(run->until - time_->Now(), kAttemptTimeout);
-  if (timeout < kMinAttemptTimeout) return;  // stays open: not all have it
+  if (timeout < kMinAttemptTimeout) return;  // stays open: not all nodes have the records
   CallNode(run, node, DisseminateRequest(), timeout,
            [this, run, node](absl::StatusOr<std::string> response) {
              if (response.ok()) {
--- a/src/tier/registry/disseminator.h
+++ b/src/tier/registry/disseminator.h
@@ -1,8 +1,8 @@
-// Brings records to all live edge nodes over a tree: the nodes stand in a common order, the sender
-// cuts them into a few consecutive ranges and hands each to one node of it, which goes on in the
-// same way. A range whose node does not answer goes to another one of it. A spread may be
-// confirmed: then each answer names the nodes that have the records, and whoever is missing is
-// called directly.
+// Disseminates records to all live edge nodes over a tree: the sender divides the nodes, in an
+// order common to all, into a few consecutive ranges and sends each range to one node of it, the
+// relay, which proceeds in the same way. If a relay does not respond, another node of the range
+// takes its part. A dissemination may be confirmed: then each response names the nodes that have
+// the records, and the missing ones are called directly.
 #ifndef PEARREACH_SRC_TIER_REGISTRY_DISSEMINATOR_H_
 #define PEARREACH_SRC_TIER_REGISTRY_DISSEMINATOR_H_
 
@@ -19,22 +19,23 @@
 
 namespace pearreach::registry {
 
+// Owned by a WorkerRegistry; used on the event loop's thread only. Handles kWorkerDisseminate.
 class Disseminator {
  public:
-  // What a spread has brought about: those that have it, and whether that is everybody.
+  // Which nodes have the records, and whether these are all live edge nodes.
   struct Coverage {
-    std::vector<std::uint64_t> nodes;  // HashOf their names
+    std::vector<std::uint64_t> nodes;  // HashOf of their names
     bool all = false;
   };
   using Done = std::function<void(const Coverage&)>;
   using UpdateHandler = std::function<void(const WorkerUpdate&)>;
 
-  // `take` is handed what comes from other nodes.
+  // All pointers outlive this. `update_handler` is called with the records that other nodes send.
   Disseminator(control::TimeSource* time, rpc::Transport* transport, EdgeNodes* nodes,
                UpdateHandler update_handler);
 
-  // To all other live edge nodes. Goes on for `budget`; `done` (may be null: unconfirmed) is called
-  // once, when all have it or after `confirm_timeout`.
+  // Sends to all other live edge nodes, and again to those that do not respond for up to `budget`.
+  // `done` is called once, when all have the records or after `confirm_timeout`; null: unconfirmed.
   void Disseminate(const WorkerUpdate& update, Micros budget, Micros confirm_timeout, Done done);
 
  private:
--- a/src/tier/registry/edge_nodes.cpp
+++ b/src/tier/registry/edge_nodes.cpp
@@ -11,15 +11,15 @@
 using coordination::MemberInfo;
 using coordination::MemberStatus;
 
-constexpr Micros kMaxListAge = kSecond;           // a list of nodes serves for so long
-constexpr std::size_t kEdgeNodesPerReceiver = 8;  // edge nodes for one that takes heartbeats
+constexpr Micros kMaxListAge = kSecond;           // a list of nodes is used for so long
+constexpr std::size_t kEdgeNodesPerReceiver = 8;  // edge nodes for one that receives heartbeats
 constexpr char kKeySeparator = '/';
 
 bool IsLiveStatus(MemberStatus status) {
   return status == MemberStatus::kAlive || status == MemberStatus::kSuspect;
 }
 
-// Of these, those that take heartbeats: all quorum members, and others up to the share.
+// Those that receive heartbeats: all quorum members, and others up to the quota.
 std::vector<std::string> ChooseReceivers(const std::vector<const EdgeNode*>& nodes) {
   std::vector<const EdgeNode*> able;
   for (const EdgeNode* node : nodes)
@@ -30,8 +30,8 @@
   });
   const auto members = static_cast<std::size_t>(std::count_if(
       able.begin(), able.end(), [](const EdgeNode* node) { return node->quorum_member; }));
-  const std::size_t share = (nodes.size() + kEdgeNodesPerReceiver - 1) / kEdgeNodesPerReceiver;
-  able.resize(std::min(able.size(), std::max({members, share, std::size_t{1}})));
+  const std::size_t quota = (nodes.size() + kEdgeNodesPerReceiver - 1) / kEdgeNodesPerReceiver;
+  able.resize(std::min(able.size(), std::max({members, quota, std::size_t{1}})));
   std::vector<std::string> names;
   for (const EdgeNode* node : able) names.push_back(node->name);
   return names;
--- a/src/tier/registry/edge_nodes.h
+++ b/src/tier/registry/edge_nodes.h
@@ -1,5 +1,5 @@
-// The live edge nodes in an order common to all (by zone, then name), how a message to them splits
-// over a tree, and which of them take whose heartbeats.
+// The live edge nodes in an order common to all of them (by zone, then name), how they are divided
+// over a dissemination tree, and which of them receive whose heartbeats.
 #ifndef PEARREACH_SRC_TIER_REGISTRY_EDGE_NODES_H_
 #define PEARREACH_SRC_TIER_REGISTRY_EDGE_NODES_H_
 
@@ -16,45 +16,51 @@
 namespace pearreach::registry {
 
 struct EdgeNode {
-  std::string key;  // zone and name: the place in the order
+  std::string key;  // zone and name: the position in the order
   std::string name, address, zone;
   std::uint64_t id = 0;  // HashOf(name)
   bool suspect = false;
-  bool receives_heartbeats = false;  // serves control
+  bool receives_heartbeats = false;  // it serves the control API
   bool quorum_member = false;        // has a disk
 };
 
 using EdgeRef = std::shared_ptr<const EdgeNode>;
 using EdgeList = std::vector<EdgeRef>;  // sorted by key
 
-// Both ends included, `but` left out.
+// The nodes with keys from `first` to `last`, both included, without the one named `excluded`.
 EdgeList NodesInRange(const EdgeList& nodes, std::string_view first, std::string_view last,
                       const std::string& excluded);
 
-// Consecutive parts of about one size, at most `parts` of them.
+// At most `parts` consecutive ranges of about one size.
 std::vector<EdgeList> SplitEvenly(const EdgeList& nodes, std::size_t parts);
 
-// The node that should take a worker's heartbeats, empty: none can. In the worker's own zone where
-// one can; one in `kEdgeNodesPerReceiver` edge nodes takes them, those with a disk first.
+// Which edge nodes receive the heartbeats of workers: all quorum members, and others up to one in
+// kEdgeNodesPerReceiver edge nodes.
 class HeartbeatReceivers {
  public:
   HeartbeatReceivers() = default;
   explicit HeartbeatReceivers(const EdgeList& nodes);
+  // The receiver for a worker, in its own zone if that has one; empty: there is none. The same on
+  // every node with the same list.
   std::string Choose(const std::string& worker_id, const std::string& zone) const;
 
  private:
   std::map<std::string, std::vector<std::string>> by_zone_;  // "": of all zones
 };
 
-// What membership says, looked at again after a while. Control nodes only are listed that serve
-// clients, too: the others have no registry.
+// The edge nodes by the newest membership, read again after a while. A control node is listed only
+// if it serves clients as well: the others have no registry. Owned by a WorkerRegistry; used on the
+// event loop's thread only.
 class EdgeNodes {
  public:
   EdgeNodes(const control::ControlClient* control, std::string self)
       : control_(control), self_(std::move(self)) {}
 
-  const EdgeList& Recent(Micros now);   // this node among them
-  const EdgeList& Current(Micros now);  // as membership is now
+  // The live edge nodes, this one among them, as of at most kMaxListAge ago. Valid until the next
+  // call of Recent, Current or RecentReceivers.
+  const EdgeList& Recent(Micros now);
+  // As Recent, by membership as it is now.
+  const EdgeList& Current(Micros now);
   const HeartbeatReceivers& RecentReceivers(Micros now);
   bool IsLive(const std::string& name) const;
   std::string AddressOf(const std::string& name) const;  // empty: not known
--- a/src/tier/registry/worker_messages.h
+++ b/src/tier/registry/worker_messages.h
@@ -1,4 +1,5 @@
-// What nodes tell one another of workers.
+// The messages that edge nodes exchange about workers. The order of the fields in `serialize` is
+// the wire format.
 #ifndef PEARREACH_SRC_TIER_REGISTRY_WORKER_MESSAGES_H_
 #define PEARREACH_SRC_TIER_REGISTRY_WORKER_MESSAGES_H_
 
@@ -16,8 +17,9 @@
   struct Item {
     WorkerRecord record;  // its warm_at is meaningless to others
     std::int64_t warm_left_ms = 0;
-    std::int64_t heartbeat_age_ms = 0;  // since the worker's last sign that the sender knows of
-    bool orphaned = false;              // heartbeat_age_ms counts from the end of its taker instead
+    std::int64_t heartbeat_age_ms =
+        0;                  // since the worker's last heartbeat that the sender knows of
+    bool orphaned = false;  // heartbeat_age_ms counts from the end of its receiver instead
     template <class Archive>
     void serialize(Archive& archive, unsigned) {
       archive& record& warm_left_ms& heartbeat_age_ms& orphaned;
@@ -30,12 +32,12 @@
   }
 };
 
-// kWorkerDisseminate: records for the receiver and, through it, for all edge nodes whose place in
-// the common order is from `first` to `last`.
+// kWorkerDisseminate: records for the addressee and, through it, for all edge nodes whose key is
+// from `first` to `last`.
 struct DisseminateRequest {
-  std::string first, last;     // EdgeNode::key; empty: the receiver alone
-  std::int64_t budget_ms = 0;  // the answer is due within it
-  bool confirm = false;        // answer once the others have it, naming them
+  std::string first, last;     // EdgeNode::key; empty: the addressee alone
+  std::int64_t budget_ms = 0;  // the response is due within it
+  bool confirm = false;        // respond only once the others have it, naming them
   std::string update;          // WorkerUpdate, encoded once for all
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -51,7 +53,7 @@
   }
 };
 
-// What one node has in a shard of its table, in short.
+// A digest of one record in a shard of a table.
 struct DigestEntry {
   std::uint64_t worker = 0;  // HashOf the worker's id
   std::uint64_t state = 0;   // of its record
@@ -61,7 +63,8 @@
   }
 };
 
-// kWorkerDigest: is all the same at both? If not, the answer has the digest of each shard.
+// kWorkerDigest: asks whether both tables are equal. If not, the response has the digest of each
+// shard.
 struct DigestRequest {
   std::uint64_t total = 0;
   template <class Archive>
@@ -78,8 +81,8 @@
   }
 };
 
-// kWorkerRepair: the sender's entries in the shards that differ. The answer brings the records that
-// the sender lacks or has otherwise, and names those that the receiver lacks or has otherwise.
+// kWorkerRepair: the sender's entries in the shards that differ. The response has the records that
+// the sender lacks or has otherwise, and names those that the addressee lacks or has otherwise.
 struct RepairRequest {
   struct Shard {
     std::uint32_t index = 0;
--- a/src/tier/registry/worker_registry.cpp
+++ b/src/tier/registry/worker_registry.cpp
@@ -10,19 +10,17 @@
 namespace {
 
 constexpr char kModule[] = "registry";
-constexpr int kMaxMissedHeartbeats =
-    3;  // heartbeats that may be missed before a worker leaves the table
+// Heartbeats that may be missed before a worker leaves the table.
+constexpr int kMaxMissedHeartbeats = 3;
+// Of a heartbeat on its way to the worker's heartbeat receiver.
 constexpr Micros kForwardTimeout = 250 * kMs;
-// Callers move on after a second of silence: so long for the others, and for the control state.
+// Workers call another node after a second without a response. Of that, the longest wait for the
+// other edge nodes, and for the read that confirms the contact to the quorum.
 constexpr Micros kMaxAckTimeout = 700 * kMs;
 constexpr Micros kQuorumReadTimeout = 200 * kMs;
-// Changes within these spans go together: the spans grow with what one message or one swap costs.
-constexpr Micros kDisseminationDelayPerEdgeNode = 500;  // an edge node
-constexpr Micros kMaxDisseminationDelay = 100 * kMs;
-constexpr Micros kSwapDelayPerWorker = 20;  // a worker
-constexpr Micros kMaxSwapDelay = 50 * kMs;
-constexpr std::size_t kMaxUnknownDepartures =
-    1000;  // disseminated_departures_ may hold so many more than are known
+// disseminated_departures_ may have so many more entries than there are workers known before it is
+// cleaned.
+constexpr std::size_t kMaxUnknownDepartures = 1000;
 
 WorkerStateOptions StateOptions(const settings::NodeSettings& settings, const EdgeNodes* nodes) {
   WorkerStateOptions options;
@@ -56,8 +54,13 @@
                                     static_cast<Micros>(settings.bounds.drain_ms * 1000 / 2))),
       dissemination_budget_(static_cast<Micros>(settings.bounds.drain_ms * 1000) + ack_timeout_),
       state_(StateOptions(settings, &nodes_)),
+      publisher_(time_.get(), &state_),
       disseminator_(time_.get(), transport, &nodes_,
                     [this](const WorkerUpdate& update) { Import(update); }),
+      batcher_(time_.get(), &nodes_, &state_,
+               [this](const WorkerUpdate& update) {
+                 disseminator_.Disseminate(update, dissemination_budget_, 0, nullptr);
+               }),
       anti_entropy_(time_.get(), transport, &nodes_, &state_, period_,
                     [this](const WorkerUpdate& update) { Import(update); }) {
   transport_->Handle(
@@ -93,15 +96,15 @@
   }
   record->receiver = ReceiverOf(*record);
   const bool changed = state_.Merge(now, *record, 0);
-  const bool leaving = record->phase == WorkerPhase::kDraining;
+  const bool draining = record->phase == WorkerPhase::kDraining;
   if (changed) {
     logging::Info(kModule, "worker changed",
                   {logging::F("worker", worker_id), logging::F("service", record->service),
                    logging::F("address", record->address),
                    logging::F("phase", static_cast<int>(record->phase))});
-    ScheduleSwap(leaving);
+    publisher_.Publish(draining);
   }
-  if (!leaving) {
+  if (!draining) {
     Acknowledge(exchange.get(), worker_id);
     return OnReadyHeartbeat(*record, changed);
   }
@@ -120,7 +123,7 @@
                                  const std::string& worker_id) {
   if (state_.Depart(time_->Now(), worker_id)) {
     logging::Info(kModule, "worker departed", {logging::F("worker", worker_id)});
-    ScheduleSwap(true);
+    publisher_.Publish(true);
   }
   DisseminateDeparture(worker_id, [this, exchange, worker_id](bool reached) {
     RespondToDeparture(exchange.get(), worker_id, reached);
@@ -142,9 +145,9 @@
   exchange->Respond(200, {{"Content-Type", "application/json"}}, body);
 }
 
-// ---------------------------------------------------------------- takers
+// ---------------------------------------------------------------- heartbeat receivers
 
-// The one that it has, as long as that is a live member; else the one that the rule names.
+// The one that it has, as long as that is a live member; else one chosen by HeartbeatReceivers.
 std::string WorkerRegistry::ReceiverOf(const WorkerRecord& record) {
   const WorkerRecord* known = state_.Find(record.worker_id);
   if (known != nullptr && nodes_.IsLive(known->receiver)) return known->receiver;
@@ -155,10 +158,11 @@
 
 void WorkerRegistry::OnReadyHeartbeat(const WorkerRecord& record, bool changed) {
   if (record.receiver != nodes_.self()) return ForwardHeartbeat(record);
-  if (changed) QueueUpdate(record.worker_id);
+  if (changed) batcher_.Queue(record.worker_id);
 }
 
-// To its taker, which tells the others; where that cannot be reached, this node takes its place.
+// To its heartbeat receiver, which disseminates the change; if that cannot be reached, this node
+// takes over as the receiver.
 void WorkerRegistry::ForwardHeartbeat(const WorkerRecord& record) {
   const std::string id = record.worker_id;
   WorkerUpdate update;
@@ -166,10 +170,10 @@
       {record, std::max<Micros>(0, record.warm_at - time_->Now()) / kMs, 0, false});
   transport_->Call(nodes_.AddressOf(record.receiver), rpc::MessageType::kWorkerForward,
                    codec::Encode(update), kForwardTimeout,
-                   callbacks_.Bind([this, id](absl::StatusOr<std::string> answer) {
-                     if (answer.ok()) return;
+                   callbacks_.Bind([this, id](const absl::StatusOr<std::string>& response) {
+                     if (response.ok()) return;
                      state_.TakeOver(time_->Now(), id);
-                     QueueUpdate(id);
+                     batcher_.Queue(id);
                    }));
 }
 
@@ -177,20 +181,20 @@
   const auto update = codec::Decode<WorkerUpdate>(body);
   if (!update.ok()) return respond(update.status());
   const Micros now = time_->Now();
-  bool any = false;
+  bool changed = false;
   for (const WorkerUpdate::Item& item : update->items) {
     WorkerRecord record = item.record;
     record.warm_at = now + item.warm_left_ms * kMs;
     record.receiver = nodes_.self();
     if (!state_.Merge(now, record, item.heartbeat_age_ms * kMs)) continue;
-    QueueUpdate(record.worker_id);
-    any = true;
+    batcher_.Queue(record.worker_id);
+    changed = true;
   }
-  if (any) ScheduleSwap(false);
+  if (changed) publisher_.Publish(false);
   respond(std::string());
 }
 
-// ---------------------------------------------------------------- telling the others
+// ---------------------------------------------------------------- dissemination
 
 void WorkerRegistry::DisseminateDeparture(const std::string& worker_id, DisseminationDone done) {
   WorkerUpdate update;
@@ -198,43 +202,22 @@
   const bool alone = nodes_.Current(time_->Now()).size() < 2;
   disseminator_.Disseminate(
       update, dissemination_budget_, ack_timeout_,
-      [this, alone, done = std::move(done)](const Disseminator::Coverage& reached) {
-        // Where others are alive and not one has it, this node is the one cut off.
-        const bool told = alone || reached.all || !reached.nodes.empty();
-        if (!told) return done(false);
+      [this, alone, done = std::move(done)](const Disseminator::Coverage& coverage) {
+        // If other nodes are live and none has it, this node is the isolated one.
+        const bool reached = alone || coverage.all || !coverage.nodes.empty();
+        if (!reached) return done(false);
         ConfirmQuorumContact(done);
       });
 }
 
-// Nodes that are cut off together take all others for dead, and would be sure that all have it.
+// Nodes on the minority side of a network partition take all others for dead, and would conclude
+// that every live node has the update.
 void WorkerRegistry::ConfirmQuorumContact(DisseminationDone done) {
   control_->StrictRead(
       kQuorumReadTimeout,
       callbacks_.Bind([done = std::move(done)](const auto& newest) { done(newest.ok()); }));
 }
 
-void WorkerRegistry::QueueUpdate(const std::string& worker_id) {
-  queued_.insert(worker_id);
-  if (dissemination_timer_ != 0) return;
-  const Micros now = time_->Now();
-  const auto edges = static_cast<Micros>(nodes_.Recent(now).size());
-  const Micros pause = std::min(edges * kDisseminationDelayPerEdgeNode, kMaxDisseminationDelay);
-  dissemination_timer_ =
-      time_->After(std::max<Micros>(disseminated_at_ + pause - now, 0), callbacks_.Bind([this] {
-        dissemination_timer_ = 0;
-        DisseminateQueued();
-      }));
-}
-
-void WorkerRegistry::DisseminateQueued() {
-  const Micros now = time_->Now();
-  disseminated_at_ = now;
-  WorkerUpdate update;
-  for (const std::string& id : std::exchange(queued_, {}))
-    if (state_.Find(id) != nullptr) update.items.push_back(state_.ExportOne(now, id));
-  if (!update.items.empty()) disseminator_.Disseminate(update, dissemination_budget_, 0, nullptr);
-}
-
 void WorkerRegistry::Import(const WorkerUpdate& update) {
   const Micros now = time_->Now();
   bool changed = false, urgent = false;
@@ -243,36 +226,14 @@
     changed = true;
     urgent = urgent || item.record.phase != WorkerPhase::kReady;
   }
-  if (changed) ScheduleSwap(urgent);
-}
-
-// ---------------------------------------------------------------- the table
-
-void WorkerRegistry::ScheduleSwap(bool urgent) {
-  if (urgent) return SwapTable();
-  if (swap_timer_ != 0) return;
-  const Micros now = time_->Now();
-  const auto workers = static_cast<Micros>(state_.size());
-  const Micros pause = std::min(workers * kSwapDelayPerWorker, kMaxSwapDelay);
-  if (now - swapped_at_ >= pause) return SwapTable();
-  swap_timer_ = time_->After(swapped_at_ + pause - now, callbacks_.Bind([this] {
-    swap_timer_ = 0;
-    SwapTable();
-  }));
-}
-
-void WorkerRegistry::SwapTable() {
-  time_->Cancel(&swap_timer_);
-  swapped_at_ = time_->Now();
-  table_ = state_.BuildTable();
-  for (const auto& listener : listeners_) listener();
+  if (changed) publisher_.Publish(urgent);
 }
 
 void WorkerRegistry::Tick() {
-  if (state_.Expire(time_->Now())) ScheduleSwap(false);
+  if (state_.Expire(time_->Now())) publisher_.Publish(false);
   for (const std::string& id : state_.TakeLost()) {
     logging::Info(kModule, "worker lost", {logging::F("worker", id)});
-    QueueUpdate(id);
+    batcher_.Queue(id);
   }
   if (disseminated_departures_.size() > state_.size() + kMaxUnknownDepartures)
     std::erase_if(disseminated_departures_,
--- a/src/tier/registry/worker_registry.h
+++ b/src/tier/registry/worker_registry.h
@@ -1,14 +1,17 @@
-// The registry of workers: takes their heartbeats and departures at every control node and brings
-// changes to all edge nodes. Heartbeats stay with one node, the worker's taker, which tells the
-// others of what changes, many workers in one message. A worker's leaving is acknowledged only once
-// every edge node that is alive knows of it, or a bound within `drain_ms` has passed.
+// The registry of workers: takes their heartbeats and departures at every control node and
+// disseminates changes to all edge nodes. One edge node, the worker's heartbeat receiver, keeps its
+// heartbeats; the others learn only of changes, many workers in one message. That a worker drains
+// or departs is acknowledged only once every live edge node knows it, or a bound within `drain_ms`
+// has passed.
 #ifndef PEARREACH_SRC_TIER_REGISTRY_WORKER_REGISTRY_H_
 #define PEARREACH_SRC_TIER_REGISTRY_WORKER_REGISTRY_H_
 
+#include <functional>
 #include <map>
 #include <memory>
 #include <set>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "common/event_loop/timers.h"
@@ -18,6 +21,9 @@
 #include "tier/registry/anti_entropy.h"
 #include "tier/registry/disseminator.h"
 #include "tier/registry/edge_nodes.h"
+#include "tier/registry/heartbeat.h"
+#include "tier/registry/table_publisher.h"
+#include "tier/registry/update_batcher.h"
 #include "tier/registry/worker_state.h"
 #include "tier/registry/worker_table.h"
 #include "tier/rpc/transport.h"
@@ -25,10 +31,7 @@
 
 namespace pearreach::registry {
 
-// Reads the body of a heartbeat; `now` turns the spans that it tells into times.
-absl::StatusOr<WorkerRecord> ParseHeartbeat(const std::string& worker_id, const std::string& json,
-                                            Micros now);
-
+// Owned by the node; used on the event loop's thread only. The tables it hands out are immutable.
 class WorkerRegistry : public WorkerSource {
  public:
   // All pointers outlive this.
@@ -37,18 +40,22 @@
   WorkerRegistry(std::unique_ptr<control::TimeSource> time, rpc::Transport* transport,
                  control::ControlClient* control, const settings::NodeSettings& settings);
 
+  // Adds POST /Workers.Heartbeat/ID and POST /Workers.Departure/ID to the router.
   void RegisterCalls(control::ApiRouter* router);
+  // Responds 200 with the address to send further heartbeats to, 400 for a malformed body, and for
+  // a worker that drains 503 if too few other nodes can be reached.
   void OnHeartbeat(std::shared_ptr<http_server::Exchange> exchange, const std::string& worker_id);
+  // Responds 200, or 503 if too few other nodes can be reached.
   void OnDeparture(std::shared_ptr<http_server::Exchange> exchange, const std::string& worker_id);
 
-  std::shared_ptr<const WorkerTable> Workers() const override { return table_; }
+  std::shared_ptr<const WorkerTable> Workers() const override { return publisher_.table(); }
   void OnChange(std::function<void()> listener) override {
-    listeners_.push_back(std::move(listener));
+    publisher_.OnChange(std::move(listener));
   }
 
  private:
-  // Whether any other node has it, where there are others, and this one is no part of the system
-  // that is cut off from the rest.
+  // `reached`: some other node has the update, if there are others, and this node is not on the
+  // minority side of a network partition.
   using DisseminationDone = std::function<void(bool reached)>;
 
   void OnReadyHeartbeat(const WorkerRecord& record, bool changed);
@@ -56,16 +63,10 @@
   void ForwardHeartbeat(const WorkerRecord& record);
   std::string ReceiverOf(const WorkerRecord& record);
   void Import(const WorkerUpdate& update);
-  // Swaps the table: at once if `urgent`, else together with what comes soon after.
-  void ScheduleSwap(bool urgent);
-  void SwapTable();
-  // Tells all live edge nodes of a worker that leaves.
+  // Sends the record of a worker that drains or has departed to all live edge nodes.
   void DisseminateDeparture(const std::string& worker_id, DisseminationDone done);
-  // Whether this node reaches a majority of the control state's members right now.
+  // Whether this node reaches a majority of the control state's members now.
   void ConfirmQuorumContact(DisseminationDone done);
-  // Tells them of others, together with what comes soon after.
-  void QueueUpdate(const std::string& worker_id);
-  void DisseminateQueued();
   void Acknowledge(http_server::Exchange* exchange, const std::string& worker_id);
   void RespondToDeparture(http_server::Exchange* exchange, const std::string& worker_id,
                           bool reached);
@@ -76,20 +77,17 @@
   control::ControlClient* const control_;
   EdgeNodes nodes_;
   const std::string control_port_;  // the same on all machines
-  const Micros period_;             // between looks at what has expired
-  const Micros ack_timeout_;        // longest wait for the others before a leaving is acknowledged
-  const Micros dissemination_budget_;  // the spreading goes on for so long
+  const Micros period_;             // between checks for expired workers
+  const Micros ack_timeout_;        // longest wait for other nodes before a departure is answered
+  const Micros dissemination_budget_;  // for how long an update is sent to nodes that lack it
   WorkerState state_;
-  std::shared_ptr<const WorkerTable> table_ = std::make_shared<WorkerTable>();
-  std::vector<std::function<void()>> listeners_;
-  std::map<std::string, std::vector<std::shared_ptr<http_server::Exchange>>>
-      pending_acks_;                               // by worker
-  std::set<std::string> disseminated_departures_;  // workers whose leaving has been brought to all
-  std::set<std::string> queued_;                   // workers to tell the others of
-  Timers::Id dissemination_timer_ = 0, swap_timer_ = 0;
-  Micros disseminated_at_ = 0, swapped_at_ = 0;
+  TablePublisher publisher_;
+  // Requests of draining workers, by worker, until the dissemination has ended.
+  std::map<std::string, std::vector<std::shared_ptr<http_server::Exchange>>> pending_acks_;
+  std::set<std::string> disseminated_departures_;  // workers whose draining all live nodes know
   control::CallbackOwner callbacks_;
   Disseminator disseminator_;
+  UpdateBatcher batcher_;
   AntiEntropy anti_entropy_;
 };
 
--- a/src/tier/registry/worker_state.cpp
+++ b/src/tier/registry/worker_state.cpp
@@ -7,11 +7,6 @@
 namespace pearreach::registry {
 namespace {
 
-std::uint64_t MixHash(std::uint64_t hash, std::uint64_t value) {
-  hash = (hash ^ value) * 0x9e3779b97f4a7c15ull;
-  return hash ^ hash >> 29;
-}
-
 bool HasEnded(const WorkerRecord& record) {
   return record.phase == WorkerPhase::kGone || record.lost;
 }
@@ -25,22 +20,22 @@
 // ---------------------------------------------------------------- heartbeats
 
 bool WorkerState::Merge(Micros now, const WorkerRecord& record, Micros heartbeat_age) {
-  const Micros heard = now - std::max<Micros>(heartbeat_age, 0);
+  const Micros last_heartbeat = now - std::max<Micros>(heartbeat_age, 0);
   Entry* entry = FindEntry(record.worker_id);
   if (entry == nullptr) {
-    const bool alive = record.phase != WorkerPhase::kGone && heard + options_.expiry > now;
-    return Add(record, heard, alive);
+    const bool alive = record.phase != WorkerPhase::kGone && last_heartbeat + options_.expiry > now;
+    return Add(record, last_heartbeat, alive);
   }
   const bool is_newer_call = record.call_seq > entry->last_seq;
   const WorkerPhase phase = std::max(entry->record.phase, record.phase);
-  // Only a later sign of life brings a worker back that expired or whose address another one had.
-  const bool returned = !entry->listed && is_newer_call && heard > entry->heard &&
-                        phase != WorkerPhase::kGone && heard + options_.expiry > now;
+  // Only a later heartbeat brings a worker back that expired or whose address another one had.
+  const bool returned = !entry->listed && is_newer_call && last_heartbeat > entry->last_heartbeat &&
+                        phase != WorkerPhase::kGone && last_heartbeat + options_.expiry > now;
   const bool address_changed =
       is_newer_call && phase != WorkerPhase::kGone && record.address != entry->record.address;
   const bool receiver_changed =
       is_newer_call && phase != WorkerPhase::kGone && record.receiver != entry->record.receiver;
-  entry->heard = std::max(entry->heard, heard);
+  entry->last_heartbeat = std::max(entry->last_heartbeat, last_heartbeat);
   entry->last_seq = std::max(entry->last_seq, record.call_seq);
   if (phase == entry->record.phase && !returned && !address_changed && !receiver_changed)
     return false;
@@ -51,7 +46,7 @@
     SetListed(entry, entry->listed && !address_changed);
     entry->record = record;
     entry->record.lost = false;
-    entry->orphaned = 0;
+    entry->orphaned_since = 0;
   }
   // A call that overtook a later one says nothing new; but a later phase always holds.
   entry->record.phase = phase;
@@ -62,11 +57,11 @@
   return true;
 }
 
-bool WorkerState::Add(const WorkerRecord& record, Micros heard, bool listed) {
+bool WorkerState::Add(const WorkerRecord& record, Micros last_heartbeat, bool listed) {
   Entry& entry = shards_[WorkerTable::ShardOf(record.worker_id)][record.worker_id];
   entry.record = record;
   entry.record.version = std::max<std::uint64_t>({record.version, record.call_seq, 1});
-  entry.heard = heard;
+  entry.last_heartbeat = last_heartbeat;
   entry.last_seq = record.call_seq;
   SetListed(&entry, listed);
   if (listed) ClaimAddress(&entry, true);
@@ -87,12 +82,12 @@
   RemoveFromDigest(entry);
   entry->record.receiver = options_.self;
   ++entry->record.version;
-  entry->heard = now;
-  entry->orphaned = 0;
+  entry->last_heartbeat = now;
+  entry->orphaned_since = 0;
   AddToDigest(entry);
 }
 
-// ---------------------------------------------------------------- what other nodes say
+// ---------------------------------------------------------------- records of other nodes
 
 bool WorkerState::Adopt(Micros now, const WorkerUpdate::Item& item) {
   WorkerRecord record = item.record;
@@ -114,13 +109,13 @@
   RemoveFromDigest(entry);
   // This node has just begun to take its heartbeats, or has forgotten when they came.
   const bool own = record.receiver == options_.self;
-  entry->heard = std::max(entry->heard, own && !HasEnded(record) ? now : since);
+  entry->last_heartbeat = std::max(entry->last_heartbeat, own && !HasEnded(record) ? now : since);
   entry->last_seq = std::max(entry->last_seq, record.call_seq);
   bool listed = entry->listed;
   if (newer) {
     if (record.address != entry->record.address) SetListed(entry, false);
     entry->record = record;
-    entry->orphaned = item.orphaned ? since : 0;
+    entry->orphaned_since = item.orphaned ? since : 0;
     listed = !item.orphaned || heartbeat_age < options_.expiry;
   }
   entry->record.phase = phase;
@@ -139,7 +134,8 @@
   if (!owner.empty() && owner != entry->record.worker_id) {
     Entry* other = FindEntry(owner);
     const bool held = other != nullptr && other->listed && other->record.address == address;
-    if (held && !always && other->heard > entry->heard) return SetListed(entry, false);
+    if (held && !always && other->last_heartbeat > entry->last_heartbeat)
+      return SetListed(entry, false);
     if (held) SetListed(other, false);
   }
   address_owners_[address] = entry->record.worker_id;
@@ -147,16 +143,16 @@
 
 // ---------------------------------------------------------------- time
 
-// What the age of a worker that has ended counts from.
 Micros WorkerState::ExpiryBase(const Entry& entry) const {
-  return entry.orphaned != 0 && !HasEnded(entry.record) ? entry.orphaned : entry.heard;
+  return entry.orphaned_since != 0 && !HasEnded(entry.record) ? entry.orphaned_since
+                                                              : entry.last_heartbeat;
 }
 
 bool WorkerState::ExpireOne(Micros now, Entry* entry) {
   WorkerRecord& record = entry->record;
   if (HasEnded(record)) return false;
   const bool own = !record.receiver.empty() && record.receiver == options_.self;
-  if (own && entry->heard + options_.expiry <= now) {
+  if (own && entry->last_heartbeat + options_.expiry <= now) {
     RemoveFromDigest(entry);
     record.lost = true;
     SetListed(entry, false);
@@ -165,12 +161,13 @@
     return true;
   }
   if (own || ReceiverIsLive(record.receiver)) {
-    entry->orphaned = 0;
+    entry->orphaned_since = 0;
     return false;
   }
-  if (entry->orphaned == 0) entry->orphaned = now;
-  if (record.receiver.empty()) entry->orphaned = entry->heard;  // nobody was to take them
-  if (!entry->listed || entry->orphaned + options_.expiry > now) return false;
+  if (entry->orphaned_since == 0) entry->orphaned_since = now;
+  if (record.receiver.empty())
+    entry->orphaned_since = entry->last_heartbeat;  // nobody was to take them
+  if (!entry->listed || entry->orphaned_since + options_.expiry > now) return false;
   SetListed(entry, false);
   return true;
 }
@@ -189,9 +186,9 @@
     for (auto it = shard.begin(); it != shard.end();) {
       Entry& entry = it->second;
       changed = ExpireOne(now, &entry) || changed;
-      const bool ended = HasEnded(entry.record) || (entry.orphaned != 0 && !entry.listed);
+      const bool ended = HasEnded(entry.record) || (entry.orphaned_since != 0 && !entry.listed);
       const Micros age = ended ? now - ExpiryBase(entry) : 0;
-      // It leaves the digest well before any node forgets it, so that none is told of it anew.
+      // It leaves the digest well before any node forgets it, so that no repair brings it back.
       if (age >= options_.departed_retention / 2) RemoveFromDigest(&entry);
       if (age < options_.departed_retention) {
         ++it;
@@ -224,7 +221,7 @@
 
 WorkerUpdate::Item WorkerState::ExportEntry(Micros now, const Entry& entry) const {
   return {entry.record, std::max<Micros>(0, entry.record.warm_at - now) / kMs,
-          (now - ExpiryBase(entry)) / kMs, entry.orphaned != 0};
+          (now - ExpiryBase(entry)) / kMs, entry.orphaned_since != 0};
 }
 
 WorkerUpdate::Item WorkerState::ExportOne(Micros now, const std::string& worker_id) const {
@@ -266,35 +263,21 @@
 
 // ---------------------------------------------------------------- digests
 
-std::uint64_t WorkerState::StateHash(const WorkerRecord& record) {
-  std::uint64_t hash = MixHash(HashOf(record.worker_id), static_cast<std::uint64_t>(record.phase));
-  if (record.phase == WorkerPhase::kGone) return hash;
-  hash = MixHash(hash, record.version);
-  hash = MixHash(hash, record.lost ? 1 : 0);
-  return MixHash(hash, HashOf(record.receiver));
-}
-
 void WorkerState::RemoveFromDigest(Entry* entry) {
   if (!std::exchange(entry->in_digest, false)) return;
-  digests_[WorkerTable::ShardOf(entry->record.worker_id)] -= StateHash(entry->record);
+  digests_.Remove(entry->record);
 }
 
 void WorkerState::AddToDigest(Entry* entry) {
   entry->in_digest = true;
-  digests_[WorkerTable::ShardOf(entry->record.worker_id)] += StateHash(entry->record);
-}
-
-std::uint64_t WorkerState::Digest() const {
-  std::uint64_t total = 0;
-  for (const std::uint64_t digest : digests_) total = MixHash(total, digest);
-  return total;
+  digests_.Add(entry->record);
 }
 
 std::vector<DigestEntry> WorkerState::Entries(std::size_t shard) const {
   std::vector<DigestEntry> entries;
   entries.reserve(shards_[shard].size());
   for (const auto& [id, entry] : shards_[shard])
-    if (entry.in_digest) entries.push_back({HashOf(id), StateHash(entry.record)});
+    if (entry.in_digest) entries.push_back({HashOf(id), WorkerDigests::RecordHash(entry.record)});
   return entries;
 }
 
@@ -305,7 +288,8 @@
   for (const DigestEntry& entry : other.entries) theirs[entry.worker] = entry.state;
   for (const auto& [id, entry] : shards_[other.index]) {
     const auto found = theirs.find(HashOf(id));
-    const bool same = found != theirs.end() && found->second == StateHash(entry.record);
+    const bool same =
+        found != theirs.end() && found->second == WorkerDigests::RecordHash(entry.record);
     if (found != theirs.end()) {
       if (!same) response->wanted.push_back(found->first);
       theirs.erase(found);
--- a/src/tier/registry/worker_table.h
+++ b/src/tier/registry/worker_table.h
@@ -1,5 +1,5 @@
-// The workers that the fleet knows, as an immutable snapshot. It is kept in shards that snapshots
-// share, so that a change copies one shard and not the whole table.
+// The workers that the edge nodes know, as an immutable snapshot. It is kept in shards that
+// snapshots share, so that a change copies one shard and not the whole table.
 #ifndef PEARREACH_SRC_TIER_REGISTRY_WORKER_TABLE_H_
 #define PEARREACH_SRC_TIER_REGISTRY_WORKER_TABLE_H_
 
@@ -22,9 +22,9 @@
   WorkerPhase phase = WorkerPhase::kReady;
   std::uint64_t call_seq = 0;  // of the heartbeat that this record rests on
   std::int64_t warm_at = 0;    // local steady clock, microseconds: slow until then
-  std::string receiver;        // the node that takes its heartbeats; empty: unknown
-  std::uint64_t version = 0;   // rises with each change that nodes tell one another
-  bool lost = false;           // the taker has missed its heartbeats
+  std::string receiver;        // the edge node that receives its heartbeats; empty: unknown
+  std::uint64_t version = 0;   // rises with each change that nodes exchange
+  bool lost = false;           // the receiver has missed its heartbeats
 
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -40,7 +40,8 @@
   return hash ^ hash >> 32;
 }
 
-// By worker_id; workers that are gone are left out.
+// By worker_id; workers that are gone are left out. Thread-safe once it is shared, as it does not
+// change then.
 class WorkerTable {
  public:
   using Shard = std::unordered_map<std::string, WorkerRecord>;
@@ -69,7 +70,7 @@
     }
   }
 
-  // For whoever makes a table, before it is shared.
+  // For building a table, before it is shared.
   void SetShard(std::size_t index, Shard shard) {
     shards_[index] = std::make_shared<const Shard>(std::move(shard));
   }
@@ -91,7 +92,8 @@
   std::array<std::shared_ptr<const Shard>, kShards> shards_;
 };
 
-// Swapped whole at each change; listeners are called after a swap, on the loop.
+// Where the newest table comes from. Used on the event loop's thread only; listeners are called
+// after each new table.
 class WorkerSource {
  public:
   virtual ~WorkerSource() = default;
--- a/src/tier/routing/findings.h
+++ b/src/tier/routing/findings.h
@@ -1,5 +1,5 @@
-// What is wrong with a document: each finding with its place, collected so that the sender learns
-// of all of them at once.
+// The errors of a document, each with the path of its field, collected so that the sender learns of
+// all of them at once.
 #ifndef PEARREACH_SRC_TIER_ROUTING_FINDINGS_H_
 #define PEARREACH_SRC_TIER_ROUTING_FINDINGS_H_
 
@@ -12,6 +12,7 @@
 
 namespace pearreach::routing {
 
+// Not thread-safe.
 class Findings {
  public:
   void Add(std::string_view path, std::string_view text) {
@@ -34,7 +35,7 @@
   }
 
  private:
-  static constexpr std::size_t kMaxLines = 100;  // an answer to the sender stays short
+  static constexpr std::size_t kMaxLines = 100;  // the response to the sender stays short
 
   std::size_t count_ = 0;
   std::vector<std::string> lines_;
--- a/src/tier/routing/object_reader.h
+++ b/src/tier/routing/object_reader.h
@@ -1,5 +1,5 @@
-// Reads the fields of one JSON object by name and type; what does not fit becomes a finding with
-// the field's place.
+// Reads the fields of one JSON object by name and type; a field that is missing or of another type
+// becomes a finding with its path.
 #ifndef PEARREACH_SRC_TIER_ROUTING_OBJECT_READER_H_
 #define PEARREACH_SRC_TIER_ROUTING_OBJECT_READER_H_
 
@@ -15,6 +15,7 @@
 
 enum class Need { kOptional, kRequired };
 
+// Refers to the document and the findings, which outlive it. Not thread-safe.
 class ObjectReader {
  public:
   // A value that is no object is a finding; all its fields then count as absent without findings.
--- a/src/tier/routing/route_table.h
+++ b/src/tier/routing/route_table.h
@@ -1,6 +1,5 @@
-// A whole configuration as an immutable snapshot: routes, services and limits, checked, with the
-// look-up of a request's route. Nothing here changes after Parse; a new configuration is a new
-// table that is swapped in whole.
+// A checked configuration as an immutable snapshot: routes, services and limits, with the look-up of
+// a request's route. A new configuration is a new table.
 #ifndef PEARREACH_SRC_TIER_ROUTING_ROUTE_TABLE_H_
 #define PEARREACH_SRC_TIER_ROUTING_ROUTE_TABLE_H_
 
@@ -27,13 +26,15 @@
 struct Route {
   std::string name, host, path_prefix;
   Variant variant = Variant::kEffectful;
-  double limit_ms = 0, target_ms = 0, gap_target_ms = 0;
+  double limit_ms = 0;       // after that a request has failed
+  double target_ms = 0;      // latency target of the response
+  double gap_target_ms = 0;  // latency target between two events of a stream
   double due_ms = 0, retain_s = 0, token_cap = 0;  // bulk only; token_cap 0: no limit
   int rank = 0, attempts = 1;
   bool affinity = false, resumable = false;
   std::vector<Target> targets;  // one, or a weighted split; shares sum to more than 0
 
-  // Whether a request may reach more than one worker without a promise that it has not run.
+  // Whether a request may be sent to another worker although the first one may have executed it.
   bool IsIdempotent() const {
     return variant == Variant::kIdempotent || variant == Variant::kBulk ||
            (variant == Variant::kStreamed && resumable);
@@ -53,10 +54,11 @@
   double header_wait_ms = 3000, idle_ms = 15000;
 };
 
+// Thread-safe, as it does not change after Parse.
 class RouteTable {
  public:
   // Reads and checks a whole configuration; INVALID_ARGUMENT lists every finding with its place.
-  // Checked: reads whole, version_no a positive whole number, every route names known services,
+  // Checked: complete, version_no a positive whole number, every route names known services,
   // no two routes share host and prefix, shares sum to more than 0, limit_ms above 0, prefixes
   // begin and end with '/', names unique. Unknown fields are ignored.
   static absl::StatusOr<std::shared_ptr<const RouteTable>> Parse(const std::string& json);
