--- a/src/tier/batch/batch_job_api.cpp
+++ b/src/tier/batch/batch_job_api.cpp
@@ -29,8 +29,8 @@
 constexpr Micros kReadTimeout = 1200 * kMs;
 constexpr Micros kReadAttemptTimeout = 800 * kMs;
 constexpr Micros kCancelTimeout = 2500 * kMs;
-// A submission: the longest time if the client names none; the least time before it is rejected; what
-// is kept of the client's time for the way back of the response.
+// A submission: the longest time if the client names none; the least time before it is rejected;
+// what is kept of the client's time for the way back of the response.
 constexpr Micros kDefaultSubmitTimeout = 5 * kSecond;
 constexpr Micros kMinUnsentTimeout = 1 * kSecond;  // clients take a longer wait for a loss
 constexpr Micros kMaxResponseMargin = 200 * kMs;
@@ -51,8 +51,8 @@
   exchange->Respond(status, {{"Retry-After", retry_after}}, {});
 }
 
-// Responds to a call about something that the stores may not have: by `respond` if it was found, 404
-// with `not_found` if it was not, 503 if no store has responded.
+// Responds to a call about something that the stores may not have: by `respond` if it was found,
+// 404 with `not_found` if it was not, 503 if no store has responded.
 template <class Response, class Respond>
 void RespondIfFound(const std::shared_ptr<http_server::Exchange>& exchange,
                     const absl::StatusOr<Response>& response, std::string_view not_found,
@@ -77,7 +77,8 @@
   Micros time = kDefaultSubmitTimeout;
   const auto deadline = NumberHeader(request, "X-Deadline-Ms");
   const auto shorten = [&time](double ms) {
-    if (ms > 0 && ms < static_cast<double>(time / kMs)) time = static_cast<Micros>(ms * kMs);
+    const Micros longest_ms = time / kMs;
+    if (ms > 0 && ms < static_cast<double>(longest_ms)) time = static_cast<Micros>(ms * kMs);
   };
   if (deadline.has_value()) shorten(*deadline);
   shorten(route.limit_ms);
@@ -208,9 +209,9 @@
   time.attempt = read.wait_ms * kMs + kReadAttemptTimeout;
   const std::uint64_t start = read.start_after;
   const auto on_response = [exchange, start](const absl::StatusOr<ReadBatchJobResponse>& response) {
-    RespondIfFound(exchange, response, kNoSuchBatchJob,
- [&](const ReadBatchJobResponse& found) {
-RespondJson(exchange, 200, WriteOutputs(found, start));});
+    RespondIfFound(exchange, response, kNoSuchBatchJob, [&](const ReadBatchJobResponse& found) {
+      RespondJson(exchange, 200, WriteOutputs(found, start));
+    });
   };
   CancelOnDisconnect(exchange, stores_->Read(std::move(read), time, on_response));
 }
@@ -229,9 +230,10 @@
   time.overall = kReadTimeout;
   time.attempt = kReadAttemptTimeout;
   const auto on_response = [exchange](const absl::StatusOr<ReadItemBodyResponse>& response) {
-    RespondIfFound(exchange, response, R"({"error":"no such item"})",
- [&](const ReadItemBodyResponse& found) {
-exchange->Respond(200, {{"Content-Type", "application/octet-stream"}}, found.body);});
+    RespondIfFound(
+        exchange, response, R"({"error":"no such item"})", [&](const ReadItemBodyResponse& found) {
+          exchange->Respond(200, {{"Content-Type", "application/octet-stream"}}, found.body);
+        });
   };
   CancelOnDisconnect(exchange, stores_->ReadBody(std::move(read), time, on_response));
 }
@@ -244,8 +246,7 @@
   time.overall = kCancelTimeout;
   const auto on_response = [exchange](const absl::StatusOr<CancelBatchJobResponse>& response) {
     RespondIfFound(exchange, response, kNoSuchBatchJob,
- [&](const CancelBatchJobResponse& ) {
-RespondJson(exchange, 200, "{}");});
+                   [&](const CancelBatchJobResponse&) { RespondJson(exchange, 200, "{}"); });
   };
   CancelOnDisconnect(exchange, stores_->CancelBatch(std::move(cancel), time, on_response));
 }
--- a/src/tier/batch/batch_job_api.h
+++ b/src/tier/batch/batch_job_api.h
@@ -1,5 +1,5 @@
-// The clients' calls about batch jobs at an edge node: submit, read, body of an item, cancel. Nothing
-// about a batch job is kept here; the stores respond.
+// The clients' calls about batch jobs at an edge node: submit, read, body of an item, cancel.
+// Nothing about a batch job is kept here; the stores respond.
 #ifndef PEARREACH_SRC_TIER_BATCH_BATCH_JOB_API_H_
 #define PEARREACH_SRC_TIER_BATCH_BATCH_JOB_API_H_
 
@@ -34,9 +34,9 @@
   // Responds to a call for which IsBatchJobCall is true: 404 if there is no such batch job or item,
   // 503 with Retry-After if no store responds in time.
   void Handle(const std::shared_ptr<http_server::Exchange>& exchange);
-  // A POST under the prefix of a bulk route. `route` is needed for the time of the call only. Responds
-  // 202 once the batch job is stored, 400 if it is malformed, 429 or 503 with Retry-After if it was
-  // rejected, and 504 if it may have been accepted.
+  // A POST under the prefix of a bulk route. `route` is needed for the time of the call only.
+  // Responds 202 once the batch job is stored, 400 if it is malformed, 429 or 503 with Retry-After
+  // if it was rejected, and 504 if it may have been accepted.
   void Submit(const std::shared_ptr<http_server::Exchange>& exchange, const routing::Route& route);
 
  private:
--- a/src/tier/batch/batch_job_json.cpp
+++ b/src/tier/batch/batch_job_json.cpp
@@ -17,8 +17,8 @@
 
 using rapidjson::Value;
 
-// A response stays a little under 1 MB, also where contents grow by escapes; and what an output takes
-// besides its texts.
+// A response stays a little under 1 MB, also where contents grow by escapes; and what an output
+// takes besides its texts.
 constexpr std::size_t kMaxResponseBytes = 900'000, kOutputOverheadBytes = 64;
 
 std::string_view ToView(const Value& text) { return {text.GetString(), text.GetStringLength()}; }
@@ -100,9 +100,10 @@
 }  // namespace
 
 absl::StatusOr<std::vector<ItemSpec>> ParseItems(std::string body) {
-  rapidjson::Document document;
-  document.ParseInsitu<rapidjson::kParseIterativeFlag>(body.data());
-  if (document.HasParseError() || !document.IsObject()) return Malformed("not a JSON object");
+  rapidjson::Document parsed;
+  parsed.ParseInsitu<rapidjson::kParseIterativeFlag>(body.data());
+  const Value& document = parsed;
+  if (parsed.HasParseError() || !document.IsObject()) return Malformed("not a JSON object");
   const auto entries = document.FindMember("entries");
   if (entries == document.MemberEnd() || !entries->value.IsArray()) {
     return Malformed("entries: missing or not a list");
--- a/src/tier/batch/batch_job_json.h
+++ b/src/tier/batch/batch_job_json.h
@@ -21,8 +21,8 @@
 absl::StatusOr<std::vector<ItemSpec>> ParseItems(std::string body);
 
 // {"total":..,"outputs":[..],"next_token":..}; contents are written byte by byte, whatever
-// their encoding. Outputs that would make the response too long are left for the next read; there is
-// one at least.
+// their encoding. Outputs that would make the response too long are left for the next read; there
+// is one at least.
 std::string WriteOutputs(const ReadBatchJobResponse& response, std::uint64_t start_after);
 
 // A hash of the body of a submission, the same on every node.
--- a/src/tier/batch/batch_job_submission.h
+++ b/src/tier/batch/batch_job_submission.h
@@ -1,7 +1,7 @@
 // One submission of a batch job at an edge node: asks first whether the job fits its route's quota
-// and whether the stores that would hold it respond, and sends its items only then. A submission that
-// cannot proceed is therefore rejected for certain, in time for its client to retry, unless a store
-// fails in the few milliseconds between the offer and the response.
+// and whether the stores that would hold it respond, and sends its items only then. A submission
+// that cannot proceed is therefore rejected for certain, in time for its client to retry, unless a
+// store fails in the few milliseconds between the offer and the response.
 #ifndef PEARREACH_SRC_TIER_BATCH_BATCH_JOB_SUBMISSION_H_
 #define PEARREACH_SRC_TIER_BATCH_BATCH_JOB_SUBMISSION_H_
 
@@ -23,9 +23,9 @@
  public:
   using Done = StoreClient::Done<CreateBatchJobResponse>;
 
-  // `time`: see CallTime. `offers`: false sends the batch job at once. `done` is called exactly once,
-  // never from inside Start, unless Cancel comes first; for its errors see StoreClient::Create.
-  // UNAVAILABLE: certainly not accepted.
+  // `time`: see CallTime. `offers`: false sends the batch job at once. `done` is called exactly
+  // once, never from inside Start, unless Cancel comes first; for its errors see
+  // StoreClient::Create. UNAVAILABLE: certainly not accepted.
   BatchJobSubmission(Timers* timers, StoreClient* stores, BatchJobSpec batch_job, CallTime time,
                      bool offers, Done done);
   ~BatchJobSubmission();
--- a/src/tier/batch/event_text.h
+++ b/src/tier/batch/event_text.h
@@ -7,8 +7,8 @@
 
 namespace pearreach::batch {
 
-// Parses a text/event-stream in chunks of any size. Not thread-safe. Lines end with LF, CR LF or CR; events without
-// data add nothing; fields other than `data` are passed over.
+// Parses a text/event-stream in chunks of any size. Not thread-safe. Lines end with LF, CR LF or
+// CR; events without data add nothing; fields other than `data` are passed over.
 class EventText {
  public:
   void Feed(std::string_view bytes);
--- a/src/tier/batch/item_puller.cpp
+++ b/src/tier/batch/item_puller.cpp
@@ -150,7 +150,7 @@
   Poll();
 }
 
-void ItemPuller::BackOff() {
+void ItemPuller::StartBackoff() {
   backoff_until_ = Now() + kFailureBackoff;
   last_item_at_ = Now();
 }
--- a/src/tier/batch/item_puller.h
+++ b/src/tier/batch/item_puller.h
@@ -39,7 +39,7 @@
   // Pulls from the stores that have no open pull, where there is capacity.
   void Poll();
   // An item could not be run: starts no pull for a short while.
-  void BackOff();
+  void StartBackoff();
   // Starts no more pulls; items that still come are dropped, and their leases expire.
   void Stop();
 
--- a/src/tier/batch/item_request.cpp
+++ b/src/tier/batch/item_request.cpp
@@ -61,7 +61,8 @@
   spec.body = std::move(leased.item.body);
   spec.attempt_id = std::move(leased.item.item_id);
   spec.due = Now() + time;
-  spec.target_ms = static_cast<double>(time / kMs);
+  const Micros target_ms = time / kMs;
+  spec.target_ms = static_cast<double>(target_ms);
   spec.gap_target_ms = route.gap_target_ms;
   spec.rank = route.rank;
   spec.attempts = kMaxWorkersPerRun;
--- a/src/tier/batch/item_request.h
+++ b/src/tier/batch/item_request.h
@@ -11,8 +11,8 @@
 
 namespace pearreach::batch {
 
-// A bulk request to a worker of `service` that ends within `time` (microseconds) from now. It ends at
-// the first response of 500, as the store counts these.
+// A bulk request to a worker of `service` that ends within `time` (microseconds) from now. It ends
+// at the first response of 500, as the store counts these.
 proxy::RequestSpec MakeItemRequest(LeasedItem leased, const routing::Route& route,
                                    std::string service, Micros time);
 
--- a/src/tier/batch/item_worker.cpp
+++ b/src/tier/batch/item_worker.cpp
@@ -17,7 +17,8 @@
 constexpr Micros kReportRetryDelay = 500 * kMs;
 // A lease that is of no use is returned to its store for this long; then it expires.
 constexpr Micros kReturnTimeout = 1 * kSecond;
-// A result that no store acknowledges is kept this long beyond the time when its item may be abandoned.
+// A result that no store acknowledges is kept this long beyond the time when its item may be
+// abandoned.
 constexpr Micros kResultRetention = 30 * kSecond;
 
 bool RoutesTo(const routing::Route& route, std::string_view service) {
@@ -102,8 +103,8 @@
 }
 
 // A store leases an item that this node has already. A run continues under the new lease. A result
-// stays that of the lease under which it came about, so that a failure counts once; the new lease is
-// returned.
+// stays that of the lease under which it came about, so that a failure counts once; the new lease
+// is returned.
 void ItemWorker::OnLeasedAgain(InFlightItem* item, const LeasedItem& leased) {
   if (item->run != nullptr) {
     item->lease = leased.lease;
@@ -113,7 +114,7 @@
   }
   const RunOutcome outcome = item->result.outcome;
   if (outcome == RunOutcome::kComplete || outcome == RunOutcome::kImpossible) return;
-  puller_.BackOff();
+  puller_.StartBackoff();
   ItemResult returned;
   returned.batch_job_id = leased.batch_job_id;
   returned.item_id = leased.item.item_id;
@@ -150,7 +151,7 @@
   const std::shared_ptr<ItemRun> run = std::move(found->second->run);
   if (run == nullptr) return;
   const RunOutcome outcome = run->Outcome(result);
-  if (outcome == RunOutcome::kReturned) puller_.BackOff();
+  if (outcome == RunOutcome::kReturned) puller_.StartBackoff();
   FinishRun(key, outcome, outcome == RunOutcome::kComplete ? run->TakeText() : std::string());
 }
 
@@ -254,7 +255,7 @@
     renew.node = node_;
     renew.process = puller_.Incarnation();
     renew.held = keys;
-    stores_->Renew(store, std::move(renew), kRenewTimeout,
+    stores_->Renew(store, renew, kRenewTimeout,
                    callbacks_.Bind([this, keys = std::move(keys),
                                     now](const absl::StatusOr<RenewLeasesResponse>& response) {
                      OnRenewed(keys, now, response);
--- a/src/tier/batch/request_target.h
+++ b/src/tier/batch/request_target.h
@@ -23,8 +23,8 @@
 // The text with its %XX codes decoded; what is no such code stays as it is.
 std::string PercentDecode(std::string_view text);
 
-// The value of the first parameter of that name, not decoded; empty if it has no '='. None: there is
-// no such parameter.
+// The value of the first parameter of that name, not decoded; empty if it has no '='. None: there
+// is no such parameter.
 std::optional<std::string_view> QueryValue(std::string_view query, std::string_view name);
 
 // The number that the whole text is; none: it is not one.
--- a/src/tier/batch/store_client.cpp
+++ b/src/tier/batch/store_client.cpp
@@ -135,20 +135,15 @@
                         EncodeUnchanged(std::move(result)), std::move(finished));
 }
 
-template <class Response>
-void StoreClient::CallStore(const StoreId& store, rpc::MessageType type, std::string body,
-                            Micros timeout, Done<Response> done) {
-  auto on_response = callbacks_.Bind([done = std::move(done)](absl::StatusOr<std::string> bytes) {
-    done(DecodeResponse<Response>(std::move(bytes)));
-  });
+void StoreClient::CallOnce(const StoreId& store, rpc::MessageType type, std::string body,
+                           Micros timeout, rpc::Done done) {
   const std::string address = path_.AddressOf(store);
   if (!address.empty()) {
-    transport_->Call(address, type, std::move(body), timeout, std::move(on_response));
+    transport_->Call(address, type, std::move(body), timeout, std::move(done));
     return;
   }
-  timers_->After(0, [on_response = std::move(on_response)]() mutable {
-    on_response(
-        absl::StatusOr<std::string>(absl::UnavailableError("the store is not a live member")));
+  timers_->After(0, [done = std::move(done)] {
+    done(absl::UnavailableError("the store is not a live member"));
   });
 }
 
@@ -156,14 +151,18 @@
                        Done<PullItemsResponse> done) {
   const auto table = Table();
   pull.placement_epoch = table == nullptr ? 0 : table->epoch;
-  CallStore<PullItemsResponse>(store, rpc::MessageType::kItemPull, codec::Encode(pull), timeout,
-                               std::move(done));
+  CallOnce(store, rpc::MessageType::kItemPull, codec::Encode(pull), timeout,
+           callbacks_.Bind([done = std::move(done)](absl::StatusOr<std::string> bytes) {
+             done(DecodeResponse<PullItemsResponse>(std::move(bytes)));
+           }));
 }
 
-void StoreClient::Renew(const StoreId& store, RenewLeases renew, Micros timeout,
+void StoreClient::Renew(const StoreId& store, const RenewLeases& renew, Micros timeout,
                         Done<RenewLeasesResponse> done) {
-  CallStore<RenewLeasesResponse>(store, rpc::MessageType::kItemRenew, codec::Encode(renew), timeout,
-                                 std::move(done));
+  CallOnce(store, rpc::MessageType::kItemRenew, codec::Encode(renew), timeout,
+           callbacks_.Bind([done = std::move(done)](absl::StatusOr<std::string> bytes) {
+             done(DecodeResponse<RenewLeasesResponse>(std::move(bytes)));
+           }));
 }
 
 }  // namespace pearreach::batch
--- a/src/tier/batch/store_client.h
+++ b/src/tier/batch/store_client.h
@@ -59,7 +59,7 @@
 
   // Calls to one store, attempted once. UNAVAILABLE: the store is not a live member.
   void Pull(const StoreId& store, PullItems pull, Micros timeout, Done<PullItemsResponse> done);
-  void Renew(const StoreId& store, RenewLeases renew, Micros timeout,
+  void Renew(const StoreId& store, const RenewLeases& renew, Micros timeout,
              Done<RenewLeasesResponse> done);
 
   // The newest placement table; null: none is known.
@@ -73,9 +73,8 @@
   std::size_t pending() const { return retrier_.pending(); }
 
  private:
-  template <class Response>
-  void CallStore(const StoreId& store, rpc::MessageType type, std::string body, Micros timeout,
-                 Done<Response> done);
+  void CallOnce(const StoreId& store, rpc::MessageType type, std::string body, Micros timeout,
+                rpc::Done done);
 
   Timers* const timers_;
   rpc::Transport* const transport_;
--- a/src/tier/batch/store_path.cpp
+++ b/src/tier/batch/store_path.cpp
@@ -14,8 +14,8 @@
 using coordination::MemberStatus;
 using rpc::MessageType;
 
-// A relayed path is used for so long before the direct one is tried again: about as long as a network
-// partition lasts that is worth bypassing.
+// A relayed path is used for so long before the direct one is tried again: about as long as a
+// network partition lasts that is worth bypassing.
 constexpr Micros kRelayPeriod = 2 * kSecond;
 // Of a relayed call's time, for the way to the relay and back.
 constexpr Micros kRelayMargin = 20 * kMs;
@@ -99,7 +99,8 @@
     return;
   }
   PathState& path = paths_[store];
-  if (path.relayed != relayed) return;  // the response to a call from before the last change of path
+  if (path.relayed != relayed)
+    return;  // the response to a call from before the last change of path
   path.relayed = !relayed;
   path.until = Now() + kRelayPeriod;
 }
--- a/src/tier/batch/unresponsive_store_reporter.h
+++ b/src/tier/batch/unresponsive_store_reporter.h
@@ -1,5 +1,5 @@
-// Reports stores that did not respond to this process to the placement controller, which checks them
-// itself before it acts on that. Membership alone takes several times as long to find a loss.
+// Reports stores that did not respond to this process to the placement controller, which checks
+// them itself before it acts on that. Membership alone takes several times as long to find a loss.
 #ifndef PEARREACH_SRC_TIER_BATCH_UNRESPONSIVE_STORE_REPORTER_H_
 #define PEARREACH_SRC_TIER_BATCH_UNRESPONSIVE_STORE_REPORTER_H_
 
--- a/src/tier/registry/anti_entropy.cpp
+++ b/src/tier/registry/anti_entropy.cpp
@@ -22,20 +22,20 @@
       state_(state),
       period_(period),
       update_handler_(std::move(update_handler)) {
-  transport_->Handle(
-      rpc::MessageType::kWorkerDigest,
-      callbacks_.Bind([this](const std::string&, std::string_view body, rpc::Respond respond) {
-        const auto request = codec::Decode<DigestRequest>(body);
-        if (!request.ok()) return respond(request.status());
-        respond(codec::Encode(OnDigest(*request)));
-      }));
-  transport_->Handle(
-      rpc::MessageType::kWorkerRepair,
-      callbacks_.Bind([this](const std::string&, std::string_view body, rpc::Respond respond) {
-        const auto request = codec::Decode<RepairRequest>(body);
-        if (!request.ok()) return respond(request.status());
-        respond(codec::Encode(OnRepair(*request)));
-      }));
+  transport_->Handle(rpc::MessageType::kWorkerDigest,
+                     callbacks_.Bind([this](const std::string&, std::string_view body,
+                                            const rpc::Respond& respond) {
+                       const auto request = codec::Decode<DigestRequest>(body);
+                       if (!request.ok()) return respond(request.status());
+                       respond(codec::Encode(OnDigest(*request)));
+                     }));
+  transport_->Handle(rpc::MessageType::kWorkerRepair,
+                     callbacks_.Bind([this](const std::string&, std::string_view body,
+                                            const rpc::Respond& respond) {
+                       const auto request = codec::Decode<RepairRequest>(body);
+                       if (!request.ok()) return respond(request.status());
+                       respond(codec::Encode(OnRepair(*request)));
+                     }));
   time_->After(0, callbacks_.Bind([this] { Tick(); }));
 }
 
@@ -99,7 +99,7 @@
     DisseminateRequest request;
     request.update = codec::Encode(wanted);
     transport_->Call(address, rpc::MessageType::kWorkerDisseminate, codec::Encode(request),
-                     kResponseTimeout, [](absl::StatusOr<std::string>) {});
+                     kResponseTimeout, [](const absl::StatusOr<std::string>&) {});
   }
   if (response.more) return RequestDigest(address);
   compared_ = true;
--- a/src/tier/registry/disseminator.cpp
+++ b/src/tier/registry/disseminator.cpp
@@ -45,9 +45,8 @@
       update_handler_(std::move(update_handler)) {
   transport_->Handle(
       rpc::MessageType::kWorkerDisseminate,
-      callbacks_.Bind([this](const std::string&, std::string_view body, rpc::Respond respond) {
-        OnDisseminate(body, respond);
-      }));
+      callbacks_.Bind([this](const std::string&, std::string_view body,
+                             const rpc::Respond& respond) { OnDisseminate(body, respond); }));
 }
 
 std::shared_ptr<Disseminator::Run> Disseminator::StartRun(std::string update, Micros budget,
@@ -132,7 +131,7 @@
   const Micros timeout = std::min(left / 2, kAttemptTimeout);
   if (timeout < kMinAttemptTimeout) return;  // stays open: not all nodes have the records
   CallNode(run, relay, std::move(request), timeout,
-           [this, run, relay, range](absl::StatusOr<std::string> response) {
+           [this, run, relay, range](const absl::StatusOr<std::string>& response) {
              OnRangeResponse(run, relay, range, response);
            });
 }
@@ -161,7 +160,7 @@
   const Micros timeout = std::min(run->until - time_->Now(), kAttemptTimeout);
   if (timeout < kMinAttemptTimeout) return;  // stays open: not all nodes have the records
   CallNode(run, node, DisseminateRequest(), timeout,
-           [this, run, node](absl::StatusOr<std::string> response) {
+           [this, run, node](const absl::StatusOr<std::string>& response) {
              if (response.ok()) {
                run->reached.push_back(node->id);
                return run->Close();
--- a/src/tier/registry/edge_nodes.cpp
+++ b/src/tier/registry/edge_nodes.cpp
@@ -33,6 +33,7 @@
   const std::size_t quota = (nodes.size() + kEdgeNodesPerReceiver - 1) / kEdgeNodesPerReceiver;
   able.resize(std::min(able.size(), std::max({members, quota, std::size_t{1}})));
   std::vector<std::string> names;
+  names.reserve(able.size());
   for (const EdgeNode* node : able) names.push_back(node->name);
   return names;
 }
--- a/src/tier/registry/worker_registry.cpp
+++ b/src/tier/registry/worker_registry.cpp
@@ -63,11 +63,11 @@
                }),
       anti_entropy_(time_.get(), transport, &nodes_, &state_, period_,
                     [this](const WorkerUpdate& update) { Import(update); }) {
-  transport_->Handle(
-      rpc::MessageType::kWorkerForward,
-      callbacks_.Bind([this](const std::string&, std::string_view body, rpc::Respond respond) {
-        OnForwardedHeartbeat(body, respond);
-      }));
+  transport_->Handle(rpc::MessageType::kWorkerForward,
+                     callbacks_.Bind([this](const std::string&, std::string_view body,
+                                            const rpc::Respond& respond) {
+                       OnForwardedHeartbeat(body, respond);
+                     }));
   time_->After(period_, callbacks_.Bind([this] { Tick(); }));
 }
 
@@ -77,9 +77,8 @@
                 OnHeartbeat(std::move(exchange), id);
               });
   router->Add("POST", "/Workers.Departure/*",
-              [this](std::shared_ptr<http_server::Exchange> exchange, const std::string& id) {
-                OnDeparture(std::move(exchange), id);
-              });
+              [this](const std::shared_ptr<http_server::Exchange>& exchange,
+                     const std::string& id) { OnDeparture(exchange, id); });
 }
 
 // ---------------------------------------------------------------- calls of workers
@@ -119,7 +118,7 @@
   });
 }
 
-void WorkerRegistry::OnDeparture(std::shared_ptr<http_server::Exchange> exchange,
+void WorkerRegistry::OnDeparture(const std::shared_ptr<http_server::Exchange>& exchange,
                                  const std::string& worker_id) {
   if (state_.Depart(time_->Now(), worker_id)) {
     logging::Info(kModule, "worker departed", {logging::F("worker", worker_id)});
--- a/src/tier/registry/worker_registry.h
+++ b/src/tier/registry/worker_registry.h
@@ -46,7 +46,8 @@
   // a worker that drains 503 if too few other nodes can be reached.
   void OnHeartbeat(std::shared_ptr<http_server::Exchange> exchange, const std::string& worker_id);
   // Responds 200, or 503 if too few other nodes can be reached.
-  void OnDeparture(std::shared_ptr<http_server::Exchange> exchange, const std::string& worker_id);
+  void OnDeparture(const std::shared_ptr<http_server::Exchange>& exchange,
+                   const std::string& worker_id);
 
   std::shared_ptr<const WorkerTable> Workers() const override { return publisher_.table(); }
   void OnChange(std::function<void()> listener) override {
--- a/src/tier/registry/worker_table.h
+++ b/src/tier/registry/worker_table.h
@@ -75,18 +75,18 @@
     shards_[index] = std::make_shared<const Shard>(std::move(shard));
   }
   void Put(const WorkerRecord& record) {
-    Shard shard = CopyShard(ShardOf(record.worker_id));
+    Shard shard = CloneShard(ShardOf(record.worker_id));
     shard[record.worker_id] = record;
     SetShard(ShardOf(record.worker_id), std::move(shard));
   }
   void Erase(const std::string& worker_id) {
-    Shard shard = CopyShard(ShardOf(worker_id));
+    Shard shard = CloneShard(ShardOf(worker_id));
     shard.erase(worker_id);
     SetShard(ShardOf(worker_id), std::move(shard));
   }
 
  private:
-  Shard CopyShard(std::size_t index) const {
+  Shard CloneShard(std::size_t index) const {
     return shards_[index] == nullptr ? Shard() : *shards_[index];
   }
   std::array<std::shared_ptr<const Shard>, kShards> shards_;
--- a/src/tier/routing/configuration.h
+++ b/src/tier/routing/configuration.h
@@ -1,4 +1,5 @@
-// A configuration as it was sent: the JSON text read into structs, before the checks between entries.
+// A configuration as it was sent: the JSON text read into structs, before the checks between
+// entries.
 #ifndef PEARREACH_SRC_TIER_ROUTING_CONFIGURATION_H_
 #define PEARREACH_SRC_TIER_ROUTING_CONFIGURATION_H_
 
--- a/src/tier/routing/route_table.h
+++ b/src/tier/routing/route_table.h
@@ -1,5 +1,5 @@
-// A checked configuration as an immutable snapshot: routes, services and limits, with the look-up of
-// a request's route. A new configuration is a new table.
+// A checked configuration as an immutable snapshot: routes, services and limits, with the look-up
+// of a request's route. A new configuration is a new table.
 #ifndef PEARREACH_SRC_TIER_ROUTING_ROUTE_TABLE_H_
 #define PEARREACH_SRC_TIER_ROUTING_ROUTE_TABLE_H_
 
@@ -26,9 +26,9 @@
 struct Route {
   std::string name, host, path_prefix;
   Variant variant = Variant::kEffectful;
-  double limit_ms = 0;       // after that a request has failed
-  double target_ms = 0;      // latency target of the response
-  double gap_target_ms = 0;  // latency target between two events of a stream
+  double limit_ms = 0;                             // after that a request has failed
+  double target_ms = 0;                            // latency target of the response
+  double gap_target_ms = 0;                        // latency target between two events of a stream
   double due_ms = 0, retain_s = 0, token_cap = 0;  // bulk only; token_cap 0: no limit
   int rank = 0, attempts = 1;
   bool affinity = false, resumable = false;
