--- a/src/tier/registry/anti_entropy.cpp
+++ b/src/tier/registry/anti_entropy.cpp
@@ -98,7 +98,7 @@
   if (!wanted.items.empty()) {
     DisseminateRequest request;
     request.update = codec::Encode(wanted);
-    transport_->Call(address, rpc::MessageType::kWorkerDisseminate, codec::Encode(request),
+    transport_->Call(address, rpc::MessageType::kWorkerUpdate, codec::Encode(request),
                      kResponseTimeout, [](const absl::StatusOr<std::string>&) {});
   }
   if (response.more) return RequestDigest(address);
--- a/src/tier/registry/disseminator.cpp
+++ b/src/tier/registry/disseminator.cpp
@@ -44,7 +44,7 @@
       nodes_(nodes),
       update_handler_(std::move(update_handler)) {
   transport_->Handle(
-      rpc::MessageType::kWorkerDisseminate,
+      rpc::MessageType::kWorkerUpdate,
       callbacks_.Bind([this](const std::string&, std::string_view body,
                              const rpc::Respond& respond) { OnDisseminate(body, respond); }));
 }
@@ -178,7 +178,7 @@
   // A node that came back may listen elsewhere.
   std::string address = nodes_->AddressOf(to->name);
   if (address.empty()) address = to->address;
-  transport_->Call(address, rpc::MessageType::kWorkerDisseminate, codec::Encode(request), timeout,
+  transport_->Call(address, rpc::MessageType::kWorkerUpdate, codec::Encode(request), timeout,
                    callbacks_.Bind(std::move(done)));
 }
 
--- a/src/tier/registry/disseminator.h
+++ b/src/tier/registry/disseminator.h
@@ -19,7 +19,7 @@
 
 namespace pearreach::registry {
 
-// Owned by a WorkerRegistry; used on the event loop's thread only. Handles kWorkerDisseminate.
+// Owned by a WorkerRegistry; used on the event loop's thread only. Handles kWorkerUpdate.
 class Disseminator {
  public:
   // Which nodes have the records, and whether these are all live edge nodes.
--- a/src/tier/registry/worker_messages.h
+++ b/src/tier/registry/worker_messages.h
@@ -32,7 +32,7 @@
   }
 };
 
-// kWorkerDisseminate: records for the addressee and, through it, for all edge nodes whose key is
+// kWorkerUpdate: records for the addressee and, through it, for all edge nodes whose key is
 // from `first` to `last`.
 struct DisseminateRequest {
   std::string first, last;     // EdgeNode::key; empty: the addressee alone
--- a/src/tier/registry/worker_registry.cpp
+++ b/src/tier/registry/worker_registry.cpp
@@ -63,7 +63,7 @@
                }),
       anti_entropy_(time_.get(), transport, &nodes_, &state_, period_,
                     [this](const WorkerUpdate& update) { Import(update); }) {
-  transport_->Handle(rpc::MessageType::kWorkerForward,
+  transport_->Handle(rpc::MessageType::kWorkerHeartbeat,
                      callbacks_.Bind([this](const std::string&, std::string_view body,
                                             const rpc::Respond& respond) {
                        OnForwardedHeartbeat(body, respond);
@@ -167,7 +167,7 @@
   WorkerUpdate update;
   update.items.push_back(
       {record, std::max<Micros>(0, record.warm_at - time_->Now()) / kMs, 0, false});
-  transport_->Call(nodes_.AddressOf(record.receiver), rpc::MessageType::kWorkerForward,
+  transport_->Call(nodes_.AddressOf(record.receiver), rpc::MessageType::kWorkerHeartbeat,
                    codec::Encode(update), kForwardTimeout,
                    callbacks_.Bind([this, id](const absl::StatusOr<std::string>& response) {
                      if (response.ok()) return;
--- a/src/tier/rpc/transport.h
+++ b/src/tier/rpc/transport.h
@@ -23,8 +23,8 @@
   kControlWrite = 3,  // a node passes an operator's or a duty's change on to the head
   kControlRead = 4,   // a strict read of the control state
   // 5 and 6 were a worker's record and a summary of workers.
-  kWorkerDisseminate = 7,  // worker records on their way to all edge nodes
-  kWorkerForward = 8,      // heartbeats, to the node that should take them
+  kWorkerUpdate = 7,  // worker records on their way to all edge nodes
+  kWorkerHeartbeat = 8,      // heartbeats, to the node that should take them
   kWorkerDigest = 9,       // are the workers the same at both?
   kWorkerRepair = 10,      // what of them differs
   kBatchJobCreate = 20,    // edge -> primary store
--- a/tests/tier/golden/samples_values.cpp
+++ b/tests/tier/golden/samples_values.cpp
@@ -39,9 +39,9 @@
       return "control_write";
     case MessageType::kControlRead:
       return "control_read";
-    case MessageType::kWorkerDisseminate:
+    case MessageType::kWorkerUpdate:
       return "worker_spread";
-    case MessageType::kWorkerForward:
+    case MessageType::kWorkerHeartbeat:
       return "worker_pass";
     case MessageType::kWorkerDigest:
       return "worker_digest";
