--- a/src/tier/batch/batch_job_json.cpp
+++ b/src/tier/batch/batch_job_json.cpp
@@ -17,11 +17,11 @@
 
 using rapidjson::Value;
 
-// An answer is a little under 1 MB also where contents grow by escapes; and what an output takes
-// besides its texts.
-constexpr std::size_t kMaxAnswerBytes = 900'000, kOutputFrame = 64;
+// A response stays a little under 1 MB, also where contents grow by escapes; and what an output
+// takes besides its texts.
+constexpr std::size_t kMaxResponseBytes = 900'000, kOutputOverheadBytes = 64;
 
-std::string_view View(const Value& text) { return {text.GetString(), text.GetStringLength()}; }
+std::string_view ToView(const Value& text) { return {text.GetString(), text.GetStringLength()}; }
 
 absl::Status Malformed(std::string_view what) {
   return absl::InvalidArgumentError(std::string(what));
@@ -33,7 +33,7 @@
   return &found->value;
 }
 
-// A header as it can be sent on: no line ends, a name that is not empty.
+// Whether a header can be forwarded: no line ends, a name that is not empty.
 bool IsHeader(std::string_view name, std::string_view value) {
   constexpr std::string_view kNotInName("\r\n:\0 ", 5), kNotInValue("\r\n\0", 3);
   return !name.empty() && name.find_first_of(kNotInName) == std::string_view::npos &&
@@ -52,8 +52,9 @@
   if (!headers->value.IsObject()) return Malformed("headers: not an object");
   for (const auto& header : headers->value.GetObject()) {
     if (!header.value.IsString()) return Malformed("headers: a value is not a string");
-    if (!IsHeader(View(header.name), View(header.value))) return Malformed("headers: not a header");
-    item->headers.emplace_back(View(header.name), View(header.value));
+    if (!IsHeader(ToView(header.name), ToView(header.value)))
+      return Malformed("headers: not a header");
+    item->headers.emplace_back(ToView(header.name), ToView(header.value));
   }
   return absl::OkStatus();
 }
@@ -67,9 +68,11 @@
   return absl::OkStatus();
 }
 
-bool Unpack(const Value& payload, std::string* body) {
+absl::StatusOr<std::string> DecodePayload(const Value& payload) {
   const absl::string_view text(payload.GetString(), payload.GetStringLength());
-  return absl::Base64Unescape(text, body);
+  std::string body;
+  if (!absl::Base64Unescape(text, &body)) return Malformed("payload: not base64");
+  return body;
 }
 
 absl::StatusOr<ItemSpec> ReadItem(const Value& entry) {
@@ -78,14 +81,16 @@
   const Value* path = StringMember(entry, "path");
   const Value* payload = StringMember(entry, "payload");
   ItemSpec item;
-  if (id == nullptr || !IsHeader("id", View(*id)) || id->GetStringLength() == 0) {
+  if (id == nullptr || !IsHeader("id", ToView(*id)) || id->GetStringLength() == 0) {
     return Malformed("worker_id: missing or not an id");
   }
-  if (path == nullptr || !IsTarget(View(*path))) return Malformed("path: missing or not a path");
-  item.item_id = View(*id);
-  item.path = View(*path);
-  if (payload != nullptr && !Unpack(*payload, &item.body)) {
-    return Malformed("payload: not base64");
+  if (path == nullptr || !IsTarget(ToView(*path))) return Malformed("path: missing or not a path");
+  item.item_id = ToView(*id);
+  item.path = ToView(*path);
+  if (payload != nullptr) {
+    auto body = DecodePayload(*payload);
+    if (!body.ok()) return body.status();
+    item.body = *std::move(body);
   }
   if (const auto status = ReadHeaders(entry, &item); !status.ok()) return status;
   if (const auto status = ReadTokens(entry, &item); !status.ok()) return status;
@@ -95,9 +100,10 @@
 }  // namespace
 
 absl::StatusOr<std::vector<ItemSpec>> ParseItems(std::string body) {
-  rapidjson::Document document;
-  document.ParseInsitu<rapidjson::kParseIterativeFlag>(body.data());
-  if (document.HasParseError() || !document.IsObject()) return Malformed("not a JSON object");
+  rapidjson::Document parsed;
+  parsed.ParseInsitu<rapidjson::kParseIterativeFlag>(body.data());
+  const Value& document = parsed;
+  if (parsed.HasParseError() || !document.IsObject()) return Malformed("not a JSON object");
   const auto entries = document.FindMember("entries");
   if (entries == document.MemberEnd() || !entries->value.IsArray()) {
     return Malformed("entries: missing or not a list");
@@ -116,7 +122,7 @@
   return items;
 }
 
-std::string WriteOutputs(const ReadBatchJobResponse& answer, std::uint64_t start_after) {
+std::string WriteOutputs(const ReadBatchJobResponse& response, std::uint64_t start_after) {
   rapidjson::StringBuffer buffer;
   rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
   const auto text = [&writer](std::string_view value) {
@@ -125,12 +131,12 @@
   std::uint64_t next = start_after;
   writer.StartObject();
   writer.Key("total");
-  writer.Uint64(answer.total);
+  writer.Uint64(response.total);
   writer.Key("outputs");
   writer.StartArray();
-  for (const ItemOutput& output : answer.outputs) {
-    const std::size_t size = output.content.size() + output.item_id.size() + kOutputFrame;
-    if (next > start_after && buffer.GetSize() + size > kMaxAnswerBytes) break;
+  for (const ItemOutput& output : response.outputs) {
+    const std::size_t size = output.content.size() + output.item_id.size() + kOutputOverheadBytes;
+    if (next > start_after && buffer.GetSize() + size > kMaxResponseBytes) break;
     writer.StartObject();
     writer.Key("worker_id");
     text(output.item_id);
--- a/src/tier/batch/unresponsive_store_reporter.cpp
+++ b/src/tier/batch/unresponsive_store_reporter.cpp
@@ -7,8 +7,8 @@
 namespace pearreach::batch {
 namespace {
 
-constexpr Micros kReportPause = 300 * kMs;
-constexpr Micros kReportTime = 500 * kMs;
+constexpr Micros kMinReportInterval = 300 * kMs;
+constexpr Micros kReportTimeout = 500 * kMs;
 
 }  // namespace
 
@@ -24,12 +24,13 @@
   }
 }
 
-void UnresponsiveStoreReporter::Report(const StoreId& unresponsive, Micros now) {
-  std::erase_if(reported_, [now](const auto& entry) { return now - entry.second >= kReportPause; });
-  if (!reported_.emplace(unresponsive, now).second) return;
+void UnresponsiveStoreReporter::Report(const StoreId& store, Micros now) {
+  std::erase_if(reported_,
+                [now](const auto& entry) { return now - entry.second >= kMinReportInterval; });
+  if (!reported_.emplace(store, now).second) return;
   StoreStatus status;
-  status.unresponsive.push_back(unresponsive);
-  SendToPlacementController(transport_, *control_, status, kReportTime);
+  status.unresponsive.push_back(store);
+  SendToPlacementController(transport_, *control_, status, kReportTimeout);
 }
 
 }  // namespace pearreach::batch
--- a/src/tier/gateway/request_builder.cpp
+++ b/src/tier/gateway/request_builder.cpp
@@ -66,7 +66,7 @@
   spec.gap_target_ms = route.gap_target_ms;
   spec.rank = route.rank;
   spec.attempts = route.attempts;
-  spec.idempotent = route.Repeatable();
+  spec.idempotent = route.IsIdempotent();
   spec.streamed = route.variant == routing::Variant::kStreamed;
   spec.resumable = spec.streamed && route.resumable;
   spec.last_event_id = ReadNumber<std::uint64_t>(request->Find("Last-Event-Id")).value_or(0);
--- a/src/tier/registry/worker_table.h
+++ b/src/tier/registry/worker_table.h
@@ -1,5 +1,5 @@
-// The workers that the fleet knows, as an immutable snapshot. It is kept in shards that snapshots
-// share, so that a change copies one shard and not the whole table.
+// The workers that the edge nodes know, as an immutable snapshot. It is kept in shards that
+// snapshots share, so that a change copies one shard and not the whole table.
 #ifndef PEARREACH_SRC_TIER_REGISTRY_WORKER_TABLE_H_
 #define PEARREACH_SRC_TIER_REGISTRY_WORKER_TABLE_H_
 
@@ -22,14 +22,14 @@
   WorkerPhase phase = WorkerPhase::kReady;
   std::uint64_t call_seq = 0;  // of the heartbeat that this record rests on
   std::int64_t warm_at = 0;    // local steady clock, microseconds: slow until then
-  std::string taker;           // the node that takes its heartbeats; empty: unknown
-  std::uint64_t version = 0;   // rises with each change that nodes tell one another
-  bool lost = false;           // the taker has missed its heartbeats
+  std::string receiver;        // the edge node that receives its heartbeats; empty: unknown
+  std::uint64_t version = 0;   // rises with each change that nodes exchange
+  bool lost = false;           // the receiver has missed its heartbeats
 
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& worker_id& service& address& zone& capacity& phase& call_seq& warm_at& taker& version&
-        lost;
+    archive& worker_id& service& address& zone& capacity& phase& call_seq& warm_at& receiver&
+        version& lost;
   }
 };
 
@@ -40,7 +40,8 @@
   return hash ^ hash >> 32;
 }
 
-// By worker_id; workers that are gone are left out.
+// By worker_id; workers that are gone are left out. Thread-safe once it is shared, as it does not
+// change then.
 class WorkerTable {
  public:
   using Shard = std::unordered_map<std::string, WorkerRecord>;
@@ -69,29 +70,30 @@
     }
   }
 
-  // For whoever makes a table, before it is shared.
+  // For building a table, before it is shared.
   void SetShard(std::size_t index, Shard shard) {
     shards_[index] = std::make_shared<const Shard>(std::move(shard));
   }
   void Put(const WorkerRecord& record) {
-    Shard shard = CopyOf(ShardOf(record.worker_id));
+    Shard shard = CloneShard(ShardOf(record.worker_id));
     shard[record.worker_id] = record;
     SetShard(ShardOf(record.worker_id), std::move(shard));
   }
   void Erase(const std::string& worker_id) {
-    Shard shard = CopyOf(ShardOf(worker_id));
+    Shard shard = CloneShard(ShardOf(worker_id));
     shard.erase(worker_id);
     SetShard(ShardOf(worker_id), std::move(shard));
   }
 
  private:
-  Shard CopyOf(std::size_t index) const {
+  Shard CloneShard(std::size_t index) const {
     return shards_[index] == nullptr ? Shard() : *shards_[index];
   }
   std::array<std::shared_ptr<const Shard>, kShards> shards_;
 };
 
-// Swapped whole at each change; listeners are called after a swap, on the loop.
+// Where the newest table comes from. Used on the event loop's thread only; listeners are called
+// after each new table.
 class WorkerSource {
  public:
   virtual ~WorkerSource() = default;
--- a/src/tier/routing/configuration.h
+++ b/src/tier/routing/configuration.h
@@ -1,4 +1,5 @@
-// A configuration as it was sent: the JSON text read into structs, before its checks as a whole.
+// A configuration as it was sent: the JSON text read into structs, before the checks between
+// entries.
 #ifndef PEARREACH_SRC_TIER_ROUTING_CONFIGURATION_H_
 #define PEARREACH_SRC_TIER_ROUTING_CONFIGURATION_H_
 
@@ -29,7 +30,7 @@
 std::string NormalizeHost(std::string_view host);
 
 // "routes[3]".
-std::string PlaceInList(std::string_view list, std::size_t position);
+std::string ElementPath(std::string_view list, std::size_t position);
 
 }  // namespace pearreach::routing
 
