--- a/src/node/engine/core.h
+++ b/src/node/engine/core.h
@@ -91,6 +91,7 @@
   // Durable jobs; a core that keeps none refuses them.
   virtual bool keeps() const { return false; }
   // Takes a job on durably; `taken` is told once that is so, or at once that it is not.
+  // NOLINTNEXTLINE(performance-unnecessary-value-param): an override takes the job over
   virtual void Take(Job, Taken taken) {
     const Taken done = std::move(taken);
     done({});
--- a/src/tier/batch/batch_job_api.cpp
+++ b/src/tier/batch/batch_job_api.cpp
@@ -77,8 +77,8 @@
   Micros time = kDefaultSubmitTimeout;
   const auto deadline = NumberHeader(request, "X-Deadline-Ms");
   const auto shorten = [&time](double ms) {
-    const Micros longest_ms = time / kMs;
-    if (ms > 0 && ms < static_cast<double>(longest_ms)) time = static_cast<Micros>(ms * kMs);
+    const Micros max_ms = time / kMs;
+    if (ms > 0 && ms < static_cast<double>(max_ms)) time = static_cast<Micros>(ms * kMs);
   };
   if (deadline.has_value()) shorten(*deadline);
   shorten(route.limit_ms);
--- a/src/tier/batch/batch_job_changes.cpp
+++ b/src/tier/batch/batch_job_changes.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-void BatchJobChanges::OnOffer(const OfferBatchJob& offer, rpc::Respond respond) {
+void BatchJobChanges::OnOffer(const OfferBatchJob& offer, const rpc::Respond& respond) {
   PartitionReplica* replica = context_->ActiveReplica(offer.batch_job_id);
   if (replica == nullptr) {
     respond(NotPrimary());
@@ -139,7 +139,7 @@
   }
 }
 
-void BatchJobChanges::OnCancel(const CancelBatchJob& cancel, rpc::Respond respond) {
+void BatchJobChanges::OnCancel(const CancelBatchJob& cancel, const rpc::Respond& respond) {
   PartitionReplica* replica = context_->ActiveReplica(cancel.batch_job_id);
   if (replica == nullptr) {
     respond(NotPrimary());
--- a/src/tier/batch/batch_job_changes.h
+++ b/src/tier/batch/batch_job_changes.h
@@ -23,9 +23,9 @@
                   QuotaService* quota)
       : context_(context), items_(items), reads_(reads), quota_(quota) {}
 
-  void OnOffer(const OfferBatchJob& offer, rpc::Respond respond);
+  void OnOffer(const OfferBatchJob& offer, const rpc::Respond& respond);
   void OnCreate(CreateBatchJob create, rpc::Respond respond);
-  void OnCancel(const CancelBatchJob& cancel, rpc::Respond respond);
+  void OnCancel(const CancelBatchJob& cancel, const rpc::Respond& respond);
   // Gives up items and forgets batch jobs whose time is over, in the partitions that are active
   // here. Where the disk is short of room, batch jobs are forgotten as soon as they may be.
   void Sweep(bool is_nearly_full);
--- a/src/tier/batch/batch_job_items.cpp
+++ b/src/tier/batch/batch_job_items.cpp
@@ -219,7 +219,7 @@
 
 // ---------------------------------------------------------------- results
 
-void BatchJobItems::OnResult(ItemResult result, rpc::Respond respond) {
+void BatchJobItems::OnResult(const ItemResult& result, const rpc::Respond& respond) {
   PartitionReplica* replica = context_->ActiveReplica(result.batch_job_id);
   if (replica == nullptr) {
     respond(NotPrimary());
--- a/src/tier/batch/batch_job_items.h
+++ b/src/tier/batch/batch_job_items.h
@@ -26,7 +26,7 @@
   BatchJobItems(StoreContext* context, BatchJobListener changed, BatchJobListener counted);
 
   void OnPullItems(PullItems pull, rpc::Respond respond);
-  void OnResult(ItemResult result, rpc::Respond respond);
+  void OnResult(const ItemResult& result, const rpc::Respond& respond);
   void OnRenew(const RenewLeases& renew, const rpc::Respond& respond);
 
   void OnAccepted(const std::string& batch_job_id);  // a new batch job: its items wait from now on
--- a/src/tier/batch/batch_job_reads.cpp
+++ b/src/tier/batch/batch_job_reads.cpp
@@ -155,7 +155,7 @@
   respond(codec::Encode(response));
 }
 
-void BatchJobReads::OnBody(const ReadItemBody& read, rpc::Respond respond) {
+void BatchJobReads::OnBody(const ReadItemBody& read, const rpc::Respond& respond) {
   PartitionReplica* replica = context_->ActiveReplica(read.batch_job_id);
   if (replica == nullptr) {
     respond(NotPrimary());
--- a/src/tier/batch/batch_job_reads.h
+++ b/src/tier/batch/batch_job_reads.h
@@ -18,7 +18,7 @@
   explicit BatchJobReads(StoreContext* context) : context_(context) {}
 
   void OnRead(ReadBatchJob read, rpc::Respond respond);
-  void OnBody(const ReadItemBody& read, rpc::Respond respond);
+  void OnBody(const ReadItemBody& read, const rpc::Respond& respond);
   // More of the batch job is visible, or it is there no longer.
   void OnVisible(const std::string& batch_job_id);
   void OnInactive(std::uint32_t partition);
--- a/src/tier/batch/batch_job_store.cpp
+++ b/src/tier/batch/batch_job_store.cpp
@@ -117,19 +117,20 @@
                              changes_.OnCreate(std::move(message), std::move(respond));
                            });
   Register<OfferBatchJob>(MessageType::kBatchJobAdmission,
-                          [this](const OfferBatchJob& message, Respond respond) {
-                            changes_.OnOffer(message, std::move(respond));
+                          [this](const OfferBatchJob& message, const Respond& respond) {
+                            changes_.OnOffer(message, respond);
                           });
   Register<CancelBatchJob>(MessageType::kBatchJobCancel,
-                           [this](const CancelBatchJob& message, Respond respond) {
-                             changes_.OnCancel(message, std::move(respond));
+                           [this](const CancelBatchJob& message, const Respond& respond) {
+                             changes_.OnCancel(message, respond);
                            });
   Register<ReadBatchJob>(MessageType::kBatchJobRead, [this](ReadBatchJob message, Respond respond) {
     reads_.OnRead(std::move(message), std::move(respond));
   });
-  Register<ReadItemBody>(
-      MessageType::kItemBody,
-      [this](const ReadItemBody& message, Respond respond) { reads_.OnBody(message, respond); });
+  Register<ReadItemBody>(MessageType::kItemBody,
+                         [this](const ReadItemBody& message, const Respond& respond) {
+                           reads_.OnBody(message, respond);
+                         });
 }
 
 void StoreServer::RegisterItemHandlers() {
@@ -138,9 +139,10 @@
   Register<PullItems>(MessageType::kItemPull, [this](PullItems message, Respond respond) {
     items_.OnPullItems(std::move(message), std::move(respond));
   });
-  Register<ItemResult>(MessageType::kItemResult, [this](ItemResult message, Respond respond) {
-    items_.OnResult(std::move(message), std::move(respond));
-  });
+  Register<ItemResult>(MessageType::kItemResult,
+                       [this](const ItemResult& message, const Respond& respond) {
+                         items_.OnResult(message, respond);
+                       });
   Register<RenewLeases>(MessageType::kItemRenew,
                         [this](const RenewLeases& message, const Respond& respond) {
                           items_.OnRenew(message, respond);
@@ -173,8 +175,8 @@
   using rpc::MessageType;
   using rpc::Respond;
   Register<QuotaReserveRequest>(MessageType::kQuotaReserve,
-                                [this](QuotaReserveRequest message, Respond respond) {
-                                  quota_.OnReserve(std::move(message), std::move(respond));
+                                [this](QuotaReserveRequest message, const Respond& respond) {
+                                  quota_.OnReserve(std::move(message), respond);
                                 });
   Register<QuotaQuery>(MessageType::kQuotaQuery,
                        [this](const QuotaQuery& message, const Respond& respond) {
@@ -282,7 +284,7 @@
 
 void StoreServer::ConfirmEpoch(std::uint32_t partition, std::uint64_t epoch,
                                std::function<void(bool)> done) {
-  next_read_.push_back([this, partition, epoch, done = std::move(done)](bool ok) {
+  next_read_.emplace_back([this, partition, epoch, done = std::move(done)](bool ok) {
     done(ok && replicas_[partition]->epoch() == epoch);
   });
   After(0, [this] { LinearizableRead(); });
--- a/src/tier/batch/placement.cpp
+++ b/src/tier/batch/placement.cpp
@@ -220,14 +220,14 @@
   const std::size_t before = replicas.size();
   std::erase_if(replicas, [&](const StoreId& store) { return IsLeaving(store.name); });
   if (replicas.size() > input_.spread.replicas) {
-    const auto most =
+    const auto max_count =
         std::max_element(replicas.begin(), replicas.end(), [&](const StoreId& a, const StoreId& b) {
           const int need_of_a = Spread().ImportanceOf(a, *partition),
                     need_of_b = Spread().ImportanceOf(b, *partition);
           return need_of_a != need_of_b ? need_of_a > need_of_b : load_[a.name] < load_[b.name];
         });
-    --load_[most->name];
-    replicas.erase(most);
+    --load_[max_count->name];
+    replicas.erase(max_count);
   }
   return replicas.size() != before;
 }
@@ -302,18 +302,18 @@
   int best_gain = kToleratedSkew;
   for (Partition& partition : table_.partitions) {
     if (!partition.joining.empty() || NamesIn(partition.replicas, fewest->id.name)) continue;
-    const StoreId* most = nullptr;  // would be given up for it
+    const StoreId* max_count = nullptr;  // would be given up for it
     bool keeps_zones = true;
     for (const StoreId& store : partition.replicas) {
-      if (most == nullptr || load_[store.name] > load_[most->name]) most = &store;
+      if (max_count == nullptr || load_[store.name] > load_[max_count->name]) max_count = &store;
     }
     for (const StoreId& store : partition.replicas) {
-      if (&store != most && Spread().ZoneOf(store) == fewest->zone) keeps_zones = false;
+      if (&store != max_count && Spread().ZoneOf(store) == fewest->zone) keeps_zones = false;
     }
     Partition moved = partition;
-    std::replace(moved.replicas.begin(), moved.replicas.end(), *most, fewest->id);
+    std::replace(moved.replicas.begin(), moved.replicas.end(), *max_count, fewest->id);
     if (Spread().ReducesSpread(partition, moved)) keeps_zones = false;
-    const int gain = load_[most->name] - load_[fewest->id.name];
+    const int gain = load_[max_count->name] - load_[fewest->id.name];
     if (!keeps_zones || gain <= best_gain) continue;
     best = &partition;
     best_gain = gain;
--- a/src/tier/batch/placement_controller.cpp
+++ b/src/tier/batch/placement_controller.cpp
@@ -170,7 +170,7 @@
   for (const auto& [store, since] : liveness_.unresponsive()) PingUnresponsive(store);
   const PlacementInput input = MakeInput(now);
   auto next = NextPlacement(table_.get(), input);
-  if (next.has_value()) Propose(*std::move(next), revision_);
+  if (next.has_value()) Propose(*next, revision_);
   const bool is_settled = !proposing_ && table_ != nullptr && IsSettled(*table_, spread_.replicas);
   const bool all_responsive = liveness_.unresponsive().empty();
   Micros next_delay = is_settled && all_responsive ? kSettledPeriod : kBusyPeriod;
@@ -179,7 +179,7 @@
   ScheduleReconcile(next_delay);
 }
 
-void PlacementController::Propose(PlacementTable table, std::uint64_t revision) {
+void PlacementController::Propose(const PlacementTable& table, std::uint64_t revision) {
   proposing_ = true;
   logging::Info("batch", "placement proposed",
                 {logging::F("epoch", table.epoch), logging::F("revision", revision)});
--- a/src/tier/batch/placement_controller.h
+++ b/src/tier/batch/placement_controller.h
@@ -50,7 +50,7 @@
   PlacementInput MakeInput(Micros now);
   void PingUnresponsive(const StoreId& store);
   void DropStaleReports();
-  void Propose(PlacementTable table, std::uint64_t revision);
+  void Propose(const PlacementTable& table, std::uint64_t revision);
 
   Timers* timers_;
   rpc::Transport* transport_;
--- a/src/tier/batch/quota.cpp
+++ b/src/tier/batch/quota.cpp
@@ -74,8 +74,8 @@
 bool QuotaTracker::WantsReports(Micros now) const {
   return std::any_of(entries_.begin(), entries_.end(), [&](const auto& entry) {
     const auto reporter = reporters_.find(PartitionOf(entry.first));
-    const Micros heard = reporter == reporters_.end() ? since_ : reporter->second.reported;
-    return now - std::max(heard, entry.second.granted) >= kReportSpan;
+    const Micros reported = reporter == reporters_.end() ? since_ : reporter->second.reported;
+    return now - std::max(reported, entry.second.granted) >= kReportSpan;
   });
 }
 
--- a/src/tier/batch/replication_link.cpp
+++ b/src/tier/batch/replication_link.cpp
@@ -26,7 +26,9 @@
 
 ReplicaLink::~ReplicaLink() { environment_->Cancel(&retry_timer_); }
 
+// `body` is moved on, which the linter does not see in a template.
 template <class Response>
+// NOLINTNEXTLINE(performance-unnecessary-value-param)
 void ReplicaLink::Call(rpc::MessageType type, std::string body, Micros timeout,
                        std::function<void(const Response&)> on_accepted) {
   const std::weak_ptr<ReplicaLink> weak = weak_from_this();
--- a/src/tier/batch/store_client.cpp
+++ b/src/tier/batch/store_client.cpp
@@ -104,8 +104,8 @@
   auto encode = [read = std::move(read)](const AttemptContext& context) {
     ReadBatchJob message = read;
     message.placement_epoch = context.placement_epoch;
-    const Micros longest = std::max<Micros>(context.left - kReadResponseMargin, 0);
-    message.wait_ms = std::min<std::int64_t>(message.wait_ms, longest / kMs);
+    const Micros max_call_time = std::max<Micros>(context.left - kReadResponseMargin, 0);
+    message.wait_ms = std::min<std::int64_t>(message.wait_ms, max_call_time / kMs);
     return codec::Encode(message);
   };
   return retrier_.Start(rpc::MessageType::kBatchJobRead, std::move(batch_job_id), time,
--- a/src/tier/batch/store_quota.cpp
+++ b/src/tier/batch/store_quota.cpp
@@ -163,7 +163,7 @@
 
 // ---------------------------------------------------------------- as the owner of a route
 
-void QuotaService::OnReserve(QuotaReserveRequest reserve, rpc::Respond respond) {
+void QuotaService::OnReserve(QuotaReserveRequest reserve, const rpc::Respond& respond) {
   if (!IsOwner(reserve.reservation.route)) {
     respond(NotPrimary());
     return;
--- a/src/tier/batch/store_quota.h
+++ b/src/tier/batch/store_quota.h
@@ -30,7 +30,7 @@
   // The batch job's waiting tokens may have changed.
   void Update(const std::string& batch_job_id);
 
-  void OnReserve(QuotaReserveRequest reserve, rpc::Respond respond);
+  void OnReserve(QuotaReserveRequest reserve, const rpc::Respond& respond);
   void OnQuery(const QuotaQuery& query, const rpc::Respond& respond);
   void OnReport(const QuotaReport& report, const rpc::Respond& respond);
   void OnActive(std::uint32_t partition);
--- a/src/tier/control/bootstrap_members.cpp
+++ b/src/tier/control/bootstrap_members.cpp
@@ -8,10 +8,10 @@
 using coordination::MemberInfo;
 using coordination::ReplicaId;
 
-std::vector<ReplicaId> FirstQuorumMembers(const MemberMap& members, std::size_t most) {
+std::vector<ReplicaId> FirstQuorumMembers(const MemberMap& members, std::size_t max_count) {
   std::vector<ReplicaId> bootstrap_members;
   for (const auto& [name, member] : members) {
-    if (bootstrap_members.size() == most) break;
+    if (bootstrap_members.size() == max_count) break;
     if (member.info.Is(MemberInfo::kQuorumMember))
       bootstrap_members.push_back({name, member.info.disk_id});
   }
--- a/src/tier/registry/worker_state.cpp
+++ b/src/tier/registry/worker_state.cpp
@@ -281,7 +281,7 @@
   return entries;
 }
 
-void WorkerState::Compare(Micros now, const RepairRequest::Shard& other, std::size_t most,
+void WorkerState::Compare(Micros now, const RepairRequest::Shard& other, std::size_t max_count,
                           RepairResponse* response) const {
   if (other.index >= shards_.size()) return;
   std::unordered_map<std::uint64_t, std::uint64_t> theirs;
@@ -295,7 +295,7 @@
       theirs.erase(found);
     }
     if (same || !entry.in_digest) continue;
-    if (response->update.items.size() < most)
+    if (response->update.items.size() < max_count)
       response->update.items.push_back(ExportEntry(now, entry));
     else
       response->more = true;
--- a/src/tier/registry/worker_state.h
+++ b/src/tier/registry/worker_state.h
@@ -68,7 +68,7 @@
   std::vector<DigestEntry> Entries(std::size_t shard) const;
   // Adds to `response` what differs between the other's entries and this shard, up to `most`
   // records.
-  void Compare(Micros now, const RepairRequest::Shard& other, std::size_t most,
+  void Compare(Micros now, const RepairRequest::Shard& other, std::size_t max_count,
                RepairResponse* response) const;
   // Records of the workers whose ids hash to these.
   std::vector<WorkerUpdate::Item> ExportHashed(Micros now,
--- a/src/tier/routing/route_table.cpp
+++ b/src/tier/routing/route_table.cpp
@@ -10,8 +10,9 @@
 namespace pearreach::routing {
 namespace {
 
-char ToLower(char letter) {
-  return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter - 'A' + 'a') : letter;
+char ToLower(char character) {
+  return character >= 'A' && character <= 'Z' ? static_cast<char>(character - 'A' + 'a')
+                                              : character;
 }
 
 std::string_view WithoutPort(std::string_view host) {
@@ -55,7 +56,7 @@
       const Route& route = table->routes_[i];
       table->by_name_.emplace(route.name, i);
       RouteTable::HostRoutes& host = table->by_host_[NormalizeHost(route.host)];
-      host.longest = std::max(host.longest, route.path_prefix.size());
+      host.max_length = std::max(host.max_length, route.path_prefix.size());
       host.by_prefix.emplace(route.path_prefix, i);
     }
   }
@@ -84,7 +85,7 @@
   if (found == by_host_.end()) return nullptr;
   const HostRoutes& routes = found->second;
   // Prefixes end with a slash: only beginnings of the path that do are looked up, longest first.
-  path = path.substr(0, path.find('?')).substr(0, routes.longest);
+  path = path.substr(0, path.find('?')).substr(0, routes.max_length);
   for (std::size_t slash = path.rfind('/'); slash != std::string_view::npos;
        slash = path.rfind('/')) {
     const auto route = routes.by_prefix.find(path.substr(0, slash + 1));
--- a/src/tier/routing/route_table.h
+++ b/src/tier/routing/route_table.h
@@ -88,7 +88,7 @@
   using ByName = std::unordered_map<std::string, Value, NameHash, std::equal_to<>>;
 
   struct HostRoutes {
-    std::size_t longest = 0;        // bytes of the longest prefix
+    std::size_t max_length = 0;     // bytes of the longest prefix
     ByName<std::size_t> by_prefix;  // positions in routes_
   };
 
--- a/src/tier/storage/table_store.cpp
+++ b/src/tier/storage/table_store.cpp
@@ -97,11 +97,11 @@
 
 Environment::Options OptionsFor(const std::string& file, std::size_t capacity_bytes) {
   const auto capacity = static_cast<double>(capacity_bytes);
-  const auto whole_pages = [](double bytes) {
+  const auto full_pages = [](double bytes) {
     const auto page = static_cast<std::size_t>(sysconf(_SC_PAGESIZE));
     return static_cast<std::size_t>(bytes) / page * page;
   };
-  return {file, whole_pages(capacity * kPutFraction), whole_pages(capacity * kEraseFraction)};
+  return {file, full_pages(capacity * kPutFraction), full_pages(capacity * kEraseFraction)};
 }
 
 // Makes the file under another name first: a loss of power in between leaves no half of a file
--- a/tests/fuzz/tier_calls_fuzz.cpp
+++ b/tests/fuzz/tier_calls_fuzz.cpp
@@ -13,9 +13,9 @@
 #include "common/event_loop/timers.h"
 #include "common/http/http.h"
 #include "tier/batch/batch_job_api.h"
+#include "tier/batch/edge_fakes.h"
 #include "tier/batch/store_client.h"
 #include "tier/control/api_router.h"
-#include "tier/batch/edge_fakes.h"
 
 namespace {
 
