--- a/src/tier/batch/batch_job_api.cpp
+++ b/src/tier/batch/batch_job_api.cpp
@@ -167,7 +167,7 @@
   auto items = ParseItems(std::move(request.body));
   if (!items.ok()) {
     logging::Warning(kModule, "malformed batch job submission",
-                     {logging::F("batch_job", batch_job.batch_job_id),
+                     {logging::F("batch_job_id", batch_job.batch_job_id),
                       {"why", std::string(items.status().message())}});
     RespondJson(exchange, 400, R"({"error":"not a lot"})");
     return;
--- a/src/tier/batch/batch_job_submission.cpp
+++ b/src/tier/batch/batch_job_submission.cpp
@@ -150,7 +150,7 @@
   const char* why = quota_decision_.has_value() ? "not all replica stores respond"
                                                 : "the quota owner does not respond";
   logging::Info(kModule, "batch job rejected",
-                {logging::F("batch_job", batch_job_.batch_job_id), logging::F("why", why),
+                {logging::F("batch_job_id", batch_job_.batch_job_id), logging::F("why", why),
                  logging::F("partition", PartitionOf(batch_job_.batch_job_id)),
                  logging::F("waited_ms", (Now() - started_at_) / kMs)});
   Finish(absl::UnavailableError(why));
--- a/src/tier/batch/placement_view.cpp
+++ b/src/tier/batch/placement_view.cpp
@@ -19,7 +19,7 @@
   if (table_ != nullptr && snapshot->stores_revision == revision_) return table_;
   auto table = codec::Decode<PlacementTable>(snapshot->stores);
   if (!table.ok() || table->partitions.size() != kPartitions) {
-    logging::Error(kModule, "placement table cannot be decoded",
+    logging::Error(kModule, "placement table is unreadable",
                    {logging::F("revision", snapshot->stores_revision)});
     return table_;
   }
--- a/src/tier/batch/store_call_retrier.cpp
+++ b/src/tier/batch/store_call_retrier.cpp
@@ -166,7 +166,7 @@
   const StoreId* primary = placement_->LastPrimaryOf(call.batch_job_id);
   logging::Warning(
       kModule, "batch job submission unresolved",
-      {logging::F("batch_job", call.batch_job_id), logging::F("why", reason),
+      {logging::F("batch_job_id", call.batch_job_id), logging::F("why", reason),
        logging::F("partition", PartitionOf(call.batch_job_id)),
        logging::F("primary", primary == nullptr ? std::string("none") : primary->name),
        logging::F("last_store", call.last_store.name), logging::F("attempts", call.attempts),
