--- a/tests/fuzz/peers_fuzz.cpp
+++ b/tests/fuzz/peers_fuzz.cpp
@@ -8,8 +8,8 @@
 #include "node/peer_transport/gate.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  namespace membership = pearreach::members;
-  namespace peer_transport = pearreach::peers;
+  namespace membership = pearreach::membership;
+  namespace peer_transport = pearreach::peer_transport;
   constexpr std::uint64_t kProcess = membership::Members::kEpoch + 1000;
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
   peer_transport::Gate gate(0, 5);
--- a/tests/fuzz/shared_fuzz.cpp
+++ b/tests/fuzz/shared_fuzz.cpp
@@ -7,7 +7,7 @@
 #include "node/shared_state/shared.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  namespace shared_state = pearreach::shared;
+  namespace shared_state = pearreach::shared_state;
   constexpr std::uint64_t kProcess = shared_state::kEpochMs + 10'000;
   constexpr shared_state::Micros kNow = (shared_state::kEpochMs + 60'000) * 1000;
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
