--- a/tests/tier/golden/samples.h
+++ b/tests/tier/golden/samples.h
@@ -3,6 +3,7 @@
 #ifndef PEARREACH_TESTS_TIER_GOLDEN_SAMPLES_H_
 #define PEARREACH_TESTS_TIER_GOLDEN_SAMPLES_H_
 
+#include <cstddef>
 #include <functional>
 #include <map>
 #include <string>
@@ -20,6 +21,9 @@
   std::string bytes;
   // Reads bytes and writes what was read again; null: nothing reads them alone.
   std::function<std::string(std::string_view)> rewrite{};
+  // Positions of bytes that are padding of a pair: they are written as they happen to lie in
+  // memory, and nothing reads them.
+  std::vector<std::size_t> padding{};
 };
 using Samples = std::vector<Sample>;
 
