--- a/lab/durable/measure.cpp
+++ b/lab/durable/measure.cpp
@@ -212,7 +212,7 @@
   for (int i = 0; i < jobs; ++i) {
     job_state::Job j;
     j.seq = store->NextSeq();
-    j.id = job_state::MakeId(j.seq, 0x9e3779b97f4a7c15u * j.seq);
+    j.id = job_state::MakeJobId(j.seq, 0x9e3779b97f4a7c15u * j.seq);
     char id[24];
     std::snprintf(id, sizeof id, "%016llx", 0x9e3779b97f4a7c15ull * j.seq);
     j.request_id = id;
--- a/src/node/admin/door.cpp
+++ b/src/node/admin/door.cpp
@@ -31,9 +31,10 @@
   return {};
 }
 
-Reply Text(int status, std::string body) { return {status, std::move(body) + "\n", {}}; }
+Response Text(int status, std::string body) { return {status, std::move(body) + "\n", {}}; }
 
-Reply Wrong(const char* why, int status, std::string body, std::vector<http::Header> headers = {}) {
+Response Wrong(const char* why, int status, std::string body,
+               std::vector<http::Header> headers = {}) {
   Count(why);
   return {status, std::move(body) + "\n", std::move(headers)};
 }
@@ -61,9 +62,9 @@
 
 bool IsGet(const http::Message& call) { return call.method == "GET" || call.method == "HEAD"; }
 
-Reply GetOnly() { return Wrong("door_bad_method", 405, "GET only", {{"Allow", "GET, HEAD"}}); }
-Reply PostOnly() { return Wrong("door_bad_method", 405, "POST only", {{"Allow", "POST"}}); }
-Reply NoSuchCall() { return Wrong("door_bad_path", 404, "no such call"); }
+Response GetOnly() { return Wrong("door_bad_method", 405, "GET only", {{"Allow", "GET, HEAD"}}); }
+Response PostOnly() { return Wrong("door_bad_method", 405, "POST only", {{"Allow", "POST"}}); }
+Response NoSuchCall() { return Wrong("door_bad_path", 404, "no such call"); }
 
 // A call's target, split at its query.
 struct Target {
@@ -76,7 +77,7 @@
   return {target.substr(0, question), target.substr(question + 1)};
 }
 
-Reply RouteWorkers(const http::Message& call, const Target& at, const Calls& calls) {
+Response RouteWorkers(const http::Message& call, const Target& at, const AdminHandlers& calls) {
   const std::string_view verb = at.path.substr(kWorkers.size());
   if (verb != "detach" && verb != "attach") return NoSuchCall();
   if (call.method != "POST") return PostOnly();
@@ -90,7 +91,7 @@
   return Text(200, (detach ? "detached " : "attached ") + id);
 }
 
-Reply RouteZones(const http::Message& call, const Target& at, const Calls& calls) {
+Response RouteZones(const http::Message& call, const Target& at, const AdminHandlers& calls) {
   const std::string verb(at.path.substr(kZones.size()));
   if (verb != "leave" && verb != "return" && verb != "clear") return NoSuchCall();
   if (call.method != "POST") return PostOnly();
@@ -101,18 +102,18 @@
   return Text(200, verb + " " + target);
 }
 
-Reply RouteRules(const http::Message& call, const Target& at, const Calls& calls) {
+Response RouteRules(const http::Message& call, const Target& at, const AdminHandlers& calls) {
   const bool post = call.method == "POST";
   if (!post && !IsGet(call))
     return Wrong("door_bad_method", 405, "GET or POST", {{"Allow", "GET, HEAD, POST"}});
-  Calls::RulesCall request{post,
-                           "",
-                           call.body,
-                           QueryValue(at.query, "after"),
-                           QueryValue(at.query, "number"),
-                           QueryValue(at.query, "from"),
-                           QueryValue(at.query, "to"),
-                           QueryValue(at.query, "voters")};
+  AdminHandlers::RulesRequest request{post,
+                                      "",
+                                      call.body,
+                                      QueryValue(at.query, "after"),
+                                      QueryValue(at.query, "number"),
+                                      QueryValue(at.query, "from"),
+                                      QueryValue(at.query, "to"),
+                                      QueryValue(at.query, "voters")};
   if (at.path.size() > kRules.size()) request.verb = at.path.substr(kRules.size() + 1);
   const auto answer = calls.rules(request);
   if (!answer) return NoSuchCall();
@@ -122,12 +123,12 @@
 
 }  // namespace
 
-Reply Route(const http::Message& call, const Calls& calls) {
+Response Route(const http::Message& call, const AdminHandlers& calls) {
   const Target at = SplitTarget(call.target);
   if (at.path == "/_ready" || at.path == "/_vars") {
     if (!IsGet(call)) return GetOnly();
     if (at.path == "/_vars")
-      return Reply{200, WriteVars(calls.vars()), {{"Content-Type", "text/plain"}}};
+      return Response{200, WriteVars(calls.vars()), {{"Content-Type", "text/plain"}}};
     return calls.ready() ? Text(200, "ready") : Text(503, "not ready");
   }
   if (at.path.starts_with(kWorkers)) return RouteWorkers(call, at, calls);
@@ -139,18 +140,18 @@
   return NoSuchCall();
 }
 
-Door::Door(Calls calls)
+AdminServer::AdminServer(AdminHandlers calls)
     : calls_(std::move(calls)),
       listener_([this](std::shared_ptr<Stream> stream) { OnAccepted(std::move(stream)); }),
       sweep_([this] { Sweep(); }) {}
 
-Door::~Door() {
+AdminServer::~AdminServer() {
   for (auto& [c, owned] : connections_) c->stream->Close();
 }
 
-std::string Door::Open(const std::string& address) { return listener_.Open(address); }
+std::string AdminServer::Open(const std::string& address) { return listener_.Open(address); }
 
-void Door::OnAccepted(std::shared_ptr<Stream> stream) {
+void AdminServer::OnAccepted(std::shared_ptr<Stream> stream) {
   Count("door_calls");
   // Guards the descriptors that clients need, and the next caller against silent ones: beyond a
   // few, the connection that is nearest its end goes now.
@@ -168,14 +169,14 @@
   auto owned = std::make_unique<Connection>();
   Connection* c = owned.get();
   c->stream = std::move(stream);
-  c->until = Now() + kPatience;
+  c->until = Now() + kRequestTimeout;
   connections_[c] = std::move(owned);
   c->stream->Listen(
       {[] {}, [this, c](std::string_view bytes) { OnData(c, bytes); }, [this, c] { Destroy(c); }});
   Sweep();
 }
 
-void Door::OnData(Connection* c, std::string_view bytes) {
+void AdminServer::OnData(Connection* c, std::string_view bytes) {
   if (c->answered) return;  // one call a connection: what else comes is dropped
   c->parser.Feed(bytes);
   switch (c->parser.Next()) {
@@ -189,7 +190,7 @@
   }
 }
 
-void Door::Answer(Connection* c, const Reply& reply) {
+void AdminServer::Answer(Connection* c, const Response& reply) {
   c->answered = true;
   if (!c->stream->Write(http::WriteResponse(reply.status, reply.headers, reply.body, false)))
     return Destroy(c);
@@ -198,7 +199,7 @@
   if (!sweeping_) Sweep();
 }
 
-void Door::Destroy(Connection* c) {
+void AdminServer::Destroy(Connection* c) {
   const auto it = connections_.find(c);
   if (it == connections_.end()) return;
   c->stream->Close();
@@ -206,7 +207,7 @@
 }
 
 // Answers what is late and closes what has lingered; then waits for the next of those times.
-void Door::Sweep() {
+void AdminServer::Sweep() {
   sweeping_ = true;
   const Micros now = Now();
   Micros next = 0;
--- a/src/node/admin/door.h
+++ b/src/node/admin/door.h
@@ -34,7 +34,7 @@
 std::string WriteVars(const Vars& vars);
 
 // What the door asks of the node.
-struct Calls {
+struct AdminHandlers {
   std::function<bool()> ready;  // this process can serve
   std::function<Vars()> vars;
   // False: no list has named that id. Repeated calls are harmless.
@@ -45,36 +45,36 @@
   std::function<std::string()> zones = nullptr;
   // Rules that are agreed on, where the operator's file has them. `verb`: "" (what holds),
   // "history", "have", "diff", "proposal"; with POST "propose", "force". None: no such call.
-  struct RulesCall {
+  struct RulesRequest {
     bool post = false;
     std::string verb, body;
     std::string after, number, from, to, voters;  // of the query
   };
-  std::function<std::optional<std::pair<int, std::string>>(const RulesCall&)> rules = nullptr;
+  std::function<std::optional<std::pair<int, std::string>>(const RulesRequest&)> rules = nullptr;
 };
 
-struct Reply {
+struct Response {
   int status = 500;
   std::string body;
   std::vector<http::Header> headers;
 };
 // The answer to one call: pure, without sockets or clock.
-Reply Route(const http::Message& call, const Calls& calls);
+Response Route(const http::Message& call, const AdminHandlers& calls);
 
-class Door {
+class AdminServer {
  public:
-  explicit Door(Calls calls);
-  ~Door();
-  Door(const Door&) = delete;
-  Door& operator=(const Door&) = delete;
+  explicit AdminServer(AdminHandlers calls);
+  ~AdminServer();
+  AdminServer(const AdminServer&) = delete;
+  AdminServer& operator=(const AdminServer&) = delete;
 
   std::string Open(const std::string& address);  // empty, or what is wrong
   int port() const { return listener_.port(); }
   std::size_t connections() const { return connections_.size(); }
 
   static constexpr std::size_t kMaxConnections = 16;
-  static constexpr Micros kPatience = 800 * kMs;  // for a whole call, from its connection
-  static constexpr Micros kLinger = 300 * kMs;    // after the answer, for the caller to close
+  static constexpr Micros kRequestTimeout = 800 * kMs;  // for a whole call, from its connection
+  static constexpr Micros kLinger = 300 * kMs;          // after the answer, for the caller to close
 
  private:
   struct Connection {
@@ -87,11 +87,11 @@
 
   void OnAccepted(std::shared_ptr<Stream> stream);
   void OnData(Connection* c, std::string_view bytes);
-  void Answer(Connection* c, const Reply& reply);
+  void Answer(Connection* c, const Response& reply);
   void Destroy(Connection* c);
   void Sweep();
 
-  Calls calls_;
+  AdminHandlers calls_;
   std::map<Connection*, std::unique_ptr<Connection>> connections_;
   Listener listener_;
   Alarm sweep_;
--- a/src/node/admin/zone_orders.cpp
+++ b/src/node/admin/zone_orders.cpp
@@ -22,7 +22,7 @@
 std::string WriteZoneOrders(const std::vector<ZoneOrder>& orders) {
   std::string text = "# orders about zones: number, what, node, Unix ms, zone or region\n";
   for (const ZoneOrder& o : orders)
-    text += std::to_string(o.number) + " " + o.what + " " + std::to_string(o.by) + " " +
+    text += std::to_string(o.number) + " " + o.command + " " + std::to_string(o.by) + " " +
             std::to_string(o.at_ms) + " " + o.target + "\n";
   return text;
 }
@@ -48,7 +48,7 @@
       wrong->push_back(name + ":" + std::to_string(line_number) + ": not an order about a zone");
       continue;
     }
-    o.what = words[1];
+    o.command = words[1];
     o.target = words[4];
     orders.push_back(std::move(o));
   }
--- a/src/node/admin/zone_orders.h
+++ b/src/node/admin/zone_orders.h
@@ -16,8 +16,8 @@
 struct ZoneOrder {
   std::string target;
   std::uint64_t number = 0;
-  std::string what;  // "leave", "return" or "none": taken back, kept for its number
-  int by = 0;        // node
+  std::string command;  // "leave", "return" or "none": taken back, kept for its number
+  int by = 0;           // node
   std::int64_t at_ms = 0;
   bool operator==(const ZoneOrder&) const = default;
 };
--- a/src/node/cli/fleet_setup.cpp
+++ b/src/node/cli/fleet_setup.cpp
@@ -88,7 +88,7 @@
 }
 
 void ConnectShared(const SharedSettings& settings, Fleet* fleet, Node* node) {
-  node->OnAdmit([fleet, counts = settings.counts](int tenant, bool is_repeat) {
+  node->SetAdmissionCheck([fleet, counts = settings.counts](int tenant, bool is_repeat) {
     Admission to;
     if (const auto a = fleet->Admit(tenant, is_repeat)) {
       to.refused = a->refused;
@@ -105,7 +105,7 @@
 
 void ConnectZones(Fleet* fleet, Node* node) {
   fleet->OnUse([node, fleet](const std::string& worker, zones::Use use, bool gone) {
-    node->Shut(worker, use == zones::Use::kShut);
+    node->SetZoneDrain(worker, use == zones::Use::kShut);
     // The one job that tries it is none that may not be repeated; and what is out there when its
     // zone is left for silence is not waited for, unless it was heard of just now.
     if (use == zones::Use::kTrial)
@@ -115,7 +115,7 @@
     else if (use == zones::Use::kOpen)
       fleet->JudgeAgain(worker);
   });
-  fleet->OnZoneLine([node](const std::string& line) { node->Mark(line); });
+  fleet->OnZoneLine([node](const std::string& line) { node->AnnotateCapture(line); });
 }
 
 // Operators' orders outlive a process in a file.
@@ -123,9 +123,9 @@
   std::vector<zones::Order> orders;
   for (const admin::ZoneOrder& o : admin::LoadZoneOrders(path))
     orders.push_back({zones::KeyOf(o.target), o.number,
-                      o.what == "leave"    ? zones::Order::What::kLeave
-                      : o.what == "return" ? zones::Order::What::kReturn
-                                           : zones::Order::What::kNone,
+                      o.command == "leave"    ? zones::Order::What::kLeave
+                      : o.command == "return" ? zones::Order::What::kReturn
+                                              : zones::Order::What::kNone,
                       o.by, o.at_ms * 1000});
   fleet->RecallOrders(orders);
   fleet->OnOrders([path, fleet](const std::vector<zones::Order>& held) {
--- a/src/node/cli/fleet_setup.h
+++ b/src/node/cli/fleet_setup.h
@@ -20,15 +20,15 @@
                                  const Config& config, Node* node);
 
 // What the node sees of workers, told to the fleet.
-class FleetWitness : public Witness {
+class FleetWitness : public WorkerObserver {
  public:
   explicit FleetWitness(Fleet* fleet) : fleet_(fleet) {}
-  void OnListed(const std::string& worker, const Listed& as) override {
+  void OnListed(const std::string& worker, const ListedWorker& as) override {
     fleet_->WorkerListed(worker, {as.zone, as.kind, as.weight, as.started_ms, as.in_service});
   }
   void OnGone(const std::string& worker) override { fleet_->WorkerGone(worker); }
   void OnSent(const std::string& worker) override { fleet_->WorkerSent(worker); }
-  void OnHeard(const std::string& worker) override { fleet_->WorkerHeard(worker); }
+  void OnAttemptUpdate(const std::string& worker) override { fleet_->WorkerHeard(worker); }
   void OnEnded(const std::string& worker, dispatch::Outcome outcome, int cls, Micros run) override {
     using End = shared_state::Judgements::End;
     using dispatch::Outcome;
--- a/src/node/cli/jobs.cpp
+++ b/src/node/cli/jobs.cpp
@@ -49,7 +49,7 @@
   for (const job_state::Attempt& a : job.attempts) {
     json.StartObject();
     Put(json, "worker", a.worker);
-    Put(json, "ran", kRan[static_cast<int>(a.ran)]);
+    Put(json, "ran", kRan[static_cast<int>(a.execution)]);
     json.Key("fence");
     json.Uint64(a.fence);
     json.Key("knows_fences");
@@ -139,7 +139,7 @@
     job->state = state;
     job->reason = reason;
     job->ended = static_cast<job_state::UnixMicros>(std::time(nullptr)) * 1'000'000;
-    job_state::PlanAfterEnd(&*job, {}, job->ended, 0);
+    job_state::ScheduleAfterEnd(&*job, {}, job->ended, 0);
     store->Submit({{job_store::PutJob{*job}}, nullptr});
   } catch (const job_store::StoreError&) {  // a node has it
     WriteOrder(path, {id, state, reason});
--- a/src/node/cli/node_process.cpp
+++ b/src/node/cli/node_process.cpp
@@ -51,7 +51,7 @@
   Serve();
   g_main_loop_run(loop_);
   if (saver_ != nullptr) {
-    if (node_->ready() && takeover_->alone()) saver_->Save(node_->Learned());
+    if (node_->ready() && takeover_->alone()) saver_->Save(node_->ExportKnowledge());
     saver_.reset();  // waits until it is kept
   }
   LogCounts();
@@ -82,10 +82,10 @@
   }
   const auto& j = *settings_.jobs;
   const job_state::Policy policy = {.lease = j.lease,
-                                    .keep = j.keep,
-                                    .recovered_at_once = j.recovered_at_once,
-                                    .in_hand = j.in_hand,
-                                    .in_hand_bytes = j.in_hand_bytes};
+                                    .retention = j.keep,
+                                    .initial_backlog_window = j.recovered_at_once,
+                                    .max_in_flight = j.in_hand,
+                                    .max_in_flight_bytes = j.in_hand_bytes};
   std::unique_ptr<job_store::Store> store;
   try {
     std::filesystem::create_directories(std::filesystem::path(j.store).parent_path());
@@ -134,7 +134,7 @@
   takeover_->SpeakFor(fleet_.get());
   if (fleet_ == nullptr) return kGood;
   witness_.emplace(fleet_.get());
-  if (settings_.shared) node_->Watch(&*witness_);
+  if (settings_.shared) node_->SetWorkerObserver(&*witness_);
   fleet_->OnRuleBans([this](const std::set<std::string>& banned) { bans_->SetByRules(banned); });
   return kGood;
 }
@@ -159,8 +159,8 @@
 
 // ---------------------------------------------------------------- the operators' door
 
-admin::Calls NodeProcess::DoorCalls() {
-  admin::Calls calls{
+admin::AdminHandlers NodeProcess::DoorCalls() {
+  admin::AdminHandlers calls{
       .ready = [this] { return node_->ready() && front_->serving() && KnowsRules(); },
       .vars = [this] { return Vars(); },
       .detach = [this](const std::string& id) { return bans_->SetByHand(id, true); },
@@ -174,7 +174,9 @@
     };
   }
   if (settings_.rules)
-    calls.rules = [this](const admin::Calls::RulesCall& call) { return OnRulesCall(call); };
+    calls.rules = [this](const admin::AdminHandlers::RulesRequest& call) {
+      return OnRulesCall(call);
+    };
   return calls;
 }
 
@@ -182,7 +184,7 @@
   admin::Vars vars;
   for (std::size_t k = 0; k < node_->site().classes.size(); ++k) {
     const std::string& name = node_->site().classes[k];
-    const Node::Tally& t = node_->tally()[k];
+    const Node::AnswerCounts& t = node_->answer_counts()[k];
     vars.classes.push_back({name, t.success, t.busy + front_->shed(name), t.failure});
   }
   vars.backend_calls = CountOf("backend_calls");
@@ -199,7 +201,7 @@
                                                                          : What::kNone);
 }
 
-NodeProcess::RulesReply NodeProcess::OnRulesCall(const admin::Calls::RulesCall& call) {
+NodeProcess::RulesReply NodeProcess::OnRulesCall(const admin::AdminHandlers::RulesRequest& call) {
   RulesPart* rules = fleet_ == nullptr ? nullptr : fleet_->rules();
   if (rules == nullptr)
     return std::pair(409, "this process does not speak for its node: ask the other one");
@@ -229,7 +231,7 @@
 
 void NodeProcess::Apply(const OperatorSettings& settings) {
   SetLogFormat(settings.log_format);
-  node_->Capture(settings.capture, kVersion, kPolicyHash);
+  node_->SetCapture(settings.capture, kVersion, kPolicyHash);
 }
 
 // Guards the jobs at hand: whatever the file holds by now, the node goes on.
@@ -240,10 +242,10 @@
   };
   try {
     const bool moved = ReloadConfig(sources_.config, &config_);
-    if (moved) node_->MoveDiscovery(config_.discovery);
+    if (moved) node_->SetDiscoveryAddress(config_.discovery);
     const std::string line = std::string("configuration read again: discovery ") +
                              (moved ? "is" : "stays") + " at " + config_.discovery;
-    node_->Mark(line);
+    node_->AnnotateCapture(line);
     Log("configuration_read", {{"discovery", config_.discovery}}, line);
   } catch (const dispatch::Malformed& wrong) {
     refuse("configuration_refused", std::string("configuration not taken over: ") + wrong.what());
@@ -259,7 +261,7 @@
 
 void NodeProcess::ReportCounts() {
   LogCounts();
-  if (settings_.log_format == LogFormat::kJson) node_->LogFigures();
+  if (settings_.log_format == LogFormat::kJson) node_->LogStats();
   report_.Set(Now() + kCountsEvery);
 }
 
@@ -269,7 +271,7 @@
     CountFault("knowledge_not_kept", figures.wrong);
   // Before the first list there is nothing that the file does not know better.
   // Of two processes only one writes.
-  if (node_->ready() && takeover_->alone()) saver_->Save(node_->Learned());
+  if (node_->ready() && takeover_->alone()) saver_->Save(node_->ExportKnowledge());
   keep_.Set(Now() + settings_.knowledge->every);
 }
 
--- a/src/node/cli/node_process.h
+++ b/src/node/cli/node_process.h
@@ -48,10 +48,10 @@
   int MakeFleetAndKnowledge();
   void Serve();
 
-  admin::Calls DoorCalls();
+  admin::AdminHandlers DoorCalls();
   admin::Vars Vars() const;
   bool Order(const std::string& target, const std::string& what);
-  RulesReply OnRulesCall(const admin::Calls::RulesCall& call);
+  RulesReply OnRulesCall(const admin::AdminHandlers::RulesRequest& call);
   bool KnowsRules() const;
   void Apply(const OperatorSettings& settings);
   void Reload();
@@ -70,7 +70,7 @@
   std::optional<Front> front_;
   std::optional<Takeover> takeover_;
   std::optional<BanList> bans_;
-  std::optional<admin::Door> door_;
+  std::optional<admin::AdminServer> door_;
   std::unique_ptr<knowledge::Saver> saver_;
   std::unique_ptr<Fleet> fleet_;
   std::optional<FleetWitness> witness_;
--- a/src/node/cli/recall.cpp
+++ b/src/node/cli/recall.cpp
@@ -20,7 +20,7 @@
           (age.unknown ? std::string("at an unknown time")
                        : std::to_string(age.age / kSecond) + " s ago") +
           " of " + std::to_string(recall->workers.size()) + " workers");
-  node->Recall(std::move(*recall));
+  node->RestoreKnowledge(std::move(*recall));
   return true;
 }
 
--- a/src/node/cli/takeover.cpp
+++ b/src/node/cli/takeover.cpp
@@ -18,7 +18,7 @@
     : config_(config), node_(node), front_(front), loop_(loop), ready_([this] { Look(); }) {
   if (!settings.handover) return;
   over_.emplace(settings.handover->path, config.name, Events());
-  node_->OnOrphan([this](const News& news) {
+  node_->SetUnknownJobHandler([this](const News& news) {
     if (forwarded_ || !over_->Forward(WriteNews(news))) return false;
     Count("news_forwarded");
     return true;
@@ -27,14 +27,14 @@
 
 HandOver::Events Takeover::Events() {
   return {.listener = [this] { return front_->descriptor(); },
-          .knowledge = [this] { return knowledge::Encode(node_->Learned(), 1, {}); },
+          .knowledge = [this] { return knowledge::Encode(node_->ExportKnowledge(), 1, {}); },
           .leave = [this] { Leave(); },
           .stay = [this] { Stay(); },
           .alone = [this] { alone_ = true; },
           .news =
               [this](const std::string& json) {
                 forwarded_ = true;  // and goes no further
-                if (const auto news = ReadNews(json, config_.site)) node_->TellNode(*news);
+                if (const auto news = ReadNews(json, config_.site)) node_->ApplyJobUpdate(*news);
                 forwarded_ = false;
               },
           .connection = [this](int fd) { front_->Adopt(fd); }};
--- a/src/node/durable_jobs/keeper.cpp
+++ b/src/node/durable_jobs/keeper.cpp
@@ -35,8 +35,8 @@
   store_->LoadState(State::kRunning, [this](job_state::Job job) { Hold(std::move(job)); });
   found_ = store_->CountOpen();
   for (const std::string& worker : store_->FencingWorkers()) knows_fences_.insert(worker);
-  node_->OnFirstList([this] { Recover(); });
-  node_->OnOrphan([this](const News& news) {
+  node_->SetFirstListingCallback([this] { Recover(); });
+  node_->SetUnknownJobHandler([this](const News& news) {
     if (news.state == News::State::kStarted || news.state == News::State::kRunning) return false;
     Orphan(news, std::exchange(hearing_, nullptr));
     return true;
--- a/src/node/durable_jobs/keeper.h
+++ b/src/node/durable_jobs/keeper.h
@@ -24,7 +24,7 @@
 
 namespace pearreach {
 
-class Keeper : public Core, public Client, public Guard {
+class Keeper : public Core, public Client, public AttemptGuard {
  public:
   // `store`: null keeps nothing; durable jobs are then refused. Jobs in the store are recovered
   // once the node has a list. `orders`: the store's path, beside which a person's orders lie;
@@ -40,17 +40,17 @@
   std::size_t open_jobs() const override { return node_->open_jobs() - by_ticket_.size(); }
   std::optional<Ticket> Submit(Job job, Client* client) override;
   void Abandon(Ticket ticket) override { node_->Abandon(ticket); }
-  void Tell(const News& news, Heard heard) override;
+  void HandleJobUpdate(const News& news, JobUpdateAck heard) override;
 
-  bool keeps() const override { return store_ != nullptr; }
-  void Take(Job job, Taken taken) override;
-  void Look(const std::string& id, Micros wait, Seen seen) override;
-  void EndWaits() override;
-  void GiveUp(const std::string& id, Seen seen) override;
+  bool supports_durable_jobs() const override { return store_ != nullptr; }
+  void SubmitDurable(Job job, DurableSubmitCallback taken) override;
+  void QueryDurable(const std::string& id, Micros wait, JobViewCallback seen) override;
+  void AnswerWaiters() override;
+  void CancelDurable(const std::string& id, JobViewCallback seen) override;
 
   // ---- Client and Guard, for the node
   void OnAnswer(Ticket ticket, const Answer& answer) override;
-  void BeforeSend(Ticket ticket, const std::string& worker, Go go) override;
+  void BeforeSend(Ticket ticket, const std::string& worker, Proceed go) override;
   void OnAttempt(Ticket ticket, const std::string& worker, AttemptState state) override;
 
   // Figures for tests and the log.
@@ -84,13 +84,13 @@
     std::uint64_t seq = 0;
     std::string id;
     Micros until = 0;
-    Seen seen;
+    JobViewCallback seen;
   };
 
   void Recover();
   void Pump(Walk* walk);
   void PumpBoth();
-  void Back(Record& record, job_state::Pacer::End end);
+  void Back(Record& record, job_state::Pacer::Result end);
   void ToBacklog(std::uint64_t seq);
   static void MeetAgain(Walk* walk, std::uint64_t seq);
   void MeetQueued(job_state::Job job);
@@ -106,7 +106,7 @@
   void Write(Record& record, std::vector<job_store::Change> changes, Written done);
   void SaveWhole(Record& record);
   void End(Record& record, job_state::State state, const std::string& reason, Written done);
-  void Orphan(const News& news, Heard heard);
+  void Orphan(const News& news, JobUpdateAck heard);
   void AfterEnd(Record& record);
   void ForgetOld();
   void EndOverdue();
@@ -151,7 +151,7 @@
   Alarm wait_alarm_;
 
   job_store::Figures counted_;  // in the counts of the process
-  Heard hearing_;               // of the word that is being told to the node
+  JobUpdateAck hearing_;        // of the word that is being told to the node
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   Alarm sweep_;
 };
--- a/src/node/durable_jobs/keeper_attempts.cpp
+++ b/src/node/durable_jobs/keeper_attempts.cpp
@@ -7,13 +7,13 @@
 namespace pearreach {
 namespace {
 
-using job_state::Ran;
+using job_state::ExecutionState;
 using job_state::State;
 
 }  // namespace
 
 // Nothing goes out before its intent is on the disk.
-void Keeper::BeforeSend(Ticket ticket, const std::string& worker, Go go) {
+void Keeper::BeforeSend(Ticket ticket, const std::string& worker, Proceed go) {
   Record* r = Find(ticket);
   if (!Must(r != nullptr, "guarded_job_unknown")) return go(0);
   job_state::Attempt a;
@@ -27,14 +27,15 @@
   Write(*r, {job_store::PutJob{r->job}, job_store::PutAttempt{r->job.seq, a}},
         [this, seq = r->job.seq, a, go](bool good) {
           if (good) return go(a.fence);
-          records_.at(seq).job.attempts[static_cast<std::size_t>(a.number)].ran = Ran::kNever;
+          records_.at(seq).job.attempts[static_cast<std::size_t>(a.number)].execution =
+              ExecutionState::kNeverRan;
           go(0);
         });
 }
 
 job_state::Attempt* Keeper::OutAt(Record& r, const std::string& worker) {
   for (auto it = r.job.attempts.rbegin(); it != r.job.attempts.rend(); ++it)
-    if (it->worker == worker && it->ran == Ran::kOut) return &*it;
+    if (it->worker == worker && it->execution == ExecutionState::kInFlight) return &*it;
   return nullptr;
 }
 
@@ -45,11 +46,11 @@
   const job_state::UnixMicros now = UnixNow();
   bool save = true;
   switch (state) {
-    case AttemptState::kTakenKnowsFences:
+    case AttemptState::kAcceptedWithFencing:
       a->knows_fences = true;
       Learn(worker);
       break;
-    case AttemptState::kTaken:
+    case AttemptState::kAccepted:
       save = false;
       break;
     case AttemptState::kStarted:
@@ -59,18 +60,18 @@
       // A heartbeat is not worth a sync each: the record is renewed when half a lease is gone.
       save = a->lease_until - now < policy_.lease / 2;
       break;
-    case AttemptState::kSaidEnd:
-      a->ran = Ran::kDone;
+    case AttemptState::kReportedEnd:
+      a->execution = ExecutionState::kDone;
       break;
     case AttemptState::kNeverRan:
-      a->ran = Ran::kNever;
+      a->execution = ExecutionState::kNeverRan;
       r->job.state = State::kQueued;
       break;
     case AttemptState::kMayHaveRun:
-      a->ran = Ran::kMaybe;
+      a->execution = ExecutionState::kMayHaveRun;
       break;
   }
-  if (save || state == AttemptState::kTaken)
+  if (save || state == AttemptState::kAccepted)
     a->lease_until = std::max(a->lease_until, now + policy_.lease);
   if (!save) return;
   // The word that brought this is acknowledged when it is durable.
@@ -78,14 +79,14 @@
         std::exchange(hearing_, nullptr));
 }
 
-void Keeper::Tell(const News& news, Heard heard) {
+void Keeper::HandleJobUpdate(const News& news, JobUpdateAck heard) {
   hearing_ = std::move(heard);
-  node_->TellNode(news);
+  node_->ApplyJobUpdate(news);
   if (hearing_) std::exchange(hearing_, nullptr)(true);
 }
 
 // A word about a job that the node does not have: of one that ended, or that is in doubt.
-void Keeper::Orphan(const News& news, Heard heard) {
+void Keeper::Orphan(const News& news, JobUpdateAck heard) {
   const auto hear = [heard = std::move(heard)](bool good) {
     if (heard) heard(good);
   };
@@ -100,10 +101,11 @@
       r->heard.emplace_back(hear);
       return;
     }
-    const job_state::Word word = news.state == News::State::kDone       ? job_state::Word::kDone
-                                 : news.state == News::State::kFailed   ? job_state::Word::kFailed
-                                 : news.state == News::State::kReturned ? job_state::Word::kReturned
-                                                                        : job_state::Word::kLost;
+    const job_state::WorkerReport word =
+        news.state == News::State::kDone       ? job_state::WorkerReport::kDone
+        : news.state == News::State::kFailed   ? job_state::WorkerReport::kFailed
+        : news.state == News::State::kReturned ? job_state::WorkerReport::kReturned
+                                               : job_state::WorkerReport::kLost;
     const job_state::Resolution what = job_state::Resolve(r->job, news.from, word);
     if (!what.resolves) {
       Count("news_passed_over");
@@ -130,12 +132,13 @@
       return End(*r, State::kFailed, "no worker takes it", std::move(heard));
     case Answer::Kind::kFailed: {
       const dispatch::ClassSettings* cls = ClassOf(r->job);
-      const State end = cls == nullptr ? State::kFailed : job_state::EndOfFailure(r->job, *cls);
+      const State end =
+          cls == nullptr ? State::kFailed : job_state::StateAfterFailure(r->job, *cls);
       if (end == State::kInDoubt) Count("doubts");
       return End(*r, end,
-                 end == State::kInDoubt ? "it may have run, and no word of it came"
-                 : answer.overdue       ? kOverdue
-                                        : "it failed",
+                 end == State::kInDoubt     ? "it may have run, and no word of it came"
+                 : answer.deadline_exceeded ? kOverdue
+                                            : "it failed",
                  std::move(heard));
     }
   }
@@ -146,11 +149,11 @@
   r.job.state = state;
   r.job.reason = reason;
   r.job.ended = UnixNow();
-  Back(r, state == State::kServed    ? job_state::Pacer::End::kServed
-          : state == State::kRefused ? job_state::Pacer::End::kRefused
-                                     : job_state::Pacer::End::kOther);
+  Back(r, state == State::kServed    ? job_state::Pacer::Result::kServed
+          : state == State::kRefused ? job_state::Pacer::Result::kRefused
+                                     : job_state::Pacer::Result::kOther);
   if (job_state::IsEnd(state)) {
-    job_state::PlanAfterEnd(&r.job, policy_, r.job.ended, g_random_double());
+    job_state::ScheduleAfterEnd(&r.job, policy_, r.job.ended, g_random_double());
     if (const auto it = by_request_.find(r.job.request_id);
         it != by_request_.end() && it->second == r.job.seq)
       by_request_.erase(it);
--- a/src/node/durable_jobs/keeper_callbacks.cpp
+++ b/src/node/durable_jobs/keeper_callbacks.cpp
@@ -14,8 +14,8 @@
 }  // namespace
 
 void Keeper::PlanCall(const job_state::Job& job) {
-  if (job.callback_at == 0 || calling_.contains(job.seq)) return;
-  calls_due_.insert({Now() + std::max<Micros>(0, job.callback_at - UnixNow()), job.seq});
+  if (job.next_callback_at == 0 || calling_.contains(job.seq)) return;
+  calls_due_.insert({Now() + std::max<Micros>(0, job.next_callback_at - UnixNow()), job.seq});
   if (calls_due_.size() > kMaxCalls) {  // the store knows the last one, too
     calls_due_.erase(std::prev(calls_due_.end()));
     more_calls_ = true;
@@ -44,7 +44,7 @@
     calls_due_.erase(calls_due_.begin());
     if (!calling_.insert(seq).second) continue;
     Bring(job_store::BySeq{seq}, [this, seq](Record* r) {
-      const auto url = r == nullptr || r->job.callback_at == 0
+      const auto url = r == nullptr || r->job.next_callback_at == 0
                            ? std::nullopt
                            : ReadCallbackUrl(r->job.callback, prefixes_);
       if (!url) {  // forgotten, or no longer allowed
@@ -58,7 +58,7 @@
           if (r == nullptr) return;
           ++r->job.callback_tries;
           r->job.callback_done = good;
-          job_state::PlanAfterEnd(&r->job, policy_, UnixNow(), g_random_double());
+          job_state::ScheduleAfterEnd(&r->job, policy_, UnixNow(), g_random_double());
           const job_state::Job planned = r->job;
           Write(*r, {job_store::PutJob{r->job}}, nullptr);
           PlanCall(planned);
--- a/src/node/durable_jobs/keeper_intake.cpp
+++ b/src/node/durable_jobs/keeper_intake.cpp
@@ -9,7 +9,7 @@
 namespace pearreach {
 namespace {
 
-using job_state::Ran;
+using job_state::ExecutionState;
 using job_state::State;
 
 constexpr Micros kStoreAway = 1 * kSecond;  // told to clients that the store could not serve
@@ -28,16 +28,17 @@
   return node_->Submit(std::move(job), client);
 }
 
-void Keeper::Take(Job job, Taken taken) {
-  if (store_ == nullptr || store_->lost()) return taken({TakeResult::Kind::kAway, "", kStoreAway});
+void Keeper::SubmitDurable(Job job, DurableSubmitCallback taken) {
+  if (store_ == nullptr || store_->lost())
+    return taken({DurableSubmitResult::Kind::kUnavailable, "", kStoreAway});
   if (!job.callback.empty() && !ReadCallbackUrl(job.callback, prefixes_))
-    return taken({TakeResult::Kind::kBad, "", 0});
+    return taken({DurableSubmitResult::Kind::kBadCallback, "", 0});
   // Of one that is being written the store tells whether this is its twin or in its way.
   if (node_->IsOpen(job.id) && !by_request_.contains(job.id))
-    return taken({TakeResult::Kind::kConflict, "", 0});
+    return taken({DurableSubmitResult::Kind::kConflict, "", 0});
   job_state::Job j;
   j.seq = store_->NextSeq();
-  j.id = job_state::MakeId(j.seq, Chance());
+  j.id = job_state::MakeJobId(j.seq, Chance());
   j.request_id = job.id;
   j.path = std::move(job.path);
   j.body = std::move(job.body);
@@ -48,7 +49,7 @@
   j.slots = job.slots;
   j.key = job.key;
   j.created = UnixNow();
-  j.due = j.created + std::min(job.patience, policy_.longest);
+  j.due = j.created + std::min(job.client_timeout, policy_.max_duration);
   j.callback = std::move(job.callback);
   const bool marks = taking_.insert(j.request_id).second;
   job_store::TakeJob take{j};
@@ -60,13 +61,13 @@
                     using Kind = job_store::Outcome::Kind;
                     if (!outcome.error.empty()) {
                       CountFault("store_failed", outcome.error);
-                      return taken({TakeResult::Kind::kAway, "", kStoreAway});
+                      return taken({DurableSubmitResult::Kind::kUnavailable, "", kStoreAway});
                     }
                     if (outcome.kind == Kind::kConflict)
-                      return taken({TakeResult::Kind::kConflict, "", 0});
+                      return taken({DurableSubmitResult::Kind::kConflict, "", 0});
                     if (outcome.kind == Kind::kTwin) {
                       Count("durable_repeats");
-                      return taken({TakeResult::Kind::kTaken, outcome.id, 0});
+                      return taken({DurableSubmitResult::Kind::kAccepted, outcome.id, 0});
                     }
                     Count("durable_jobs");
                     const std::string id = j.id;
@@ -78,28 +79,28 @@
                       Count("durable_set_aside");
                       ToBacklog(seq);
                     }
-                    taken({TakeResult::Kind::kTaken, id, 0});
+                    taken({DurableSubmitResult::Kind::kAccepted, id, 0});
                   }});
 }
 
 // What becomes of a job that waits: to the module, or to its end where its time is over.
 void Keeper::Judge(Record& r, bool fits) {
   const job_state::Recovery what = job_state::Recover(r.job, ClassOf(r.job), policy_, UnixNow());
-  switch (what.what) {
-    case job_state::Recovery::What::kNothing:
+  switch (what.action) {
+    case job_state::Recovery::Action::kNone:
       return;
-    case job_state::Recovery::What::kQueue:
+    case job_state::Recovery::Action::kRequeue:
       // Guards news by id: an ordinary job of this id is open, and ends by its deadline.
       if (fits && !HandOver(r, r.backlog, false)) MeetAgain(&queued_, r.job.seq);
       return;
-    case job_state::Recovery::What::kAdopt:
+    case job_state::Recovery::Action::kAdopt:
       if (!HandOver(r, r.backlog, true))
         End(r, State::kInDoubt, "another request of its id is open", nullptr);
       return;
-    case job_state::Recovery::What::kDoubt:
+    case job_state::Recovery::Action::kMarkInDoubt:
       return End(r, State::kInDoubt, what.reason, nullptr);
-    case job_state::Recovery::What::kEnd:
-    case job_state::Recovery::What::kWithdraw:
+    case job_state::Recovery::Action::kFailOverdue:
+    case job_state::Recovery::Action::kFailUnknownClass:
       return End(r, State::kFailed, what.reason, nullptr);
   }
 }
@@ -118,34 +119,37 @@
   job.slots = r.job.slots;
   job.key = r.job.key;
   job.received = Now();
-  job.patience = std::max<Micros>(r.job.due - now, kMs);
+  job.client_timeout = std::max<Micros>(r.job.due - now, kMs);
   job.lease = policy_.lease;
   job.fence = job_state::NextFence(r.job) - 1;  // of the last attempt, if one is adopted
   if (node_->IsOpen(job.id)) return false;
   job.body = std::exchange(r.job.body, {});
   r.bytes = job.body.size();
-  std::vector<Node::Adopted> attempts;
+  std::vector<Node::AdoptedAttempt> attempts;
   for (const job_state::Attempt& a : r.job.attempts) {
-    if (a.ran == Ran::kFenced || (a.ran == Ran::kNever && !adopt)) continue;
-    attempts.push_back({a.worker, Now() - std::max<Micros>(0, now - a.sent), a.started,
-                        a.ran == Ran::kOut     ? dispatch::AttemptAdopted::Was::kOut
-                        : a.ran == Ran::kNever ? dispatch::AttemptAdopted::Was::kNeverRan
-                                               : dispatch::AttemptAdopted::Was::kMayHaveRun});
+    if (a.execution == ExecutionState::kFenced ||
+        (a.execution == ExecutionState::kNeverRan && !adopt))
+      continue;
+    attempts.push_back(
+        {a.worker, Now() - std::max<Micros>(0, now - a.sent), a.started,
+         a.execution == ExecutionState::kInFlight   ? dispatch::AttemptAdopted::Was::kOut
+         : a.execution == ExecutionState::kNeverRan ? dispatch::AttemptAdopted::Was::kNeverRan
+                                                    : dispatch::AttemptAdopted::Was::kMayHaveRun});
   }
   const auto ticket = node_->SubmitGuarded(std::move(job), this, this, attempts);
   if (!Must(ticket.has_value(), "open_after_all")) return false;
   r.ticket = *ticket;
   r.backlog = backlog;
   by_ticket_[*ticket] = r.job.seq;
-  pacer_.Out(r.backlog, r.bytes);
+  pacer_.OnHandedOver(r.backlog, r.bytes);
   return true;
 }
 
-void Keeper::Back(Record& r, job_state::Pacer::End end) {
+void Keeper::Back(Record& r, job_state::Pacer::Result end) {
   if (r.ticket == 0) return;
   by_ticket_.erase(r.ticket);
   r.ticket = 0;
-  pacer_.Back(r.backlog, r.bytes, end);
+  pacer_.OnFinished(r.backlog, r.bytes, end);
 }
 
 }  // namespace pearreach
--- a/src/node/durable_jobs/keeper_lookups.cpp
+++ b/src/node/durable_jobs/keeper_lookups.cpp
@@ -20,7 +20,7 @@
   v.ended = job_state::IsEnd(job.state);
   v.served = job.state == State::kServed;
   v.refused = job.state == State::kRefused;
-  v.overdue = job.reason.starts_with(kOverdue);
+  v.deadline_exceeded = job.reason.starts_with(kOverdue);
   v.attempts = static_cast<int>(job.attempts.size());
   v.result = job.result;
   v.reason = job.reason;
@@ -28,7 +28,7 @@
   return v;
 }
 
-void Keeper::Look(const std::string& id, Micros wait, Seen seen) {
+void Keeper::QueryDurable(const std::string& id, Micros wait, JobViewCallback seen) {
   if (store_ == nullptr) return seen(std::nullopt);
   const Micros until = Now() + wait;
   Bring(job_store::ById{id}, [this, id, wait, until, seen = std::move(seen)](Record* r) {
@@ -54,7 +54,7 @@
 
 void Keeper::TellWaits(Record& r) {
   const auto [from, to] = waits_by_seq_.equal_range(r.job.seq);
-  std::vector<Seen> told;
+  std::vector<JobViewCallback> told;
   for (auto it = from; it != to; ++it) {
     const auto wait = waits_.find(it->second);
     waits_due_.erase({wait->second.until, wait->first});
@@ -63,7 +63,7 @@
   }
   waits_by_seq_.erase(from, to);
   const JobView view = View(r.job);
-  for (const Seen& seen : told) seen(view);
+  for (const JobViewCallback& seen : told) seen(view);
 }
 
 void Keeper::RunWaits() {
@@ -78,12 +78,12 @@
         waits_by_seq_.erase(it);
         break;
       }
-    Look(wait.id, 0, wait.seen);
+    QueryDurable(wait.id, 0, wait.seen);
   }
   if (!waits_due_.empty()) wait_alarm_.Set(waits_due_.begin()->first);
 }
 
-void Keeper::EndWaits() {
+void Keeper::AnswerWaiters() {
   std::set<std::pair<Micros, std::uint64_t>> due;
   for (const auto& [at, key] : waits_due_) {
     waits_.at(key).until = 0;
@@ -93,7 +93,7 @@
   RunWaits();
 }
 
-void Keeper::GiveUp(const std::string& id, Seen seen) {
+void Keeper::CancelDurable(const std::string& id, JobViewCallback seen) {
   if (store_ == nullptr) return seen(std::nullopt);
   Bring(job_store::ById{id}, [this, seen = std::move(seen)](Record* r) {
     if (r == nullptr) return seen(std::nullopt);
--- a/src/node/durable_jobs/keeper_recovery.cpp
+++ b/src/node/durable_jobs/keeper_recovery.cpp
@@ -8,7 +8,7 @@
 namespace pearreach {
 namespace {
 
-using job_state::Ran;
+using job_state::ExecutionState;
 using job_state::State;
 
 constexpr int kPage = 64;  // jobs that a walk asks for at once
@@ -103,8 +103,8 @@
   Count("doubts_fenced");
   std::vector<job_store::Change> changes;
   for (job_state::Attempt& a : job.attempts) {
-    if (a.ran == Ran::kNever) continue;
-    a.ran = Ran::kFenced;
+    if (a.execution == ExecutionState::kNeverRan) continue;
+    a.execution = ExecutionState::kFenced;
     changes.emplace_back(job_store::PutAttempt{job.seq, a});
   }
   job.state = State::kQueued;
--- a/src/node/engine/core.h
+++ b/src/node/engine/core.h
@@ -26,11 +26,11 @@
   double slots = 1;
   bool is_repeat = false;
   std::optional<std::uint64_t> key;
-  Micros received = 0;      // when its last byte was seen, by Now()
-  Micros patience = 0;      // how long its client waits
-  Micros lease = 0;         // an attempt without a word for so long is given up; 0: not for that
-  std::uint64_t fence = 0;  // of a durable job's attempts; 0: none
-  std::string callback;     // where a durable job's end is told; empty: nowhere
+  Micros received = 0;        // when its last byte was seen, by Now()
+  Micros client_timeout = 0;  // how long its client waits
+  Micros lease = 0;           // an attempt without a word for so long is given up; 0: not for that
+  std::uint64_t fence = 0;    // of a durable job's attempts; 0: none
+  std::string callback;       // where a durable job's end is told; empty: nowhere
 };
 
 // What is decided of a job before the module sees it, where the fleet shares budgets.
@@ -43,32 +43,32 @@
 struct Answer {
   enum class Kind { kServed, kRefused, kRejected, kFailed };  // kRejected: the job itself is bad
   Kind kind = Kind::kFailed;
-  std::string result;      // kServed
-  Micros retry_after = 0;  // kRefused; 0: says nothing
-  bool overdue = false;    // kFailed: the time is up
+  std::string result;              // kServed
+  Micros retry_after = 0;          // kRefused; 0: says nothing
+  bool deadline_exceeded = false;  // kFailed: the time is up
 };
 
 // A word about a worker's news: true, it may forget it; false, it should say it again.
-using Heard = std::function<void(bool)>;
+using JobUpdateAck = std::function<void(bool)>;
 
 // A durable job as its client may see it.
 struct JobView {
   std::string id, state, cls, result, reason;
   bool ended = false, served = false, refused = false;
-  bool overdue = false;  // ended because its time was up
+  bool deadline_exceeded = false;  // ended because its time was up
   int attempts = 0;
   Micros retry_after = 0;
 };
 
-struct TakeResult {
+struct DurableSubmitResult {
   // kAway: cannot be made durable now; kBad: its call-back may not be called.
-  enum class Kind { kTaken, kAway, kConflict, kBad };
-  Kind kind = Kind::kAway;
+  enum class Kind { kAccepted, kUnavailable, kConflict, kBadCallback };
+  Kind kind = Kind::kUnavailable;
   std::string id;  // kTaken
   Micros retry_after = 0;
 };
-using Taken = std::function<void(const TakeResult&)>;
-using Seen = std::function<void(const std::optional<JobView>&)>;
+using DurableSubmitCallback = std::function<void(const DurableSubmitResult&)>;
+using JobViewCallback = std::function<void(const std::optional<JobView>&)>;
 
 class Client {
  public:
@@ -85,27 +85,28 @@
   virtual std::size_t open_jobs() const = 0;  // taken and not answered
   // Nothing: a job of this id is open.
   virtual std::optional<Ticket> Submit(Job job, Client* client) = 0;
-  virtual void Abandon(Ticket ticket) = 0;               // the client has gone away
-  virtual void Tell(const News& news, Heard heard) = 0;  // a worker's word of a job
+  virtual void Abandon(Ticket ticket) = 0;  // the client has gone away
+  virtual void HandleJobUpdate(const News& news,
+                               JobUpdateAck heard) = 0;  // a worker's word of a job
 
   // Durable jobs; a core that keeps none refuses them.
-  virtual bool keeps() const { return false; }
+  virtual bool supports_durable_jobs() const { return false; }
   // Takes a job on durably; `taken` is told once that is so, or at once that it is not.
   // NOLINTNEXTLINE(performance-unnecessary-value-param): an override takes the job over
-  virtual void Take(Job, Taken taken) {
-    const Taken done = std::move(taken);
+  virtual void SubmitDurable(Job, DurableSubmitCallback taken) {
+    const DurableSubmitCallback done = std::move(taken);
     done({});
   }
   // Tells how a durable job stands: at once, or once it has ended and that is durable, `wait` from
   // now at the latest. Nothing: there is no such job.
-  virtual void Look(const std::string&, Micros /*wait*/, Seen seen) {
-    const Seen done = std::move(seen);
+  virtual void QueryDurable(const std::string&, Micros /*wait*/, JobViewCallback seen) {
+    const JobViewCallback done = std::move(seen);
     done(std::nullopt);
   }
   // Those who wait in Look are told how their jobs stand, now; nobody waits from then on.
-  virtual void EndWaits() {}
-  virtual void GiveUp(const std::string&, Seen seen) {
-    const Seen done = std::move(seen);
+  virtual void AnswerWaiters() {}
+  virtual void CancelDurable(const std::string&, JobViewCallback seen) {
+    const JobViewCallback done = std::move(seen);
     done(std::nullopt);
   }
 };
--- a/src/node/engine/node.cpp
+++ b/src/node/engine/node.cpp
@@ -39,7 +39,8 @@
                   if (it == records_.end()) return;
                   Attempt& a = it->second.attempts[static_cast<std::size_t>(key.number)];
                   a.taken = true;
-                  Hear(key.job, a, fences ? AttemptState::kTakenKnowsFences : AttemptState::kTaken);
+                  Hear(key.job, a,
+                       fences ? AttemptState::kAcceptedWithFencing : AttemptState::kAccepted);
                   Post(dispatch::AttemptTaken{key.job, key.number, a.worker});
                 },
                 [this](AttemptKey key) { Reject(key); },
@@ -119,8 +120,8 @@
   Post(std::move(judgement));
 }
 
-void Node::Capture(const std::optional<CaptureSettings>& settings, const std::string& build,
-                   std::uint64_t policy_hash) {
+void Node::SetCapture(const std::optional<CaptureSettings>& settings, const std::string& build,
+                      std::uint64_t policy_hash) {
   if (settings == recording_) return;
   recording_ = settings;
   recorder_.reset();
@@ -132,12 +133,12 @@
       *settings, origin_, dispatcher_, names_, last_turn_ == 0 ? started_ : Now(), last_turn_ == 0);
 }
 
-void Node::Recall(knowledge::Recall recall) {
+void Node::RestoreKnowledge(knowledge::Recall recall) {
   recall_ = std::move(recall);
   recall_until_ = Now() + kRecallFor;
 }
 
-knowledge::Memory Node::Learned() const {
+knowledge::Memory Node::ExportKnowledge() const {
   const Micros now = Now();
   return knowledge::Collect(dispatcher_.Learned(now), now, site_, names_, started_ms_, origin_.node,
                             g_get_real_time());
@@ -162,7 +163,7 @@
   if (!told.pools.empty() || !told.workers.empty()) Post(std::move(told));
 }
 
-void Node::Mark(const std::string& what) {
+void Node::AnnotateCapture(const std::string& what) {
   if (recorder_ != nullptr) recorder_->Mark(what);
 }
 
@@ -252,7 +253,7 @@
   }
 }
 
-void Node::LogFigures() const {
+void Node::LogStats() const {
   const auto text = [](double value) {
     std::string t = std::to_string(value);
     return t.substr(0, t.find('.') + 2);
--- a/src/node/engine/node.h
+++ b/src/node/engine/node.h
@@ -23,36 +23,36 @@
 
 // Keeps jobs durable: asked before each of their attempts goes out, and told of what becomes of it.
 enum class AttemptState {
-  kTaken,
-  kTakenKnowsFences,
+  kAccepted,
+  kAcceptedWithFencing,
   kStarted,
   kProgress,
-  kSaidEnd,     // the worker says that it is done or failed
-  kNeverRan,    // proven
-  kMayHaveRun,  // ended without a word
+  kReportedEnd,  // the worker says that it is done or failed
+  kNeverRan,     // proven
+  kMayHaveRun,   // ended without a word
 };
-class Guard {
+class AttemptGuard {
  public:
-  using Go = std::function<void(std::uint64_t fence)>;  // 0: it must not go out
-  virtual ~Guard() = default;
-  virtual void BeforeSend(Ticket ticket, const std::string& worker, Go go) = 0;
+  using Proceed = std::function<void(std::uint64_t fence)>;  // 0: it must not go out
+  virtual ~AttemptGuard() = default;
+  virtual void BeforeSend(Ticket ticket, const std::string& worker, Proceed go) = 0;
   virtual void OnAttempt(Ticket ticket, const std::string& worker, AttemptState state) = 0;
 };
 
 // Sees what this node sees of the match workers: evidence for those who judge them together.
-class Witness {
+class WorkerObserver {
  public:
-  virtual ~Witness() = default;
-  struct Listed {
+  virtual ~WorkerObserver() = default;
+  struct ListedWorker {
     int zone = 0, kind = 0;
     double weight = 1;
     std::int64_t started_ms = 0;
     bool in_service = false;
   };
-  virtual void OnListed(const std::string& worker, const Listed& as) = 0;
+  virtual void OnListed(const std::string& worker, const ListedWorker& as) = 0;
   virtual void OnGone(const std::string& worker) = 0;
   virtual void OnSent(const std::string& worker) = 0;
-  virtual void OnHeard(const std::string& worker) = 0;  // any word of an attempt there
+  virtual void OnAttemptUpdate(const std::string& worker) = 0;  // any word of an attempt there
   // `run`: from its start on; 0: not known.
   virtual void OnEnded(const std::string& worker, dispatch::Outcome outcome, int cls,
                        Micros run) = 0;
@@ -61,7 +61,7 @@
 class Node : public Core {
  public:
   // An attempt of a job that another process of this node made.
-  struct Adopted {
+  struct AdoptedAttempt {
     std::string worker;
     Micros sent = 0;  // by Now(); may lie before this process began
     bool started = false;
@@ -72,30 +72,30 @@
 
   void Start();  // begins the watch of the worker list
   // Goes on with the list at another address; until it is in, the workers held stay.
-  void MoveDiscovery(const std::string& address) { discovery_.MoveTo(address); }
+  void SetDiscoveryAddress(const std::string& address) { discovery_.MoveTo(address); }
 
   // Records the module's turns from now on; none: stops. `build` and `policy_hash` stand at the
   // head of each segment.
-  void Capture(const std::optional<CaptureSettings>& settings, const std::string& build,
-               std::uint64_t policy_hash);
+  void SetCapture(const std::optional<CaptureSettings>& settings, const std::string& build,
+                  std::uint64_t policy_hash);
   // What an earlier process of this node has learned: handed to the module with the first list, and
   // of each worker when the list names the process that it is about.
-  void Recall(knowledge::Recall recall);
+  void RestoreKnowledge(knowledge::Recall recall);
   // What this one has learned, for a later one.
-  knowledge::Memory Learned() const;
+  knowledge::Memory ExportKnowledge() const;
   // A word for people that goes into the recording, if there is one.
-  void Mark(const std::string& what);
+  void AnnotateCapture(const std::string& what);
 
   const dispatch::Site& site() const override { return site_; }
   bool ready() const override { return listed_; }
   std::size_t open_jobs() const override { return open_; }
   std::optional<Ticket> Submit(Job job, Client* client) override;
   void Abandon(Ticket ticket) override;
-  void Tell(const News& news, Heard heard) override {
-    TellNode(news);
+  void HandleJobUpdate(const News& news, JobUpdateAck heard) override {
+    ApplyJobUpdate(news);
     heard(true);
   }
-  void TellNode(const News& news);
+  void ApplyJobUpdate(const News& news);
   // Bytes that another node said for this one's module.
   void OnPeerMessage(int from, std::string bytes) {
     Post(dispatch::PeerMessage{from, std::move(bytes)});
@@ -103,27 +103,27 @@
 
   // ---- for state that the fleet shares
   // Asked of each new job of a client; durable jobs were admitted when they were taken on.
-  void OnAdmit(std::function<Admission(int tenant, bool is_repeat)> ask) {
+  void SetAdmissionCheck(std::function<Admission(int tenant, bool is_repeat)> ask) {
     admit_ = std::move(ask);
   }
-  void Watch(Witness* witness) { witness_ = witness; }
+  void SetWorkerObserver(WorkerObserver* witness) { witness_ = witness; }
   // What several nodes have seen of a worker; `judgement.at` is Unix time in microseconds.
   void OnJudgement(const std::string& worker, dispatch::Judgement judgement);
 
   // A worker of a zone that the fleet has left takes nothing new: told to the module as draining,
   // like a banned one, until it is open again.
-  void Shut(const std::string& worker, bool shut);
+  void SetZoneDrain(const std::string& worker, bool shut);
 
   // ---- for the keeper of durable jobs
-  std::optional<Ticket> SubmitGuarded(Job job, Client* client, Guard* guard,
-                                      const std::vector<Adopted>& attempts);
+  std::optional<Ticket> SubmitGuarded(Job job, Client* client, AttemptGuard* guard,
+                                      const std::vector<AdoptedAttempt>& attempts);
   bool IsOpen(const std::string& id) const { return by_id_.contains(id); }
-  void OnFirstList(std::function<void()> tell) { first_list_ = std::move(tell); }
+  void SetFirstListingCallback(std::function<void()> tell) { first_list_ = std::move(tell); }
   // Asked about news of a job that is not open; true: it was of use.
-  void OnOrphan(std::function<bool(const News&)> ask) { orphan_ = std::move(ask); }
+  void SetUnknownJobHandler(std::function<bool(const News&)> ask) { orphan_ = std::move(ask); }
 
   // Open jobs, workers, and limit and busy slots of each pool, as one event of the log.
-  void LogFigures() const;
+  void LogStats() const;
 
   // ---- bans by operators. A banned worker is told to the module as draining, whatever the list
   // says of it, until it is let back: the module decides as for any drain. False: no list has
@@ -137,17 +137,17 @@
   std::size_t hosts_down() const;  // of those, banned or draining by the list
 
   // The jobs of each class that were answered since the start, by kind of answer.
-  struct Tally {
+  struct AnswerCounts {
     std::uint64_t success = 0, busy = 0, failure = 0;
   };
-  const std::vector<Tally>& tally() const { return tally_; }
+  const std::vector<AnswerCounts>& answer_counts() const { return tally_; }
 
   // Figures for tests and the log.
   std::size_t records() const { return records_.size(); }
-  std::size_t links() const { return workers_.links(); }
+  std::size_t worker_connections() const { return workers_.links(); }
   // Unix time on the module's clock, by the one offset: taken anew it would differ by a little each
   // time and make every list look like a restart. 0 stays 0: long ago.
-  Micros ClockOf(std::int64_t unix_ms) const;
+  Micros FromUnixMs(std::int64_t unix_ms) const;
   // A list from another source than discovery, in its form.
   void OnListing(const Listing& list);
 
@@ -162,7 +162,7 @@
     Micros heard = 0;    // the last word of it, where it has a lease
   };
   struct Record {
-    Guard* guard = nullptr;
+    AttemptGuard* guard = nullptr;
     Job job;
     Client* client = nullptr;
     Micros due = 0;
@@ -209,7 +209,7 @@
 
   std::unordered_map<dispatch::WorkerId, dispatch::WorkerEntry> hosts_;  // as the list says
   std::set<std::string> banned_, shut_;  // by operators; by zones that are left
-  std::vector<Tally> tally_;
+  std::vector<AnswerCounts> tally_;
 
   std::unordered_map<std::string, dispatch::WorkerId> ids_;
   std::vector<std::int64_t> started_ms_;  // by id: of the process that the list names
@@ -222,7 +222,7 @@
   std::set<std::pair<Micros, Ticket>> deadlines_;
 
   std::function<Admission(int, bool)> admit_;
-  Witness* witness_ = nullptr;
+  WorkerObserver* witness_ = nullptr;
   std::vector<std::pair<Ticket, Micros>> denied_;  // to be refused in the next turn; come back in
 
   std::set<std::pair<Micros, AttemptKey>> leases_;
--- a/src/node/engine/node_attempts.cpp
+++ b/src/node/engine/node_attempts.cpp
@@ -53,7 +53,7 @@
 void Node::Hear(Ticket ticket, Attempt& a, AttemptState state) {
   a.heard = Now();
   if (state == AttemptState::kStarted && a.started == 0) a.started = a.heard;
-  if (witness_ != nullptr) witness_->OnHeard(NameOf(a.worker));
+  if (witness_ != nullptr) witness_->OnAttemptUpdate(NameOf(a.worker));
   const auto it = records_.find(ticket);
   if (it != records_.end() && it->second.guard != nullptr)
     it->second.guard->OnAttempt(ticket, NameOf(a.worker), state);
@@ -109,7 +109,7 @@
     const bool said = outcome == Outcome::kGood || outcome == Outcome::kError;
     r.guard->OnAttempt(key.job, NameOf(a.worker),
                        never  ? AttemptState::kNeverRan
-                       : said ? AttemptState::kSaidEnd
+                       : said ? AttemptState::kReportedEnd
                               : AttemptState::kMayHaveRun);
   }
   Count((std::string("ended_") + kNames[static_cast<int>(outcome)]).c_str());
@@ -141,7 +141,7 @@
 
 // News may come before the 202, come again, or be of a job or an attempt that has ended: it counts
 // for an attempt that is out at the worker it comes from, and only once.
-void Node::TellNode(const News& news) {
+void Node::ApplyJobUpdate(const News& news) {
   const auto id = by_id_.find(news.job);
   const auto from = ids_.find(news.from);
   if (id == by_id_.end() || from == ids_.end()) {
@@ -193,7 +193,7 @@
   }
 }
 
-Micros Node::ClockOf(std::int64_t unix_ms) const {
+Micros Node::FromUnixMs(std::int64_t unix_ms) const {
   return unix_ms <= 0 ? 0 : std::max<Micros>(1, unix_ms * kMs - clock_offset_);
 }
 
--- a/src/node/engine/node_jobs.cpp
+++ b/src/node/engine/node_jobs.cpp
@@ -18,8 +18,8 @@
   return SubmitGuarded(std::move(job), client, nullptr, {});
 }
 
-std::optional<Ticket> Node::SubmitGuarded(Job job, Client* client, Guard* guard,
-                                          const std::vector<Adopted>& attempts) {
+std::optional<Ticket> Node::SubmitGuarded(Job job, Client* client, AttemptGuard* guard,
+                                          const std::vector<AdoptedAttempt>& attempts) {
   const auto [slot, fresh] = by_id_.try_emplace(job.id, last_ticket_ + 1);
   if (!fresh) return std::nullopt;
   const Ticket ticket = ++last_ticket_;
@@ -31,7 +31,7 @@
   e.slots = job.slots;
   e.is_repeat = job.is_repeat;
   e.key = job.key;
-  e.due = job.received + job.patience - std::min(kWayHere, job.patience / 2);
+  e.due = job.received + job.client_timeout - std::min(kWayHere, job.client_timeout / 2);
   Admission admission;
   if (admit_ && guard == nullptr) admission = admit_(job.tenant, job.is_repeat);
   e.over_share = admission.over_share;
@@ -50,7 +50,7 @@
     return ticket;
   }
   Post(e, std::move(note));
-  for (const Adopted& a : attempts) {
+  for (const AdoptedAttempt& a : attempts) {
     dispatch::AttemptAdopted adopted{ticket, IdOf(a.worker), a.sent, a.started, a.was};
     const bool out = a.was == dispatch::AttemptAdopted::Was::kOut;
     r.attempts.push_back({adopted.worker, a.sent, out, true});
@@ -84,7 +84,7 @@
   r.answered = true;
   --open_;
   if (r.job.cls >= 0 && static_cast<std::size_t>(r.job.cls) < tally_.size()) {
-    Tally& t = tally_[static_cast<std::size_t>(r.job.cls)];
+    AnswerCounts& t = tally_[static_cast<std::size_t>(r.job.cls)];
     ++(answer.kind == Answer::Kind::kServed    ? t.success
        : answer.kind == Answer::Kind::kRefused ? t.busy
                                                : t.failure);
--- a/src/node/engine/node_workers.cpp
+++ b/src/node/engine/node_workers.cpp
@@ -28,7 +28,7 @@
     e.cell = s.cell;
     e.health = s.health;
     e.weight = s.weight;
-    e.ready_at = ClockOf(s.started_ms);
+    e.ready_at = FromUnixMs(s.started_ms);
     if (s.health == dispatch::Health::kGone)
       workers_.Remove(e.worker);
     else
@@ -75,7 +75,7 @@
   return true;
 }
 
-void Node::Shut(const std::string& worker, bool shut) {
+void Node::SetZoneDrain(const std::string& worker, bool shut) {
   const auto it = ids_.find(worker);
   if ((shut ? shut_.insert(worker).second : shut_.erase(worker) > 0) && it != ids_.end())
     PostHealth(it->second);
--- a/src/node/http_frontend/front.cpp
+++ b/src/node/http_frontend/front.cpp
@@ -217,13 +217,14 @@
   // Whatever it is about, it has been heard: any other answer makes the worker say it again. Of a
   // durable job it is heard once it is on the disk.
   const std::uint64_t promise = Promise(c);
-  core_->Tell(*news, [this, promise, keep_alive = message.keep_alive, alive = alive_](bool heard) {
-    if (!*alive) return;
-    Connection* c = Redeem(promise);
-    if (c == nullptr) return;
-    Respond(c, heard ? 200 : 503, "", keep_alive);
-    if (handling_ != c) Read(c);
-  });
+  core_->HandleJobUpdate(
+      *news, [this, promise, keep_alive = message.keep_alive, alive = alive_](bool heard) {
+        if (!*alive) return;
+        Connection* c = Redeem(promise);
+        if (c == nullptr) return;
+        Respond(c, heard ? 200 : 503, "", keep_alive);
+        if (handling_ != c) Read(c);
+      });
 }
 
 std::uint64_t Front::Promise(Connection* c) {
@@ -247,55 +248,56 @@
 // A durable job: answered when it is on the disk or, where its client waits for its end, with that.
 void Front::HandleDurable(Connection* c, Job job, Micros wait, bool keep_alive) {
   const std::uint64_t promise = Promise(c);
-  core_->Take(
-      std::move(job), [this, promise, wait, keep_alive, alive = alive_](const TakeResult& result) {
+  core_->SubmitDurable(std::move(job), [this, promise, wait, keep_alive,
+                                        alive = alive_](const DurableSubmitResult& result) {
+    if (!*alive) return;
+    if (result.kind == DurableSubmitResult::Kind::kAccepted && wait > 0 && !refusing_)
+      return AwaitEnd(promise, result.id, wait, keep_alive);
+    Connection* c = Redeem(promise);
+    if (c == nullptr) return;
+    switch (result.kind) {
+      case DurableSubmitResult::Kind::kAccepted:
+        Respond(c, 202, "", keep_alive && !refusing_, {{"Location", "/_jobs/" + result.id}});
+        break;
+      case DurableSubmitResult::Kind::kUnavailable:
+        Refuse(c, keep_alive && !refusing_, result.retry_after);
+        break;
+      case DurableSubmitResult::Kind::kBadCallback:
+        Count("bad_requests");
+        Respond(c, 400, "X-Callback-Url is no address that may be called\n", keep_alive);
+        break;
+      case DurableSubmitResult::Kind::kConflict:
+        Count("bad_requests");
+        Respond(c, 409, "a request of this id is open\n", keep_alive);
+        break;
+    }
+    if (handling_ != c) Read(c);
+  });
+}
+
+// The end of a durable job as that of any job, if it comes within `wait`; else its 202.
+void Front::AwaitEnd(std::uint64_t promise, const std::string& id, Micros wait, bool keep_alive) {
+  core_->QueryDurable(
+      id, wait,
+      [this, promise, id, keep_alive, alive = alive_](const std::optional<JobView>& view) {
         if (!*alive) return;
-        if (result.kind == TakeResult::Kind::kTaken && wait > 0 && !refusing_)
-          return AwaitEnd(promise, result.id, wait, keep_alive);
         Connection* c = Redeem(promise);
-        if (c == nullptr) return;
-        switch (result.kind) {
-          case TakeResult::Kind::kTaken:
-            Respond(c, 202, "", keep_alive && !refusing_, {{"Location", "/_jobs/" + result.id}});
-            break;
-          case TakeResult::Kind::kAway:
-            Refuse(c, keep_alive && !refusing_, result.retry_after);
-            break;
-          case TakeResult::Kind::kBad:
-            Count("bad_requests");
-            Respond(c, 400, "X-Callback-Url is no address that may be called\n", keep_alive);
-            break;
-          case TakeResult::Kind::kConflict:
-            Count("bad_requests");
-            Respond(c, 409, "a request of this id is open\n", keep_alive);
-            break;
+        if (c == nullptr) return;  // gone; its job goes on
+        const bool stays = keep_alive && !refusing_;
+        std::vector<http::Header> headers = {{"Location", "/_jobs/" + id}};
+        if (!view || !view->ended) {
+          Respond(c, 202, "", stays, std::move(headers));
+        } else if (view->served) {
+          Respond(c, 200, view->result, stays, std::move(headers));
+        } else if (view->refused) {
+          Refuse(c, stays, view->retry_after);
+        } else {
+          Respond(c, view->deadline_exceeded ? 504 : 502, "failed\n", stays, std::move(headers));
         }
         if (handling_ != c) Read(c);
       });
 }
 
-// The end of a durable job as that of any job, if it comes within `wait`; else its 202.
-void Front::AwaitEnd(std::uint64_t promise, const std::string& id, Micros wait, bool keep_alive) {
-  core_->Look(id, wait,
-              [this, promise, id, keep_alive, alive = alive_](const std::optional<JobView>& view) {
-                if (!*alive) return;
-                Connection* c = Redeem(promise);
-                if (c == nullptr) return;  // gone; its job goes on
-                const bool stays = keep_alive && !refusing_;
-                std::vector<http::Header> headers = {{"Location", "/_jobs/" + id}};
-                if (!view || !view->ended) {
-                  Respond(c, 202, "", stays, std::move(headers));
-                } else if (view->served) {
-                  Respond(c, 200, view->result, stays, std::move(headers));
-                } else if (view->refused) {
-                  Refuse(c, stays, view->retry_after);
-                } else {
-                  Respond(c, view->overdue ? 504 : 502, "failed\n", stays, std::move(headers));
-                }
-                if (handling_ != c) Read(c);
-              });
-}
-
 void Front::HandleLook(Connection* c, const http::Message& message, const std::string& id) {
   if (message.method != "GET" && message.method != "DELETE") {
     Count("bad_requests");
@@ -322,9 +324,9 @@
     if (handling_ != c) Read(c);
   };
   if (message.method == "GET")
-    core_->Look(id, refusing_ ? 0 : wait.value_or(0), seen);
+    core_->QueryDurable(id, refusing_ ? 0 : wait.value_or(0), seen);
   else
-    core_->GiveUp(id, seen);
+    core_->CancelDurable(id, seen);
 }
 
 void Front::HandleJob(Connection* c, http::Message message, const std::string& cls) {
@@ -342,7 +344,7 @@
   Prefer prefer;
   job.received = Now();
   try {
-    if (core_->keeps()) prefer = ReadPrefer(message);
+    if (core_->supports_durable_jobs()) prefer = ReadPrefer(message);
     job.id = text("X-Request-ID");
     if (job.id.empty() || job.id.size() > kMaxId || job.id.find(' ') != std::string::npos ||
         job.id.find('/') != std::string::npos)
@@ -354,7 +356,7 @@
         site.settings.classes[static_cast<std::size_t>(job.cls)];
     // One that is there and says nothing is no number either.
     const std::string* timeout = message.Find("X-Timeout");
-    job.patience = timeout == nullptr ? settings.deadline : ReadTimeout(*timeout);
+    job.client_timeout = timeout == nullptr ? settings.deadline : ReadTimeout(*timeout);
     job.idempotency_key = text("Idempotency-Key");
     if (settings.effect == dispatch::Effect::kByKey && job.idempotency_key.empty())
       throw Malformed("no Idempotency-Key");
@@ -375,14 +377,15 @@
     return Respond(c, 400, std::string(wrong.what()) + "\n", message.keep_alive);
   }
   // Guards rule 1: SIGKILL finds no request unanswered that was taken in the drain.
-  if (draining_) job.patience = std::min(job.patience, std::max<Micros>(stop_by_ - Now(), kMs));
+  if (draining_)
+    job.client_timeout = std::min(job.client_timeout, std::max<Micros>(stop_by_ - Now(), kMs));
   job.content_type = text("Content-Type");
   job.path = std::move(message.target);
   job.body = std::move(message.body);
-  if (core_->keeps() && prefer.async) {
+  if (core_->supports_durable_jobs() && prefer.async) {
     job.callback = text("X-Callback-Url");
     // A client that waits hears no later than its job's time ends, and a moment for the disk.
-    const Micros wait = std::min(prefer.wait.value_or(0), job.patience + kEndWritten);
+    const Micros wait = std::min(prefer.wait.value_or(0), job.client_timeout + kEndWritten);
     return HandleDurable(c, std::move(job), wait, message.keep_alive);
   }
   const auto ticket = core_->Submit(std::move(job), this);
@@ -415,7 +418,7 @@
       Respond(c, 400, "no worker takes it\n", keep_alive);
       break;
     case Answer::Kind::kFailed:
-      Respond(c, answer.overdue ? 504 : 502, "failed\n", keep_alive);
+      Respond(c, answer.deadline_exceeded ? 504 : 502, "failed\n", keep_alive);
       break;
   }
   Read(c);  // a request may have come ahead of its turn
@@ -552,7 +555,7 @@
 void Front::DrainStep() {
   if (pass_) PassIdle();
   refusing_ = Now() >= refuse_at_;
-  if (refusing_) core_->EndWaits();  // their jobs outlive this process
+  if (refusing_) core_->AnswerWaiters();  // their jobs outlive this process
   bool clients = false, written = true;
   for (const auto& [c, owned] : connections_) {
     clients = clients || !c->is_worker;
--- a/src/node/job_state/job.h
+++ b/src/node/job_state/job.h
@@ -27,11 +27,11 @@
 inline bool IsEnd(State s) { return s >= State::kServed; }
 
 // What is known of an attempt.
-enum class Ran {
-  kOut = 0,     // its intent is written; it may be on its way, running or done
-  kNever = 1,   // proven never to have run
-  kMaybe = 2,   // ended in a way that proves nothing
-  kDone = 3,    // the worker said so
+enum class ExecutionState {
+  kInFlight = 0,    // its intent is written; it may be on its way, running or done
+  kNeverRan = 1,    // proven never to have run
+  kMayHaveRun = 2,  // ended in a way that proves nothing
+  kDone = 3,        // the worker said so
   kFenced = 4,  // may have run, but a higher fence was given out: it cannot take effect any more
 };
 
@@ -40,7 +40,7 @@
   std::string worker;
   std::uint64_t fence = 0;    // higher than that of any attempt before it
   bool knows_fences = false;  // the worker refuses what comes with a lower fence
-  Ran ran = Ran::kOut;
+  ExecutionState execution = ExecutionState::kInFlight;
   bool started = false;
   UnixMicros sent = 0;         // when the intent was written
   UnixMicros lease_until = 0;  // extended by each word of it
@@ -62,8 +62,8 @@
   std::string callback;          // a URL, or empty
   bool callback_done = false;
   int callback_tries = 0;
-  UnixMicros callback_at = 0;  // when the next call is due; 0: none
-  UnixMicros forget_at = 0;    // when its record may go; 0: not yet known
+  UnixMicros next_callback_at = 0;  // when the next call is due; 0: none
+  UnixMicros purge_at = 0;          // when its record may go; 0: not yet known
   // Of the node that has it. With an engine that nodes share, another may take over a job whose
   // owner's lease is over by raising the epoch; what the old owner writes then is refused.
   std::string owner;
@@ -72,9 +72,9 @@
 
 // The public id of a job: 32 hex digits, of which the first half is its seq, so that a store finds
 // it without an index of ids, and the second `chance`, so that nobody guesses another's.
-std::string MakeId(std::uint64_t seq, std::uint64_t chance);
+std::string MakeJobId(std::uint64_t seq, std::uint64_t chance);
 // The seq that an id claims; nothing where it is no id.
-std::optional<std::uint64_t> SeqOf(std::string_view id);
+std::optional<std::uint64_t> SeqFromId(std::string_view id);
 
 }  // namespace pearreach::job_state
 
--- a/src/node/job_state/ledger.cpp
+++ b/src/node/job_state/ledger.cpp
@@ -11,7 +11,9 @@
 using dispatch::Effect;
 
 // It never ran, or can no longer take effect where it does.
-bool Harmless(const Attempt& a) { return a.ran == Ran::kNever || a.ran == Ran::kFenced; }
+bool Harmless(const Attempt& a) {
+  return a.execution == ExecutionState::kNeverRan || a.execution == ExecutionState::kFenced;
+}
 
 const Attempt* FirstRisky(const Job& job) {
   for (const Attempt& a : job.attempts)
@@ -21,7 +23,7 @@
 
 const Attempt* Out(const Job& job) {
   for (const Attempt& a : job.attempts)
-    if (a.ran == Ran::kOut) return &a;
+    if (a.execution == ExecutionState::kInFlight) return &a;
   return nullptr;
 }
 
@@ -35,60 +37,63 @@
 }
 
 Recovery Recover(const Job& job, const ClassSettings* cls, const Policy& policy, UnixMicros now) {
-  using What = Recovery::What;
-  if (IsEnd(job.state) || job.state == State::kInDoubt) return {What::kNothing, ""};
+  using Action = Recovery::Action;
+  if (IsEnd(job.state) || job.state == State::kInDoubt) return {Action::kNone, ""};
   const Attempt* out = Out(job);
   const bool risky = FirstRisky(job) != nullptr;
-  if (cls == nullptr) return {What::kWithdraw, "its class is no more"};
+  if (cls == nullptr) return {Action::kFailUnknownClass, "its class is no more"};
   if (now >= job.due) {
     if (risky && cls->effect == Effect::kOnce)
-      return {What::kDoubt, "its time ended while no node was there"};
-    return {What::kEnd, "its time ended while no node was there"};
+      return {Action::kMarkInDoubt, "its time ended while no node was there"};
+    return {Action::kFailOverdue, "its time ended while no node was there"};
   }
   if (out != nullptr) {
     // A wall clock set back makes the lease look longer than it is, so it is cut to a whole one.
     const UnixMicros until = std::min(out->lease_until, now + policy.lease);
-    if (now < until || MayRepeat(job, *cls, now)) return {What::kAdopt, ""};
-    return {What::kDoubt, "no word of it since before the restart"};
+    if (now < until || MayRepeat(job, *cls, now)) return {Action::kAdopt, ""};
+    return {Action::kMarkInDoubt, "no word of it since before the restart"};
   }
   // A result is written with the end that it makes, so who said an end and left none said 'failed'.
-  if (cls->effect == Effect::kOnce && risky && EndOfFailure(job, *cls) == State::kFailed)
-    return {What::kEnd, "it failed before the restart"};
-  if (!MayRepeat(job, *cls, now)) return {What::kDoubt, "it may have run before the restart"};
-  return {What::kQueue, ""};
+  if (cls->effect == Effect::kOnce && risky && StateAfterFailure(job, *cls) == State::kFailed)
+    return {Action::kFailOverdue, "it failed before the restart"};
+  if (!MayRepeat(job, *cls, now))
+    return {Action::kMarkInDoubt, "it may have run before the restart"};
+  return {Action::kRequeue, ""};
 }
 
-State EndOfFailure(const Job& job, const ClassSettings& cls) {
+State StateAfterFailure(const Job& job, const ClassSettings& cls) {
   if (cls.effect != Effect::kOnce) return State::kFailed;
   for (const Attempt& a : job.attempts)
-    if (a.ran == Ran::kOut || a.ran == Ran::kMaybe) return State::kInDoubt;
+    if (a.execution == ExecutionState::kInFlight || a.execution == ExecutionState::kMayHaveRun)
+      return State::kInDoubt;
   return State::kFailed;
 }
 
-Resolution Resolve(const Job& job, const std::string& worker, Word word) {
+Resolution Resolve(const Job& job, const std::string& worker, WorkerReport word) {
   Resolution r;
   if (job.state != State::kInDoubt) return r;
   const auto it = std::find_if(job.attempts.rbegin(), job.attempts.rend(), [&](const Attempt& a) {
-    return a.worker == worker && a.ran != Ran::kNever;
+    return a.worker == worker && a.execution != ExecutionState::kNeverRan;
   });
   if (it == job.attempts.rend()) return r;
   switch (word) {
-    case Word::kDone:
+    case WorkerReport::kDone:
       return {true, State::kServed, ""};
-    case Word::kFailed:
+    case WorkerReport::kFailed:
       r.reason = worker + " says that it failed";
       break;
-    case Word::kReturned:
+    case WorkerReport::kReturned:
       r.reason = worker + " says that it never ran it";
       break;
-    case Word::kLost:  // the process died: whether it had taken effect by then, nobody knows
+    case WorkerReport::kLost:  // the process died: whether it had taken effect by then, nobody
+                               // knows
       return r;
   }
   // One worker's word settles its own attempt; another that may have run leaves the doubt.
   for (const Attempt& a : job.attempts)
     if (&a != &*it && !Harmless(a)) return {};
   r.resolves = true;
-  r.state = word == Word::kReturned ? State::kRefused : State::kFailed;
+  r.state = word == WorkerReport::kReturned ? State::kRefused : State::kFailed;
   return r;
 }
 
@@ -104,25 +109,25 @@
   return fence + 1;
 }
 
-void PlanAfterEnd(Job* job, const Policy& policy, UnixMicros now, double chance) {
+void ScheduleAfterEnd(Job* job, const Policy& policy, UnixMicros now, double chance) {
   const bool tells =
-      !job->callback.empty() && !job->callback_done && job->callback_tries < kMaxCallbacks;
+      !job->callback.empty() && !job->callback_done && job->callback_tries < kMaxCallbackAttempts;
   const std::int64_t wait =
-      job->callback_tries == 0 ? 0 : CallbackWait(job->callback_tries - 1, chance);
-  job->callback_at = tells ? std::max<UnixMicros>(now + wait, 1) : 0;
-  job->forget_at = tells ? 0 : std::max<UnixMicros>(job->ended + policy.keep, 1);
+      job->callback_tries == 0 ? 0 : CallbackBackoff(job->callback_tries - 1, chance);
+  job->next_callback_at = tells ? std::max<UnixMicros>(now + wait, 1) : 0;
+  job->purge_at = tells ? 0 : std::max<UnixMicros>(job->ended + policy.retention, 1);
 }
 
-std::int64_t CallbackWait(int tries, double chance) {
+std::int64_t CallbackBackoff(int tries, double chance) {
   const double base = std::min(300.0, std::ldexp(1.0, std::min(tries, 20)));
   return static_cast<std::int64_t>(1e6 * base * (0.5 + 0.5 * chance));
 }
 
 Pacer::Pacer(const Policy& policy)
-    : first_(std::max(1, policy.recovered_at_once)),
-      most_(std::max(policy.in_hand, first_)),
+    : first_(std::max(1, policy.initial_backlog_window)),
+      most_(std::max(policy.max_in_flight, first_)),
       window_(first_),
-      most_bytes_(policy.in_hand_bytes) {}
+      most_bytes_(policy.max_in_flight_bytes) {}
 
 bool Pacer::RoomForNew(std::size_t bytes) const {
   return new_ < most_ && (new_ == 0 || bytes_ + bytes <= most_bytes_);
@@ -134,19 +139,19 @@
   return std::max(0, window - backlog_);
 }
 
-void Pacer::Out(bool backlog, std::size_t bytes) {
+void Pacer::OnHandedOver(bool backlog, std::size_t bytes) {
   ++(backlog ? backlog_ : new_);
   bytes_ += bytes;
 }
 
-void Pacer::Back(bool backlog, std::size_t bytes, End end) {
+void Pacer::OnFinished(bool backlog, std::size_t bytes, Result end) {
   --(backlog ? backlog_ : new_);
   bytes_ -= bytes;
-  if (!backlog || end == End::kOther) return;
-  window_ = end == End::kServed ? std::min(window_ + 1, most_) : std::max(first_, window_ / 2);
+  if (!backlog || end == Result::kOther) return;
+  window_ = end == Result::kServed ? std::min(window_ + 1, most_) : std::max(first_, window_ / 2);
 }
 
-std::string MakeId(std::uint64_t seq, std::uint64_t chance) {
+std::string MakeJobId(std::uint64_t seq, std::uint64_t chance) {
   std::string id(32, '0');
   for (int i = 0; i < 16; ++i) {
     const auto digit = [&](std::uint64_t of) {
@@ -158,7 +163,7 @@
   return id;
 }
 
-std::optional<std::uint64_t> SeqOf(std::string_view id) {
+std::optional<std::uint64_t> SeqFromId(std::string_view id) {
   if (id.size() != 32 || id.find_first_not_of("0123456789abcdef") != std::string_view::npos)
     return std::nullopt;
   std::uint64_t seq = 0;
--- a/src/node/job_state/ledger.h
+++ b/src/node/job_state/ledger.h
@@ -15,24 +15,24 @@
 namespace pearreach::job_state {
 
 struct Policy {
-  std::int64_t lease = 10'000'000;             // microseconds without a word of an attempt
-  std::int64_t keep = 3600'000'000ll;          // ends are kept so long
-  int recovered_at_once = 64;                  // jobs of the backlog handed over at first
-  int in_hand = 4096;                          // durable jobs in the module's hands at most
-  std::size_t in_hand_bytes = 64u << 20;       // likewise, of their bodies
-  std::int64_t longest = 24 * 3600'000'000ll;  // of a job's time
+  std::int64_t lease = 10'000'000;                  // microseconds without a word of an attempt
+  std::int64_t retention = 3600'000'000ll;          // ends are kept so long
+  int initial_backlog_window = 64;                  // jobs of the backlog handed over at first
+  int max_in_flight = 4096;                         // durable jobs in the module's hands at most
+  std::size_t max_in_flight_bytes = 64u << 20;      // likewise, of their bodies
+  std::int64_t max_duration = 24 * 3600'000'000ll;  // of a job's time
 };
 
 // What becomes of a job that the store holds when a node starts.
 struct Recovery {
-  enum class What {
-    kNothing,   // it has ended, or waits in doubt
-    kQueue,     // to the module again, as a job that waits
-    kAdopt,     // to the module with its attempt, which may be running
-    kDoubt,     // its lease ran out meanwhile: the module never sees it
-    kEnd,       // its time is over: failed, at once
-    kWithdraw,  // it belongs to classes or tenants that are no more: failed, at once
-  } what = What::kNothing;
+  enum class Action {
+    kNone,              // it has ended, or waits in doubt
+    kRequeue,           // to the module again, as a job that waits
+    kAdopt,             // to the module with its attempt, which may be running
+    kMarkInDoubt,       // its lease ran out meanwhile: the module never sees it
+    kFailOverdue,       // its time is over: failed, at once
+    kFailUnknownClass,  // it belongs to classes or tenants that are no more: failed, at once
+  } action = Action::kNone;
   std::string reason;
 };
 
@@ -45,7 +45,7 @@
 
 // The end that a 'failed' of the module means for the job: where an attempt may have run and the
 // class forbids a repeat, nobody knows whether it took effect.
-State EndOfFailure(const Job& job, const dispatch::ClassSettings& cls);
+State StateAfterFailure(const Job& job, const dispatch::ClassSettings& cls);
 
 // What a word about a job in doubt, or about one that ended without promise, makes of it.
 struct Resolution {
@@ -53,8 +53,8 @@
   State state = State::kFailed;
   std::string reason;
 };
-enum class Word { kDone, kFailed, kReturned, kLost };
-Resolution Resolve(const Job& job, const std::string& worker, Word word);
+enum class WorkerReport { kDone, kFailed, kReturned, kLost };
+Resolution Resolve(const Job& job, const std::string& worker, WorkerReport word);
 
 // A job in doubt may be given out once more where every attempt that may have run is at a worker
 // that knows fences: with a higher fence the old ones can no longer take effect.
@@ -64,9 +64,9 @@
 // Plans what follows an end, in the job's own fields: when its call-back is due (`chance` from 0 to
 // 1 spreads the calls: 1 s doubled, to 5 min) and, where nothing is left to tell, when its record
 // may go. To be called at the end and after each call.
-void PlanAfterEnd(Job* job, const Policy& policy, UnixMicros now, double chance);
-std::int64_t CallbackWait(int tries, double chance);
-constexpr int kMaxCallbacks = 20;
+void ScheduleAfterEnd(Job* job, const Policy& policy, UnixMicros now, double chance);
+std::int64_t CallbackBackoff(int tries, double chance);
+constexpr int kMaxCallbackAttempts = 20;
 
 // How many durable jobs are in the module's hands. New ones go to it at once while there is room;
 // what has no room, and what a restart found waiting, is the backlog: it lies in the store and
@@ -79,11 +79,11 @@
   explicit Pacer(const Policy& policy);
   bool RoomForNew(std::size_t bytes) const;
   int RoomForBacklog() const;  // how many more may be handed over now
-  void Out(bool backlog, std::size_t bytes);
-  enum class End { kServed, kRefused, kOther };
-  void Back(bool backlog, std::size_t bytes, End end);
+  void OnHandedOver(bool backlog, std::size_t bytes);
+  enum class Result { kServed, kRefused, kOther };
+  void OnFinished(bool backlog, std::size_t bytes, Result end);
   int window() const { return window_; }
-  int out() const { return new_ + backlog_; }
+  int in_flight() const { return new_ + backlog_; }
 
  private:
   int first_, most_, window_;
--- a/src/node/job_store/sqlite.cpp
+++ b/src/node/job_store/sqlite.cpp
@@ -376,8 +376,8 @@
     j.callback = s.Text(18);
     j.callback_done = s.Int(19) != 0;
     j.callback_tries = static_cast<int>(s.Int(20));
-    j.callback_at = s.Int(21);
-    j.forget_at = s.Int(22);
+    j.next_callback_at = s.Int(21);
+    j.purge_at = s.Int(22);
     j.owner = s.Text(23);
     j.epoch = static_cast<std::uint64_t>(s.Int(24));
     Statement& attempts = c.Get(
@@ -391,7 +391,7 @@
       a.knows_fences = attempts.Int(3) != 0;
       if (attempts.Int(4) < 0 || attempts.Int(4) > 4)
         throw StoreError(options_.path + ": an attempt of job " + j.id + " is in no known state");
-      a.ran = static_cast<job_state::Ran>(attempts.Int(4));
+      a.execution = static_cast<job_state::ExecutionState>(attempts.Int(4));
       a.started = attempts.Int(5) != 0;
       a.sent = attempts.Int(6);
       a.lease_until = attempts.Int(7);
@@ -410,7 +410,7 @@
         while (s.Step()) found.jobs.push_back(ReadJob(c, s));
       };
       if (const auto* q = std::get_if<ById>(&question)) {
-        if (const auto seq = job_state::SeqOf(q->id))
+        if (const auto seq = job_state::SeqFromId(q->id))
           take(c.Get(kSelect + " WHERE j.seq=? AND j.id=?").Bind(*seq, q->id));
         if (found.jobs.empty())
           take(c.Get(kSelect + " WHERE j.seq=(SELECT seq FROM old_ids WHERE id=?)").Bind(q->id));
@@ -460,7 +460,7 @@
     c.Get("INSERT INTO jobs VALUES(?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?)")
         .Bind(j.seq, j.id, j.request_id, j.path, j.idempotency_key, j.content_type, j.cls, j.tenant,
               j.slots, j.key, j.created, j.due, j.ended, j.state, j.reason, j.retry_after,
-              j.callback, j.callback_done, j.callback_tries, j.callback_at, j.forget_at,
+              j.callback, j.callback_done, j.callback_tries, j.next_callback_at, j.purge_at,
               options_.owner, epoch_)
         .Step();
     c.Get("INSERT INTO bodies VALUES(?,?)").Bind(j.seq, j.body).Step();
@@ -497,7 +497,7 @@
            "UPDATE jobs SET due=?, ended=?, state=?, reason=?, retry_after=?, callback_done=?,"
            " callback_tries=?, callback_at=?, forget_at=?, owner=?, epoch=? WHERE seq=?")
           .Bind(j.due, j.ended, j.state, j.reason, j.retry_after, j.callback_done, j.callback_tries,
-                j.callback_at, j.forget_at, options_.owner, epoch_, j.seq)
+                j.next_callback_at, j.purge_at, options_.owner, epoch_, j.seq)
           .Step();
       if (!job_state::IsEnd(j.state)) return;
       c.Get("DELETE FROM bodies WHERE seq=?").Bind(j.seq).Step();
@@ -506,8 +506,8 @@
     } else if (const auto* put = std::get_if<PutAttempt>(&change)) {
       const Attempt& a = put->attempt;
       c.Get("INSERT OR REPLACE INTO attempts VALUES(?,?,?,?,?,?,?,?,?)")
-          .Bind(put->seq, a.number, a.worker, a.fence, a.knows_fences, a.ran, a.started, a.sent,
-                a.lease_until)
+          .Bind(put->seq, a.number, a.worker, a.fence, a.knows_fences, a.execution, a.started,
+                a.sent, a.lease_until)
           .Step();
     } else if (const auto* knows = std::get_if<job_store::KnowsFences>(&change)) {
       c.Get("INSERT OR IGNORE INTO fencing_workers VALUES(?)").Bind(knows->worker).Step();
--- a/tests/contracts/node_bytes_test.cpp
+++ b/tests/contracts/node_bytes_test.cpp
@@ -518,13 +518,13 @@
 
 // ---------------------------------------------------------------- durable jobs
 
-job_state::Attempt AttemptSample(int number, job_state::Ran ran) {
+job_state::Attempt AttemptSample(int number, job_state::ExecutionState ran) {
   job_state::Attempt attempt;
   attempt.number = number;
   attempt.worker = "w" + std::to_string(number);
   attempt.fence = 100u + static_cast<std::uint64_t>(number);
   attempt.knows_fences = number % 2 == 0;
-  attempt.ran = ran;
+  attempt.execution = ran;
   attempt.started = number % 2 == 1;
   attempt.sent = 5000 + number;
   attempt.lease_until = 6000 + number;
@@ -537,7 +537,7 @@
   const auto at = static_cast<job_state::UnixMicros>(seq);
   job_state::Job job;
   job.seq = seq;
-  job.id = job_state::MakeId(seq, 0x0123456789abcdef + seq);
+  job.id = job_state::MakeJobId(seq, 0x0123456789abcdef + seq);
   job.request_id = "request-" + n;
   job.path = "/jobs/path-" + n;
   job.body = std::string("body\0", 5) + n;
@@ -565,8 +565,8 @@
   job.ended = 3000 + at;
   job.retry_after = 4000 + at;
   job.callback_done = seq % 2 == 0;
-  job.callback_at = 7000 + at;
-  job.forget_at = 8000 + at;
+  job.next_callback_at = 7000 + at;
+  job.purge_at = 8000 + at;
   if (job.state == job_state::State::kServed) job.result = std::string("result\0", 7) + n;
   return job;
 }
@@ -574,8 +574,8 @@
 std::string Dump(const job_state::Attempt& a) {
   std::ostringstream out;
   out << "  attempt " << a.number << " worker " << a.worker << " fence " << a.fence
-      << " knows_fences " << a.knows_fences << " ran " << static_cast<int>(a.ran) << " started "
-      << a.started << " sent " << a.sent << " lease_until " << a.lease_until << '\n';
+      << " knows_fences " << a.knows_fences << " ran " << static_cast<int>(a.execution)
+      << " started " << a.started << " sent " << a.sent << " lease_until " << a.lease_until << '\n';
   return out.str();
 }
 std::string Visible(std::string text) {
@@ -592,8 +592,8 @@
       << static_cast<int>(j.state) << " result " << Visible(j.result) << " reason "
       << Visible(j.reason) << " retry_after " << j.retry_after << " callback "
       << Visible(j.callback) << " done " << j.callback_done << " tries " << j.callback_tries
-      << " at " << j.callback_at << " forget_at " << j.forget_at << " owner " << Visible(j.owner)
-      << " epoch " << j.epoch << '\n';
+      << " at " << j.next_callback_at << " forget_at " << j.purge_at << " owner "
+      << Visible(j.owner) << " epoch " << j.epoch << '\n';
   for (const job_state::Attempt& a : j.attempts) out << Dump(a);
   return out.str();
 }
@@ -614,7 +614,7 @@
     std::vector<job_store::Change> changes;
     for (int n = 0; n < static_cast<int>(seq) - 1 && n < 5; ++n)
       changes.push_back(
-          job_store::PutAttempt{seq, AttemptSample(n, static_cast<job_state::Ran>(n))});
+          job_store::PutAttempt{seq, AttemptSample(n, static_cast<job_state::ExecutionState>(n))});
     changes.push_back(job_store::PutJob{JobInState(seq)});
     Submit(store.get(), std::move(changes));
   }
@@ -685,7 +685,7 @@
     EXPECT_EQ(store->AskNow(job_store::ById{sample.id}).jobs.size(), 1u);
     job_state::Job twin = JobSample(seq);
     twin.seq = store->NextSeq();
-    twin.id = job_state::MakeId(twin.seq, 1);
+    twin.id = job_state::MakeJobId(twin.seq, 1);
     twin.request_id += "-again";
     const job_store::Outcome outcome = Submit(store.get(), {job_store::TakeJob{twin}});
     EXPECT_EQ(outcome.kind, job_store::Outcome::Kind::kTwin) << seq;
--- a/tests/node/admin/door_test.cpp
+++ b/tests/node/admin/door_test.cpp
@@ -23,7 +23,7 @@
 struct Fake {
   bool ready = false;
   std::set<std::string> listed = {"w1", "w 2"}, banned;
-  Calls calls() {
+  AdminHandlers calls() {
     return {.ready = [this] { return ready; },
             .vars =
                 [] {
@@ -59,7 +59,7 @@
 
 TEST(DoorRoute, VarsAreInTheLineFormOfStatsd) {
   Fake fake;
-  const Reply reply = Route(Call("GET", "/_vars"), fake.calls());
+  const Response reply = Route(Call("GET", "/_vars"), fake.calls());
   EXPECT_EQ(reply.status, 200);
   EXPECT_EQ(reply.body,
             "svc.success.fast:812|c\nsvc.busy.fast:3|c\nsvc.failure.fast:1|c\n"
@@ -69,7 +69,7 @@
 
 TEST(DoorRoute, DetachAndAttachAreRepeatableAndSayNoToAnUnlistedId) {
   Fake fake;
-  const Calls calls = fake.calls();
+  const AdminHandlers calls = fake.calls();
   EXPECT_EQ(Route(Call("POST", "/_match-workers/detach?target=w1"), calls).status, 200);
   EXPECT_EQ(Route(Call("POST", "/_match-workers/detach?target=w1"), calls).status, 200);
   EXPECT_EQ(fake.banned, std::set<std::string>{"w1"});
@@ -86,7 +86,7 @@
   Fake fake;
   EXPECT_EQ(Route(Call("GET", "/_zones"), fake.calls()).status, 404);
   EXPECT_EQ(Route(Call("POST", "/_zones/leave?target=z1"), fake.calls()).status, 404);
-  Calls calls = fake.calls();
+  AdminHandlers calls = fake.calls();
   std::string said;
   calls.order = [&](const std::string& target, const std::string& what) {
     said += what + ":" + target + " ";
@@ -105,7 +105,7 @@
 
 TEST(DoorRoute, WrongCallsAreNoAndCounted) {
   Fake fake;
-  const Calls calls = fake.calls();
+  const AdminHandlers calls = fake.calls();
   const std::uint64_t before =
       CountOf("door_bad_method") + CountOf("door_bad_path") + CountOf("door_bad_target");
   EXPECT_EQ(Route(Call("POST", "/_ready"), calls).status, 405);
@@ -141,7 +141,7 @@
 TEST(Door, AWholeCallIsAnsweredAndItsConnectionEnds) {
   Fake fake;
   fake.ready = true;
-  Door door(fake.calls());
+  AdminServer door(fake.calls());
   ASSERT_EQ(door.Open("127.0.0.1:0"), "");
   Caller caller(door.port(), "GET /_ready HTTP/1.1\r\nHost: n\r\n\r\n");
   RunUntil([&] { return caller.closed; });
@@ -152,7 +152,7 @@
 // Cut at any byte, a call is not taken for a whole one: the door answers 408 at its deadline.
 TEST(Door, HalfACallOrNoneIsAnswered408AtTheDeadline) {
   Fake fake;
-  Door door(fake.calls());
+  AdminServer door(fake.calls());
   ASSERT_EQ(door.Open("127.0.0.1:0"), "");
   const std::string call = "POST /_match-workers/detach?target=w1 HTTP/1.1\r\nHost: n\r\n\r\n";
   std::vector<std::unique_ptr<Caller>> callers;
@@ -173,10 +173,10 @@
 TEST(Door, SilentCallersDoNotShutTheNextOneOut) {
   Fake fake;
   fake.ready = true;
-  Door door(fake.calls());
+  AdminServer door(fake.calls());
   ASSERT_EQ(door.Open("127.0.0.1:0"), "");
   std::vector<std::unique_ptr<Caller>> silent;
-  for (std::size_t i = 0; i < Door::kMaxConnections; ++i) {
+  for (std::size_t i = 0; i < AdminServer::kMaxConnections; ++i) {
     silent.push_back(std::make_unique<Caller>(door.port()));
     RunUntil([&] { return door.connections() == i + 1; });
   }
@@ -184,7 +184,7 @@
   RunUntil([&] { return caller.closed; });
   EXPECT_TRUE(caller.got.starts_with("HTTP/1.1 200")) << caller.got;
   EXPECT_NE(caller.got.find("svc.inflight:14|g"), std::string::npos);
-  EXPECT_LE(door.connections(), Door::kMaxConnections);
+  EXPECT_LE(door.connections(), AdminServer::kMaxConnections);
   RunUntil([&] { return silent.front()->closed; });
   EXPECT_TRUE(silent.front()->got.starts_with("HTTP/1.1 408"));
 }
--- a/tests/node/cli/cli_test.cpp
+++ b/tests/node/cli/cli_test.cpp
@@ -117,7 +117,7 @@
   {
     const auto store = job_store::OpenSqlite({.path = path, .owner = "n0", .fault = {}});
     job.seq = store->NextSeq();
-    job.id = job_state::MakeId(job.seq, 7);
+    job.id = job_state::MakeJobId(job.seq, 7);
     job.request_id = "r1";
     job.cls = "commit";
     store->Submit({{job_store::TakeJob{job}}, nullptr});
--- a/tests/node/durable_jobs/keeper_test.cpp
+++ b/tests/node/durable_jobs/keeper_test.cpp
@@ -81,7 +81,7 @@
   std::string Take(const std::string& id, const std::string& cls = "commit",
                    const std::string& key = "", const std::string& timeout = "60000m") {
     Caller caller(life->front.port());
-    caller.Ask(
+    caller.SendJob(
         id, cls, timeout,
         "Prefer: respond-async\r\n" + (key.empty() ? "" : "Idempotency-Key: " + key + "\r\n"));
     const int status = caller.Status();
@@ -106,7 +106,7 @@
   }
   int News(const std::string& id, const std::string& from, const std::string& state) {
     Caller agent(life->front.port());
-    agent.News(id, from, state);
+    agent.SendUpdate(id, from, state);
     return agent.Status();
   }
   std::size_t Sent() const {
@@ -147,8 +147,8 @@
   Start();
   Caller a(life->front.port()), b(life->front.port());
   const std::string head = "Prefer: respond-async\r\nIdempotency-Key: same\r\n";
-  a.Ask("j1", "commit", "60000m", head);
-  b.Ask("j2", "commit", "60000m", head);
+  a.SendJob("j1", "commit", "60000m", head);
+  b.SendJob("j2", "commit", "60000m", head);
   EXPECT_EQ(a.Status(), 202);
   EXPECT_EQ(b.Status(), 202);
   EXPECT_EQ(*a.answers[0].Find("Location"), *b.answers[0].Find("Location"));
@@ -185,9 +185,9 @@
   job.path = "/commit/x";
   job.body = "body";
   job.received = Now();
-  job.patience = 9 * kSecond;
+  job.client_timeout = 9 * kSecond;
   std::string id;
-  life->keeper.Take(job, [&](const TakeResult& r) { id = r.id; });
+  life->keeper.SubmitDurable(job, [&](const DurableSubmitResult& r) { id = r.id; });
   ListWorkers();
   RunUntil([&] { return Sent() == 1; });
   RunFor(50 * kMs);
@@ -217,7 +217,7 @@
 }
 
 TEST_F(Durable, QueuedJobsComeBackInOrderAndPaced) {
-  policy.recovered_at_once = 2;
+  policy.initial_backlog_window = 2;
   Start();  // no worker: nothing can be sent
   std::vector<std::string> paths;
   for (int i = 0; i < 6; ++i) paths.push_back(Take("j" + std::to_string(i)));
@@ -357,8 +357,8 @@
   workers.push_back(std::make_unique<Server>(Accept));
   Start();
   Caller waits(life->front.port()), leaves(life->front.port()), late(life->front.port());
-  waits.Ask("j1", "commit", "60000m", "Prefer: respond-async, wait=20\r\n");
-  leaves.Ask("j2", "commit", "60000m", "Prefer: respond-async, wait=20\r\n");
+  waits.SendJob("j1", "commit", "60000m", "Prefer: respond-async, wait=20\r\n");
+  leaves.SendJob("j2", "commit", "60000m", "Prefer: respond-async, wait=20\r\n");
   RunUntil([&] { return life->keeper.waits() == 2; });
   leaves.stream->Close();
   for (std::size_t i = 0; i < 2; ++i) {
@@ -370,7 +370,7 @@
   ASSERT_NE(waits.answers[0].Find("Location"), nullptr);
   EXPECT_TRUE(Becomes(*waits.answers[0].Find("Location"), "served"));
   EXPECT_EQ(life->keeper.waits(), 0u);
-  late.Ask("j3", "commit", "60000m", "Prefer: respond-async, wait=1\r\n");
+  late.SendJob("j3", "commit", "60000m", "Prefer: respond-async, wait=1\r\n");
   EXPECT_EQ(late.Status(), 202) << "its time to wait is over, not the job's";
   const std::string path = *late.answers[0].Find("Location");
   Caller polls(life->front.port());
@@ -380,7 +380,7 @@
   EXPECT_EQ(polls.Status(), 200);
   EXPECT_NE(polls.answers[0].body.find("served"), std::string::npos);
   Caller bad(life->front.port());
-  bad.Ask("j4", "commit", "60000m", "Prefer: respond-async, wait=x\r\n");
+  bad.SendJob("j4", "commit", "60000m", "Prefer: respond-async, wait=x\r\n");
   EXPECT_EQ(bad.Status(), 400);
 }
 
@@ -388,7 +388,7 @@
 TEST_F(Durable, ADrainAnswersThoseThatWait) {
   Start();
   Caller waits(life->front.port());
-  waits.Ask("j1", "commit", "60000m", "Prefer: respond-async, wait=50\r\n");
+  waits.SendJob("j1", "commit", "60000m", "Prefer: respond-async, wait=50\r\n");
   RunUntil([&] { return life->keeper.waits() == 1; });
   bool drained = false;
   life->front.Drain([&] { drained = true; });
@@ -405,8 +405,8 @@
 // What is in memory is bounded by what the module may have, however many jobs there are; all of
 // them are served all the same, and what waits in the store can be seen and given up.
 TEST_F(Durable, AFloodWaitsInTheStore) {
-  policy.in_hand = 4;
-  policy.recovered_at_once = 2;
+  policy.max_in_flight = 4;
+  policy.initial_backlog_window = 2;
   Start();
   std::vector<std::string> paths;
   for (int i = 0; i < 40; ++i) {
@@ -432,7 +432,7 @@
 
 // One that waits in the store ends when its time is over, though the module never saw it.
 TEST_F(Durable, TimeRunsOutInTheStoreToo) {
-  policy.in_hand = policy.recovered_at_once = 1;
+  policy.max_in_flight = policy.initial_backlog_window = 1;
   Start();
   std::vector<std::string> paths;
   for (int i = 0; i < 5; ++i)
@@ -451,7 +451,7 @@
   workers.push_back(std::make_unique<Server>(Accept));
   life = std::make_unique<Life>(path_, policy, nullptr);
   Caller ordinary(life->front.port());
-  ordinary.Ask("same");
+  ordinary.SendJob("same");
   RunUntil([&] { return life->node.IsOpen("same"); });
   ListWorkers();
   RunUntil([&] { return Sent() == 1; });
@@ -474,7 +474,7 @@
   const auto start = [&] {
     life.reset();
     life = std::make_unique<Life>(path_, policy, nullptr);
-    life->node.Capture(settings, "test", 1);
+    life->node.SetCapture(settings, "test", 1);
     ListWorkers();
   };
   start();
@@ -495,7 +495,7 @@
     RunFor(10 * kMs);
   }
   EXPECT_TRUE(all);
-  life->node.Capture(std::nullopt, "test", 1);
+  life->node.SetCapture(std::nullopt, "test", 1);
   life.reset();
   std::uint64_t decisions = 0, adopted = 0;
   for (const auto& file : fs::directory_iterator(folder_ + "/captures")) {
@@ -522,9 +522,9 @@
       [&](const Message&) { return http::WriteResponse(++calls == 1 ? 500 : 204, {}, "", false); });
   Caller caller(life->front.port());
   const std::string head = "Prefer: respond-async\r\nX-Callback-Url: ";
-  caller.Ask("j0", "commit", "9000m", head + "http://10.0.0.1:80/x\r\n");
+  caller.SendJob("j0", "commit", "9000m", head + "http://10.0.0.1:80/x\r\n");
   EXPECT_EQ(caller.Status(), 400);
-  caller.Ask("j1", "commit", "9000m", head + "http://" + listener.address() + "/told?a=1\r\n");
+  caller.SendJob("j1", "commit", "9000m", head + "http://" + listener.address() + "/told?a=1\r\n");
   EXPECT_EQ(caller.Status(1), 202);
   RunUntil([&] { return Sent() == 1; });
   EXPECT_EQ(News("j1", "s-0", "done"), 200);
@@ -615,7 +615,7 @@
   {
     const auto store = job_store::OpenSqlite({.path = path_, .owner = "n0", .fault = {}});
     job_state::Job job = store->AskNow(job_store::ByRequest{"j1"}).jobs.at(0);
-    job.attempts[0].ran = job_state::Ran::kDone;
+    job.attempts[0].execution = job_state::ExecutionState::kDone;
     store->Submit({{job_store::PutAttempt{job.seq, job.attempts[0]}}, nullptr});
   }
   Start();
@@ -657,7 +657,7 @@
   workers.push_back(std::make_unique<Server>(Accept));
   Start();
   Caller client(life->front.port());
-  client.Ask("o1", "commit");
+  client.SendJob("o1", "commit");
   RunUntil([&] { return Sent() == 1; });
   EXPECT_EQ(workers[0]->got[0].Find("X-Fence"), nullptr);
   EXPECT_EQ(News("o1", "s-0", "done"), 200);
--- a/tests/node/engine/rig.h
+++ b/tests/node/engine/rig.h
@@ -65,14 +65,14 @@
                               [this] { closed = true; }});
   }
   ~Caller() { stream->Close(); }
-  void Ask(const std::string& id, const std::string& cls = "commit",
-           const std::string& timeout = "5000m", std::string headers = "") {
+  void SendJob(const std::string& id, const std::string& cls = "commit",
+               const std::string& timeout = "5000m", std::string headers = "") {
     headers += "X-Request-ID: " + id + "\r\nX-Priority-Class: " + cls +
                "\r\nX-Timeout: " + timeout +
                "\r\nX-Attrs: slots=1\r\nContent-Length: 4\r\n\r\nbody";
     stream->Write("POST /" + cls + "/x?y=1 HTTP/1.1\r\nHost: a\r\n" + headers);
   }
-  void News(const std::string& id, const std::string& from, const std::string& state) {
+  void SendUpdate(const std::string& id, const std::string& from, const std::string& state) {
     stream->Write(http::WriteRequest("POST", "/_jobs/news", {},
                                      R"({"id":")" + id + R"(","from":")" + from + R"(","state":")" +
                                          state + R"(","result":"r-)" + id + "\"}"));
--- a/tests/node/engine/stories_test.cpp
+++ b/tests/node/engine/stories_test.cpp
@@ -76,10 +76,10 @@
   rig.Workers({worker.address()});
   Caller client(rig.port()), agent(rig.port());
   for (const std::string id : {"j0", "j1"}) {
-    client.Ask(id, "sync", "5000m", "Idempotency-Key: k\r\n");
+    client.SendJob(id, "sync", "5000m", "Idempotency-Key: k\r\n");
     RunUntil([&] { return !worker.got.empty() && *worker.got.back().Find("X-Request-ID") == id; });
-    agent.News(id, "s-0", "started");
-    agent.News(id, "s-0", "done");
+    agent.SendUpdate(id, "s-0", "started");
+    agent.SendUpdate(id, "s-0", "done");
     EXPECT_EQ(client.Status(id == "j1"), 200);
     EXPECT_EQ(client.answers.back().body, "r-" + id);
   }
@@ -96,16 +96,16 @@
   Server worker(Silent);
   rig.Workers({worker.address()});
   Caller client(rig.port()), agent(rig.port());
-  client.Ask("j");
+  client.SendJob("j");
   RunUntil([&] { return !worker.got.empty(); });
-  agent.News("j", "s-9", "lost");  // not the worker that has it
-  for (int i = 0; i < 3; ++i) agent.News("j", "s-0", "done");
-  agent.News("unknown", "s-0", "returned");
+  agent.SendUpdate("j", "s-9", "lost");  // not the worker that has it
+  for (int i = 0; i < 3; ++i) agent.SendUpdate("j", "s-0", "done");
+  agent.SendUpdate("unknown", "s-0", "returned");
   EXPECT_EQ(agent.Status(4), 200);
   EXPECT_EQ(client.Status(), 200);
   worker.streams[0]->Write(kAccepted);
   rig.ExpectClean();
-  client.Ask("k");  // the connection is good for the next
+  client.SendJob("k");  // the connection is good for the next
   RunUntil([&] { return worker.got.size() == 2; });
   EXPECT_EQ(worker.streams.size(), 1u);
   EXPECT_EQ(client.answers.size(), 1u);
@@ -123,11 +123,11 @@
   Server worker(Accept);
   rig.Workers({dead});
   Caller client(rig.port()), agent(rig.port());
-  client.Ask("j");
+  client.SendJob("j");
   RunUntil([&] { return CountOf("ended_no_connection") > 0; });
   rig.Workers({dead, worker.address()});
   RunUntil([&] { return !worker.got.empty(); });
-  agent.News("j", "s-1", "done");
+  agent.SendUpdate("j", "s-1", "done");
   EXPECT_EQ(client.Status(), 200) << "sent again elsewhere";
 
   Server* at = nullptr;
@@ -135,7 +135,7 @@
   at = &cutting;
   rig.Workers({cutting.address(), worker.address()});
   rig.Workers({cutting.address()});
-  client.Ask("k");
+  client.SendJob("k");
   EXPECT_EQ(client.Status(1), 502);
   EXPECT_EQ(cutting.got.size(), 1u) << "what may have run is not sent again";
   rig.ExpectClean();
@@ -162,10 +162,10 @@
   for (std::size_t i = 0; i < 12; ++i) {
     const std::string id = "j" + std::to_string(i);
     const std::size_t before = worker.got.size();
-    client.Ask(id);
+    client.SendJob(id);
     RunUntil([&] { return worker.got.size() > before; });
     RunFor(5 * kMs);
-    agent.News(id, "s-0", "done");
+    agent.SendUpdate(id, "s-0", "done");
     const bool bad = client.Status(i) != 200;
     failed += bad ? 1 : 0;
     failed_late += bad && i >= 8 ? 1 : 0;
@@ -195,9 +195,9 @@
   Caller client(rig.port()), agent(rig.port());
   for (int i = 0; i < 3; ++i) {
     const std::string id = "j" + std::to_string(i);
-    client.Ask(id);
+    client.SendJob(id);
     RunUntil([&] { return worker.got.size() > static_cast<std::size_t>(i); });
-    agent.News(id, "s-0", "done");
+    agent.SendUpdate(id, "s-0", "done");
     EXPECT_EQ(client.Status(static_cast<std::size_t>(i)), 200);
     worker.CloseAll();
   }
@@ -213,12 +213,12 @@
   });
   rig.Workers({worker.address()});
   Caller client(rig.port()), agent(rig.port());
-  client.Ask("j");
+  client.SendJob("j");
   RunUntil([&] { return calls == 2; });
   RunFor(5 * kMs);  // its 202 is in
-  agent.News("j", "s-0", "returned");
+  agent.SendUpdate("j", "s-0", "returned");
   RunUntil([&] { return calls == 3; });
-  agent.News("j", "s-0", "done");
+  agent.SendUpdate("j", "s-0", "done");
   EXPECT_EQ(client.Status(), 200);
   rig.ExpectClean();
 }
@@ -228,10 +228,10 @@
   Server worker(Silent);
   rig.Workers({worker.address()});
   Caller client(rig.port());
-  client.Ask("j", "commit", "300m");
+  client.SendJob("j", "commit", "300m");
   EXPECT_EQ(client.Status(), 504);
   rig.ExpectClean();
-  EXPECT_EQ(rig.node.links(), 0u) << "the hung connection is closed";
+  EXPECT_EQ(rig.node.worker_connections(), 0u) << "the hung connection is closed";
   EXPECT_EQ(CountOf("answered_overdue"), 0u);
 }
 
@@ -241,7 +241,7 @@
   config.site.settings.max_retry_after = 1500 * kMs;
   Rig rig(config);
   Caller client(rig.port());
-  client.Ask("j", "commit", "200000u");
+  client.SendJob("j", "commit", "200000u");
   EXPECT_EQ(client.Status(), 503);
   const std::string* back = client.answers[0].Find("Retry-After");
   ASSERT_NE(back, nullptr);
@@ -258,12 +258,12 @@
   Server worker(Accept);
   rig.Workers({worker.address()});
   int tenant = -2;
-  rig.node.OnAdmit([&](int t, bool) {
+  rig.node.SetAdmissionCheck([&](int t, bool) {
     tenant = t;
     return Admission{true, 250 * kMs, {}};
   });
   Caller client(rig.port());
-  client.Ask("j", "commit", "5000m", "X-Tenant-Id: acme\r\n");
+  client.SendJob("j", "commit", "5000m", "X-Tenant-Id: acme\r\n");
   EXPECT_EQ(client.Status(), 503);
   EXPECT_EQ(tenant, 0);
   ASSERT_NE(client.answers[0].Find("Retry-After"), nullptr);
@@ -273,11 +273,11 @@
 }
 
 TEST(Story, AWitnessHearsOfEveryAttemptAndWhatOthersSawReachesTheModule) {
-  struct Seen : Witness {
-    void OnListed(const std::string& w, const Listed&) override { all += "+" + w + " "; }
+  struct Seen : WorkerObserver {
+    void OnListed(const std::string& w, const ListedWorker&) override { all += "+" + w + " "; }
     void OnGone(const std::string& w) override { all += "-" + w + " "; }
     void OnSent(const std::string& w) override { all += "sent:" + w + " "; }
-    void OnHeard(const std::string&) override { ++heard; }
+    void OnAttemptUpdate(const std::string&) override { ++heard; }
     void OnEnded(const std::string& w, dispatch::Outcome o, int, Micros) override {
       all += "ended:" + w + ":" + std::to_string(static_cast<int>(o)) + " ";
     }
@@ -285,16 +285,16 @@
     int heard = 0;
   } seen;
   Rig rig;
-  rig.node.Watch(&seen);
+  rig.node.SetWorkerObserver(&seen);
   Server first(Accept), second(Accept);
   rig.Workers({first.address(), second.address()});
   // Both have been out since before this node was told: it sends to the other one alone.
   rig.node.OnJudgement("s-0", {0, true, false, false, g_get_real_time(), {3, 7}});
   Caller client(rig.port()), news(rig.port());
-  client.Ask("j");
+  client.SendJob("j");
   RunUntil([&] { return !second.got.empty(); });
   EXPECT_TRUE(first.got.empty());
-  news.News("j", "s-1", "done");
+  news.SendUpdate("j", "s-1", "done");
   EXPECT_EQ(client.Status(), 200);
   EXPECT_EQ(seen.all, "+s-0 +s-1 sent:s-1 ended:s-1:0 ");
   EXPECT_GT(seen.heard, 0);
@@ -307,22 +307,22 @@
   Server first(Accept), second(Accept);
   rig.Workers({first.address(), second.address()});
   Caller client(rig.port()), news(rig.port());
-  rig.node.Shut("s-0", true);
+  rig.node.SetZoneDrain("s-0", true);
   rig.Workers({first.address(), second.address()});  // the list again
   for (const char* job : {"a", "b"}) {
-    client.Ask(job);
+    client.SendJob(job);
     const std::size_t before = second.got.size();
     RunUntil([&] { return second.got.size() > before; });
-    news.News(job, "s-1", "done");
+    news.SendUpdate(job, "s-1", "done");
     client.Status(client.answers.size());
   }
   EXPECT_TRUE(first.got.empty());
-  rig.node.Shut("s-0", false);
-  rig.node.Shut("s-1", true);
-  client.Ask("c");
+  rig.node.SetZoneDrain("s-0", false);
+  rig.node.SetZoneDrain("s-1", true);
+  client.SendJob("c");
   RunUntil([&] { return !first.got.empty(); });
   EXPECT_EQ(first.got.size(), 1u);
-  news.News("c", "s-0", "done");
+  news.SendUpdate("c", "s-0", "done");
   client.Status(client.answers.size());
   rig.ExpectClean();
 }
@@ -333,7 +333,7 @@
   rig.Workers({worker.address()});
   {
     Caller client(rig.port());
-    client.Ask("j");
+    client.SendJob("j");
     RunUntil([&] { return !worker.got.empty(); });
     RunFor(5 * kMs);
   }
@@ -364,10 +364,10 @@
   client.stream->Write("GET /ready HTTP/1.1\r\n\r\n");
   EXPECT_EQ(client.Status(client.answers.size()), 503) << "no list yet";
   rig.Workers({});
-  client.Ask("a");
+  client.SendJob("a");
   Caller twin(rig.port());
   RunUntil([&] { return rig.node.records() == 1; });
-  twin.Ask("a");
+  twin.SendJob("a");
   EXPECT_EQ(twin.Status(), 409);
   EXPECT_EQ(ask("/commit", "Content-Length: 70000\r\n"), 503) << "the job before it: no worker";
   RunUntil([&] { return client.closed; });
@@ -384,13 +384,13 @@
   rig.Workers({worker.address()});
   Caller client(rig.port()), agent(rig.port());
   for (int i = 0; i < 3; ++i) {
-    client.Ask("bad", "sync", "5000m", "Idempotency-Key: k\r\n");
+    client.SendJob("bad", "sync", "5000m", "Idempotency-Key: k\r\n");
     EXPECT_EQ(client.Status(static_cast<std::size_t>(i)), 400);
   }
   EXPECT_EQ(worker.got.size(), 3u) << "each once";
-  client.Ask("j", "commit", "200m");  // would not be sent in time to a worker on trial
+  client.SendJob("j", "commit", "200m");  // would not be sent in time to a worker on trial
   RunUntil([&] { return worker.got.size() == 4; });
-  agent.News("j", "s-0", "done");
+  agent.SendUpdate("j", "s-0", "done");
   EXPECT_EQ(client.Status(3), 200);
   rig.ExpectClean();
 }
@@ -400,7 +400,7 @@
   Rig rig;
   const auto silent_before = CountOf("silent_closed"), overdue_before = CountOf("request_overdue");
   Caller silent(rig.port()), half(rig.port()), dripping(rig.port());
-  half.Ask("j");
+  half.SendJob("j");
   half.stream->Write("POST /commit HTTP/1.1\r\nX-Req");  // its second: not the first
   Caller first(rig.port());
   first.stream->Write("POST /commit HTTP/1.1\r\nX-Req");
@@ -448,7 +448,7 @@
   });
   rig.Workers({worker.address()});
   Caller client(rig.port());
-  client.Ask("j");
+  client.SendJob("j");
   RunUntil([&] { return worker.got.size() == 1; });
   const Micros sent = Now();
   EXPECT_EQ(client.Status(0), 502);
@@ -456,11 +456,11 @@
   int calls = 0;
   Server again([&](const Message&) { return ++calls == 1 ? std::string() : kAccepted; });
   rig.Workers({again.address()});
-  client.Ask("k", "sync", "5000m", "Idempotency-Key: k\r\n");
+  client.SendJob("k", "sync", "5000m", "Idempotency-Key: k\r\n");
   RunUntil([&] { return calls == 2; });
   EXPECT_EQ(again.streams.size(), 2u);
   Caller agent(rig.port());
-  agent.News("k", "s-0", "done");
+  agent.SendUpdate("k", "s-0", "done");
   EXPECT_EQ(client.Status(1), 200);
   rig.ExpectClean();
 }
@@ -491,10 +491,10 @@
   for (int i = 0; i < 8; ++i) Connect();
   RunFor(1100 * kMs);
   Caller& ninth = Connect();
-  ninth.Ask("over");
+  ninth.SendJob("over");
   EXPECT_EQ(ninth.Status(), 503);
   EXPECT_FALSE(ninth.answers[0].keep_alive);
-  for (int i = 0; i < 8; ++i) callers[static_cast<std::size_t>(i)]->Ask("j" + std::to_string(i));
+  for (int i = 0; i < 8; ++i) callers[static_cast<std::size_t>(i)]->SendJob("j" + std::to_string(i));
   RunUntil([&] { return rig.node.records() == 8; });
   EXPECT_EQ(rig.node.records(), 8u);
   callers.clear();
@@ -508,7 +508,7 @@
   idle.stream->Write("GET /ready HTTP/1.1\r\n\r\n");
   EXPECT_EQ(idle.Status(), 200);
   EXPECT_TRUE(idle.answers[0].keep_alive);
-  for (int i = 1; i < 8; ++i) Connect().Ask("j" + std::to_string(i));
+  for (int i = 1; i < 8; ++i) Connect().SendJob("j" + std::to_string(i));
   RunFor(1100 * kMs);
   callers.push_back(std::make_unique<Caller>(rig.port()));
   RunUntil([&] { return idle.closed; });
@@ -522,7 +522,7 @@
 TEST_F(Budget, SilentConnectionsDoNotKeepTheNewsOut) {
   for (int i = 0; i < 24; ++i) Connect();  // 8, and 16 to spare
   Caller agent(rig.port());
-  agent.News("j", "s-0", "done");
+  agent.SendUpdate("j", "s-0", "done");
   EXPECT_EQ(agent.Status(), 200);
 }
 
@@ -596,7 +596,7 @@
   RunUntil([&] { return discovery.got.size() == 6; });
   EXPECT_EQ(discovery.got.back().target, "/v1/endpoints?since=6&timeout_ms=5000");
   Caller client(rig.port());
-  for (int i = 0; i < 4; ++i) client.Ask("j" + std::to_string(i));
+  for (int i = 0; i < 4; ++i) client.SendJob("j" + std::to_string(i));
   RunUntil([&] { return !second.got.empty(); });
   EXPECT_TRUE(first.got.empty()) << "it drains";
 }
@@ -662,23 +662,23 @@
   rig.node.Start();
   RunUntil([&] { return before.got.size() == 2; });
   Caller client(rig.port()), agent(rig.port());
-  client.Ask("j");
+  client.SendJob("j");
   RunUntil([&] { return worker.got.size() == 1; });
-  for (int i = 0; i < 3; ++i) rig.node.MoveDiscovery(after.address());
+  for (int i = 0; i < 3; ++i) rig.node.SetDiscoveryAddress(after.address());
   RunUntil([&] { return !after.got.empty(); });
   EXPECT_EQ(after.got[0].target, "/v1/endpoints") << "90 is no version of this one";
-  agent.News("j", "s-0", "done");
+  agent.SendUpdate("j", "s-0", "done");
   EXPECT_EQ(client.Status(0), 200);
-  client.Ask("k");
+  client.SendJob("k");
   RunUntil([&] { return worker.got.size() == 2; });
   EXPECT_EQ(worker.streams.size(), 1u) << "its connection is kept too";
   after.streams.back()->Write(
       http::WriteResponse(200, {}, ListOf(3, "s-1", other.address()), true));
   RunUntil([&] { return after.got.back().target == "/v1/endpoints?since=3&timeout_ms=5000"; });
   EXPECT_EQ(after.got.back().target, "/v1/endpoints?since=3&timeout_ms=5000");
-  agent.News("k", "s-0", "done");
+  agent.SendUpdate("k", "s-0", "done");
   EXPECT_EQ(client.Status(1), 200) << "a job at a worker that has left ends as it should";
-  client.Ask("l");
+  client.SendJob("l");
   RunUntil([&] { return other.got.size() == 1; });
   EXPECT_EQ(worker.got.size(), 2u);
 }
@@ -745,30 +745,30 @@
   config.site = dispatch::ReadSite(dispatch::Conf(config.settings));
   Rig rig(config);
   const CaptureSettings settings{.folder = folder, .flush_every = 20 * kMs};
-  rig.node.Capture(settings, "test", 1);
+  rig.node.SetCapture(settings, "test", 1);
   Server worker(Accept), other(Silent);
   rig.Workers({worker.address()});
   Caller client(rig.port()), agent(rig.port());
   std::size_t jobs = 0;
   const auto serve = [&](const std::string& id) {
-    client.Ask(id);
+    client.SendJob(id);
     RunUntil([&] { return worker.got.size() == jobs + 1; });
-    agent.News(id, "s-0", "started");
-    agent.News(id, "s-0", "done");
+    agent.SendUpdate(id, "s-0", "started");
+    agent.SendUpdate(id, "s-0", "done");
     EXPECT_EQ(client.Status(jobs), 200);
     ++jobs;
   };
   serve("a");
-  rig.node.MoveDiscovery(other.address());
-  rig.node.Mark("configuration read again");
+  rig.node.SetDiscoveryAddress(other.address());
+  rig.node.AnnotateCapture("configuration read again");
   serve("b");
-  rig.node.Capture(settings, "test", 1);  // read again, unchanged: the segment goes on
+  rig.node.SetCapture(settings, "test", 1);  // read again, unchanged: the segment goes on
   serve("c");
-  rig.node.Capture(std::nullopt, "test", 1);
+  rig.node.SetCapture(std::nullopt, "test", 1);
   serve("d");
-  rig.node.Capture(settings, "test", 1);  // a module with a past: a checkpoint
+  rig.node.SetCapture(settings, "test", 1);  // a module with a past: a checkpoint
   serve("e");
-  rig.node.Capture(std::nullopt, "test", 1);
+  rig.node.SetCapture(std::nullopt, "test", 1);
   std::string marks, ids;
   int checkpoints = 0;
   for (const char* name : {"/pearreach.00000001.prcap", "/pearreach.00000002.prcap"}) {
@@ -792,14 +792,14 @@
 TEST(Story, AStartToldTwiceIsOneStart) {
   Rig rig;
   const std::int64_t unix_ms = g_get_real_time() / 1000 - 500;
-  const Micros first = rig.node.ClockOf(unix_ms);
+  const Micros first = rig.node.FromUnixMs(unix_ms);
   EXPECT_LE(std::abs(Now() - 500 * kMs - first), 100 * kMs);
   for (int i = 0; i < 5; ++i) {
     RunFor(3 * kMs);
-    EXPECT_EQ(rig.node.ClockOf(unix_ms), first);
+    EXPECT_EQ(rig.node.FromUnixMs(unix_ms), first);
   }
-  EXPECT_EQ(rig.node.ClockOf(0), 0) << "long ago";
-  EXPECT_GT(rig.node.ClockOf(1), 0) << "not the same as long ago";
+  EXPECT_EQ(rig.node.FromUnixMs(0), 0) << "long ago";
+  EXPECT_GT(rig.node.FromUnixMs(1), 0) << "not the same as long ago";
 }
 
 // A node that is started again knows the workers that are the same processes, and takes a worker
@@ -825,19 +825,19 @@
     rig.node.OnListing(listing(1000));
     Caller one(rig.port()), other(rig.port()), agent(rig.port());
     for (int i = 0; i < 4; ++i) {  // two at a time: one for each worker
-      one.Ask("a" + std::to_string(i));
-      other.Ask("b" + std::to_string(i));
+      one.SendJob("a" + std::to_string(i));
+      other.SendJob("b" + std::to_string(i));
       const auto n = static_cast<std::size_t>(i + 1);
       RunUntil([&] { return first.got.size() == n && second.got.size() == n; });
       for (const auto& [worker, name] : {std::pair(&first, "s-0"), std::pair(&second, "s-1")}) {
         const std::string id = *worker->got.back().Find("X-Request-ID");
-        agent.News(id, name, "started");
-        agent.News(id, name, "done");
+        agent.SendUpdate(id, name, "started");
+        agent.SendUpdate(id, name, "done");
       }
       ASSERT_EQ(one.Status(n - 1), 200);
       ASSERT_EQ(other.Status(n - 1), 200);
     }
-    const knowledge::Memory learned = rig.node.Learned();
+    const knowledge::Memory learned = rig.node.ExportKnowledge();
     ASSERT_EQ(learned.workers.size(), 2u);
     EXPECT_EQ(learned.workers[1].started_ms, 1000);
     EXPECT_GT(learned.pools.at(0).what.limit, 1);
@@ -848,16 +848,17 @@
   const std::uint64_t others = CountOf("recalled_another_process");
   {
     Rig rig(config);
-    rig.node.Recall(*recall);
+    rig.node.RestoreKnowledge(*recall);
     rig.node.OnListing(listing(2000));
     EXPECT_EQ(CountOf("recalled_workers"), known + 1);
     EXPECT_EQ(CountOf("recalled_another_process"), others + 1);
     RunFor(50 * kMs);
-    EXPECT_GT(rig.node.Learned().pools.at(0).what.limit, 1) << "its limit does not start at zero";
+    EXPECT_GT(rig.node.ExportKnowledge().pools.at(0).what.limit, 1)
+        << "its limit does not start at zero";
   }
   {
     Rig rig(config);
-    rig.node.Recall(*recall);
+    rig.node.RestoreKnowledge(*recall);
     rig.node.OnListing(listing(-1));
     EXPECT_EQ(CountOf("recalled_workers"), known + 2);
     rig.node.OnListing(listing(1000));
@@ -927,41 +928,41 @@
   Server worker(Accept);
   rig.Workers({worker.address()});
   Caller busy(rig.port()), idle(rig.port()), agent(rig.port());
-  busy.Ask("j");
+  busy.SendJob("j");
   idle.stream->Write("GET /ready HTTP/1.1\r\n\r\n");
   EXPECT_EQ(idle.Status(), 200);
-  agent.News("other", "s-0", "done");
+  agent.SendUpdate("other", "s-0", "done");
   EXPECT_EQ(agent.Status(), 200);
   RunUntil([&] { return !worker.got.empty(); });
-  agent.News("j", "s-0", "started");  // makes room for another
+  agent.SendUpdate("j", "s-0", "started");  // makes room for another
   bool done = false;
   rig.front.Drain([&] { done = true; });
   Caller late(rig.port());  // still let in
-  late.Ask("k");
+  late.SendJob("k");
   RunUntil([&] { return worker.got.size() == 2; });
-  agent.News("k", "s-0", "done");
+  agent.SendUpdate("k", "s-0", "done");
   EXPECT_EQ(late.Status(), 200);
   EXPECT_TRUE(late.answers[0].keep_alive);
   // Met with two nodes: the other was not back yet, and clients whose connections here were closed
   // had nowhere to go.
   RunFor(1000 * kMs);
-  idle.Ask("m", "commit", "4900m");
+  idle.SendJob("m", "commit", "4900m");
   RunUntil([&] { return worker.got.size() == 3; });
-  agent.News("m", "s-0", "done");
+  agent.SendUpdate("m", "s-0", "done");
   EXPECT_EQ(idle.Status(1), 200) << "a connection that was kept is served on";
-  idle.Ask("n", "commit", "4900m");
+  idle.SendJob("n", "commit", "4900m");
   RunUntil([&] { return worker.got.size() == 4; });
   const int wait = std::stoi(*worker.got.back().Find("X-Timeout"));
   EXPECT_LT(wait, 3000) << "no longer than until the node must be gone";
-  agent.News("n", "s-0", "done");
+  agent.SendUpdate("n", "s-0", "done");
   EXPECT_EQ(idle.Status(2), 200);
   RunUntil([&] { return idle.closed && late.closed; });
   EXPECT_TRUE(idle.closed && late.closed);
   Caller later(rig.port());  // too late to be taken, and told so
-  later.Ask("l");
+  later.SendJob("l");
   EXPECT_EQ(later.Status(), 503);
   EXPECT_FALSE(done);
-  agent.News("j", "s-0", "done");
+  agent.SendUpdate("j", "s-0", "done");
   EXPECT_EQ(busy.Status(), 200) << "the call-backs' connection outlives the clients'";
   RunUntil([&] { return done; });
   EXPECT_TRUE(done);
@@ -999,10 +1000,10 @@
   Caller client(rig.port()), news(rig.port());
   for (std::size_t i = 0; i < 6; ++i) {
     const std::string id = "j" + std::to_string(i);
-    client.Ask(id);
+    client.SendJob(id);
     RunUntil([&] { return second.got.size() > i || !first.got.empty(); });
     ASSERT_EQ(second.got.size(), i + 1);
-    news.News(id, "s-1", "done");
+    news.SendUpdate(id, "s-1", "done");
     EXPECT_EQ(client.Status(i), 200);
   }
   EXPECT_TRUE(first.got.empty()) << "banned, whatever the list said";
--- a/tests/node/hot_restart/handover_test.cpp
+++ b/tests/node/hot_restart/handover_test.cpp
@@ -50,7 +50,7 @@
     for (int i = 0; i < 20; ++i) {  // one that was taken by a process that died is lost with it
       const std::string job = id + "-" + std::to_string(i);
       Caller client(port());
-      client.Ask(job);
+      client.SendJob(job);
       const auto has = [&] {
         for (const Message& m : worker.got)
           if (m.method == "POST" && *m.Find("X-Request-ID") == job) return true;
@@ -59,8 +59,8 @@
       RunUntil([&] { return has() || client.closed; }, 2 * kSecond);
       if (!has()) continue;
       Caller agent(port());
-      agent.News(job, "s-0", "started");
-      agent.News(job, "s-0", "done");
+      agent.SendUpdate(job, "s-0", "started");
+      agent.SendUpdate(job, "s-0", "done");
       RunUntil([&] { return !client.answers.empty() || client.closed; }, 2 * kSecond);
       if (!client.answers.empty() && client.answers[0].status == 200) return true;
     }
@@ -79,10 +79,10 @@
   auto before = Begin();
   ASSERT_TRUE(before->Ready(20 * kSecond));
   Caller kept(port());
-  kept.Ask("j1");
+  kept.SendJob("j1");
   RunUntil([&] { return worker.got.size() == 1; });
   Caller first(port());
-  first.News("j1", "s-0", "started");
+  first.SendUpdate("j1", "s-0", "started");
   EXPECT_EQ(first.Status(), 200);
   auto after = Begin();
   // Clients come and go all the while.
@@ -97,7 +97,7 @@
   comers.clear();
   EXPECT_TRUE(Serves("new")) << "by the next one";
   Caller agent(port());
-  agent.News("j1", "s-0", "done");
+  agent.SendUpdate("j1", "s-0", "done");
   EXPECT_EQ(agent.Status(), 200);
   EXPECT_EQ(kept.Status(), 200) << "the word reached the one that has the job";
   EXPECT_EQ(kept.answers[0].body, "r-j1");
@@ -125,12 +125,12 @@
   RunUntil([&] { return before->over(); });
   ASSERT_TRUE(before->over()) << "the old one waits for no client that it has handed over";
   EXPECT_FALSE(kept.closed);
-  kept.Ask("j1");
+  kept.SendJob("j1");
   RunUntil([&] { return !worker.got.empty() || kept.closed; });
   ASSERT_FALSE(kept.closed) << "closed with the old process" << log();
   ASSERT_EQ(worker.got.size(), 1u);
   Caller agent(port());
-  agent.News("j1", "s-0", "done");
+  agent.SendUpdate("j1", "s-0", "done");
   EXPECT_EQ(kept.Status(1), 200);
 }
 
@@ -165,7 +165,7 @@
   auto before = Begin();
   ASSERT_TRUE(before->Ready(20 * kSecond));
   Caller kept(port());
-  kept.Ask("j1");
+  kept.SendJob("j1");
   RunUntil([&] { return worker.got.size() == 1; });
   auto next = Begin();
   ASSERT_TRUE(Logged("the next process accepts"));
--- a/tests/node/job_state/ledger_test.cpp
+++ b/tests/node/job_state/ledger_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 using dispatch::Effect;
-using What = Recovery::What;
+using Action = Recovery::Action;
 
 constexpr UnixMicros kNow = 1'700'000'000'000'000;
 constexpr std::int64_t kS = 1'000'000;
@@ -28,87 +28,106 @@
   return j;
 }
 
-Attempt Tried(Ran ran, std::int64_t sent_ago = kS, std::int64_t lease_left = 5 * kS) {
+Attempt Tried(ExecutionState ran, std::int64_t sent_ago = kS, std::int64_t lease_left = 5 * kS) {
   Attempt a;
   a.worker = "w";
   a.fence = 1;
-  a.ran = ran;
+  a.execution = ran;
   a.sent = kNow - sent_ago;
   a.lease_until = kNow + lease_left;
   return a;
 }
 
-What After(const Job& job, Effect effect, UnixMicros now = kNow) {
+Action After(const Job& job, Effect effect, UnixMicros now = kNow) {
   const dispatch::ClassSettings c = Class(effect);
-  return Recover(job, &c, {}, now).what;
+  return Recover(job, &c, {}, now).action;
 }
 
 TEST(Recover, ByWhatIsKnown) {
-  EXPECT_EQ(After(JobWith({}, State::kQueued), Effect::kOnce), What::kQueue);
-  EXPECT_EQ(After(JobWith({Tried(Ran::kNever)}, State::kQueued), Effect::kOnce), What::kQueue);
-  EXPECT_EQ(After(JobWith({Tried(Ran::kOut)}), Effect::kOnce), What::kAdopt);
+  EXPECT_EQ(After(JobWith({}, State::kQueued), Effect::kOnce), Action::kRequeue);
+  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kNeverRan)}, State::kQueued), Effect::kOnce),
+            Action::kRequeue);
+  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kInFlight)}), Effect::kOnce), Action::kAdopt);
   // Its lease ran out while no node was there.
-  EXPECT_EQ(After(JobWith({Tried(Ran::kOut, kS, -1)}), Effect::kOnce), What::kDoubt);
-  EXPECT_EQ(After(JobWith({Tried(Ran::kOut, kS, -1)}), Effect::kRepeatable), What::kAdopt);
-  EXPECT_EQ(After(JobWith({Tried(Ran::kMaybe)}), Effect::kOnce), What::kDoubt);
-  EXPECT_EQ(After(JobWith({Tried(Ran::kMaybe)}), Effect::kRepeatable), What::kQueue);
+  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kInFlight, kS, -1)}), Effect::kOnce),
+            Action::kMarkInDoubt);
+  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kInFlight, kS, -1)}), Effect::kRepeatable),
+            Action::kAdopt);
+  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kMayHaveRun)}), Effect::kOnce),
+            Action::kMarkInDoubt);
+  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kMayHaveRun)}), Effect::kRepeatable),
+            Action::kRequeue);
   // The window of a keyed job went on while no node was there.
-  EXPECT_EQ(After(JobWith({Tried(Ran::kMaybe, 6 * kS)}), Effect::kByKey), What::kQueue);
-  EXPECT_EQ(After(JobWith({Tried(Ran::kMaybe, 8 * kS)}), Effect::kByKey), What::kDoubt);
+  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kMayHaveRun, 6 * kS)}), Effect::kByKey),
+            Action::kRequeue);
+  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kMayHaveRun, 8 * kS)}), Effect::kByKey),
+            Action::kMarkInDoubt);
   Job over = JobWith({}, State::kQueued);
   over.due = kNow;
-  EXPECT_EQ(After(over, Effect::kOnce), What::kEnd);
-  over.attempts = {Tried(Ran::kOut)};
-  EXPECT_EQ(After(over, Effect::kOnce), What::kDoubt) << "it may have taken effect";
-  EXPECT_EQ(After(JobWith({}, State::kServed), Effect::kOnce), What::kNothing);
-  EXPECT_EQ(After(JobWith({Tried(Ran::kMaybe)}, State::kInDoubt), Effect::kOnce), What::kNothing);
-  EXPECT_EQ(Recover(JobWith({}, State::kQueued), nullptr, {}, kNow).what, What::kWithdraw);
-  EXPECT_EQ(After(JobWith({Tried(Ran::kDone)}), Effect::kOnce), What::kEnd) << "it said 'failed'";
-  EXPECT_EQ(After(JobWith({Tried(Ran::kMaybe), Tried(Ran::kDone)}), Effect::kOnce), What::kDoubt);
+  EXPECT_EQ(After(over, Effect::kOnce), Action::kFailOverdue);
+  over.attempts = {Tried(ExecutionState::kInFlight)};
+  EXPECT_EQ(After(over, Effect::kOnce), Action::kMarkInDoubt) << "it may have taken effect";
+  EXPECT_EQ(After(JobWith({}, State::kServed), Effect::kOnce), Action::kNone);
+  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kMayHaveRun)}, State::kInDoubt), Effect::kOnce),
+            Action::kNone);
+  EXPECT_EQ(Recover(JobWith({}, State::kQueued), nullptr, {}, kNow).action,
+            Action::kFailUnknownClass);
+  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kDone)}), Effect::kOnce), Action::kFailOverdue)
+      << "it said 'failed'";
+  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kMayHaveRun), Tried(ExecutionState::kDone)}),
+                  Effect::kOnce),
+            Action::kMarkInDoubt);
 }
 
 // A wall clock that was set back makes a lease, or a window, look longer than it is.
 TEST(Recover, AClockThatSteppedDoesNotStretchALeaseOrAWindow) {
   Policy policy;
   const dispatch::ClassSettings once = Class(Effect::kOnce), keyed = Class(Effect::kByKey);
-  const Job job = JobWith({Tried(Ran::kOut, kS, 3600 * kS)});
-  EXPECT_EQ(Recover(job, &once, policy, kNow).what, What::kAdopt);
-  EXPECT_FALSE(MayRepeat(JobWith({Tried(Ran::kMaybe, -30 * kS)}), keyed, kNow))
+  const Job job = JobWith({Tried(ExecutionState::kInFlight, kS, 3600 * kS)});
+  EXPECT_EQ(Recover(job, &once, policy, kNow).action, Action::kAdopt);
+  EXPECT_FALSE(MayRepeat(JobWith({Tried(ExecutionState::kMayHaveRun, -30 * kS)}), keyed, kNow))
       << "sent in what is now the future: how long ago, nobody knows";
 }
 
 TEST(Doubt, IsWhatAFailureMeansWhereItMayHaveRun) {
-  EXPECT_EQ(EndOfFailure(JobWith({Tried(Ran::kMaybe)}), Class(Effect::kOnce)), State::kInDoubt);
-  EXPECT_EQ(EndOfFailure(JobWith({Tried(Ran::kNever)}), Class(Effect::kOnce)), State::kFailed);
-  EXPECT_EQ(EndOfFailure(JobWith({Tried(Ran::kDone)}), Class(Effect::kOnce)), State::kFailed);
-  EXPECT_EQ(EndOfFailure(JobWith({Tried(Ran::kMaybe)}), Class(Effect::kByKey)), State::kFailed);
+  EXPECT_EQ(StateAfterFailure(JobWith({Tried(ExecutionState::kMayHaveRun)}), Class(Effect::kOnce)),
+            State::kInDoubt);
+  EXPECT_EQ(StateAfterFailure(JobWith({Tried(ExecutionState::kNeverRan)}), Class(Effect::kOnce)),
+            State::kFailed);
+  EXPECT_EQ(StateAfterFailure(JobWith({Tried(ExecutionState::kDone)}), Class(Effect::kOnce)),
+            State::kFailed);
+  EXPECT_EQ(StateAfterFailure(JobWith({Tried(ExecutionState::kMayHaveRun)}), Class(Effect::kByKey)),
+            State::kFailed);
 }
 
 TEST(Doubt, IsResolvedByTheWorkersOwnWordAlone) {
-  Job job = JobWith({Tried(Ran::kNever), Tried(Ran::kMaybe)}, State::kInDoubt);
-  EXPECT_EQ(Resolve(job, "w", Word::kDone).state, State::kServed);
-  EXPECT_EQ(Resolve(job, "w", Word::kFailed).state, State::kFailed);
-  EXPECT_EQ(Resolve(job, "w", Word::kReturned).state, State::kRefused);
-  EXPECT_FALSE(Resolve(job, "w", Word::kLost).resolves) << "it died: before or after its effect?";
-  EXPECT_FALSE(Resolve(job, "another", Word::kDone).resolves);
-  Attempt second = Tried(Ran::kMaybe);
+  Job job = JobWith({Tried(ExecutionState::kNeverRan), Tried(ExecutionState::kMayHaveRun)},
+                    State::kInDoubt);
+  EXPECT_EQ(Resolve(job, "w", WorkerReport::kDone).state, State::kServed);
+  EXPECT_EQ(Resolve(job, "w", WorkerReport::kFailed).state, State::kFailed);
+  EXPECT_EQ(Resolve(job, "w", WorkerReport::kReturned).state, State::kRefused);
+  EXPECT_FALSE(Resolve(job, "w", WorkerReport::kLost).resolves)
+      << "it died: before or after its effect?";
+  EXPECT_FALSE(Resolve(job, "another", WorkerReport::kDone).resolves);
+  Attempt second = Tried(ExecutionState::kMayHaveRun);
   second.worker = "v";
   job.attempts.push_back(second);
-  EXPECT_FALSE(Resolve(job, "w", Word::kReturned).resolves) << "v may have run it all the same";
-  EXPECT_TRUE(Resolve(job, "v", Word::kDone).resolves);
+  EXPECT_FALSE(Resolve(job, "w", WorkerReport::kReturned).resolves)
+      << "v may have run it all the same";
+  EXPECT_TRUE(Resolve(job, "v", WorkerReport::kDone).resolves);
   job.state = State::kServed;
-  EXPECT_FALSE(Resolve(job, "w", Word::kFailed).resolves) << "an end is an end";
+  EXPECT_FALSE(Resolve(job, "w", WorkerReport::kFailed).resolves) << "an end is an end";
 }
 
 TEST(Doubt, MayBeFencedOnlyWhereAllKnowFences) {
-  Job job = JobWith({Tried(Ran::kMaybe)}, State::kInDoubt);
+  Job job = JobWith({Tried(ExecutionState::kMayHaveRun)}, State::kInDoubt);
   EXPECT_FALSE(MayFence(job));
   job.attempts[0].knows_fences = true;
   EXPECT_TRUE(MayFence(job));
   EXPECT_EQ(NextFence(job), 2u);
-  job.attempts[0].ran = Ran::kFenced;
+  job.attempts[0].execution = ExecutionState::kFenced;
   job.state = State::kQueued;
-  EXPECT_EQ(After(job, Effect::kOnce), What::kQueue) << "it can no longer take effect";
+  EXPECT_EQ(After(job, Effect::kOnce), Action::kRequeue) << "it can no longer take effect";
 }
 
 // Whatever the store holds: a `once` job of which some attempt may have run never goes out again.
@@ -120,15 +139,17 @@
     const int n = *rc::gen::inRange(1, 5);
     bool risky = false, out = false;
     for (int i = 0; i < n; ++i) {
-      job.attempts.push_back(Tried(*rc::gen::element(Ran::kOut, Ran::kNever, Ran::kMaybe),
-                                   *rc::gen::inRange<std::int64_t>(-20, 20) * kS,
-                                   *rc::gen::inRange<std::int64_t>(-20, 20) * kS));
-      risky = risky || job.attempts.back().ran != Ran::kNever;
-      out = out || job.attempts.back().ran == Ran::kOut;
+      job.attempts.push_back(
+          Tried(*rc::gen::element(ExecutionState::kInFlight, ExecutionState::kNeverRan,
+                                  ExecutionState::kMayHaveRun),
+                *rc::gen::inRange<std::int64_t>(-20, 20) * kS,
+                *rc::gen::inRange<std::int64_t>(-20, 20) * kS));
+      risky = risky || job.attempts.back().execution != ExecutionState::kNeverRan;
+      out = out || job.attempts.back().execution == ExecutionState::kInFlight;
     }
-    const What what = After(job, Effect::kOnce);
-    if (risky) RC_ASSERT(what == What::kDoubt || (what == What::kAdopt && out));
-    if (!risky) RC_ASSERT(what == (kNow < job.due ? What::kQueue : What::kEnd));
+    const Action action = After(job, Effect::kOnce);
+    if (risky) RC_ASSERT(action == Action::kMarkInDoubt || (action == Action::kAdopt && out));
+    if (!risky) RC_ASSERT(action == (kNow < job.due ? Action::kRequeue : Action::kFailOverdue));
   }));
 }
 
@@ -136,30 +157,30 @@
 // window follows what the workers make of it.
 TEST(Pacer, BacklogAndNewJobsHaveRoomOfTheirOwn) {
   Policy policy;
-  policy.recovered_at_once = 2;
-  policy.in_hand = 5;
-  policy.in_hand_bytes = 100;
+  policy.initial_backlog_window = 2;
+  policy.max_in_flight = 5;
+  policy.max_in_flight_bytes = 100;
   Pacer pacer(policy);
   for (int i = 0; i < 5; ++i) {
     ASSERT_TRUE(pacer.RoomForNew(10));
-    pacer.Out(false, 10);
+    pacer.OnHandedOver(false, 10);
   }
   EXPECT_FALSE(pacer.RoomForNew(10)) << "its place is in the store";
   EXPECT_EQ(pacer.RoomForBacklog(), 2);
-  pacer.Out(true, 10);
-  pacer.Out(true, 10);
+  pacer.OnHandedOver(true, 10);
+  pacer.OnHandedOver(true, 10);
   EXPECT_EQ(pacer.RoomForBacklog(), 0);
-  pacer.Back(true, 10, Pacer::End::kServed);
+  pacer.OnFinished(true, 10, Pacer::Result::kServed);
   EXPECT_EQ(pacer.RoomForBacklog(), 2) << "one has been served: the window is three";
   for (int i = 0; i < 20; ++i) {
-    pacer.Out(true, 0);
-    pacer.Back(true, 0, Pacer::End::kServed);
+    pacer.OnHandedOver(true, 0);
+    pacer.OnFinished(true, 0, Pacer::Result::kServed);
   }
   EXPECT_EQ(pacer.window(), 5) << "no wider than all that may be in hand";
-  pacer.Out(true, 0);
-  pacer.Back(true, 0, Pacer::End::kRefused);
+  pacer.OnHandedOver(true, 0);
+  pacer.OnFinished(true, 0, Pacer::Result::kRefused);
   EXPECT_EQ(pacer.window(), 2) << "halved, no less than at first";
-  pacer.Back(false, 10, Pacer::End::kServed);
+  pacer.OnFinished(false, 10, Pacer::Result::kServed);
   EXPECT_TRUE(pacer.RoomForNew(10));
   EXPECT_FALSE(pacer.RoomForNew(100)) << "large bodies wait in the store";
 }
@@ -168,66 +189,68 @@
 TEST(Pacer, NeverHoldsMoreThanItsBounds) {
   EXPECT_TRUE(rc::check([] {
     Policy policy;
-    policy.recovered_at_once = *rc::gen::inRange(1, 20);
-    policy.in_hand = *rc::gen::inRange(1, 50);
-    policy.in_hand_bytes = *rc::gen::inRange<std::size_t>(1, 1000);
+    policy.initial_backlog_window = *rc::gen::inRange(1, 20);
+    policy.max_in_flight = *rc::gen::inRange(1, 50);
+    policy.max_in_flight_bytes = *rc::gen::inRange<std::size_t>(1, 1000);
     Pacer pacer(policy);
     std::vector<std::pair<bool, std::size_t>> out;
     const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 400));
     for (const int step : steps) {
       const std::size_t bytes = static_cast<std::size_t>(step);
       if (step % 2 == 0 && !out.empty()) {
-        pacer.Back(out.back().first, out.back().second, static_cast<Pacer::End>(step / 2 % 3));
+        pacer.OnFinished(out.back().first, out.back().second,
+                         static_cast<Pacer::Result>(step / 2 % 3));
         out.pop_back();
       } else if (step % 3 == 0 ? pacer.RoomForBacklog() > 0 : pacer.RoomForNew(bytes)) {
-        pacer.Out(step % 3 == 0, bytes);
+        pacer.OnHandedOver(step % 3 == 0, bytes);
         out.push_back({step % 3 == 0, bytes});
       }
-      RC_ASSERT(pacer.out() == static_cast<int>(out.size()));
-      RC_ASSERT(pacer.out() <= 2 * std::max(policy.in_hand, policy.recovered_at_once));
-      RC_ASSERT(pacer.window() >= policy.recovered_at_once);
+      RC_ASSERT(pacer.in_flight() == static_cast<int>(out.size()));
+      RC_ASSERT(pacer.in_flight() <=
+                2 * std::max(policy.max_in_flight, policy.initial_backlog_window));
+      RC_ASSERT(pacer.window() >= policy.initial_backlog_window);
     }
   }));
 }
 
 TEST(AfterEnd, ARecordGoesWhenItsClientHasBeenTold) {
   Policy policy;
-  policy.keep = 10 * kS;
+  policy.retention = 10 * kS;
   Job job = JobWith({}, State::kServed);
   job.ended = kNow;
-  PlanAfterEnd(&job, policy, kNow, 0.5);
-  EXPECT_EQ(job.callback_at, 0);
-  EXPECT_EQ(job.forget_at, kNow + 10 * kS);
+  ScheduleAfterEnd(&job, policy, kNow, 0.5);
+  EXPECT_EQ(job.next_callback_at, 0);
+  EXPECT_EQ(job.purge_at, kNow + 10 * kS);
   job.callback = "http://127.0.0.1:1/";
-  PlanAfterEnd(&job, policy, kNow, 0.5);
-  EXPECT_EQ(job.callback_at, kNow) << "at once";
-  EXPECT_EQ(job.forget_at, 0) << "not before it is told";
+  ScheduleAfterEnd(&job, policy, kNow, 0.5);
+  EXPECT_EQ(job.next_callback_at, kNow) << "at once";
+  EXPECT_EQ(job.purge_at, 0) << "not before it is told";
   job.callback_tries = 3;
-  PlanAfterEnd(&job, policy, kNow, 0);
-  EXPECT_EQ(job.callback_at, kNow + 2 * kS) << "4 s, at least half of it";
+  ScheduleAfterEnd(&job, policy, kNow, 0);
+  EXPECT_EQ(job.next_callback_at, kNow + 2 * kS) << "4 s, at least half of it";
   job.callback_done = true;
-  PlanAfterEnd(&job, policy, kNow, 0);
-  EXPECT_EQ(job.callback_at, 0);
-  EXPECT_EQ(job.forget_at, kNow + 10 * kS);
+  ScheduleAfterEnd(&job, policy, kNow, 0);
+  EXPECT_EQ(job.next_callback_at, 0);
+  EXPECT_EQ(job.purge_at, kNow + 10 * kS);
   job.callback_done = false;
-  job.callback_tries = kMaxCallbacks;
-  PlanAfterEnd(&job, policy, kNow, 0);
-  EXPECT_EQ(job.callback_at, 0) << "nobody is there";
-  EXPECT_NE(job.forget_at, 0);
-  EXPECT_GE(CallbackWait(0, 0), kS / 2);
-  EXPECT_LE(CallbackWait(100, 1), 300 * kS);
+  job.callback_tries = kMaxCallbackAttempts;
+  ScheduleAfterEnd(&job, policy, kNow, 0);
+  EXPECT_EQ(job.next_callback_at, 0) << "nobody is there";
+  EXPECT_NE(job.purge_at, 0);
+  EXPECT_GE(CallbackBackoff(0, 0), kS / 2);
+  EXPECT_LE(CallbackBackoff(100, 1), 300 * kS);
 }
 
 TEST(Id, HoldsItsPlaceInTheStoreAndCannotBeGuessed) {
   EXPECT_TRUE(rc::check([](std::uint64_t seq, std::uint64_t chance) {
-    const std::string id = MakeId(seq, chance);
+    const std::string id = MakeJobId(seq, chance);
     RC_ASSERT(id.size() == 32u);
-    RC_ASSERT(SeqOf(id) == seq);
-    RC_ASSERT(MakeId(seq, chance + 1) != id);
+    RC_ASSERT(SeqFromId(id) == seq);
+    RC_ASSERT(MakeJobId(seq, chance + 1) != id);
   }));
   for (const char* id :
        {"", "1", "0000000000000000000000000000000g", "../../../../etc/passwd/aaaaaaaaa"})
-    EXPECT_EQ(SeqOf(id), std::nullopt) << id;
+    EXPECT_EQ(SeqFromId(id), std::nullopt) << id;
 }
 
 }  // namespace
--- a/tests/node/job_store/sqlite_test.cpp
+++ b/tests/node/job_store/sqlite_test.cpp
@@ -66,7 +66,7 @@
     attempt.worker = "w";
     attempt.fence = 3;
     attempt.knows_fences = true;
-    attempt.ran = job_state::Ran::kMaybe;
+    attempt.execution = job_state::ExecutionState::kMayHaveRun;
     attempt.lease_until = 77;
     EXPECT_EQ(Put(store.get(), {TakeJob{a}}), "");
     EXPECT_EQ(Put(store.get(), {TakeJob{b}}), "");
@@ -287,7 +287,7 @@
     }
     for (Job& j : all) {
       j.state = job_state::State::kServed;
-      j.forget_at = 1;
+      j.purge_at = 1;
       EXPECT_EQ(Put(store.get(), {PutJob{j}}), "");
     }
     EXPECT_EQ(Put(store.get(), {Forget{2, 300}}), "");
@@ -342,8 +342,8 @@
   const Found ended = store->AskNow(ByRequest{"r2"});
   ASSERT_EQ(ended.jobs.size(), 1u);
   EXPECT_EQ(ended.jobs[0].result, "done");
-  EXPECT_NE(ended.jobs[0].callback_at, 0) << "its client has not been told yet";
-  EXPECT_EQ(ended.jobs[0].forget_at, 0);
+  EXPECT_NE(ended.jobs[0].next_callback_at, 0) << "its client has not been told yet";
+  EXPECT_EQ(ended.jobs[0].purge_at, 0);
   Job twin = Make(store.get(), "x");
   EXPECT_EQ(twin.seq, 6u);
   twin.cls = "c";
@@ -389,7 +389,7 @@
   EXPECT_EQ(said[2].kind, Kind::kConflict);
   EXPECT_EQ(said[3].kind, Kind::kWritten);
   first.state = job_state::State::kRefused;
-  first.forget_at = 10;
+  first.purge_at = 10;
   EXPECT_EQ(Put(store.get(), {PutJob{first}}), "");
   take("e", "r1", "k");
   settle(5);
@@ -445,7 +445,7 @@
     Job j;
     j.seq = seq;
     j.state = job_state::State::kServed;
-    j.forget_at = 5;
+    j.purge_at = 5;
     store->Submit({{PutJob{j}}, [&](const Outcome& o) { told += o.error.empty() ? 1 : 0; }});
   }
   while (told < 6000) g_main_context_iteration(nullptr, TRUE);
