--- a/src/node/admin/bans.cpp
+++ b/src/node/admin/bans.cpp
@@ -45,17 +45,17 @@
   return bans;
 }
 
-BanFile::Stamp BanFile::Look() const {
+BanFile::Stamp BanFile::ReadStamp() const {
   struct stat s {};
   if (stat(path_.c_str(), &s) != 0) return {};
   return {static_cast<std::int64_t>(s.st_mtim.tv_sec) * 1'000'000'000 + s.st_mtim.tv_nsec,
           static_cast<std::int64_t>(s.st_size), static_cast<std::uint64_t>(s.st_ino)};
 }
 
-bool BanFile::Changed() const { return Look() != seen_; }
+bool BanFile::Changed() const { return ReadStamp() != last_stamp_; }
 
 Bans BanFile::Load() {
-  seen_ = Look();
+  last_stamp_ = ReadStamp();
   gchar* text = nullptr;
   gsize size = 0;
   GError* error = nullptr;
@@ -82,7 +82,7 @@
     CountFault("bans_not_kept", path_ + ": " + error->message);
     g_error_free(error);
   }
-  seen_ = Look();
+  last_stamp_ = ReadStamp();
   return saved;
 }
 
--- a/src/node/admin/bans.h
+++ b/src/node/admin/bans.h
@@ -38,10 +38,10 @@
     std::uint64_t inode = 0;
     bool operator==(const Stamp&) const = default;
   };
-  Stamp Look() const;
+  Stamp ReadStamp() const;
 
   std::string path_;
-  Stamp seen_;
+  Stamp last_stamp_;
 };
 
 }  // namespace pearreach::admin
--- a/src/node/admin/door.cpp
+++ b/src/node/admin/door.cpp
@@ -141,7 +141,7 @@
 }
 
 AdminServer::AdminServer(AdminHandlers calls)
-    : calls_(std::move(calls)),
+    : handlers_(std::move(calls)),
       listener_([this](std::shared_ptr<Stream> stream) { OnAccepted(std::move(stream)); }),
       sweep_([this] { Sweep(); }) {}
 
@@ -159,7 +159,8 @@
     Count("door_full");
     Connection* first = connections_.begin()->first;
     for (const auto& [c, owned] : connections_)
-      if (std::pair(!c->answered, c->until) < std::pair(!first->answered, first->until)) first = c;
+      if (std::pair(!c->answered, c->deadline) < std::pair(!first->answered, first->deadline))
+        first = c;
     if (!first->answered) {
       Count("door_calls_incomplete");
       first->stream->Write(http::WriteResponse(408, {}, "the call did not come whole\n", false));
@@ -169,7 +170,7 @@
   auto owned = std::make_unique<Connection>();
   Connection* c = owned.get();
   c->stream = std::move(stream);
-  c->until = Now() + kRequestTimeout;
+  c->deadline = Now() + kRequestTimeout;
   connections_[c] = std::move(owned);
   c->stream->Listen(
       {[] {}, [this, c](std::string_view bytes) { OnData(c, bytes); }, [this, c] { Destroy(c); }});
@@ -186,7 +187,7 @@
       Count("door_bad_calls");
       return Answer(c, Text(c->parser.error_status(), c->parser.error()));
     case http::Parser::State::kMessage:
-      return Answer(c, Route(c->parser.Take(), calls_));
+      return Answer(c, Route(c->parser.Take(), handlers_));
   }
 }
 
@@ -195,7 +196,7 @@
   if (!c->stream->Write(http::WriteResponse(reply.status, reply.headers, reply.body, false)))
     return Destroy(c);
   c->stream->CloseAfterWrite();
-  c->until = Now() + kLinger;
+  c->deadline = Now() + kLinger;
   if (!sweeping_) Sweep();
 }
 
@@ -213,8 +214,8 @@
   Micros next = 0;
   for (auto it = connections_.begin(); it != connections_.end();) {
     Connection* c = (it++)->first;
-    if (c->until > now) {
-      next = next == 0 ? c->until : std::min(next, c->until);
+    if (c->deadline > now) {
+      next = next == 0 ? c->deadline : std::min(next, c->deadline);
       continue;
     }
     if (c->answered) {
@@ -223,7 +224,7 @@
     }
     Count("door_calls_incomplete");
     Answer(c, Text(408, "the call did not come whole in time"));
-    next = next == 0 ? c->until : std::min(next, c->until);
+    next = next == 0 ? c->deadline : std::min(next, c->deadline);
   }
   sweeping_ = false;
   if (next != 0)
--- a/src/node/admin/door.h
+++ b/src/node/admin/door.h
@@ -81,7 +81,7 @@
     std::shared_ptr<Stream> stream;
     http::Parser parser{http::Parser::Kind::kRequest,
                         http::Limits{.head = 8 << 10, .headers = 50, .body = 32 << 10}};
-    Micros until = 0;  // when it is answered late, or, once answered, closed
+    Micros deadline = 0;  // when it is answered late, or, once answered, closed
     bool answered = false;
   };
 
@@ -91,7 +91,7 @@
   void Destroy(Connection* c);
   void Sweep();
 
-  AdminHandlers calls_;
+  AdminHandlers handlers_;
   std::map<Connection*, std::unique_ptr<Connection>> connections_;
   Listener listener_;
   Alarm sweep_;
--- a/src/node/engine/discovery.h
+++ b/src/node/engine/discovery.h
@@ -31,21 +31,21 @@
   void MoveTo(const std::string& address);
 
  private:
-  void Call();
+  void RequestListing();
   void OnData(std::string_view bytes);
   void OnMessage(const http::Message& message);
   // Drops the connection and calls again after a wait, of which `least` is the first.
-  void Again(const char* why, Micros least = 0);
+  void RetryLater(const char* why, Micros least = 0);
 
   std::string address_;
-  Micros spread_;  // this node's turn to begin lies within it
-  std::function<void(const Listing&)> heard_;
+  Micros start_spread_;  // this node's turn to begin lies within it
+  std::function<void(const Listing&)> on_listing_;
   std::optional<std::uint64_t> version_;  // none: the whole list is wanted
   std::shared_ptr<Stream> stream_;
   http::Parser parser_{http::Parser::Kind::kResponse, {16 << 10, 100, 1 << 20}};
-  Alarm next_, overdue_;
+  Alarm next_call_, response_timeout_;
   Backoff backoff_;
-  Micros called_ = 0;
+  Micros called_at_ = 0;
 };
 
 }  // namespace pearreach
--- a/src/node/engine/node.h
+++ b/src/node/engine/node.h
@@ -88,7 +88,7 @@
 
   const dispatch::Site& site() const override { return site_; }
   bool ready() const override { return listed_; }
-  std::size_t open_jobs() const override { return open_; }
+  std::size_t open_jobs() const override { return open_jobs_; }
   std::optional<Ticket> Submit(Job job, Client* client) override;
   void Abandon(Ticket ticket) override;
   void HandleJobUpdate(const News& news, JobUpdateAck heard) override {
@@ -104,9 +104,9 @@
   // ---- for state that the fleet shares
   // Asked of each new job of a client; durable jobs were admitted when they were taken on.
   void SetAdmissionCheck(std::function<Admission(int tenant, bool is_repeat)> ask) {
-    admit_ = std::move(ask);
+    admission_check_ = std::move(ask);
   }
-  void SetWorkerObserver(WorkerObserver* witness) { witness_ = witness; }
+  void SetWorkerObserver(WorkerObserver* witness) { observer_ = witness; }
   // What several nodes have seen of a worker; `judgement.at` is Unix time in microseconds.
   void OnJudgement(const std::string& worker, dispatch::Judgement judgement);
 
@@ -117,10 +117,12 @@
   // ---- for the keeper of durable jobs
   std::optional<Ticket> SubmitGuarded(Job job, Client* client, AttemptGuard* guard,
                                       const std::vector<AdoptedAttempt>& attempts);
-  bool IsOpen(const std::string& id) const { return by_id_.contains(id); }
-  void SetFirstListingCallback(std::function<void()> tell) { first_list_ = std::move(tell); }
+  bool IsOpen(const std::string& id) const { return tickets_by_job_id_.contains(id); }
+  void SetFirstListingCallback(std::function<void()> tell) { on_first_listing_ = std::move(tell); }
   // Asked about news of a job that is not open; true: it was of use.
-  void SetUnknownJobHandler(std::function<bool(const News&)> ask) { orphan_ = std::move(ask); }
+  void SetUnknownJobHandler(std::function<bool(const News&)> ask) {
+    unknown_job_handler_ = std::move(ask);
+  }
 
   // Open jobs, workers, and limit and busy slots of each pool, as one event of the log.
   void LogStats() const;
@@ -133,18 +135,18 @@
   // As another process of this node has them; ids that no list has named yet are kept for later.
   void SetBans(const std::set<std::string>& ids);
   const std::set<std::string>& bans() const { return banned_; }
-  std::size_t hosts_listed() const { return hosts_.size(); }  // named and not gone
+  std::size_t hosts_listed() const { return listed_workers_.size(); }  // named and not gone
   std::size_t hosts_down() const;  // of those, banned or draining by the list
 
   // The jobs of each class that were answered since the start, by kind of answer.
   struct AnswerCounts {
     std::uint64_t success = 0, busy = 0, failure = 0;
   };
-  const std::vector<AnswerCounts>& answer_counts() const { return tally_; }
+  const std::vector<AnswerCounts>& answer_counts() const { return answer_counts_; }
 
   // Figures for tests and the log.
   std::size_t records() const { return records_.size(); }
-  std::size_t worker_connections() const { return workers_.links(); }
+  std::size_t worker_connections() const { return workers_.connections(); }
   // Unix time on the module's clock, by the one offset: taken anew it would differ by a little each
   // time and make every list look like a restart. 0 stays 0: long ago.
   Micros FromUnixMs(std::int64_t unix_ms) const;
@@ -154,80 +156,86 @@
  private:
   struct Attempt {
     dispatch::WorkerId worker = 0;
-    Micros sent = 0;
-    bool out = true;     // its outcome has not been passed on
-    bool taken = false;  // the worker has answered 202
-    bool held = false;   // its intent is not durable yet: nothing of it has gone out
-    Micros started = 0;  // the word of its start; 0: none
-    Micros heard = 0;    // the last word of it, where it has a lease
+    Micros sent_at = 0;
+    bool in_flight = true;         // its outcome has not been passed on
+    bool accepted = false;         // the worker has answered 202
+    bool awaiting_intent = false;  // its intent is not durable yet: nothing of it has gone out
+    Micros started_at = 0;         // the word of its start; 0: none
+    Micros last_update = 0;        // the last word of it, where it has a lease
   };
   struct Record {
     AttemptGuard* guard = nullptr;
     Job job;
     Client* client = nullptr;
-    Micros due = 0;
+    Micros deadline = 0;
     bool answered = false;
     std::vector<Attempt> attempts;
-    int out = 0;
+    int in_flight = 0;
   };
 
   void Post(dispatch::Event event, capture::Note note = {});
-  void Deny();
-  void Turn();
-  void ArmTurn();
-  void Carry(const dispatch::Action& action);
+  void RefuseOverLimit();
+  void RunTurn();
+  void ScheduleTurn();
+  void Execute(const dispatch::Action& action);
   void LogDecision(const dispatch::LogLine& line);
-  void Send(const dispatch::Send& action);
-  void Cancel(const dispatch::Cancel& action);
-  void Reply(Ticket ticket, Record& record, const Answer& answer);
+  void SendAttempt(const dispatch::Send& action);
+  void CancelAttempt(const dispatch::Cancel& action);
+  void AnswerClient(Ticket ticket, Record& record, const Answer& answer);
   // Passes an attempt's outcome on, once.
-  void End(AttemptKey key, dispatch::Outcome outcome, const dispatch::LoadReport& load);
-  void Reject(AttemptKey key);
-  void Launch(AttemptKey key);
-  void Hear(Ticket ticket, Attempt& attempt, AttemptState state);
-  void RunLeases();
-  void HandRecall(const Listing& list);
-  dispatch::WorkerId IdOf(const std::string& name);
-  void RunDeadlines(Micros now);
-  void Forget(Ticket ticket);
+  void EndAttempt(AttemptKey key, dispatch::Outcome outcome, const dispatch::LoadReport& load);
+  void RejectJob(AttemptKey key);
+  void StartAttempt(AttemptKey key);
+  void RecordAttemptUpdate(Ticket ticket, Attempt& attempt, AttemptState state);
+  void ExpireLeases();
+  void PostRestoredKnowledge(const Listing& list);
+  dispatch::WorkerId WorkerIdOf(const std::string& name);
+  void ExpireDeadlines(Micros now);
+  void MaybeRelease(Ticket ticket);
   void PostHealth(dispatch::WorkerId worker);  // as listed, or draining where not to be used
-  bool Barred(const std::string& id) const { return banned_.contains(id) || shut_.contains(id); }
-  const std::string& NameOf(dispatch::WorkerId worker) const { return names_.at(worker); }
+  bool IsDrained(const std::string& id) const {
+    return banned_.contains(id) || zone_drained_.contains(id);
+  }
+  const std::string& WorkerName(dispatch::WorkerId worker) const {
+    return worker_names_.at(worker);
+  }
 
   dispatch::Site site_;
   capture::Origin origin_;  // of what is recorded
   Micros clock_offset_;     // of Unix time before Now(), taken once
-  Micros started_;          // the module's clock at its start
+  Micros start_time_;       // the module's clock at its start
   dispatch::Dispatcher dispatcher_;
   Workers workers_;
   Discovery discovery_;
-  std::optional<Listing> known_;
+  std::optional<Listing> initial_listing_;
   bool listed_ = false;
 
-  std::optional<knowledge::Recall> recall_;  // what of it has not been handed over
-  Micros recall_until_ = 0;                  // a worker named later than this is known by itself
+  std::optional<knowledge::Recall> restored_knowledge_;  // what of it has not been handed over
+  Micros restore_until_ = 0;  // a worker named later than this is known by itself
 
-  std::unordered_map<dispatch::WorkerId, dispatch::WorkerEntry> hosts_;  // as the list says
-  std::set<std::string> banned_, shut_;  // by operators; by zones that are left
-  std::vector<AnswerCounts> tally_;
+  std::unordered_map<dispatch::WorkerId, dispatch::WorkerEntry>
+      listed_workers_;                           // as the list says
+  std::set<std::string> banned_, zone_drained_;  // by operators; by zones that are left
+  std::vector<AnswerCounts> answer_counts_;
 
-  std::unordered_map<std::string, dispatch::WorkerId> ids_;
-  std::vector<std::int64_t> started_ms_;  // by id: of the process that the list names
-  std::vector<std::string> names_;
+  std::unordered_map<std::string, dispatch::WorkerId> worker_ids_;
+  std::vector<std::int64_t> process_started_ms_;  // by id: of the process that the list names
+  std::vector<std::string> worker_names_;
 
   std::unordered_map<Ticket, Record> records_;
-  std::unordered_map<std::string, Ticket> by_id_;
+  std::unordered_map<std::string, Ticket> tickets_by_job_id_;
   Ticket last_ticket_ = 0;
-  std::size_t open_ = 0;
+  std::size_t open_jobs_ = 0;
   std::set<std::pair<Micros, Ticket>> deadlines_;
 
-  std::function<Admission(int, bool)> admit_;
-  WorkerObserver* witness_ = nullptr;
-  std::vector<std::pair<Ticket, Micros>> denied_;  // to be refused in the next turn; come back in
+  std::function<Admission(int, bool)> admission_check_;
+  WorkerObserver* observer_ = nullptr;
+  std::vector<std::pair<Ticket, Micros>>
+      over_limit_;  // to be refused in the next turn; come back in
 
   std::set<std::pair<Micros, AttemptKey>> leases_;
-  std::function<void()> first_list_;
-  std::function<bool(const News&)> orphan_;
+  std::function<void()> on_first_listing_;
+  std::function<bool(const News&)> unknown_job_handler_;
   Alarm lease_alarm_;
 
   std::vector<dispatch::Event> events_;
@@ -235,9 +243,9 @@
   std::vector<dispatch::Action> actions_;
   std::priority_queue<Micros, std::vector<Micros>, std::greater<>> timers_;
   Micros last_turn_ = 0;
-  std::optional<CaptureSettings> recording_;
+  std::optional<CaptureSettings> capture_settings_;
   std::unique_ptr<capture::Recorder> recorder_;
-  Alarm turn_;
+  Alarm turn_alarm_;
 };
 
 }  // namespace pearreach
--- a/src/node/engine/node_jobs.cpp
+++ b/src/node/engine/node_jobs.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // The deadline runs from when the client sent; the way here is not told, so it is allowed for.
-constexpr Micros kWayHere = 5 * kMs;
+constexpr Micros kRequestTransitTime = 5 * kMs;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
 
 std::optional<Ticket> Node::SubmitGuarded(Job job, Client* client, AttemptGuard* guard,
                                           const std::vector<AdoptedAttempt>& attempts) {
-  const auto [slot, fresh] = by_id_.try_emplace(job.id, last_ticket_ + 1);
+  const auto [slot, fresh] = tickets_by_job_id_.try_emplace(job.id, last_ticket_ + 1);
   if (!fresh) return std::nullopt;
   const Ticket ticket = ++last_ticket_;
   Count("jobs");
@@ -31,9 +31,9 @@
   e.slots = job.slots;
   e.is_repeat = job.is_repeat;
   e.key = job.key;
-  e.due = job.received + job.client_timeout - std::min(kWayHere, job.client_timeout / 2);
+  e.due = job.received + job.client_timeout - std::min(kRequestTransitTime, job.client_timeout / 2);
   Admission admission;
-  if (admit_ && guard == nullptr) admission = admit_(job.tenant, job.is_repeat);
+  if (admission_check_ && guard == nullptr) admission = admission_check_(job.tenant, job.is_repeat);
   e.over_share = admission.over_share;
   capture::Note note;
   if (recorder_ != nullptr) note.id = job.id;
@@ -41,26 +41,26 @@
   r.job = std::move(job);
   r.client = client;
   r.guard = guard;
-  r.due = e.due;
-  ++open_;
-  deadlines_.insert({r.due, ticket});
+  r.deadline = e.due;
+  ++open_jobs_;
+  deadlines_.insert({r.deadline, ticket});
   if (admission.refused) {
-    denied_.emplace_back(ticket, admission.retry_after);
-    ArmTurn();
+    over_limit_.emplace_back(ticket, admission.retry_after);
+    ScheduleTurn();
     return ticket;
   }
   Post(e, std::move(note));
   for (const AdoptedAttempt& a : attempts) {
-    dispatch::AttemptAdopted adopted{ticket, IdOf(a.worker), a.sent, a.started, a.was};
+    dispatch::AttemptAdopted adopted{ticket, WorkerIdOf(a.worker), a.sent, a.started, a.was};
     const bool out = a.was == dispatch::AttemptAdopted::Was::kOut;
     r.attempts.push_back({adopted.worker, a.sent, out, true});
     if (out) {
-      ++r.out;
+      ++r.in_flight;
       Attempt& mine = r.attempts.back();
-      mine.heard = Now();  // a whole lease from now on: the worker may have spoken to nobody
+      mine.last_update = Now();  // a whole lease from now on: the worker may have spoken to nobody
       if (r.job.lease > 0)
         leases_.insert(
-            {mine.heard + r.job.lease, {ticket, static_cast<int>(r.attempts.size()) - 1}});
+            {mine.last_update + r.job.lease, {ticket, static_cast<int>(r.attempts.size()) - 1}});
     }
     Post(adopted);
   }
@@ -74,17 +74,17 @@
   Count("abandoned");
   it->second.answered = true;
   it->second.client = nullptr;
-  --open_;
+  --open_jobs_;
   Post(dispatch::RequestLapsed{ticket});
-  Forget(ticket);
+  MaybeRelease(ticket);
 }
 
-void Node::Reply(Ticket ticket, Record& r, const Answer& answer) {
+void Node::AnswerClient(Ticket ticket, Record& r, const Answer& answer) {
   if (!Must(!r.answered, "second_answer")) return;
   r.answered = true;
-  --open_;
-  if (r.job.cls >= 0 && static_cast<std::size_t>(r.job.cls) < tally_.size()) {
-    AnswerCounts& t = tally_[static_cast<std::size_t>(r.job.cls)];
+  --open_jobs_;
+  if (r.job.cls >= 0 && static_cast<std::size_t>(r.job.cls) < answer_counts_.size()) {
+    AnswerCounts& t = answer_counts_[static_cast<std::size_t>(r.job.cls)];
     ++(answer.kind == Answer::Kind::kServed    ? t.success
        : answer.kind == Answer::Kind::kRefused ? t.busy
                                                : t.failure);
@@ -93,17 +93,17 @@
 }
 
 // A record goes when it is answered and none of its attempts is out.
-void Node::Forget(Ticket ticket) {
+void Node::MaybeRelease(Ticket ticket) {
   const auto it = records_.find(ticket);
   if (it == records_.end() || !it->second.answered) return;
   Record& r = it->second;
-  if (r.out > 0) {
+  if (r.in_flight > 0) {
     r.job.body = std::string();  // large, and of no more use
     return;
   }
-  deadlines_.erase({r.due, ticket});
-  deadlines_.erase({r.due + kAnswerGrace, ticket});
-  by_id_.erase(r.job.id);
+  deadlines_.erase({r.deadline, ticket});
+  deadlines_.erase({r.deadline + kAnswerGrace, ticket});
+  tickets_by_job_id_.erase(r.job.id);
   records_.erase(it);
 }
 
--- a/src/node/engine/node_workers.cpp
+++ b/src/node/engine/node_workers.cpp
@@ -6,9 +6,10 @@
 
 namespace pearreach {
 
-dispatch::WorkerId Node::IdOf(const std::string& name) {
-  const auto [it, fresh] = ids_.try_emplace(name, static_cast<dispatch::WorkerId>(names_.size()));
-  if (fresh) names_.push_back(name), started_ms_.push_back(0);
+dispatch::WorkerId Node::WorkerIdOf(const std::string& name) {
+  const auto [it, fresh] =
+      worker_ids_.try_emplace(name, static_cast<dispatch::WorkerId>(worker_names_.size()));
+  if (fresh) worker_names_.push_back(name), process_started_ms_.push_back(0);
   return it->second;
 }
 
@@ -16,10 +17,10 @@
   dispatch::WorkerList news;
   news.form =
       list.full ? dispatch::WorkerList::Form::kComplete : dispatch::WorkerList::Form::kChanges;
-  if (list.full) hosts_.clear();
+  if (list.full) listed_workers_.clear();
   for (const ServerEntry& s : list.servers) {
     dispatch::WorkerEntry e;
-    e.worker = IdOf(s.id);
+    e.worker = WorkerIdOf(s.id);
     e.identity = dispatch::HashName(s.id);
     e.zone = dispatch::IndexOf(site_.zones, s.zone);
     e.kind = dispatch::IndexOf(site_.kinds, s.kind);
@@ -33,16 +34,16 @@
       workers_.Remove(e.worker);
     else
       workers_.SetAddress(e.worker, s.address);
-    started_ms_[e.worker] = s.started_ms;
-    if (witness_ != nullptr && s.health == dispatch::Health::kGone) witness_->OnGone(s.id);
-    if (witness_ != nullptr && s.health != dispatch::Health::kGone)
-      witness_->OnListed(
+    process_started_ms_[e.worker] = s.started_ms;
+    if (observer_ != nullptr && s.health == dispatch::Health::kGone) observer_->OnGone(s.id);
+    if (observer_ != nullptr && s.health != dispatch::Health::kGone)
+      observer_->OnListed(
           s.id, {e.zone, e.kind, e.weight, s.started_ms, s.health == dispatch::Health::kInService});
     if (s.health == dispatch::Health::kGone) {
-      hosts_.erase(e.worker);
+      listed_workers_.erase(e.worker);
     } else {
-      hosts_[e.worker] = e;
-      if (Barred(s.id)) e.health = dispatch::Health::kDraining;
+      listed_workers_[e.worker] = e;
+      if (IsDrained(s.id)) e.health = dispatch::Health::kDraining;
     }
     news.entries.push_back(e);
   }
@@ -51,13 +52,13 @@
   capture::Note note;
   note.version = list.version;
   Post(std::move(news), std::move(note));
-  if (recall_) HandRecall(list);
-  if (first_list_) std::exchange(first_list_, nullptr)();
+  if (restored_knowledge_) PostRestoredKnowledge(list);
+  if (on_first_listing_) std::exchange(on_first_listing_, nullptr)();
 }
 
 bool Node::Ban(const std::string& id) {
-  const auto it = ids_.find(id);
-  if (it == ids_.end()) return false;
+  const auto it = worker_ids_.find(id);
+  if (it == worker_ids_.end()) return false;
   if (banned_.insert(id).second) {
     Count("bans");
     PostHealth(it->second);
@@ -66,9 +67,9 @@
 }
 
 bool Node::Unban(const std::string& id) {
-  const auto it = ids_.find(id);
-  if (it == ids_.end() && !banned_.contains(id)) return false;
-  if (banned_.erase(id) > 0 && it != ids_.end()) {
+  const auto it = worker_ids_.find(id);
+  if (it == worker_ids_.end() && !banned_.contains(id)) return false;
+  if (banned_.erase(id) > 0 && it != worker_ids_.end()) {
     Count("bans_ended");
     PostHealth(it->second);
   }
@@ -76,8 +77,9 @@
 }
 
 void Node::SetZoneDrain(const std::string& worker, bool shut) {
-  const auto it = ids_.find(worker);
-  if ((shut ? shut_.insert(worker).second : shut_.erase(worker) > 0) && it != ids_.end())
+  const auto it = worker_ids_.find(worker);
+  if ((shut ? zone_drained_.insert(worker).second : zone_drained_.erase(worker) > 0) &&
+      it != worker_ids_.end())
     PostHealth(it->second);
 }
 
@@ -87,24 +89,24 @@
                                 std::back_inserter(changed));
   banned_ = ids;
   for (const std::string& id : changed)
-    if (const auto it = ids_.find(id); it != ids_.end()) PostHealth(it->second);
+    if (const auto it = worker_ids_.find(id); it != worker_ids_.end()) PostHealth(it->second);
 }
 
 std::size_t Node::hosts_down() const {
   std::size_t down = 0;
-  for (const auto& [worker, entry] : hosts_)
-    down += entry.health != dispatch::Health::kInService || banned_.contains(NameOf(worker));
+  for (const auto& [worker, entry] : listed_workers_)
+    down += entry.health != dispatch::Health::kInService || banned_.contains(WorkerName(worker));
   return down;
 }
 
 // A change of one worker, as the list would tell it; nothing where no list names it now.
 void Node::PostHealth(dispatch::WorkerId worker) {
-  const auto it = hosts_.find(worker);
-  if (it == hosts_.end()) return;
+  const auto it = listed_workers_.find(worker);
+  if (it == listed_workers_.end()) return;
   dispatch::WorkerList news;
   news.form = dispatch::WorkerList::Form::kChanges;
   news.entries.push_back(it->second);
-  if (Barred(NameOf(worker))) news.entries.back().health = dispatch::Health::kDraining;
+  if (IsDrained(WorkerName(worker))) news.entries.back().health = dispatch::Health::kDraining;
   Post(std::move(news));
 }
 
--- a/src/node/engine/workers.h
+++ b/src/node/engine/workers.h
@@ -32,15 +32,15 @@
  public:
   explicit IdleLimit(Micros longest) : longest_(longest) {}
   // What became of a request that was written after so long a rest.
-  void Note(Micros rest, bool broke, Micros now);
-  Micros Get() const { return limit_; }
+  void Record(Micros rest, bool broke, Micros now);
+  Micros current() const { return limit_; }
 
  private:
-  struct Tally {
-    double all = 0, broke = 0;
+  struct Bucket {
+    double total = 0, broken = 0;
   };
-  Micros longest_, limit_ = longest_, halved_ = 0;
-  std::array<Tally, 12> tallies_;  // of rests under 16 ms, under 32 ms, and so on
+  Micros longest_, limit_ = longest_, last_decay_ = 0;
+  std::array<Bucket, 12> buckets_;  // of rests under 16 ms, under 32 ms, and so on
 };
 
 class Workers {
@@ -49,7 +49,7 @@
   // every one that a worker has taken on (202), `rejected` of every one that it finds bad (4xx).
   // None is called from inside Start.
   struct Events {
-    std::function<void(AttemptKey, bool knows_fences)> taken;
+    std::function<void(AttemptKey, bool knows_fences)> accepted;
     std::function<void(AttemptKey)> rejected;
     std::function<void(AttemptKey, dispatch::Outcome, const dispatch::LoadReport&)> ended;
   };
@@ -60,60 +60,60 @@
   void SetAddress(dispatch::WorkerId worker, const std::string& address);
   void Remove(dispatch::WorkerId worker);  // its idle connections go
 
-  void Start(AttemptKey key, dispatch::WorkerId worker, const Job& job, Micros patience);
+  void StartAttempt(AttemptKey key, dispatch::WorkerId worker, const Job& job, Micros patience);
   // Gives an attempt up: before the 202 by closing its connection, after it by DELETE.
-  void GiveUp(AttemptKey key, dispatch::WorkerId worker, const std::string& job_id);
+  void CancelAttempt(AttemptKey key, dispatch::WorkerId worker, const std::string& job_id);
   // News has ended it before its 202: the connection waits for the answer, nobody is told.
-  void Detach(AttemptKey key);
+  void DetachAttempt(AttemptKey key);
 
-  std::size_t links() const { return links_.size(); }
+  std::size_t connections() const { return connections_.size(); }
 
  private:
   enum class State { kConnecting, kWaiting, kIdle };
-  struct Link {
+  struct Connection {
     std::shared_ptr<Stream> stream;
     dispatch::WorkerId worker = 0;
     State state = State::kConnecting;
     AttemptKey key;
-    bool bound = false;   // an attempt's, which is told of its end
-    bool counted = true;  // its request is an attempt's and counted as written whole
+    bool carries_attempt = false;  // an attempt's, which is told of its end
+    bool call_counted = true;      // its request is an attempt's and counted as written whole
     std::string request;
-    Micros expires = 0;  // 0: does not
+    Micros expires_at = 0;  // 0: does not
     Micros idle_since = 0;
-    Micros rest = -1;  // before the request it carries; -1: that is its first
+    Micros idle_time = -1;  // before the request it carries; -1: that is its first
     http::Parser parser{http::Parser::Kind::kResponse};
   };
-  struct Peer {
+  struct Endpoint {
     std::string address;
-    std::vector<Link*> idle;  // the last used at the back
+    std::vector<Connection*> idle;  // the last used at the back
   };
 
   void Send(AttemptKey key, bool bound, dispatch::WorkerId worker, std::string request);
-  bool WriteOn(Link* link);
-  void Written(Link* link);  // its request's last byte has gone out, or was read
-  void OnConnected(Link* link);
-  void OnData(Link* link, std::string_view bytes);
-  void OnClosed(Link* link);
-  void OnMessage(Link* link, const http::Message& message);
-  void MakeIdle(Link* link);
-  void Finish(Link* link, dispatch::Outcome outcome, const dispatch::LoadReport& load);
-  void Destroy(Link* link);
+  bool WriteRequest(Connection* link);
+  void OnRequestWritten(Connection* link);  // its request's last byte has gone out, or was read
+  void OnConnected(Connection* link);
+  void OnData(Connection* link, std::string_view bytes);
+  void OnClosed(Connection* link);
+  void OnMessage(Connection* link, const http::Message& message);
+  void MakeIdle(Connection* link);
+  void Finish(Connection* link, dispatch::Outcome outcome, const dispatch::LoadReport& load);
+  void Destroy(Connection* link);
   bool EvictIdle();
-  void SetExpiry(Link* link, Micros at);
-  void Expire();
+  void SetExpiry(Connection* link, Micros at);
+  void CloseExpired();
   // Tells of an end from the loop, as neither event may come from inside Start.
-  void FinishLater(AttemptKey key, dispatch::Outcome outcome);
+  void DeferEnd(AttemptKey key, dispatch::Outcome outcome);
 
   const dispatch::Site& site_;
-  std::size_t budget_;
-  IdleLimit retire_;  // an idle connection is closed after this
+  std::size_t max_connections_;
+  IdleLimit idle_limit_;  // an idle connection is closed after this
   Events events_;
-  std::map<Link*, std::unique_ptr<Link>> links_;
-  std::map<AttemptKey, Link*> bound_;
-  std::map<dispatch::WorkerId, Peer> peers_;
-  std::set<std::pair<Micros, Link*>> expiries_;
-  std::vector<std::pair<AttemptKey, dispatch::Outcome>> later_;
-  Alarm expiry_, tell_;
+  std::map<Connection*, std::unique_ptr<Connection>> connections_;
+  std::map<AttemptKey, Connection*> by_attempt_;
+  std::map<dispatch::WorkerId, Endpoint> endpoints_;
+  std::set<std::pair<Micros, Connection*>> expiries_;
+  std::vector<std::pair<AttemptKey, dispatch::Outcome>> deferred_ends_;
+  Alarm expiry_alarm_, deferred_alarm_;
 };
 
 }  // namespace pearreach
--- a/src/node/job_state/ledger.cpp
+++ b/src/node/job_state/ledger.cpp
@@ -11,17 +11,17 @@
 using dispatch::Effect;
 
 // It never ran, or can no longer take effect where it does.
-bool Harmless(const Attempt& a) {
+bool CannotTakeEffect(const Attempt& a) {
   return a.execution == ExecutionState::kNeverRan || a.execution == ExecutionState::kFenced;
 }
 
-const Attempt* FirstRisky(const Job& job) {
+const Attempt* FirstPossiblyRun(const Job& job) {
   for (const Attempt& a : job.attempts)
-    if (!Harmless(a)) return &a;
+    if (!CannotTakeEffect(a)) return &a;
   return nullptr;
 }
 
-const Attempt* Out(const Job& job) {
+const Attempt* InFlightAttempt(const Job& job) {
   for (const Attempt& a : job.attempts)
     if (a.execution == ExecutionState::kInFlight) return &a;
   return nullptr;
@@ -30,7 +30,7 @@
 }  // namespace
 
 bool MayRepeat(const Job& job, const ClassSettings& cls, UnixMicros now) {
-  const Attempt* risky = FirstRisky(job);
+  const Attempt* risky = FirstPossiblyRun(job);
   if (risky == nullptr || cls.effect == Effect::kRepeatable) return true;
   // The window runs from the first send that may have run, also while no node was there to count.
   return cls.effect == Effect::kByKey && now >= risky->sent && now < risky->sent + cls.key_window;
@@ -39,8 +39,8 @@
 Recovery Recover(const Job& job, const ClassSettings* cls, const Policy& policy, UnixMicros now) {
   using Action = Recovery::Action;
   if (IsEnd(job.state) || job.state == State::kInDoubt) return {Action::kNone, ""};
-  const Attempt* out = Out(job);
-  const bool risky = FirstRisky(job) != nullptr;
+  const Attempt* out = InFlightAttempt(job);
+  const bool risky = FirstPossiblyRun(job) != nullptr;
   if (cls == nullptr) return {Action::kFailUnknownClass, "its class is no more"};
   if (now >= job.due) {
     if (risky && cls->effect == Effect::kOnce)
@@ -91,7 +91,7 @@
   }
   // One worker's word settles its own attempt; another that may have run leaves the doubt.
   for (const Attempt& a : job.attempts)
-    if (&a != &*it && !Harmless(a)) return {};
+    if (&a != &*it && !CannotTakeEffect(a)) return {};
   r.resolves = true;
   r.state = word == WorkerReport::kReturned ? State::kRefused : State::kFailed;
   return r;
@@ -100,7 +100,7 @@
 bool MayFence(const Job& job) {
   if (job.state != State::kInDoubt) return false;
   return std::all_of(job.attempts.begin(), job.attempts.end(),
-                     [](const Attempt& a) { return Harmless(a) || a.knows_fences; });
+                     [](const Attempt& a) { return CannotTakeEffect(a) || a.knows_fences; });
 }
 
 std::uint64_t NextFence(const Job& job) {
@@ -124,31 +124,32 @@
 }
 
 Pacer::Pacer(const Policy& policy)
-    : first_(std::max(1, policy.initial_backlog_window)),
-      most_(std::max(policy.max_in_flight, first_)),
-      window_(first_),
-      most_bytes_(policy.max_in_flight_bytes) {}
+    : min_window_(std::max(1, policy.initial_backlog_window)),
+      max_window_(std::max(policy.max_in_flight, min_window_)),
+      window_(min_window_),
+      max_bytes_(policy.max_in_flight_bytes) {}
 
 bool Pacer::RoomForNew(std::size_t bytes) const {
-  return new_ < most_ && (new_ == 0 || bytes_ + bytes <= most_bytes_);
+  return new_in_flight_ < max_window_ && (new_in_flight_ == 0 || bytes_ + bytes <= max_bytes_);
 }
 
 int Pacer::RoomForBacklog() const {
   // Large bodies in hand leave room for one at a time, never for none.
-  const int window = bytes_ <= most_bytes_ ? window_ : 1;
-  return std::max(0, window - backlog_);
+  const int window = bytes_ <= max_bytes_ ? window_ : 1;
+  return std::max(0, window - backlog_in_flight_);
 }
 
 void Pacer::OnHandedOver(bool backlog, std::size_t bytes) {
-  ++(backlog ? backlog_ : new_);
+  ++(backlog ? backlog_in_flight_ : new_in_flight_);
   bytes_ += bytes;
 }
 
 void Pacer::OnFinished(bool backlog, std::size_t bytes, Result end) {
-  --(backlog ? backlog_ : new_);
+  --(backlog ? backlog_in_flight_ : new_in_flight_);
   bytes_ -= bytes;
   if (!backlog || end == Result::kOther) return;
-  window_ = end == Result::kServed ? std::min(window_ + 1, most_) : std::max(first_, window_ / 2);
+  window_ = end == Result::kServed ? std::min(window_ + 1, max_window_)
+                                   : std::max(min_window_, window_ / 2);
 }
 
 std::string MakeJobId(std::uint64_t seq, std::uint64_t chance) {
--- a/src/node/job_state/ledger.h
+++ b/src/node/job_state/ledger.h
@@ -83,12 +83,12 @@
   enum class Result { kServed, kRefused, kOther };
   void OnFinished(bool backlog, std::size_t bytes, Result end);
   int window() const { return window_; }
-  int in_flight() const { return new_ + backlog_; }
+  int in_flight() const { return new_in_flight_ + backlog_in_flight_; }
 
  private:
-  int first_, most_, window_;
-  std::size_t most_bytes_, bytes_ = 0;
-  int new_ = 0, backlog_ = 0;
+  int min_window_, max_window_, window_;
+  std::size_t max_bytes_, bytes_ = 0;
+  int new_in_flight_ = 0, backlog_in_flight_ = 0;
 };
 
 }  // namespace pearreach::job_state
--- a/tests/node/engine/stories_test.cpp
+++ b/tests/node/engine/stories_test.cpp
@@ -178,13 +178,13 @@
 
 TEST(IdleLimit, IsTheShortestRestAfterWhichMoreBreakAndFades) {
   IdleLimit limit(30 * kSecond);
-  for (int i = 0; i < 300; ++i) limit.Note((i % 60) * kMs, i % 20 == 0, kSecond);
-  for (int i = 0; i < 30; ++i) limit.Note(90 * kMs, false, kSecond);
-  EXPECT_EQ(limit.Get(), 30 * kSecond) << "one of twenty breaks whatever its rest";
-  for (int i = 0; i < 20; ++i) limit.Note((150 + 50 * (i % 10)) * kMs, i % 2 == 0, kSecond);
-  EXPECT_EQ(limit.Get(), 128 * kMs);
-  for (int i = 0; i < 100; ++i) limit.Note(kMs, false, (10 + 2 * i) * kSecond);
-  EXPECT_EQ(limit.Get(), 30 * kSecond) << "another try after a while";
+  for (int i = 0; i < 300; ++i) limit.Record((i % 60) * kMs, i % 20 == 0, kSecond);
+  for (int i = 0; i < 30; ++i) limit.Record(90 * kMs, false, kSecond);
+  EXPECT_EQ(limit.current(), 30 * kSecond) << "one of twenty breaks whatever its rest";
+  for (int i = 0; i < 20; ++i) limit.Record((150 + 50 * (i % 10)) * kMs, i % 2 == 0, kSecond);
+  EXPECT_EQ(limit.current(), 128 * kMs);
+  for (int i = 0; i < 100; ++i) limit.Record(kMs, false, (10 + 2 * i) * kSecond);
+  EXPECT_EQ(limit.current(), 30 * kSecond) << "another try after a while";
 }
 
 // A worker closes idle connections; a job written to one would end as a reset and be lost.
@@ -494,7 +494,8 @@
   ninth.SendJob("over");
   EXPECT_EQ(ninth.Status(), 503);
   EXPECT_FALSE(ninth.answers[0].keep_alive);
-  for (int i = 0; i < 8; ++i) callers[static_cast<std::size_t>(i)]->SendJob("j" + std::to_string(i));
+  for (int i = 0; i < 8; ++i)
+    callers[static_cast<std::size_t>(i)]->SendJob("j" + std::to_string(i));
   RunUntil([&] { return rig.node.records() == 8; });
   EXPECT_EQ(rig.node.records(), 8u);
   callers.clear();
