--- a/src/tier/batch/item_request.cpp
+++ b/src/tier/batch/item_request.cpp
@@ -52,7 +52,7 @@
   spec.method = "POST";
   spec.headers = MakeHeaders(leased, route, has_tenants);
   const std::string_view counts = FindHeader(leased.item, proxy::kTokenCountHeader);
-  spec.tokens = counts.empty() ? leased.item.tokens : proxy::TokenCount(counts);
+  spec.total_tokens = counts.empty() ? leased.item.tokens : proxy::TokenCount(counts);
   const proxy::PromptShape prompt =
       proxy::ReadPromptShape(FindHeader(leased.item, proxy::kModelHeader),
                              FindHeader(leased.item, proxy::kPromptPrefixHeader));
@@ -62,7 +62,7 @@
   spec.target = std::move(leased.item.path);
   spec.body = std::move(leased.item.body);
   spec.attempt_id = std::move(leased.item.item_id);
-  spec.due = Now() + time;
+  spec.deadline = Now() + time;
   const Micros target_ms = time / kMs;
   spec.target_ms = static_cast<double>(target_ms);
   spec.gap_target_ms = route.gap_target_ms;
--- a/src/tier/gateway/authentication.cpp
+++ b/src/tier/gateway/authentication.cpp
@@ -34,10 +34,10 @@
   const routing::Tenant* tenant = routes.FindTenantByKey(ApiKeyOf(request));
   // A public route asks for no key, but credentials that are sent must be a key that is known.
   const bool is_public = route != nullptr && route->is_public;
-  const bool needs_key = !is_public || request.Find(kAuthorizationHeader) != nullptr;
-  return {.authenticated = true,
-          .needs_key = needs_key,
-          .known = tenant != nullptr || !needs_key,
+  const bool requires_key = !is_public || request.Find(kAuthorizationHeader) != nullptr;
+  return {.tenants_configured = true,
+          .requires_key = requires_key,
+          .is_authorized = tenant != nullptr || !requires_key,
           .tenant = tenant};
 }
 
--- a/src/tier/gateway/authentication.h
+++ b/src/tier/gateway/authentication.h
@@ -14,10 +14,16 @@
 inline constexpr std::string_view kTenantHeader = "X-Tenant";
 
 struct Sender {
-  bool authenticated = false;               // the configuration has tenants, so keys were looked at
-  bool needs_key = false;                   // and the route is not public, or credentials came
-  bool known = true;                        // false: to be refused with 401
-  const routing::Tenant* tenant = nullptr;  // null: on a public route, or there are no tenants
+  // The configuration has a list of tenants, so the API key was looked up.
+  bool tenants_configured = false;
+  // A valid API key is required: tenants are configured, and either the route is not public or the
+  // request has an Authorization header.
+  bool requires_key = false;
+  // False: the request requires a valid key and has none, so it gets a 401.
+  bool is_authorized = true;
+  // Null: no tenants are configured, the route is public and the request has no credentials, or the
+  // request is not authorized.
+  const routing::Tenant* tenant = nullptr;
 };
 
 // The KEY of `Authorization: Token KEY`; empty: none, or more than one such header. The name of the
--- a/src/tier/gateway/gateway.cpp
+++ b/src/tier/gateway/gateway.cpp
@@ -175,12 +175,12 @@
 }
 
 bool Gateway::RefuseSender(const Sender& sender, http_server::Exchange* exchange) {
-  if (sender.needs_key && !control_->IsConfigurationConfirmed()) {
+  if (sender.requires_key && !control_->IsConfigurationConfirmed()) {
     ++context_.outcomes->not_confirmed;
     Refuse(exchange, kUnavailable);
     return true;
   }
-  if (sender.known) return false;
+  if (sender.is_authorized) return false;
   RefuseUnauthorized(exchange);
   return true;
 }
--- a/src/tier/gateway/live_request.cpp
+++ b/src/tier/gateway/live_request.cpp
@@ -22,7 +22,7 @@
 void LiveRequest::Start(proxy::RequestSpec spec) {
   attempt_id_ = spec.attempt_id;
   streamed_ = spec.streamed;
-  const Micros due = spec.due;
+  const Micros due = spec.deadline;
   const std::weak_ptr<LiveRequest> weak = weak_from_this();
   exchange_->OnClosed([weak] {
     if (const auto self = weak.lock()) self->OnClientGone();
--- a/src/tier/gateway/request_builder.cpp
+++ b/src/tier/gateway/request_builder.cpp
@@ -62,7 +62,7 @@
 }
 
 std::vector<http::Header> HeadersFor(const Sender& sender, std::vector<http::Header>* headers) {
-  if (!sender.authenticated) return RequestHeaders(headers, Authentication::kNone);
+  if (!sender.tenants_configured) return RequestHeaders(headers, Authentication::kNone);
   std::vector<http::Header> kept = RequestHeaders(headers, Authentication::kBySystem);
   if (sender.tenant != nullptr) kept.push_back({std::string(kTenantHeader), sender.tenant->name});
   return kept;
@@ -75,7 +75,7 @@
   proxy::RequestSpec spec;
   spec.attempt_id = ValueOf(*request, "X-Attempt-Id");
   spec.service = routing::RouteTable::Pick(route, PointOf(spec.attempt_id)).service;
-  spec.due = arrived + static_cast<Micros>(AllowedMs(route, *request) * kMs);
+  spec.deadline = arrived + static_cast<Micros>(AllowedMs(route, *request) * kMs);
   spec.target_ms = route.target_ms;
   spec.gap_target_ms = route.gap_target_ms;
   spec.rank = RankOf(route, sender);
@@ -89,7 +89,7 @@
   spec.prefix_key = prompt.key;
   spec.shared_tokens = prompt.shared_tokens;
   spec.own_tokens = prompt.own_tokens;
-  spec.tokens = proxy::TokenCount(ValueOf(*request, proxy::kTokenCountHeader));
+  spec.total_tokens = proxy::TokenCount(ValueOf(*request, proxy::kTokenCountHeader));
   spec.method = request->method;
   spec.target = std::move(request->target);
   spec.headers = HeadersFor(sender, &request->headers);
--- a/src/tier/proxy/active_request.cpp
+++ b/src/tier/proxy/active_request.cpp
@@ -40,7 +40,7 @@
       timers_(timers),
       pool_(pool),
       host_(host),
-      has_due_(spec_.due != 0),
+      has_due_(spec_.deadline != 0),
       admission_(id, &spec_, timers, pool, host,
                  [this] {
                    const auto self = shared_from_this();
@@ -48,7 +48,7 @@
                  }),
       retries_(spec_.attempts, spec_.idempotent, spec_.resumable),
       last_event_id_(spec_.last_event_id) {
-  if (!has_due_) spec_.due = Now() + kUnbounded;
+  if (!has_due_) spec_.deadline = Now() + kUnbounded;
 }
 
 ActiveRequest::~ActiveRequest() { Cancel(); }
@@ -83,7 +83,7 @@
   placement.traffic_class.bulk = spec_.bulk;
   const Micros now = Now();
   const Micros placement_deadline = admission_.PlacementDeadline(now, retries_.runs() > 0);
-  placement.due = spec_.due;
+  placement.due = spec_.deadline;
   placement.preferred = PreferredWorkers();
   placed_ = false;
   placement_ = pool_->dispatcher.Enqueue(placement, this);
@@ -175,7 +175,7 @@
   events_.Clear();
   SendDetails details;
   details.worker_id = chosen.record.worker_id;
-  details.left = has_due_ ? spec_.due - sent_ : 0;
+  details.left = has_due_ ? spec_.deadline - sent_ : 0;
   details.last_event_id = last_event_id_;
   AttemptRequest request;
   request.head = WriteWorkerHead(spec_, details, body_->size());
@@ -274,7 +274,8 @@
   }
   if (head.status == 400) return Outcome::kMoot;
   const double worker_tokens = host_->WorkerTokens(spec_.service);
-  const bool too_large = worker_tokens > 0 && spec_.tokens > kLargeRequestFraction * worker_tokens;
+  const bool too_large =
+      worker_tokens > 0 && spec_.total_tokens > kLargeRequestFraction * worker_tokens;
   const bool overdue = TimeLeft() <= kMinTimeLeft;
   return overdue || too_large ? Outcome::kMoot : Outcome::kFull;
 }
@@ -300,7 +301,7 @@
     result.end = RequestEnd::kNotRun;
     result.retry_after = retry_after_ > 0 ? retry_after_ : kDefaultRetryAfter;
   } else {
-    result.end = Now() >= spec_.due ? RequestEnd::kTimeout : RequestEnd::kFailed;
+    result.end = Now() >= spec_.deadline ? RequestEnd::kTimeout : RequestEnd::kFailed;
   }
   End(result);
 }
@@ -326,7 +327,7 @@
 Micros ActiveRequest::ResponseTimeLimit() const {
   if (spec_.streamed) return NextEventTimeout(spec_, last_event_at_ != 0);
   const bool learned = host_->policy().learn_silence;
-  return PlainResponseTimeout(spec_, spec_.due - sent_,
+  return PlainResponseTimeout(spec_, spec_.deadline - sent_,
                               learned ? &pool_->response_timeout : nullptr);
 }
 
@@ -352,7 +353,7 @@
   const bool learned = !spec_.streamed && host_->policy().learn_silence;
   // Another worker takes about as long as this one has been given.
   const Micros needed = learned ? ResponseTimeLimit() : FromMs(spec_.target_ms);
-  if (now + needed >= spec_.due) return;
+  if (now + needed >= spec_.deadline) return;
   if (attempt_ == nullptr || (!spec_.streamed && attempt_->response_begun())) return;
   if (learned && !pool_->response_timeout.TakeRetry()) return ArmTimeout(kRetryBudgetCheckPeriod);
   if (attempt_->written()) retries_.OnMayHaveRun();
--- a/src/tier/proxy/active_request.h
+++ b/src/tier/proxy/active_request.h
@@ -74,7 +74,7 @@
   void OnAnswer(AttemptResult result);
   void OnStreamComplete();
   dispatch::Outcome NotRunOutcome(const ResponseHead& head);
-  Micros TimeLeft() const { return spec_.due - Now(); }
+  Micros TimeLeft() const { return spec_.deadline - Now(); }
   void RetryAfterNotRun();
   void RetryAfterRun();
   void ForwardResponse(ResponseHead head, const std::string& body);
--- a/src/tier/proxy/request.h
+++ b/src/tier/proxy/request.h
@@ -20,22 +20,24 @@
   std::string method, target;         // as the worker gets them
   std::vector<http::Header> headers;  // end-to-end ones, X-Attempt-Id and Host among them
   std::string body;
-  std::string attempt_id;    // X-Attempt-Id
-  Micros due = 0;            // on Now()'s clock: when the client gives up or the route's limit ends
-  double target_ms = 0;      // objective for the first byte, from `due`'s start
-  double gap_target_ms = 0;  // streamed: longest pause between events that keeps it in time
-  int rank = 0;              // 0 is the most urgent
-  int attempts = 1;          // most workers that it may be sent to
-  bool idempotent = false;   // may run more than once
-  bool streamed = false;     // text/event-stream with rising ids
-  bool resumable = false;    // streamed and may go on at another worker with Last-Event-Id
-  bool bulk = false;         // an item of a batch job: yields to live requests
-  bool stop_on_500 = false;  // a 500 of a worker ends the request: no further worker gets it
+  std::string attempt_id;  // X-Attempt-Id
+  // On the clock of Now(): the client's deadline or the end of the route's limit, the earlier of
+  // the two. 0: no deadline.
+  Micros deadline = 0;
+  double target_ms = 0;             // latency target for the first byte
+  double gap_target_ms = 0;         // streamed: longest pause between events that keeps it in time
+  int rank = 0;                     // 0 is the most urgent
+  int attempts = 1;                 // most workers that it may be sent to
+  bool idempotent = false;          // may run more than once
+  bool streamed = false;            // text/event-stream with rising ids
+  bool resumable = false;           // streamed and may go on at another worker with Last-Event-Id
+  bool bulk = false;                // an item of a batch job: yields to live requests
+  bool stop_on_500 = false;         // a 500 of a worker ends the request: no further worker gets it
   std::uint64_t last_event_id = 0;  // of the request; 0: from the start
   std::uint64_t prefix_key = 0;     // of the shared parts of its prompt (PromptShape); 0: none
   double shared_tokens = 0;         // of these parts
   double own_tokens = 0;            // of its prompt, shared with nobody
-  double tokens = 0;                // of the prompt and most out
+  double total_tokens = 0;          // prompt tokens plus the maximum of output tokens
 };
 
 enum class RequestEnd {
--- a/src/tier/proxy/request_admission.cpp
+++ b/src/tier/proxy/request_admission.cpp
@@ -80,8 +80,8 @@
 }
 
 Micros RequestAdmission::PlacementDeadline(Micros now, bool may_have_run) const {
-  if (spec_->bulk) return std::min(spec_->due, now + kBulkQueueTime);
-  if (may_have_run) return std::min(spec_->due, now + kRetryQueueTime);
+  if (spec_->bulk) return std::min(spec_->deadline, now + kBulkQueueTime);
+  if (may_have_run) return std::min(spec_->deadline, now + kRetryQueueTime);
   const double fraction =
       pool_->dispatcher.limit_grows() ? kGrowingQueueTargetFraction : kQueueTargetFraction;
   const auto target = static_cast<Micros>(fraction * spec_->target_ms * static_cast<double>(kMs));
@@ -89,7 +89,7 @@
   // After a start of all nodes no other one knows more workers than this one: waiting serves the
   // client better than a refusal, which would be its last.
   const Micros learned = host_->WarmUpDeadline(now);
-  return std::min(spec_->due, std::max({started_ + hold, now + kMinQueueTime, learned}));
+  return std::min(spec_->deadline, std::max({started_ + hold, now + kMinQueueTime, learned}));
 }
 
 }  // namespace pearreach::proxy
--- a/src/tier/proxy/request_runner.cpp
+++ b/src/tier/proxy/request_runner.cpp
@@ -76,7 +76,7 @@
       source_(workers),
       control_(control),
       options_(std::move(options)),
-      fleet_start_(control, options_.node_name, Now(), options_.learn_time),
+      fleet_start_(control, options_.node_name, Now(), options_.worker_discovery_time),
       table_(workers->Workers()) {
   const std::weak_ptr<bool> alive = alive_;
   source_->OnChange([this, alive] {
@@ -143,7 +143,7 @@
   const int ahead = kBulkAhead * pool.bulk_gate.allowance() - held;
   const bool idle = out + held == 0;
   // Guards a start: a node that does not know the others yet takes all slots for its own part.
-  if (Now() < started_ + options_.settle) return idle ? 1 : 0;
+  if (Now() < started_ + options_.membership_settle_time) return idle ? 1 : 0;
   const int capacity = std::min(static_cast<int>(std::floor(usable)) - out - held, ahead);
   return std::max(capacity, idle ? 1 : 0);
 }
--- a/src/tier/proxy/request_runner.h
+++ b/src/tier/proxy/request_runner.h
@@ -18,9 +18,11 @@
   std::string node_name;   // as membership names this node
   std::string zone;        // its zone
   std::uint64_t seed = 1;  // of the decision module's choices
-  // So long after its start a node may not know the others yet: it runs items one by one.
-  Micros settle = kSecond;
-  Micros learn_time = 0;  // in which all workers call after a start of all nodes (FleetWarmUp)
+  // For this long after its start a node may not have discovered the other nodes, so it runs batch
+  // items one at a time.
+  Micros membership_settle_time = kSecond;
+  // Time within which all workers have sent a heartbeat after all nodes restart (FleetWarmUp).
+  Micros worker_discovery_time = 0;
   settings::PolicyOptions policy{};
 };
 
--- a/src/tier/server/node.cpp
+++ b/src/tier/server/node.cpp
@@ -72,7 +72,7 @@
 
 // Nullopt: the configuration has no tenants; empty: the route is public and no key was sent.
 std::optional<std::string> TenantOf(const gateway::Sender& sender) {
-  if (!sender.authenticated) return std::nullopt;
+  if (!sender.tenants_configured) return std::nullopt;
   return sender.tenant == nullptr ? std::string() : sender.tenant->name;
 }
 
@@ -199,7 +199,7 @@
   options.node_name = settings_.node_name;
   options.zone = settings_.zone;
   options.seed = WallMilliseconds() ^ std::hash<std::string>()(settings_.node_name);
-  options.learn_time = static_cast<Micros>(kLearnBeats * settings_.beat_ms * kMs);
+  options.worker_discovery_time = static_cast<Micros>(kLearnBeats * settings_.beat_ms * kMs);
   options.policy = settings_.policy;
   runner_ = proxy::MakeRequestRunner(&timers_, registry_.get(), control_.get(), options);
   grant_client_ =
--- a/tests/tier/batch/edge_item_worker_test.cpp
+++ b/tests/tier/batch/edge_item_worker_test.cpp
@@ -186,7 +186,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("/b/1"), spec.target);
     CPPUNIT_ASSERT_EQUAL(std::string("i1"), spec.attempt_id);
     CPPUNIT_ASSERT_EQUAL(std::string("body"), spec.body);
-    CPPUNIT_ASSERT_EQUAL(940.0, spec.tokens);
+    CPPUNIT_ASSERT_EQUAL(940.0, spec.total_tokens);
     CPPUNIT_ASSERT_EQUAL(2, spec.rank);
     CPPUNIT_ASSERT(spec.bulk && spec.idempotent && spec.streamed && spec.resumable);
     CPPUNIT_ASSERT(spec.stop_on_500);
--- a/tests/tier/gateway/request_builder_test.cpp
+++ b/tests/tier/gateway/request_builder_test.cpp
@@ -69,7 +69,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("Host X-Attempt-Id Last-Event-Id X-Token-Count "),
                          NamesOf(spec.headers));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, spec.last_event_id);
-    CPPUNIT_ASSERT_EQUAL(1540.0, spec.tokens);
+    CPPUNIT_ASSERT_EQUAL(1540.0, spec.total_tokens);
     CPPUNIT_ASSERT(!spec.bulk);
   }
 
@@ -113,7 +113,7 @@
       if (*c.deadline != 0) request.headers.push_back({"X-Deadline-Ms", c.deadline});
       const proxy::RequestSpec spec =
           BuildRequestSpec(StreamedRoute(), Sender(), &request, kArrived);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(c.deadline, kArrived + c.left, spec.due);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(c.deadline, kArrived + c.left, spec.deadline);
     }
   }
 
--- a/tests/tier/proxy/forwarding_faults_test.cpp
+++ b/tests/tier/proxy/forwarding_faults_test.cpp
@@ -159,7 +159,7 @@
   spec.target = "/p/" + id;
   spec.body = FaultyWorkers::RequestBodyOf(id) + std::string(padding, 'x');
   spec.attempt_id = id;
-  spec.due = Now() + kSecond;
+  spec.deadline = Now() + kSecond;
   return spec;
 }
 
--- a/tests/tier/proxy/proxy_rig.h
+++ b/tests/tier/proxy/proxy_rig.h
@@ -306,7 +306,7 @@
   spec.headers = {{"Host", "h.example"}, {"X-Attempt-Id", id}};
   spec.body = "hello";
   spec.attempt_id = id;
-  spec.due = Now() + 5 * kSecond;
+  spec.deadline = Now() + 5 * kSecond;
   spec.target_ms = 200;
   return spec;
 }
--- a/tests/tier/proxy/request_runner_test.cpp
+++ b/tests/tier/proxy/request_runner_test.cpp
@@ -197,7 +197,7 @@
     Rig rig;
     rig.Add({Good("ok")});
     RequestSpec spec = PlainJob();
-    spec.due = Now() + kMs;
+    spec.deadline = Now() + kMs;
     const auto sink = rig.Run(spec);
     CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kNotRun), NameOf(sink->result.end));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, rig.Calls());
@@ -222,7 +222,7 @@
     Rig rig;
     ScriptedWorker& worker = rig.Add({Silence()});
     RequestSpec spec = RepeatableJob();
-    spec.due = Now() + 100 * kMs;
+    spec.deadline = Now() + 100 * kMs;
     const auto sink = rig.Run(spec);
     CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kTimeout), NameOf(sink->result.end));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, rig.Calls());
--- a/tests/tier/proxy/stream_test.cpp
+++ b/tests/tier/proxy/stream_test.cpp
@@ -215,7 +215,7 @@
     Rig rig;
     rig.Add({Events(1, 2, After::kSilence)});
     RequestSpec spec = StreamJob(true);
-    spec.due = Now() + 100 * kMs;
+    spec.deadline = Now() + 100 * kMs;
     const auto sink = rig.Run(spec);
     CPPUNIT_ASSERT(sink->result.end == RequestEnd::kBroken);
     CPPUNIT_ASSERT_EQUAL(EventRun(1, 2), sink->body);
