--- a/src/dispatch/policy/checkpoint.cpp
+++ b/src/dispatch/policy/checkpoint.cpp
@@ -31,45 +31,69 @@
 
 }  // namespace
 
-// One list of fields a record. A field that is missing here, or too many, does not compile: the
-// names bind all members of a record, in their order.
-#define PEARREACH_FIELDS(Type, ...)                                   \
-  template <class Visit>                                              \
-  static void Each(Type& record, Visit& visit) {                      \
-    auto& [__VA_ARGS__] = record;                                     \
-    visit(__VA_ARGS__);                                               \
-  }                                                                   \
-  static void Describe(const Type*, std::string* to) {                \
-    *to += #Type "{" #__VA_ARGS__ "}" + std::to_string(sizeof(Type)); \
+// Lists the fields of one record: `names` is the text that Layout() hashes, the remaining arguments
+// are the members in the order of their declaration. A member that is missing or superfluous does
+// not compile, because the structured binding needs all of them.
+//
+// `names` stays as it is when a record or a member is renamed: captures and checkpoints carry the
+// hash, and with another hash they can no longer be read. It changes only with the stored bytes.
+#define PEARREACH_FIELDS(Type, names, ...)             \
+  template <class Visit>                               \
+  static void Each(Type& record, Visit& visit) {       \
+    auto& [__VA_ARGS__] = record;                      \
+    visit(__VA_ARGS__);                                \
+  }                                                    \
+  static void Describe(const Type*, std::string* to) { \
+    *to += names + std::to_string(sizeof(Type));       \
   }
 
 struct Checkpoint::Fields {
-  PEARREACH_FIELDS(FadingSum, sum, at)
-  PEARREACH_FIELDS(WindowSum, parts)
-  PEARREACH_FIELDS(Ref, slot, generation)
-  PEARREACH_FIELDS(Due, at, ref)
-  PEARREACH_FIELDS(Member, identity, id)
-  PEARREACH_FIELDS(MeanGap, mean, last)
-  PEARREACH_FIELDS(KeySums, sums, all)
-  PEARREACH_FIELDS(Bucket, left, cap, per_second, at)
-  PEARREACH_FIELDS(ClassState, work, asked, good, weight)
-  PEARREACH_FIELDS(Queue, passed, jobs)
-  PEARREACH_FIELDS(Attempt, worker, sent, started, ran, taken, given_up, late, written_off, zone,
-                   cell)
-  PEARREACH_FIELDS(Request, id, generation, live, held, late, ended, over_share, cls, slots,
-                   arrived, due, hint, key, preferred, attempts, out, asked_at)
-  PEARREACH_FIELDS(WorkerEntry, worker, identity, zone, kind, cell, health, weight, ready_at)
-  PEARREACH_FIELDS(Worker, blocked_until, next_trial, full_until, full_level, busy, slowness,
-                   waiting, idle, failures, silent, member, used, known, recalled, judged, named,
-                   entry, idle_since, probed_at, answered_at, others, taken, part, running, heard,
+  PEARREACH_FIELDS(FadingSum, "FadingSum{sum, at}", sum, at)
+  PEARREACH_FIELDS(WindowSum, "WindowSum{parts}", parts)
+  PEARREACH_FIELDS(Ref, "Ref{slot, generation}", slot, generation)
+  PEARREACH_FIELDS(Due, "Due{at, ref}", at, ref)
+  PEARREACH_FIELDS(Member, "Member{identity, id}", identity, id)
+  PEARREACH_FIELDS(MeanGap, "MeanGap{mean, last}", mean, last)
+  PEARREACH_FIELDS(KeySums, "KeySums{sums, all}", sums, all)
+  PEARREACH_FIELDS(Bucket, "Bucket{left, cap, per_second, at}", left, cap, per_second, at)
+  PEARREACH_FIELDS(ClassState, "ClassState{work, asked, good, weight}", work, asked, good, weight)
+  PEARREACH_FIELDS(Queue, "Queue{passed, jobs}", passed, jobs)
+  PEARREACH_FIELDS(
+      Attempt,
+      "Attempt{worker, sent, started, ran, taken, given_up, late, written_off, zone, cell}", worker,
+      sent, started, ran, taken, given_up, late, written_off, zone, cell)
+  PEARREACH_FIELDS(Request,
+                   "Request{id, generation, live, held, late, ended, over_share, cls, slots, "
+                   "arrived, due, hint, key, preferred, attempts, out, asked_at}",
+                   id, generation, live, held, late, ended, over_share, cls, slots, arrived, due,
+                   hint, key, preferred, attempts, out, asked_at)
+  PEARREACH_FIELDS(WorkerEntry,
+                   "WorkerEntry{worker, identity, zone, kind, cell, health, weight, ready_at}",
+                   worker, identity, zone, kind, cell, health, weight, ready_at)
+  PEARREACH_FIELDS(Worker,
+                   "Worker{blocked_until, next_trial, full_until, full_level, busy, slowness, "
+                   "waiting, idle, failures, silent, member, used, known, recalled, judged, named, "
+                   "entry, idle_since, probed_at, answered_at, others, taken, part, running, "
+                   "heard, full_wait, trial_wait, died_at, cold_part, cold_sends, out}",
+                   blocked_until, next_trial, full_until, full_level, busy, slowness, waiting, idle,
+                   failures, silent, member, used, known, recalled, judged, named, entry,
+                   idle_since, probed_at, answered_at, others, taken, part, running, heard,
                    full_wait, trial_wait, died_at, cold_part, cold_sends, out)
-  PEARREACH_FIELDS(Pool, members, local, home, used, changed, limit, busy, found, price, refusals,
+  PEARREACH_FIELDS(Pool,
+                   "Pool{members, local, home, used, changed, limit, busy, found, price, refusals, "
+                   "last_refusal, last_cut, wanted, shut_until, shut_slots, ran, worked, slowdown, "
+                   "told, slots_seen, tell, repeats}",
+                   members, local, home, used, changed, limit, busy, found, price, refusals,
                    last_refusal, last_cut, wanted, shut_until, shut_slots, ran, worked, slowdown,
                    told, slots_seen, tell, repeats)
   // The index is made again from the slab: it is only looked up, never walked.
-  PEARREACH_FIELDS(RequestTable, slab, free, index)
-  PEARREACH_FIELDS(State, random, now, table, workers, pools, classes, queues, due, looks, lists,
-                   keys, quota, gap, subscribe_at, subscribe_wait, next_check, armed, logged,
+  PEARREACH_FIELDS(RequestTable, "RequestTable{slab, free, index}", slab, free, index)
+  PEARREACH_FIELDS(State,
+                   "State{random, now, table, workers, pools, classes, queues, due, looks, lists, "
+                   "keys, quota, gap, subscribe_at, subscribe_wait, next_check, armed, logged, "
+                   "largest_weight, held, refused}",
+                   random, now, table, workers, pools, classes, queues, due, looks, lists, keys,
+                   quota, gap, subscribe_at, subscribe_wait, next_check, armed, logged,
                    largest_weight, held, refused)
 
   class Saver {
