--- a/bench/capture_costs.cpp
+++ b/bench/capture_costs.cpp
@@ -43,7 +43,7 @@
     events.clear();
     for (const auto& a : actions)
       if (const auto* send = std::get_if<dispatch::Send>(&a)) {
-        events.push_back(dispatch::AttemptTaken{send->request, 0, send->worker});
+        events.push_back(dispatch::AttemptAccepted{send->request, 0, send->worker});
         events.push_back(dispatch::AttemptStarted{send->request, 0, send->worker});
       }
   }
--- a/lab/cli/load.cpp
+++ b/lab/cli/load.cpp
@@ -27,11 +27,11 @@
   if (eq == std::string::npos) return c;
   const std::string rest = text.substr(eq + 1);
   const auto parts = dispatch::Split(rest, ':');
-  c.share = dispatch::Number<double>(parts[0], "share");
+  c.share = dispatch::ParseNumber<double>(parts[0], "share");
   if (parts.size() > 1)
-    c.aim = static_cast<Micros>(dispatch::Number<double>(parts[1], "aim") * 1000);
+    c.aim = static_cast<Micros>(dispatch::ParseNumber<double>(parts[1], "aim") * 1000);
   if (parts.size() > 2)
-    c.deadline = static_cast<Micros>(dispatch::Number<double>(parts[2], "deadline") * 1000);
+    c.deadline = static_cast<Micros>(dispatch::ParseNumber<double>(parts[2], "deadline") * 1000);
   if (c.name.empty() || c.share <= 0 || c.aim < 0 || c.deadline <= 0 || parts.size() > 3)
     throw Malformed("a class is NAME=SHARE:AIM_MS:DEADLINE_MS, not " + dispatch::Quote(text));
   return c;
@@ -44,10 +44,10 @@
     throw Malformed("a phase is FACTOR:FROM:LENGTH[:ACCOUNT], not " + dispatch::Quote(text));
   Phase p;
   const auto ramp = dispatch::Split(parts[0], '-');
-  p.factor = dispatch::Number<double>(ramp[0], "factor");
-  p.factor_end = ramp.size() > 1 ? dispatch::Number<double>(ramp[1], "factor") : p.factor;
-  p.from = static_cast<Micros>(dispatch::Number<double>(parts[1], "time") * 1e6);
-  p.until = p.from + static_cast<Micros>(dispatch::Number<double>(parts[2], "length") * 1e6);
+  p.factor = dispatch::ParseNumber<double>(ramp[0], "factor");
+  p.factor_end = ramp.size() > 1 ? dispatch::ParseNumber<double>(ramp[1], "factor") : p.factor;
+  p.from = static_cast<Micros>(dispatch::ParseNumber<double>(parts[1], "time") * 1e6);
+  p.until = p.from + static_cast<Micros>(dispatch::ParseNumber<double>(parts[2], "length") * 1e6);
   if (parts.size() == 4) p.tenant = std::string(parts[3]);
   if (p.factor < 0 || p.factor_end < 0 || p.until <= p.from)
     throw Malformed("a phase out of bounds");
--- a/lab/experiment/settings.cpp
+++ b/lab/experiment/settings.cpp
@@ -17,7 +17,7 @@
 template <typename T>
 void Take(const xmlNode* node, const char* attribute, double unit, T* to) {
   const std::string text = Text(node, attribute);
-  if (!text.empty()) *to = static_cast<T>(dispatch::Number<double>(text, attribute) * unit);
+  if (!text.empty()) *to = static_cast<T>(dispatch::ParseNumber<double>(text, attribute) * unit);
 }
 void Take(const xmlNode* node, const char* attribute, std::string* to) {
   if (std::string text = Text(node, attribute); !text.empty()) *to = std::move(text);
@@ -250,10 +250,10 @@
     throw Malformed("a trouble is WHAT:PART:FROM:LENGTH[:FACTOR], not " + dispatch::Quote(text));
   Trouble t;
   t.what = ReadWhat(parts[0]);
-  t.part = dispatch::Number<double>(parts[1], "part");
-  t.at = static_cast<Micros>(dispatch::Number<double>(parts[2], "time") * 1e6);
-  t.length = static_cast<Micros>(dispatch::Number<double>(parts[3], "length") * 1e6);
-  if (parts.size() == 5) t.factor = dispatch::Number<double>(parts[4], "factor");
+  t.part = dispatch::ParseNumber<double>(parts[1], "part");
+  t.at = static_cast<Micros>(dispatch::ParseNumber<double>(parts[2], "time") * 1e6);
+  t.length = static_cast<Micros>(dispatch::ParseNumber<double>(parts[3], "length") * 1e6);
+  if (parts.size() == 5) t.factor = dispatch::ParseNumber<double>(parts[4], "factor");
   if (t.part < 0 || t.part > 1 || t.at < 0 || t.length < 0 || t.factor <= 0)
     throw Malformed("a trouble out of its bounds: " + dispatch::Quote(text));
   return t;
--- a/lab/load/schedule.cpp
+++ b/lab/load/schedule.cpp
@@ -62,13 +62,13 @@
   }
   void Take() {
     Arrival a;
-    const double ms = dispatch::Number<double>(Cell("at_ms"), "at_ms");
+    const double ms = dispatch::ParseNumber<double>(Cell("at_ms"), "at_ms");
     if (ms < 0 || ms > 7 * 86400e3) throw Malformed("at_ms out of its bounds");
     a.at = static_cast<Micros>(ms * 1000);
     if (Cell("class").empty()) throw Malformed("no class");
     a.cls = IndexOfNamed(&plan->classes, Cell("class"));
     if (!Cell("account").empty()) a.account = IndexOfNamed(&plan->accounts, Cell("account"));
-    if (!Cell("slots").empty()) a.slots = dispatch::Number<double>(Cell("slots"), "slots");
+    if (!Cell("slots").empty()) a.slots = dispatch::ParseNumber<double>(Cell("slots"), "slots");
     if (a.slots <= 0 || a.slots > 1e6) throw Malformed("slots out of their bounds");
     if (plan->jobs.size() >= kMaxJobs) throw Malformed("more jobs than a plan holds");
     plan->jobs.push_back(a);
@@ -177,9 +177,9 @@
       const auto cls = static_cast<std::size_t>(e->cls);
       a.cls = IndexOfNamed(&plan->classes, site.classes[cls]);
       ClassSpec& spec = plan->classes[static_cast<std::size_t>(a.cls)];
-      spec.aim = site.settings.classes[cls].aim;
+      spec.aim = site.settings.classes[cls].latency_target;
       spec.deadline = site.settings.classes[cls].deadline;
-      spec.worth = site.settings.classes[cls].worth;
+      spec.worth = site.settings.classes[cls].value;
       spec.late = site.settings.classes[cls].late_value;
       if (e->tenant >= 0 && e->tenant < static_cast<int>(site.tenants.size()))
         a.account =
--- a/lab/sim/decider.cpp
+++ b/lab/sim/decider.cpp
@@ -15,14 +15,14 @@
 class Module : public Decider {
  public:
   Module(Settings settings, std::uint64_t seed, Micros now)
-      : dispatcher_((settings.tells_taken = true, settings), seed, now) {}
+      : dispatcher_((settings.reports_accept = true, settings), seed, now) {}
   void Handle(Micros now, std::span<const Event> events, std::vector<Action>* actions) override {
     dispatcher_.Handle(now, events, actions);
   }
   double Limit(int pool) const override { return dispatcher_.PoolLimit(pool); }
   double Busy(int pool) const override { return dispatcher_.PoolBusy(pool); }
   std::size_t Open() const override { return dispatcher_.OpenRequests(); }
-  std::uint64_t Looks() const override { return dispatcher_.Looks(); }
+  std::uint64_t Looks() const override { return dispatcher_.WorkersExamined(); }
   Knowledge Learned(Micros now) const override { return dispatcher_.Learned(now); }
 
  private:
@@ -94,7 +94,7 @@
     due_.insert({e.due - 2000, e.request});
     Send(r);
   }
-  void On(const RequestLapsed& e) {
+  void On(const RequestAbandoned& e) {
     const auto it = requests_.find(e.request);
     if (it == requests_.end()) return;
     it->second.ended = true;
@@ -109,7 +109,7 @@
     if (!t.out) return;
     t.out = false;
     t.never = e.outcome == Outcome::kFull || e.outcome == Outcome::kNoConnection ||
-              e.outcome == Outcome::kMoot;
+              e.outcome == Outcome::kNotSent;
     workers_[t.worker].busy -= r.slots;
     if (e.load.free_slots) workers_[t.worker].free = *e.load.free_slots;
     if (e.settled) r.ended = true;
@@ -122,7 +122,7 @@
     const bool risky =
         std::any_of(r.tries.begin(), r.tries.end(), [](const Try& t) { return !t.never; });
     const bool may = (!risky || effect != Effect::kOnce) &&
-                     static_cast<int>(r.tries.size()) < s_.try_limit && now_ < r.due - 2000;
+                     static_cast<int>(r.tries.size()) < s_.max_attempts && now_ < r.due - 2000;
     const auto to = may ? Choose(r) : std::nullopt;
     if (!to) return Finish(r);
     r.tries.push_back({*to});
--- a/lab/sim/simulation.cpp
+++ b/lab/sim/simulation.cpp
@@ -600,12 +600,12 @@
     for (int n = 0; n < s_.nodes; ++n)
       if (n != static_cast<int>(self)) alive.push_back(n);
     for (const shared_state::Standing& s : shared_->judgements().Look(kUnix + now_, alive)) {
-      dispatch::Judgement j;
+      dispatch::HealthVerdict j;
       j.worker = s.worker;
-      j.out = s.out;
+      j.ejected = s.out;
       j.trial = s.trial;
       j.cold = s.cold;
-      j.at = s.at - kUnix;
+      j.observed_at = s.at - kUnix;
       j.witnesses = s.witnesses;
       Tell(std::move(j));
     }
@@ -693,7 +693,7 @@
     e.due = due - 5'000;
     e.slots = c.slots;
     e.is_repeat = job.tries > 1;
-    if (shared_ != nullptr && job.tenant >= 0) e.over_share = admission.over_share;
+    if (shared_ != nullptr && job.tenant >= 0) e.over_quota = admission.over_share;
     Tell(e);
     Own(due, Kind::kDeadline, id);
   }
@@ -749,7 +749,7 @@
   void Tell(dispatch::Event event) {
     events_.push_back(std::move(event));
     if (std::exchange(turn_set_, true)) return;
-    Own(std::max(now_, last_turn_ + site_.settings.round), Kind::kTurn, life_);
+    Own(std::max(now_, last_turn_ + site_.settings.min_handle_interval), Kind::kTurn, life_);
   }
   void Turn() {
     turn_set_ = false;
@@ -826,7 +826,7 @@
     if (!a.out) return;
     if (shared_ != nullptr && item.kind != Kind::kEnded)
       shared_->judgements().Heard(kUnix + now_, a.worker);
-    if (item.kind == Kind::kTaken) return Tell(dispatch::AttemptTaken{id, number, a.worker});
+    if (item.kind == Kind::kTaken) return Tell(dispatch::AttemptAccepted{id, number, a.worker});
     if (item.kind == Kind::kStarted) return Tell(dispatch::AttemptStarted{id, number, a.worker});
     if (item.kind == Kind::kProgressed)
       return Tell(dispatch::AttemptProgress{id, number, a.worker, 0.5});
--- a/lab/trial/fault.cpp
+++ b/lab/trial/fault.cpp
@@ -21,7 +21,7 @@
 template <typename T>
 void Take(const xmlNode* node, const char* attribute, double unit, T* to) {
   const std::string text = xml::Text(node, attribute);
-  if (!text.empty()) *to = static_cast<T>(dispatch::Number<double>(text, attribute) * unit);
+  if (!text.empty()) *to = static_cast<T>(dispatch::ParseNumber<double>(text, attribute) * unit);
 }
 
 }  // namespace
--- a/lab/world/world.cpp
+++ b/lab/world/world.cpp
@@ -157,7 +157,7 @@
   events_.push_back(std::move(event));
   notes_.push_back(std::move(note));
   if (std::exchange(turn_set_, true)) return;
-  At(std::max(now_, last_turn_ + site_.settings.round), [this] { Turn(); });
+  At(std::max(now_, last_turn_ + site_.settings.min_handle_interval), [this] { Turn(); });
 }
 
 void World::Turn() {
@@ -271,7 +271,8 @@
   w.waiting.push_back(held);
   At(now_ + kWay, [this, held, worker] {
     if (requests_.at(held.job).attempts[static_cast<std::size_t>(held.attempt)].out)
-      Tell(dispatch::AttemptTaken{held.job, held.attempt, static_cast<dispatch::WorkerId>(worker)});
+      Tell(dispatch::AttemptAccepted{held.job, held.attempt,
+                                     static_cast<dispatch::WorkerId>(worker)});
   });
   Begin(worker);
 }
--- a/src/dispatch/policy/attempts.h
+++ b/src/dispatch/policy/attempts.h
@@ -34,7 +34,7 @@
     if (r == nullptr || r->ended) return;
     Worker& w = WorkerAt(e.worker);
     if (!w.known) SetSilent(w, true);  // not on the list: its slots fill no limit
-    const bool out = e.was == AttemptAdopted::Was::kOut;
+    const bool out = e.state == AttemptAdopted::State::kInFlight;
     if (out) Dequeue(*r);
     OpenAttempt(*r, e.worker, std::min(e.sent, now_));
     CheckWithin(kOutPeriod);
@@ -43,10 +43,10 @@
     if (e.started) Start(*r, a);
     if (out) return;
     CloseAttempt(*r, a, static_cast<int>(r->attempts.size()) - 1,
-                 e.was == AttemptAdopted::Was::kNeverRan ? Ran::kNo : Ran::kMaybe);
+                 e.state == AttemptAdopted::State::kNeverRan ? Ran::kNo : Ran::kMaybe);
   }
 
-  void On(const AttemptTaken& e) {
+  void On(const AttemptAccepted& e) {
     if (Request * r; Attempt* a = table_.FindOut(e.request, e.attempt, &r)) a->taken = true;
   }
   void On(const AttemptStarted& e) { Heard(e); }
@@ -63,7 +63,7 @@
     Report(workers_[a->worker], e.load);
     if (e.outcome == Outcome::kGood) Succeed(*r, *a);
     const bool never_ran = e.outcome == Outcome::kFull || e.outcome == Outcome::kNoConnection ||
-                           e.outcome == Outcome::kMoot;
+                           e.outcome == Outcome::kNotSent;
     CloseAttempt(*r, *a, e.attempt, never_ran ? Ran::kNo : Ran::kMaybe);
     WeighOutcome(e.outcome, *a);
     if (r->ended) return Forget(*r);
--- a/src/dispatch/policy/bookkeeping.h
+++ b/src/dispatch/policy/bookkeeping.h
@@ -34,7 +34,7 @@
     pools_.resize(s_.kinds);
     classes_.resize(s_.classes.size());
     for (std::size_t c = 0; c < classes_.size(); ++c)
-      classes_[c].work = static_cast<double>(std::max<Micros>(s_.classes[c].aim, kMs));
+      classes_[c].work = static_cast<double>(std::max<Micros>(s_.classes[c].latency_target, kMs));
     queues_.resize(kQueuesPerClass * classes_.size());
     for (Pool& p : pools_) p.ran = p.worked = classes_[0].work;
     NoteRepeats(s_);
@@ -44,7 +44,7 @@
 
   // False if a line of this kind was written within kLogEvery; then none is.
   bool Log(LogLine line) {
-    Micros& last = logged_[static_cast<int>(line.what)];
+    Micros& last = logged_[static_cast<int>(line.kind)];
     if (now_ - last < kLogEvery) return false;
     last = now_;
     Act(line);
@@ -113,7 +113,7 @@
     r.asked_at = 0;
     a.zone = w.entry.zone;
     a.cell = w.entry.cell;
-    if (!s_.tells_start) a.started = now_;
+    if (!s_.reports_start) a.started = now_;
     r.attempts.push_back(a);
     ++r.out;
     w.busy += r.slots;
@@ -136,7 +136,7 @@
   void CloseAttempt(Request& r, Attempt& a, int number, Ran ran) {
     Worker& w = workers_[a.worker];
     if (a.started < 0 && !a.written_off) --w.waiting;
-    if (a.started >= 0 && s_.tells_start) w.running -= r.slots;
+    if (a.started >= 0 && s_.reports_start) w.running -= r.slots;
     w.busy -= r.slots;
     ++w.idle;
     w.idle_since = now_;
--- a/src/dispatch/policy/checkpoint.cpp
+++ b/src/dispatch/policy/checkpoint.cpp
@@ -349,8 +349,10 @@
   return h;
 }
 
-void Checkpoint::Rename(Dispatcher* dispatcher, const std::function<RequestId(RequestId)>& request,
-                        const std::function<std::uint64_t(std::uint64_t)>& identity, bool* keyed) {
+void Checkpoint::ReplaceIds(Dispatcher* dispatcher,
+                            const std::function<RequestId(RequestId)>& request,
+                            const std::function<std::uint64_t(std::uint64_t)>& identity,
+                            bool* keyed) {
   State& s = dispatcher->state();
   RequestTable& table = s.table_;
   table.index_.clear();
--- a/src/dispatch/policy/job_value.h
+++ b/src/dispatch/policy/job_value.h
@@ -25,7 +25,8 @@
 
   Micros AimAt(const Request& r) const {
     const ClassSettings& c = s_.classes[r.cls];
-    return std::min(r.due, r.arrived + c.aim + static_cast<Micros>(c.aim_stretch * Work(r)));
+    return std::min(r.due, r.arrived + c.latency_target +
+                               static_cast<Micros>(c.latency_target_stretch * Work(r)));
   }
 
   // After this a start can no longer end in time, at a worker so much slower than standard.
@@ -43,9 +44,9 @@
   // Worth gained by a slot-second spent on this request.
   double Value(const Request& r) const {
     const ClassSettings& c = s_.classes[r.cls];
-    double v = c.worth * classes_[r.cls].weight;
-    if (!s_.worth_by_work) v /= Work(r) * r.slots;
-    if (r.over_share) v *= s_.over_share_worth;
+    double v = c.value * classes_[r.cls].weight;
+    if (!s_.value_by_work) v /= Work(r) * r.slots;
+    if (r.over_share) v *= s_.over_quota_value;
     if (r.late) v *= c.late_value;
     return v;
   }
@@ -68,7 +69,7 @@
 
   // Counts an ended request for the service of its class.
   void CountService(const Request& r, bool in_time) {
-    const double worth = s_.classes[r.cls].worth * (s_.worth_by_work ? Work(r) : 1.0);
+    const double worth = s_.classes[r.cls].value * (s_.value_by_work ? Work(r) : 1.0);
     classes_[r.cls].asked.Add(worth, now_, kServiceMemory);
     if (in_time) classes_[r.cls].good.Add(worth, now_, kServiceMemory);
   }
@@ -88,9 +89,9 @@
       least = g / a;
       worst_asked = a;
     }
-    if (worst == nullptr || s_.goal_whole <= 0) return;
+    if (worst == nullptr || s_.objective_total <= 0) return;
     const double gap = std::clamp((good / asked - least) / kWorstGap, 0.0, 1.0);
-    worst->weight += gap * s_.goal_worst_class / s_.goal_whole * asked / worst_asked;
+    worst->weight += gap * s_.objective_worst_class / s_.objective_total * asked / worst_asked;
   }
 
  private:
--- a/src/dispatch/policy/knowledge.cpp
+++ b/src/dispatch/policy/knowledge.cpp
@@ -9,7 +9,7 @@
 
 double Dispatcher::PoolLimit(int pool) const { return state().pools_.at(pool).limit; }
 double Dispatcher::PoolBusy(int pool) const { return state().pools_.at(pool).busy; }
-std::uint64_t Dispatcher::Looks() const { return state().looks_; }
+std::uint64_t Dispatcher::WorkersExamined() const { return state().looks_; }
 std::size_t Dispatcher::OpenRequests() const { return state().table_.size(); }
 std::size_t Dispatcher::KnownWorkers() const {
   return std::ranges::count_if(state().workers_, [](const Worker& w) { return w.known; });
--- a/src/dispatch/policy/policy.cpp
+++ b/src/dispatch/policy/policy.cpp
@@ -46,16 +46,17 @@
   void On(const Knowledge& k) {
     for (const PoolKnowledge& e : k.pools) {
       Pool* p = Numbered(pools_, e.pool);
-      if (p == nullptr || p->last_cut != kLongAgo || e.worked <= 0) continue;
-      p->limit = std::max(p->limit, std::min(e.limit, e.found));  // no further than what worked
+      if (p == nullptr || p->last_cut != kLongAgo || e.mean_work <= 0) continue;
+      p->limit =
+          std::max(p->limit, std::min(e.limit, e.proven_limit));  // no further than what worked
       p->slots_seen = std::max(p->slots_seen, e.slots_seen);
-      p->ran = e.ran, p->worked = e.worked, p->tell = e.tell;
+      p->ran = e.mean_running, p->worked = e.mean_work, p->tell = e.start_report_delay;
       p->slowdown = std::clamp(p->ran / p->worked, 0.1, 10.0);
     }
     for (const ClassKnowledge& e : k.classes)
       if (ClassState* c = Numbered(classes_, e.cls); c != nullptr && e.work > 0) c->work = e.work;
     for (const TenantKnowledge& e : k.tenants)
-      if (Bucket* b = Numbered(quota_, e.tenant)) b->left = std::min(b->left, e.left);
+      if (Bucket* b = Numbered(quota_, e.tenant)) b->left = std::min(b->left, e.tokens);
     for (const WorkerKnowledge& e : k.workers) {
       Worker* w = Numbered(workers_, e.worker);
       if (w == nullptr || !w->known || w->heard > 0) continue;
@@ -95,7 +96,7 @@
       subscribe_at_ = kNever;
       Act(Subscribe{});
     }
-    if (refused_ > 0 && Log({LogLine::What::kShedding, 0, 0, static_cast<double>(refused_)}))
+    if (refused_ > 0 && Log({LogLine::Kind::kShedding, 0, 0, static_cast<double>(refused_)}))
       refused_ = 0;
   }
 };
--- a/src/dispatch/policy/records.h
+++ b/src/dispatch/policy/records.h
@@ -152,7 +152,7 @@
 // A worker that was looked at, for the observer.
 inline Candidate Describe(const Worker& w, WorkerId id, double cost, bool cold, double taken) {
   Candidate c{id, cost, w.busy, taken, w.slowness, w.failures, w.silent, cold, w.heard, {}};
-  if (w.taken.at > 0) c.reported = w.taken.at;
+  if (w.taken.at > 0) c.last_report = w.taken.at;
   return c;
 }
 
--- a/src/dispatch/policy/request_queue.h
+++ b/src/dispatch/policy/request_queue.h
@@ -19,13 +19,13 @@
     if (e.cls < 0 || e.cls >= static_cast<int>(classes_.size()) || table_.FindId(e.request)) return;
     Request& r = AddRequest(e);
     Bucket* quota = Numbered(quota_, e.tenant);
-    r.over_share = e.over_share.value_or(quota != nullptr && !quota->Take(now_));
+    r.over_share = e.over_quota.value_or(quota != nullptr && !quota->Take(now_));
     gap_.Tick(now_, kLearn);
     if (r.key) keys_.Add(*r.key, Work(r) * r.slots, now_, kKeyMemory);
     Hold(r);
   }
 
-  void On(const RequestLapsed& e) {
+  void On(const RequestAbandoned& e) {
     Request* r = table_.FindId(e.request);
     if (r == nullptr || r->ended) return;
     End(*r, false);
--- a/src/dispatch/policy/retry_rules.h
+++ b/src/dispatch/policy/retry_rules.h
@@ -21,7 +21,8 @@
       if (a.ran != Ran::kNo && risky == nullptr) risky = &a;
     p.refuse = risky == nullptr || c.effect == Effect::kRepeatable ||
                (c.effect == Effect::kByKey && c.key_scope == KeyScope::kAll);
-    p.send = now_ < r.due - kAnswerMargin && static_cast<int>(r.attempts.size()) < s_.try_limit &&
+    p.send = now_ < r.due - kAnswerMargin &&
+             static_cast<int>(r.attempts.size()) < s_.max_attempts &&
              (r.out == 0 || s_.may_duplicate);
     if (risky == nullptr || c.effect == Effect::kRepeatable) return p;
     p.group = risky;
--- a/src/dispatch/policy/slot_limit.h
+++ b/src/dispatch/policy/slot_limit.h
@@ -45,7 +45,7 @@
     p.limit = kCutMargin * p.found;
     if (p.told) p.limit = std::min(p.limit, kCutPart * p.slots_seen * WorkersEach(p));
     p.found = p.limit = std::max({p.limit, WorkersEach(p), 1.0});
-    Log({LogLine::What::kLimitCut, 0, static_cast<int>(&p - pools_.data()), p.limit});
+    Log({LogLine::Kind::kLimitCut, 0, static_cast<int>(&p - pools_.data()), p.limit});
   }
 
   // At each check: a pool under whose limit a job did not fit, while jobs wait.
--- a/src/dispatch/policy/worker_health.h
+++ b/src/dispatch/policy/worker_health.h
@@ -40,7 +40,7 @@
       w.trial_wait = 0;
       w.next_trial = now_;
     }
-    Log({silent ? LogLine::What::kWorkerSilent : LogLine::What::kWorkerBack, IdOf(w), 0, 0});
+    Log({silent ? LogLine::Kind::kWorkerSilent : LogLine::Kind::kWorkerRecovered, IdOf(w), 0, 0});
   }
 
   void BackOff(Worker& w) {
@@ -113,11 +113,11 @@
 
   // What several nodes have seen: evidence as far as this one has none that is fresher. The worker
   // is out until another word, but for one job when it is this node's turn to try it.
-  void On(const Judgement& j) {
+  void On(const HealthVerdict& j) {
     Worker* w = Numbered(workers_, j.worker);
     if (w == nullptr || !w->known) return;
-    if (j.cold && w->heard < j.at) w->died_at = std::max(w->died_at, j.at);
-    w->judged = j.out && w->heard < j.at;
+    if (j.cold && w->heard < j.observed_at) w->died_at = std::max(w->died_at, j.observed_at);
+    w->judged = j.ejected && w->heard < j.observed_at;
     if (w->judged) SetSilent(*w, true);
     w->next_trial = w->judged && !j.trial ? kNever : now_;
     PoolOf(*w).shut_until = 0;
@@ -140,9 +140,9 @@
     const double age = static_cast<double>(std::max<Micros>(0, now_ - BornAt(w)));
     const double share = s_.cold_share + (1 - s_.cold_share) * age / s_.cold_time;
     const Pool& pool = PoolOf(w);
-    const double budget = kColdSafety * s_.fall_multiple * share * pool.slots_seen / pool.slowdown *
-                          s_.fall_time * w.cold_part;
-    return w.cold_sends.Now(now_, s_.fall_time) + ColdWork(r) <= budget;
+    const double budget = kColdSafety * s_.overload_multiple * share * pool.slots_seen /
+                          pool.slowdown * s_.overload_time * w.cold_part;
+    return w.cold_sends.Now(now_, s_.overload_time) + ColdWork(r) <= budget;
   }
 
   // The periodic check of the attempts that are out at a worker.
@@ -154,7 +154,7 @@
       Attempt& a = r->attempts[i];
       since = std::min(since, a.sent);
       if (a.started >= 0 || now_ - a.sent <= std::max(kStartGrace, s_.connect_timeout)) continue;
-      if (s_.tells_taken && !a.taken) {
+      if (s_.reports_accept && !a.taken) {
         GiveUp(w, *r, a, i);
       } else if (!a.late) {
         a.late = true;
@@ -174,8 +174,8 @@
   }
 
   Micros SilentAfter() const {
-    return s_.progress_every > 0 ? static_cast<Micros>(kSilentPeriods * s_.progress_every)
-                                 : kSilentDefault;
+    return s_.progress_interval > 0 ? static_cast<Micros>(kSilentPeriods * s_.progress_interval)
+                                    : kSilentDefault;
   }
 
   // The worker has not even taken the attempt. If it has been heard since, the attempt's way there
--- a/src/dispatch/policy/worker_membership.h
+++ b/src/dispatch/policy/worker_membership.h
@@ -20,7 +20,7 @@
     if (list.form == WorkerList::Form::kFailed) {
       subscribe_at_ = now_ + subscribe_wait_ / 2 + Mix(random_++) % (subscribe_wait_ / 2);
       subscribe_wait_ = std::min(2 * subscribe_wait_, kTrialLast);
-      Log({LogLine::What::kListFailed, 0, 0, 0});
+      Log({LogLine::Kind::kListFailed, 0, 0, 0});
       return;
     }
     ++lists_;
--- a/src/dispatch/settings/settings_reader.cpp
+++ b/src/dispatch/settings/settings_reader.cpp
@@ -8,13 +8,13 @@
 
 std::string Quote(Text t) { return std::string(1, '\'').append(t).append(1, '\''); }
 
-Micros Millis(Text text, Text what) {
-  const double ms = Number<double>(text, what);
+Micros ParseMillis(Text text, Text what) {
+  const double ms = ParseNumber<double>(text, what);
   if (std::abs(ms) > 9e12) throw Malformed("bad " + std::string(what) + " " + Quote(text));
   return std::llround(ms * 1000);
 }
 
-bool Bool(Text text, Text what) {
+bool ParseBool(Text text, Text what) {
   if (text == "1" || text == "true") return true;
   if (text == "0" || text == "false") return false;
   throw Malformed("bad " + std::string(what) + " " + Quote(text));
@@ -49,12 +49,12 @@
 
 Micros Conf::Ms(const std::string& path, Micros fallback) const {
   const Text text = Get(path);
-  return text.empty() ? fallback : Millis(text, path);
+  return text.empty() ? fallback : ParseMillis(text, path);
 }
 
 bool Conf::Flag(const std::string& path) const {
   const Text text = Get(path);
-  return !text.empty() && Bool(text, path);
+  return !text.empty() && ParseBool(text, path);
 }
 
 Names Conf::List(const std::string& path) const {
@@ -99,16 +99,17 @@
   else if (!scope.empty() && scope != "all")
     throw Malformed("bad " + path + "KeyScope " + Quote(scope));
   c.key_window = conf.Ms(path + "WindowMs");
-  c.aim = conf.Ms(path + "AimMs");
+  c.latency_target = conf.Ms(path + "AimMs");
   c.deadline = conf.Ms(path + "DeadlineMs");
-  c.worth = conf.Num<double>(path + "Credit", 1);
+  c.value = conf.Num<double>(path + "Credit", 1);
   c.late_value = conf.Num<double>(path + "LateValue", 0);
   const Names stretch = conf.List("FamilyInfo.ClassStretch");
   const Names kind = conf.List("FamilyInfo.ClassKind");
   const auto at = static_cast<std::size_t>(i);
-  if (at < stretch.size()) c.aim_stretch = Number<double>(stretch[at], "FamilyInfo.ClassStretch");
-  if (at < kind.size()) c.kind = Number<int>(kind[at], "FamilyInfo.ClassKind");
-  c.aim_stretch = conf.Num<double>(path + "AimStretch", c.aim_stretch);
+  if (at < stretch.size())
+    c.latency_target_stretch = ParseNumber<double>(stretch[at], "FamilyInfo.ClassStretch");
+  if (at < kind.size()) c.kind = ParseNumber<int>(kind[at], "FamilyInfo.ClassKind");
+  c.latency_target_stretch = conf.Num<double>(path + "AimStretch", c.latency_target_stretch);
   return c;
 }
 
@@ -123,7 +124,7 @@
   s.self = conf.Num<int>("Ordinal", 0);
   s.zone = IndexOf(site.zones, conf.Get("Locality"));
   s.kinds = static_cast<int>(site.kinds.size());
-  s.round = conf.Ms("RoundMs");
+  s.min_handle_interval = conf.Ms("RoundMs");
   const int classes = conf.Count("RequestClasses");
   for (int i = 0; i < classes; ++i) {
     site.classes.emplace_back(conf.Get("RequestClasses." + std::to_string(i) + ".Name"));
@@ -135,21 +136,21 @@
     site.tenants.emplace_back(conf.Get(path + "Name"));
     s.tenants.push_back({conf.Num<double>(path + "QuotaRps", 0)});
   }
-  s.over_share_worth = conf.Num<double>("OverShareWorth", 1);
-  s.worth_by_work = conf.Get("WorthBy") == "work";
-  s.goal_whole = conf.Num<double>("ObjectiveMix.Whole", 1);
-  s.goal_worst_class = conf.Num<double>("ObjectiveMix.WorstClass", 0);
+  s.over_quota_value = conf.Num<double>("OverShareWorth", 1);
+  s.value_by_work = conf.Get("WorthBy") == "work";
+  s.objective_total = conf.Num<double>("ObjectiveMix.Whole", 1);
+  s.objective_worst_class = conf.Num<double>("ObjectiveMix.WorstClass", 0);
   const Text weights = conf.Get("WeightSource");
   s.weighted_workers = weights == "nominal" || weights == "rough" || weights == "live";
-  s.tells_start = conf.Flag("FamilyInfo.TellsStart");
-  s.progress_every = conf.Ms("FamilyInfo.ProgressMs");
+  s.reports_start = conf.Flag("FamilyInfo.TellsStart");
+  s.progress_interval = conf.Ms("FamilyInfo.ProgressMs");
   s.must_subscribe = conf.Get("MembershipMode") == "subscribe";
   s.may_cancel = conf.Flag("Limits.Cancel");
   s.may_probe = conf.Flag("Limits.MayProbe");
   s.may_duplicate = conf.Flag("Limits.MayDuplicate");
   s.retry_after = conf.Flag("Limits.RetryAfter");
   s.max_retry_after = conf.Ms("Limits.MaxRetryAfterMs");
-  s.try_limit = conf.Num<int>("Limits.TryLimit", 1);
+  s.max_attempts = conf.Num<int>("Limits.TryLimit", 1);
   s.connect_timeout = conf.Ms("Limits.ConnectTimeoutMs");
   s.cross_zone_price = conf.Num<double>("Prices.CrossZone", 0);
   s.connect_price = conf.Num<double>("Prices.Handshake", 0);
@@ -157,33 +158,33 @@
   s.stop_sending_within = conf.Ms("Contract.StopSendingWithinMs");
   s.cold_share = conf.Num<double>("Contract.ColdShare", 1);
   s.cold_time = conf.Ms("Contract.ColdMs");
-  s.fall_multiple = conf.Num<double>("Contract.FallMultiple", 1);
-  s.fall_time = conf.Ms("Contract.FallMs");
+  s.overload_multiple = conf.Num<double>("Contract.FallMultiple", 1);
+  s.overload_time = conf.Ms("Contract.FallMs");
   site.x0_is_free_slots = conf.Get("FamilyInfo.ReportX0") == "free_slots";
   if (const std::string wrong = ValidateSettings(s); !wrong.empty()) throw Malformed(wrong);
   return site;
 }
 
-std::string Words(const LogLine& line, const Site& site, const Names& workers) {
-  switch (line.what) {
-    case LogLine::What::kWorkerSilent:
+std::string FormatLogLine(const LogLine& line, const Site& site, const Names& workers) {
+  switch (line.kind) {
+    case LogLine::Kind::kWorkerSilent:
       return "worker silent: " + workers.at(line.worker);
-    case LogLine::What::kWorkerBack:
+    case LogLine::Kind::kWorkerRecovered:
       return "worker back: " + workers.at(line.worker);
-    case LogLine::What::kLimitCut:
+    case LogLine::Kind::kLimitCut:
       return "limit cut: pool " + site.kinds.at(static_cast<std::size_t>(line.pool)) + " to " +
              std::to_string(std::lround(line.value)) + " slots";
-    case LogLine::What::kShedding:
+    case LogLine::Kind::kShedding:
       return "shedding: " + std::to_string(std::lround(line.value)) + " requests refused";
-    case LogLine::What::kListFailed:
+    case LogLine::Kind::kListFailed:
       return "worker list: call failed";
   }
   return "";
 }
 
-void TakeLoad(const Site& site, Text name, Text value, LoadReport* load) {
-  if (name == "x0" && site.x0_is_free_slots) load->free_slots = Number<double>(value, "x0");
-  if (name == "rif") load->in_flight = Number<double>(value, "rif");
+void ReadLoadValue(const Site& site, Text name, Text value, LoadReport* load) {
+  if (name == "x0" && site.x0_is_free_slots) load->free_slots = ParseNumber<double>(value, "x0");
+  if (name == "rif") load->in_flight = ParseNumber<double>(value, "rif");
 }
 
 }  // namespace pearreach::dispatch
--- a/src/dispatch/settings/settings_reader.h
+++ b/src/dispatch/settings/settings_reader.h
@@ -1,7 +1,7 @@
-// The settings reader that the simulator's adapter and the real node share. It turns settings, flat
-// as path=text with the wire's dotted paths, into the module's Settings and the names that go with
-// them. It owns no connection to where the text came from and must never guess: what it cannot read
-// is Malformed, and paths that it does not know are passed over.
+// The settings reader shared by the simulator adapter and the node. It converts settings in flat
+// form, a map from dotted paths to text, into the Settings of the dispatcher and the names of their
+// classes, tenants, zones and kinds. The source of the text is up to the caller. A value that
+// cannot be parsed throws Malformed; unknown paths are ignored.
 #ifndef PEARREACH_SRC_DISPATCH_SETTINGS_SETTINGS_READER_H_
 #define PEARREACH_SRC_DISPATCH_SETTINGS_SETTINGS_READER_H_
 
@@ -21,14 +21,16 @@
 using Text = std::string_view;
 using Names = std::vector<std::string>;
 
+// Thrown for input that cannot be parsed; what() says what was expected and found.
 struct Malformed : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 std::string Quote(Text t);
 
+// Parses a finite number that takes up the whole text.
 template <typename T>
-T Number(Text text, Text what, int base = 10) {
+T ParseNumber(Text text, Text what, int base = 10) {
   T value{};
   std::from_chars_result r{};
   if constexpr (std::is_floating_point_v<T>) {
@@ -42,14 +44,16 @@
   return value;
 }
 
-Micros Millis(Text text, Text what);
-bool Bool(Text text, Text what);
+// Parses milliseconds. `what` names the value in the error message.
+Micros ParseMillis(Text text, Text what);
+bool ParseBool(Text text, Text what);
 std::vector<Text> Split(Text text, char separator);
-int IndexOf(const Names& names, Text name);  // -1: not there
-std::uint64_t HashName(Text name);           // the same everywhere
+int IndexOf(const Names& names, Text name);  // -1 if `names` does not contain it
+std::uint64_t HashName(Text name);           // the same on every node and in every build
 
-// Settings by path. A list of plain values is joined by commas; a list of objects has its length
-// under PATH.count and its items under PATH.0 and so on; no value holds a space or a comma.
+// Settings by path. A list of plain values is joined by commas. A list of objects has its length
+// under PATH.count and its items under PATH.0, PATH.1 and so on. No value contains a space or a
+// comma.
 class Conf {
  public:
   using Values = std::map<std::string, std::string, std::less<>>;
@@ -60,7 +64,7 @@
   template <typename T>
   T Num(const std::string& path, T fallback) const {
     const Text text = Get(path);
-    return text.empty() ? fallback : Number<T>(text, path);
+    return text.empty() ? fallback : ParseNumber<T>(text, path);
   }
   Micros Ms(const std::string& path, Micros fallback = 0) const;
   bool Flag(const std::string& path) const;
@@ -71,23 +75,24 @@
   Values values_;
 };
 
-// The wire's form: path=value pairs set apart by spaces.
+// Parses the form of the simulator protocol: path=value pairs separated by single spaces.
 Conf ReadPairs(Text text);
 
-// Settings, and the names of what the module knows by index.
+// Settings, with the names of the entities that the dispatcher knows by index only.
 struct Site {
   Settings settings;
   Names classes, tenants, zones, kinds;
-  bool x0_is_free_slots = false;
+  bool x0_is_free_slots = false;  // the value x0 of a load report is the number of free slots
 };
 
 Site ReadSite(const Conf& conf);
 
-// A line for the log in words; `workers` by WorkerId.
-std::string Words(const LogLine& line, const Site& site, const Names& workers);
+// Formats a line for the log. `workers` are the names by WorkerId.
+std::string FormatLogLine(const LogLine& line, const Site& site, const Names& workers);
 
-// One value of a load report; those that the module does not use are passed over.
-void TakeLoad(const Site& site, Text name, Text value, LoadReport* load);
+// Reads one value of a load report into `load`. Values that the dispatcher does not use are
+// ignored.
+void ReadLoadValue(const Site& site, Text name, Text value, LoadReport* load);
 
 }  // namespace pearreach::dispatch
 
--- a/src/dispatch/simulator/wire.cpp
+++ b/src/dispatch/simulator/wire.cpp
@@ -88,15 +88,14 @@
 RequestId ReadId(Text text) {
   if (text.size() != 16 || text.find_first_not_of("0123456789abcdef") != Text::npos)
     throw Malformed("bad request id " + Quote(text));
-  return Number<RequestId>(text, "request id", 16);
+  return ParseNumber<RequestId>(text, "request id", 16);
 }
 
 Outcome ReadOutcome(Text text) {
   static constexpr std::pair<Text, Outcome> kCodes[] = {
-      {"GOOD", Outcome::kGood},           {"BAD", Outcome::kError},
-      {"FULL", Outcome::kFull},           {"LATE", Outcome::kTimeout},
-      {"NOCONN", Outcome::kNoConnection}, {"RST", Outcome::kReset},
-      {"CXL", Outcome::kCancelled},       {"NOP", Outcome::kMoot}};
+      {"GOOD", Outcome::kGood},     {"BAD", Outcome::kError},           {"FULL", Outcome::kFull},
+      {"LATE", Outcome::kTimeout},  {"NOCONN", Outcome::kNoConnection}, {"RST", Outcome::kReset},
+      {"CXL", Outcome::kCancelled}, {"NOP", Outcome::kNotSent}};
   for (const auto& [name, outcome] : kCodes)
     if (name == text) return outcome;
   throw Malformed("unknown outcome " + Quote(text));
@@ -108,7 +107,7 @@
   for (const Text pair : Split(*text, ',')) {
     const std::size_t colon = pair.find(':');
     if (colon == Text::npos) throw Malformed("bad load report " + Quote(pair));
-    TakeLoad(site, pair.substr(0, colon), pair.substr(colon + 1), &load);
+    ReadLoadValue(site, pair.substr(0, colon), pair.substr(colon + 1), &load);
   }
   return load;
 }
@@ -178,7 +177,7 @@
   void operator()(const LogLine& a) {
     Begin("log");
     out_ += ' ';
-    out_ += Words(a, instance_.site, instance_.names);
+    out_ += FormatLogLine(a, instance_.site, instance_.names);
     out_ += '\n';
   }
 
@@ -210,7 +209,7 @@
 
 class Host {
  public:
-  explicit Host(WireWatcher* watcher) : watcher_(watcher) {}
+  explicit Host(WireObserver* watcher) : watcher_(watcher) {}
 
   // Takes one line. True when a reply is ready in `reply`.
   bool Take(Text line, std::string* reply) {
@@ -219,7 +218,7 @@
     const Text verb = f.Next();
     if (verb == "begin_batch") {
       if (in_batch_) throw Malformed("begin_batch inside a batch");
-      const Micros now = Millis(f.Required("clock"), "clock");
+      const Micros now = ParseMillis(f.Required("clock"), "clock");
       if (now < now_) throw Malformed("the clock ran backwards");
       now_ = now;
       in_batch_ = true;
@@ -228,7 +227,7 @@
     if (!in_batch_) throw Malformed("expected begin_batch, got " + Quote(verb));
     if (verb == "eof_batch") return Reply(reply), true;
     if (verb == "list") return TakeList(f), false;
-    const auto node = Number<std::uint64_t>(f.Required("node"), "node");
+    const auto node = ParseNumber<std::uint64_t>(f.Required("node"), "node");
     if (verb == "start") return Start(node, f), false;
     const auto it = instances_.find(node);
     if (it == instances_.end())
@@ -249,12 +248,12 @@
  private:
   void TakeList(Fields& f) {
     list_ = &lists_[Slot(f.Required("list number"))];
-    rows_left_ = Number<std::size_t>(f.Required("number of entries"), "number of entries");
+    rows_left_ = ParseNumber<std::size_t>(f.Required("number of entries"), "number of entries");
     list_->clear();
   }
 
   std::size_t Slot(Text text) const {
-    const auto slot = Number<std::size_t>(text, "list number");
+    const auto slot = ParseNumber<std::size_t>(text, "list number");
     if (slot >= lists_.size()) throw Malformed("bad list number " + Quote(text));
     return slot;
   }
@@ -266,7 +265,7 @@
     row.executor = f.Required("executor");
     row.zone = f.Required("zone");
     row.kind = f.Required("kind");
-    if (const auto cell = f.Optional()) row.cell = Number<int>(*cell, "cell");
+    if (const auto cell = f.Optional()) row.cell = ParseNumber<int>(*cell, "cell");
     const Text health = f.Required("health");
     if (health == "terminating")
       row.health = Health::kDraining;
@@ -274,14 +273,15 @@
       row.health = Health::kGone;
     else if (health != "in_service")
       throw Malformed("unknown health " + Quote(health));
-    if (const auto weight = f.Optional()) row.weight = Number<double>(*weight, "capacity hint");
-    if (const auto at = f.Optional()) row.ready_at = Millis(*at, "start time");
+    if (const auto weight = f.Optional())
+      row.weight = ParseNumber<double>(*weight, "capacity hint");
+    if (const auto at = f.Optional()) row.ready_at = ParseMillis(*at, "start time");
     list_->push_back(std::move(row));
     --rows_left_;
   }
 
   void Start(std::uint64_t node, Fields& f) {
-    const auto seed = Number<std::uint64_t>(f.Required("seed"), "seed");
+    const auto seed = ParseNumber<std::uint64_t>(f.Required("seed"), "seed");
     if (instances_.contains(node))
       throw Malformed("instance " + std::to_string(node) + " started twice");
     const Conf conf = ReadPairs(f.Rest());
@@ -293,10 +293,10 @@
     if (verb == "discovery") return ParseDiscovery(f, instance);
     if (verb == "request") return ParseRequest(f, instance.site);
     if (verb == "elapsed") {
-      Number<std::uint64_t>(f.Required("timer mark"), "timer mark");
+      ParseNumber<std::uint64_t>(f.Required("timer mark"), "timer mark");
       return TimerFired{};
     }
-    if (verb == "lapsed") return RequestLapsed{ReadId(f.Required("request id"))};
+    if (verb == "lapsed") return RequestAbandoned{ReadId(f.Required("request id"))};
     if (verb == "hint_update") return ParseNote(f, instance);
     if (verb == "ended") return ParseEnded(f, instance);
     if (verb == "begun") {
@@ -304,7 +304,7 @@
       e.request = ReadId(f.Required("request id"));
       f.Optional();
       e.worker = instance.Find(f.Required("executor"));
-      e.attempt = Number<int>(f.Required("attempt"), "attempt");
+      e.attempt = ParseNumber<int>(f.Required("attempt"), "attempt");
       return e;
     }
     if (verb == "probe_done") {
@@ -351,49 +351,50 @@
     RequestArrived e;
     e.request = ReadId(f.Required("request id"));
     if (const auto tenant = f.Optional()) e.tenant = IndexOf(site.tenants, *tenant);
-    e.due = Millis(f.Required("due time"), "due time");
-    if (const auto width = f.Optional()) e.slots = Number<double>(*width, "width");
+    e.due = ParseMillis(f.Required("due time"), "due time");
+    if (const auto width = f.Optional()) e.slots = ParseNumber<double>(*width, "width");
     const Text cls = f.Required("class");
     e.cls = IndexOf(site.classes, cls);
     if (e.cls < 0) throw Malformed("unknown class " + Quote(cls));
     f.Optional();  // memory
     int options = 0;
-    if (const auto text = f.Optional()) options = Number<int>(*text, "options");
+    if (const auto text = f.Optional()) options = ParseNumber<int>(*text, "options");
     e.is_repeat = (options & 2) != 0;
-    if (const auto hint = f.Optional(); hint && (options & 1) != 0) e.hint = Millis(*hint, "hint");
-    if (const auto key = f.Optional()) e.key = Number<std::uint64_t>(*key, "key");
+    if (const auto hint = f.Optional(); hint && (options & 1) != 0)
+      e.hint = ParseMillis(*hint, "hint");
+    if (const auto key = f.Optional()) e.key = ParseNumber<std::uint64_t>(*key, "key");
     return e;
   }
 
   Event ParseDatagram(Fields& f) {
     PeerMessage e;
-    e.from = Number<int>(f.Required("sender"), "sender");
+    e.from = ParseNumber<int>(f.Required("sender"), "sender");
     const Text hex = f.Optional().value_or(Text());
     if (hex.size() % 2 != 0) throw Malformed("bad datagram " + Quote(hex));
     for (std::size_t i = 0; i < hex.size(); i += 2)
-      e.data += static_cast<char>(Number<unsigned char>(hex.substr(i, 2), "datagram", 16));
+      e.data += static_cast<char>(ParseNumber<unsigned char>(hex.substr(i, 2), "datagram", 16));
     return e;
   }
 
   Event ParseNote(Fields& f, Instance& instance) {
     const RequestId id = ReadId(f.Required("request id"));
-    const int attempt = Number<int>(f.Required("attempt"), "attempt");
+    const int attempt = ParseNumber<int>(f.Required("attempt"), "attempt");
     const WorkerId worker = instance.Find(f.Required("executor"));
-    const int kind = Number<int>(f.Required("kind of note"), "kind of note");
+    const int kind = ParseNumber<int>(f.Required("kind of note"), "kind of note");
     if (kind == 1) return AttemptStarted{id, attempt, worker};
     if (kind != 2) return TimerFired{};  // a note of a kind not known yet
     const auto level = f.Optional();
-    return AttemptProgress{id, attempt, worker, level ? Number<double>(*level, "level") : 0};
+    return AttemptProgress{id, attempt, worker, level ? ParseNumber<double>(*level, "level") : 0};
   }
 
   Event ParseEnded(Fields& f, Instance& instance) {
     AttemptEnded e;
     e.request = ReadId(f.Required("request id"));
-    e.attempt = Number<int>(f.Required("attempt"), "attempt");
+    e.attempt = ParseNumber<int>(f.Required("attempt"), "attempt");
     e.worker = instance.Find(f.Required("executor"));
     e.outcome = ReadOutcome(f.Required("outcome"));
-    if (const auto latency = f.Optional()) e.latency = Millis(*latency, "latency");
-    e.settled = Bool(f.Required("settled flag"), "settled flag");
+    if (const auto latency = f.Optional()) e.latency = ParseMillis(*latency, "latency");
+    e.settled = ParseBool(f.Required("settled flag"), "settled flag");
     f.Optional();  // detail
     e.load = ReadLoad(f.Optional(), instance.site);
     return e;
@@ -417,7 +418,7 @@
     in_batch_ = false;
   }
 
-  WireWatcher* watcher_;
+  WireObserver* watcher_;
   std::size_t batch_ = 0;
   Micros now_ = std::numeric_limits<Micros>::min();
   bool in_batch_ = false;
@@ -431,7 +432,7 @@
 
 }  // namespace
 
-int ServeWire(std::istream& in, std::ostream& out, std::ostream& err, WireWatcher* watcher) {
+int ServeWire(std::istream& in, std::ostream& out, std::ostream& err, WireObserver* watcher) {
   Host host(watcher);
   std::string line, reply;
   std::size_t number = 0;
--- a/src/dispatch/simulator/wire.h
+++ b/src/dispatch/simulator/wire.h
@@ -1,5 +1,5 @@
-// The simulator's text wire: reads batches of events, keeps one Dispatcher for each instance and
-// writes their actions. It decides nothing.
+// The text protocol of the simulator: reads batches of events, keeps one Dispatcher per instance
+// and writes the resulting actions. It makes no decision.
 #ifndef PEARREACH_SRC_DISPATCH_SIMULATOR_WIRE_H_
 #define PEARREACH_SRC_DISPATCH_SIMULATOR_WIRE_H_
 
@@ -11,22 +11,23 @@
 
 namespace pearreach::dispatch {
 
-// Watches what the instances are told and decide. References hold during the call only.
-class WireWatcher {
+// Observes the events and actions of the instances. References are valid during the call only.
+class WireObserver {
  public:
-  virtual ~WireWatcher() = default;
+  virtual ~WireObserver() = default;
   virtual void OnStart(std::uint64_t node, std::uint64_t seed, Micros now,
                        const Conf::Values& settings) = 0;
-  // `workers`: all names by id, so far. `batch`: its number in the input, from 0.
+  // `workers` are the names of all workers so far, by id. `batch` counts the batches of the input
+  // from 0.
   virtual void OnTurn(std::uint64_t node, std::size_t batch, Micros now,
                       const std::vector<Event>& events, const std::vector<Action>& actions,
                       const Names& workers) = 0;
 };
 
-// Serves `in` to its end. Returns 0, or 1 after the first malformed line, which is then named in
-// one line on `err`; nothing of its batch is written to `out`.
+// Processes `in` to its end and returns 0. Returns 1 at the first malformed line: it is reported in
+// one line on `err`, and no part of its batch is written to `out`.
 int ServeWire(std::istream& in, std::ostream& out, std::ostream& err,
-              WireWatcher* watcher = nullptr);
+              WireObserver* watcher = nullptr);
 
 }  // namespace pearreach::dispatch
 
--- a/src/node/capture/audit.cpp
+++ b/src/node/capture/audit.cpp
@@ -136,7 +136,7 @@
     it->second.slots = std::max(1.0, e.slots);
     due_.insert({e.due + slack_, e.request});
   }
-  void On(const AttemptTaken&) {}
+  void On(const AttemptAccepted&) {}
   void On(const AttemptStarted& e) {
     Job* job;
     Try* t = Find(e.request, e.attempt, &job);
@@ -159,7 +159,7 @@
     if (t == nullptr || !t->out) return;
     t->out = false;
     t->may_have_run = e.outcome != Outcome::kFull && e.outcome != Outcome::kNoConnection &&
-                      e.outcome != Outcome::kMoot;
+                      e.outcome != Outcome::kNotSent;
     Seen& w = Worker(t->worker);
     if (t->started >= 0) w.running -= job->slots;
     if (e.outcome == Outcome::kGood && t->started >= 0 && w.listed && w.entry.kind >= 0 &&
@@ -174,7 +174,7 @@
       if (job->finals == 0) Final(e.request, *job);
     }
   }
-  void On(const RequestLapsed& e) {
+  void On(const RequestAbandoned& e) {
     Job* job = Find(e.request);
     if (job == nullptr) return;
     if (job->finals == 0) Final(e.request, *job);
@@ -187,8 +187,8 @@
     Try t;
     t.worker = e.worker;
     t.sent = e.sent;
-    t.out = e.was == AttemptAdopted::Was::kOut;
-    t.may_have_run = e.was != AttemptAdopted::Was::kNeverRan;
+    t.out = e.state == AttemptAdopted::State::kInFlight;
+    t.may_have_run = e.state != AttemptAdopted::State::kNeverRan;
     if (t.out && e.started) {
       t.started = now_;
       Worker(e.worker).running += job->slots;
@@ -198,7 +198,7 @@
   void On(const ProbeEnded&) {}
   void On(const PeerMessage&) {}
   void On(const Knowledge&) {}
-  void On(const Judgement&) {}
+  void On(const HealthVerdict&) {}
 
   // ------------------------------------------------------------ what it decided
 
@@ -227,7 +227,7 @@
 
   void CheckRepeat(const Send& a, const Job& job, const Seen& w) {
     const ClassSettings& c = s_.classes[static_cast<std::size_t>(job.cls)];
-    if (static_cast<int>(job.tries.size()) >= s_.try_limit)
+    if (static_cast<int>(job.tries.size()) >= s_.max_attempts)
       Broken(2, Text(a.request) + " sent more often than allowed");
     const Try* risky = nullptr;
     for (const Try& t : job.tries) {
@@ -305,11 +305,12 @@
       std::size_t first = 0;
       for (const ColdSend& c : sends) {
         sum += WorkOf(kind, c);
-        while (sends[first].at < c.at - s_.fall_time) sum -= WorkOf(kind, sends[first++]);
+        while (sends[first].at < c.at - s_.overload_time) sum -= WorkOf(kind, sends[first++]);
         const double age = static_cast<double>(std::max<Micros>(0, sends[first].at - c.ready_at));
         const double share =
             s_.cold_share + (1 - s_.cold_share) * age / static_cast<double>(s_.cold_time);
-        const double budget = s_.fall_multiple * share * slots * static_cast<double>(s_.fall_time);
+        const double budget =
+            s_.overload_multiple * share * slots * static_cast<double>(s_.overload_time);
         if (budget <= 0 || sum <= 0) continue;
         audit_.cold_share = std::max(audit_.cold_share, sum / budget);
         if (sum > budget)
--- a/src/node/capture/edit.cpp
+++ b/src/node/capture/edit.cpp
@@ -168,7 +168,7 @@
   {
     Segment first(bytes, path);
     dispatch::Dispatcher dispatcher = first.Restore();
-    dispatch::Checkpoint::Rename(
+    dispatch::Checkpoint::ReplaceIds(
         &dispatcher, [](std::uint64_t id) { return id; },
         [&](std::uint64_t identity) { return identities.insert(identity), identity; }, &keyed);
     Turn turn;
@@ -210,7 +210,7 @@
   origin.edited = true;
   std::string state;
   if (segment.checkpoint()) {
-    dispatch::Checkpoint::Rename(&dispatcher, request, identity, nullptr);
+    dispatch::Checkpoint::ReplaceIds(&dispatcher, request, identity, nullptr);
     state = dispatch::Checkpoint::Save(dispatcher);
   }
   SegmentWriter writer(origin, segment.checkpoint() ? &state : nullptr);
@@ -251,7 +251,7 @@
 };
 
 // Keeps what one life of one instance was told.
-class Watch : public dispatch::WireWatcher {
+class Watch : public dispatch::WireObserver {
  public:
   Watch(std::uint64_t instance, std::uint64_t life) : instance_(instance), life_(life) {}
 
@@ -299,8 +299,9 @@
         comma == std::string_view::npos || !line.ends_with(" bytes"))
       throw Unreadable(name + ": byte " + std::to_string(at) + " begins no frame of a tap");
     try {
-      const auto process = dispatch::Number<std::uint64_t>(line.substr(11, comma - 11), "process");
-      const auto size = dispatch::Number<std::uint64_t>(
+      const auto process =
+          dispatch::ParseNumber<std::uint64_t>(line.substr(11, comma - 11), "process");
+      const auto size = dispatch::ParseNumber<std::uint64_t>(
           line.substr(comma + 2, line.size() - comma - 8), "length");
       if (size > tap.size() - end - 1) throw dispatch::Malformed("cut off inside a frame");
       (in ? processes[process].in : processes[process].out) += tap.substr(end + 1, size);
@@ -316,7 +317,7 @@
 std::optional<Action> ReadReply(const std::vector<Text>& words,
                                 const std::map<std::string, dispatch::WorkerId, std::less<>>& ids) {
   const auto id = [&] {
-    return dispatch::Number<dispatch::RequestId>(words.at(2), "request id", 16);
+    return dispatch::ParseNumber<dispatch::RequestId>(words.at(2), "request id", 16);
   };
   const auto worker = [&] {
     const auto it = ids.find(words.at(2));
@@ -330,11 +331,11 @@
     return dispatch::Send{id(), it->second};
   }
   if (verb == "overload_reply")
-    return dispatch::Refuse{id(), words.size() > 3 ? dispatch::Millis(words[3], "time") : 0};
+    return dispatch::Refuse{id(), words.size() > 3 ? dispatch::ParseMillis(words[3], "time") : 0};
   if (verb == "give_up") return dispatch::Fail{id()};
   if (verb == "withdraw")
-    return dispatch::Cancel{id(), dispatch::Number<int>(words.at(3), "attempt")};
-  if (verb == "remind") return dispatch::SetTimer{dispatch::Millis(words.at(2), "time")};
+    return dispatch::Cancel{id(), dispatch::ParseNumber<int>(words.at(3), "attempt")};
+  if (verb == "remind") return dispatch::SetTimer{dispatch::ParseMillis(words.at(2), "time")};
   if (verb == "touch") return dispatch::Probe{worker()};
   if (verb == "follow") return dispatch::Subscribe{};
   if (verb == "log") return std::nullopt;
@@ -402,7 +403,7 @@
         if (!action)  // a line's figures are rounded on the wire: this build's are taken
           for (const Action& a : t.actions)
             if (const auto* log = std::get_if<dispatch::LogLine>(&a);
-                log != nullptr && line.ends_with(" " + dispatch::Words(*log, site, names)))
+                log != nullptr && line.ends_with(" " + dispatch::FormatLogLine(*log, site, names)))
               action = a;
         if (action)
           turn.actions.push_back(*action);
--- a/src/node/capture/explain.cpp
+++ b/src/node/capture/explain.cpp
@@ -48,8 +48,8 @@
     for (const auto& w : k.workers) workers.push_back(w.worker);
   }
   void Take(const dispatch::LogLine& line) {
-    using What = dispatch::LogLine::What;
-    if (line.what == What::kWorkerSilent || line.what == What::kWorkerBack)
+    using Kind = dispatch::LogLine::Kind;
+    if (line.kind == Kind::kWorkerSilent || line.kind == Kind::kWorkerRecovered)
       workers.push_back(line.worker);
   }
 };
@@ -148,7 +148,7 @@
   // A job that waits is looked at again and again: said once, and how often when that ends.
   void SayChoice(const Kept& kept, Micros now) {
     const dispatch::Choice& c = kept.choice;
-    const int reason = c.chosen ? 0 : c.room ? 1 : 2;
+    const int reason = c.chosen ? 0 : c.pool_has_capacity ? 1 : 2;
     auto& [last, times] = waits_[c.request];
     if (reason != 0 && reason == last) {
       ++times;
@@ -182,8 +182,8 @@
     std::string text = "job " + std::to_string(c.request) + ": ";
     char part[240];
     if (!c.chosen) {
-      text += c.room ? "waits, as none of the workers looked at will do"
-                     : "waits, as its pools are at their limit";
+      text += c.pool_has_capacity ? "waits, as none of the workers looked at will do"
+                                  : "waits, as its pools are at their limit";
     } else {
       std::snprintf(part, sizeof part,
                     "%s is the cheapest of %zu; its pool has %.1f of %.1f slots busy",
@@ -194,10 +194,11 @@
       std::snprintf(part, sizeof part,
                     "\n      %c %s: cost %.2f, ours %.1f, others' %.1f, slowness %.2f, fails %.2f",
                     c.chosen && w.worker == *c.chosen ? '>' : ' ', Name(w.worker).c_str(), w.cost,
-                    w.busy, w.taken, w.slowness, w.failures);
+                    w.busy, w.used_by_others, w.slowness, w.failures);
       text += part;
-      text += w.heard > 0 ? ", heard " + Seconds(now - w.heard) + " ago" : ", never heard";
-      text += w.reported ? ", report " + Seconds(now - *w.reported) + " old" : ", no report";
+      text += w.last_response > 0 ? ", heard " + Seconds(now - w.last_response) + " ago"
+                                  : ", never heard";
+      text += w.last_report ? ", report " + Seconds(now - *w.last_report) + " old" : ", no report";
       if (w.silent) text += ", silent (a trial)";
       if (w.cold) text += ", cold";
     }
--- a/src/node/capture/record.cpp
+++ b/src/node/capture/record.cpp
@@ -65,10 +65,10 @@
     out->set_is_repeat(e.is_repeat);
     if (e.hint) out->set_hint(*e.hint);
     if (e.key) out->set_key(*e.key);
-    if (e.over_share) out->set_over_share(*e.over_share);
+    if (e.over_quota) out->set_over_share(*e.over_quota);
     for (const dispatch::WorkerId worker : e.preferred) out->add_preferred(worker);
   }
-  void operator()(const dispatch::AttemptTaken& e) { Attempt(e.request, e.attempt, e.worker); }
+  void operator()(const dispatch::AttemptAccepted& e) { Attempt(e.request, e.attempt, e.worker); }
   void operator()(const dispatch::AttemptStarted& e) { Attempt(e.request, e.attempt, e.worker); }
   void operator()(const dispatch::AttemptProgress& e) {
     Attempt(e.request, e.attempt, e.worker);
@@ -82,7 +82,7 @@
     out->set_settled(e.settled);
     Load(e.load);
   }
-  void operator()(const dispatch::RequestLapsed& e) { out->set_request(e.request); }
+  void operator()(const dispatch::RequestAbandoned& e) { out->set_request(e.request); }
   void operator()(const dispatch::TimerFired&) {}
   void operator()(const dispatch::ProbeEnded& e) {
     out->set_worker(e.worker);
@@ -97,14 +97,14 @@
     Attempt(e.request, 0, e.worker);
     out->set_sent_ago(now - e.sent);
     out->set_started(e.started);
-    out->set_was(static_cast<std::uint32_t>(e.was));
+    out->set_was(static_cast<std::uint32_t>(e.state));
   }
-  void operator()(const dispatch::Judgement& e) {
+  void operator()(const dispatch::HealthVerdict& e) {
     out->set_worker(e.worker);
-    out->set_out(e.out);
+    out->set_out(e.ejected);
     out->set_trial(e.trial);
     out->set_cold(e.cold);
-    out->set_judged_ago(now - e.at);
+    out->set_judged_ago(now - e.observed_at);
     for (const int witness : e.witnesses) out->add_witnesses(witness);
   }
   void operator()(const dispatch::Knowledge& e) {
@@ -113,11 +113,11 @@
       wire::PoolKnowledge* k = to->add_pools();
       k->set_pool(p.pool);
       k->set_limit(p.limit);
-      k->set_found(p.found);
+      k->set_found(p.proven_limit);
       k->set_slots_seen(p.slots_seen);
-      k->set_ran(p.ran);
-      k->set_worked(p.worked);
-      k->set_tell(p.tell);
+      k->set_ran(p.mean_running);
+      k->set_worked(p.mean_work);
+      k->set_tell(p.start_report_delay);
     }
     for (const dispatch::WorkerKnowledge& w : e.workers) {
       wire::WorkerKnowledge* k = to->add_workers();
@@ -134,7 +134,7 @@
     }
     for (const dispatch::ClassKnowledge& c : e.classes) Figure(c.cls, c.work, to->add_classes());
     for (const dispatch::TenantKnowledge& t : e.tenants)
-      Figure(t.tenant, t.left, to->add_tenants());
+      Figure(t.tenant, t.tokens, to->add_tenants());
   }
   static void Figure(int index, double value, wire::Figure* to) {
     to->set_index(index);
@@ -163,7 +163,7 @@
   void operator()(const dispatch::Probe& a) { out->set_worker(a.worker); }
   void operator()(const dispatch::Subscribe&) {}
   void operator()(const dispatch::LogLine& a) {
-    out->set_what(static_cast<std::uint32_t>(a.what));
+    out->set_what(static_cast<std::uint32_t>(a.kind));
     out->set_worker(a.worker);
     out->set_pool(a.pool);
     out->set_value(a.value);
@@ -190,12 +190,12 @@
         if (in.has_hint()) e.hint = in.hint();
         Must(Within(e.hint.value_or(0), kMaxHint), "a hint out of range");
         if (in.has_key()) e.key = in.key();
-        if (in.has_over_share()) e.over_share = in.over_share();
+        if (in.has_over_share()) e.over_quota = in.over_share();
         for (const std::uint32_t worker : in.preferred()) e.preferred.push_back(Worker(worker));
         return e;
       }
       case wire::ATTEMPT_TAKEN:
-        return Attempt<dispatch::AttemptTaken>(in);
+        return Attempt<dispatch::AttemptAccepted>(in);
       case wire::ATTEMPT_STARTED:
         return Attempt<dispatch::AttemptStarted>(in);
       case wire::ATTEMPT_PROGRESS: {
@@ -214,7 +214,7 @@
         return e;
       }
       case wire::REQUEST_LAPSED:
-        return dispatch::RequestLapsed{in.request()};
+        return dispatch::RequestAbandoned{in.request()};
       case wire::TIMER_FIRED:
         return dispatch::TimerFired{};
       case wire::PROBE_ENDED: {
@@ -232,18 +232,18 @@
         e.worker = Worker(in.worker());
         Must(Within(in.sent_ago(), kMaxTime) && Plus(now_, -in.sent_ago(), &e.sent), "a time");
         e.started = in.started();
-        e.was = Enum<dispatch::AttemptAdopted::Was>(in.was(), 2);
+        e.state = Enum<dispatch::AttemptAdopted::State>(in.was(), 2);
         return e;
       }
       case wire::KNOWLEDGE:
         return Knowledge(in.knowledge());
       case wire::JUDGEMENT: {
-        dispatch::Judgement e;
+        dispatch::HealthVerdict e;
         e.worker = Worker(in.worker());
-        e.out = in.out();
+        e.ejected = in.out();
         e.trial = in.trial();
         e.cold = in.cold();
-        e.at = Ago(in.judged_ago());
+        e.observed_at = Ago(in.judged_ago());
         e.witnesses.assign(in.witnesses().begin(), in.witnesses().end());
         return e;
       }
@@ -273,9 +273,9 @@
       case wire::SUBSCRIBE:
         return dispatch::Subscribe{};
       case wire::LOG_LINE: {
-        const auto what = Enum<dispatch::LogLine::What>(in.what(), 4);
-        const bool names = what == dispatch::LogLine::What::kWorkerSilent ||
-                           what == dispatch::LogLine::What::kWorkerBack;
+        const auto what = Enum<dispatch::LogLine::Kind>(in.what(), 4);
+        const bool names = what == dispatch::LogLine::Kind::kWorkerSilent ||
+                           what == dispatch::LogLine::Kind::kWorkerRecovered;
         return dispatch::LogLine{what, names ? Worker(in.worker()) : in.worker(), in.pool(),
                                  Real(in.value())};
       }
@@ -374,7 +374,7 @@
 
 dispatch::Site Origin::Site() const {
   dispatch::Site site = dispatch::ReadSite(dispatch::Conf(settings));
-  site.settings.tells_taken = tells_taken;
+  site.settings.reports_accept = tells_taken;
   return site;
 }
 
@@ -559,9 +559,9 @@
     return "arrived: job " + std::to_string(e.request) + (note.id.empty() ? "" : " " + note.id) +
            " of " + NameOf(site.classes, e.cls) + " for " + NameOf(site.tenants, e.tenant) + ", " +
            Figure(e.slots) + " slots, due in " + Ms(e.due - note.seen) +
-           (e.over_share.value_or(false) ? ", over its share" : "");
+           (e.over_quota.value_or(false) ? ", over its share" : "");
   }
-  std::string operator()(const dispatch::AttemptTaken& e) const {
+  std::string operator()(const dispatch::AttemptAccepted& e) const {
     return Attempt("taken", e.request, e.attempt, e.worker);
   }
   std::string operator()(const dispatch::AttemptStarted& e) const {
@@ -578,7 +578,7 @@
            kOutcomes[static_cast<int>(e.outcome)] + " after " + Ms(e.latency) +
            (e.settled ? ", settled" : "") + LoadWords(e.load);
   }
-  std::string operator()(const dispatch::RequestLapsed& e) const {
+  std::string operator()(const dispatch::RequestAbandoned& e) const {
     return "client gone: job " + std::to_string(e.request);
   }
   std::string operator()(const dispatch::TimerFired&) const { return "timer"; }
@@ -589,14 +589,14 @@
   std::string operator()(const dispatch::AttemptAdopted& e) const {
     static constexpr const char* kWas[] = {"may be running", "never ran", "may have run"};
     return "adopted: job " + std::to_string(e.request) + " at " + NameOf(workers, e.worker) +
-           ", sent " + Ms(note.seen - e.sent) + " ago, " + kWas[static_cast<int>(e.was)];
+           ", sent " + Ms(note.seen - e.sent) + " ago, " + kWas[static_cast<int>(e.state)];
   }
   std::string operator()(const dispatch::Knowledge& e) const {
     return "knowledge of an earlier process: " + std::to_string(e.pools.size()) + " pools, " +
            std::to_string(e.workers.size()) + " workers";
   }
   // "left out because n3 and n7 ..."
-  std::string operator()(const dispatch::Judgement& e) const {
+  std::string operator()(const dispatch::HealthVerdict& e) const {
     std::string nodes;
     for (std::size_t i = 0; i < e.witnesses.size(); ++i)
       nodes += (i == 0                        ? "n"
@@ -604,10 +604,12 @@
                                               : ", n") +
                std::to_string(e.witnesses[i]);
     const std::string name = NameOf(workers, e.worker);
-    if (!e.out && !e.cold) return name + " is in use again: no word of others stands against it";
-    return name + (e.out ? " left out because " : " taken for cold because ") + nodes +
+    if (!e.ejected && !e.cold)
+      return name + " is in use again: no word of others stands against it";
+    return name + (e.ejected ? " left out because " : " taken for cold because ") + nodes +
            (e.cold ? " saw its process die " : " heard nothing good of it since ") +
-           Ms(note.seen - e.at) + " ago" + (e.trial ? "; this node tries it with one job" : "");
+           Ms(note.seen - e.observed_at) + " ago" +
+           (e.trial ? "; this node tries it with one job" : "");
   }
   std::string operator()(const dispatch::PeerMessage& e) const {
     return "message of node " + std::to_string(e.from) + ", " + std::to_string(e.data.size()) +
@@ -637,10 +639,10 @@
   }
   std::string operator()(const dispatch::Subscribe&) const { return "subscribe"; }
   std::string operator()(const dispatch::LogLine& a) const {
-    using What = dispatch::LogLine::What;
-    if (a.what == What::kLimitCut && (a.pool < 0 || a.pool >= static_cast<int>(site.kinds.size())))
+    using Kind = dispatch::LogLine::Kind;
+    if (a.kind == Kind::kLimitCut && (a.pool < 0 || a.pool >= static_cast<int>(site.kinds.size())))
       return "log line of a pool that is none";
-    return "log: " + dispatch::Words(a, site, workers);
+    return "log: " + dispatch::FormatLogLine(a, site, workers);
   }
 };
 
--- a/src/node/cli/captures.cpp
+++ b/src/node/cli/captures.cpp
@@ -70,7 +70,7 @@
   const auto take = [&](const char* name, Micros* to) {
     const std::string text = args[name].as<std::string>();
     if (text.empty()) return;
-    const double s = dispatch::Number<double>(text, std::string("--") + name);
+    const double s = dispatch::ParseNumber<double>(text, std::string("--") + name);
     if (std::abs(s) > 1e9) throw dispatch::Malformed(std::string("--") + name + ": out of range");
     *to = static_cast<Micros>(std::llround(s * 1e6));
   };
--- a/src/node/cli/fleet_setup.cpp
+++ b/src/node/cli/fleet_setup.cpp
@@ -26,8 +26,8 @@
   shares.window = s.window;
   shares.skew = s.skew;
   shares.floor = s.floor;
-  if (site.settings.progress_every > 0)
-    shares.judgements.silent_after = site.settings.progress_every * 5 / 2;
+  if (site.settings.progress_interval > 0)
+    shares.judgements.silent_after = site.settings.progress_interval * 5 / 2;
   return shares;
 }
 
--- a/src/node/cli/knowledge.cpp
+++ b/src/node/cli/knowledge.cpp
@@ -65,10 +65,10 @@
     json.StartObject();
     name("kind", p.kind);
     put("limit", p.what.limit);
-    put("found", p.what.found);
+    put("found", p.what.proven_limit);
     put("slots_seen", p.what.slots_seen);
-    put("ran_ms", p.what.ran / 1000);
-    put("work_ms", p.what.worked / 1000);
+    put("ran_ms", p.what.mean_running / 1000);
+    put("work_ms", p.what.mean_work / 1000);
     json.EndObject();
   }
   json.EndArray();
@@ -101,7 +101,7 @@
   for (const Memory::Tenant& t : m.tenants) {
     json.StartObject();
     name("name", t.name);
-    put("left", t.what.left);
+    put("left", t.what.tokens);
     json.EndObject();
   }
   json.EndArray();
@@ -118,13 +118,13 @@
               static_cast<unsigned long long>(generation), when);
   for (const Memory::Pool& p : m.pools)
     std::printf("  kind %s: limit %s slots, %s found, %s seen on one worker, work x %s\n",
-                p.kind.c_str(), Text(p.what.limit).c_str(), Text(p.what.found).c_str(),
+                p.kind.c_str(), Text(p.what.limit).c_str(), Text(p.what.proven_limit).c_str(),
                 Text(p.what.slots_seen).c_str(),
-                Text(p.what.worked > 0 ? p.what.ran / p.what.worked : 1).c_str());
+                Text(p.what.mean_work > 0 ? p.what.mean_running / p.what.mean_work : 1).c_str());
   for (const Memory::Class& c : m.classes)
     std::printf("  class %s: %s ms of work\n", c.name.c_str(), Text(c.what.work / 1000).c_str());
   for (const Memory::Tenant& t : m.tenants)
-    std::printf("  account %s: %s requests left\n", t.name.c_str(), Text(t.what.left).c_str());
+    std::printf("  account %s: %s requests left\n", t.name.c_str(), Text(t.what.tokens).c_str());
   for (const Memory::Worker& w : m.workers)
     std::printf("  worker %s since %lld: time x %s, failures %s%s%s\n", w.id.c_str(),
                 static_cast<long long>(w.started_ms), Text(w.what.slowness).c_str(),
--- a/src/node/cli/rules.cpp
+++ b/src/node/cli/rules.cpp
@@ -72,7 +72,7 @@
 
 // Until every node that is heard has it.
 int Wait(const std::string& door, const std::string& version, gint64 until) {
-  const std::uint64_t wanted = dispatch::Number<std::uint64_t>(version, "VERSION");
+  const std::uint64_t wanted = dispatch::ParseNumber<std::uint64_t>(version, "VERSION");
   std::string body;
   for (;;) {
     const int status = CallDoor(door, "GET", "/_rules/have", "", &body);
@@ -89,7 +89,7 @@
       if (status == 0) return Say(door, 0, body);
       const std::string refuses = LineOf(body, "refuses");
       const std::string in_force = body.substr(0, body.find(' '));
-      if (dispatch::Number<std::uint64_t>(in_force, "version") < wanted) {
+      if (dispatch::ParseNumber<std::uint64_t>(in_force, "version") < wanted) {
         std::cerr << "pearreach rules: version " << wanted << " is not there; " << in_force
                   << " is the latest at that node\n";
         return kNo;
--- a/src/node/config/config.cpp
+++ b/src/node/config/config.cpp
@@ -118,7 +118,7 @@
   if (!load.IsObject()) return report;
   for (const auto& m : load.GetObject())
     if (m.value.IsNumber())
-      dispatch::TakeLoad(site, TextOf(m.name), std::to_string(m.value.GetDouble()), &report);
+      dispatch::ReadLoadValue(site, TextOf(m.name), std::to_string(m.value.GetDouble()), &report);
   return report;
 }
 
@@ -199,7 +199,7 @@
     const std::size_t eq = pair.find('=');
     if (eq == std::string_view::npos) continue;
     try {
-      dispatch::TakeLoad(site, pair.substr(0, eq), pair.substr(eq + 1), &report);
+      dispatch::ReadLoadValue(site, pair.substr(0, eq), pair.substr(eq + 1), &report);
     } catch (const Malformed& wrong) {
       CountFault("bad_load_report", wrong.what());
     }
@@ -230,10 +230,10 @@
     }
   }
   if (const std::string seed = String(d, "seed"); !seed.empty())
-    c.seed = dispatch::Number<std::uint64_t>(seed, "seed", 16);
+    c.seed = dispatch::ParseNumber<std::uint64_t>(seed, "seed", 16);
   if (const Value* limits = Member(d, "limits"); limits != nullptr && limits->IsObject())
     if (const std::string sockets = String(*limits, "sockets"); !sockets.empty())
-      c.sockets = static_cast<int>(dispatch::Number<double>(sockets, "limits.sockets"));
+      c.sockets = static_cast<int>(dispatch::ParseNumber<double>(sockets, "limits.sockets"));
   if (c.sockets < 64) throw Malformed("limits.sockets: a node needs 64 descriptors at least");
   const Value* settings = Member(d, "settings");
   if (settings == nullptr || !settings->IsObject()) throw Malformed("no settings");
--- a/src/node/config/operator.cpp
+++ b/src/node/config/operator.cpp
@@ -43,7 +43,8 @@
 template <typename T>
 void Take(const xmlNode* node, const char* attribute, std::int64_t unit, T* to) {
   const std::string text = Text(node, attribute);
-  if (!text.empty()) *to = static_cast<T>(dispatch::Number<std::int64_t>(text, attribute) * unit);
+  if (!text.empty())
+    *to = static_cast<T>(dispatch::ParseNumber<std::int64_t>(text, attribute) * unit);
 }
 
 CaptureSettings ReadCapture(const xmlNode* node, const std::string& name) {
@@ -160,7 +161,7 @@
   const std::string voters = Text(node, "voters");  // outlives the views of it
   for (const dispatch::Text voter : dispatch::Split(voters, ' ')) {
     if (voter.empty()) continue;
-    r.voters.push_back(dispatch::Number<int>(voter, "voters"));
+    r.voters.push_back(dispatch::ParseNumber<int>(voter, "voters"));
   }
   std::sort(r.voters.begin(), r.voters.end());
   if (std::adjacent_find(r.voters.begin(), r.voters.end()) != r.voters.end())
--- a/src/node/durable_jobs/keeper_intake.cpp
+++ b/src/node/durable_jobs/keeper_intake.cpp
@@ -128,9 +128,9 @@
   for (const job_state::Attempt& a : r.job.attempts) {
     if (a.ran == Ran::kFenced || (a.ran == Ran::kNever && !adopt)) continue;
     attempts.push_back({a.worker, Now() - std::max<Micros>(0, now - a.sent), a.started,
-                        a.ran == Ran::kOut     ? dispatch::AttemptAdopted::Was::kOut
-                        : a.ran == Ran::kNever ? dispatch::AttemptAdopted::Was::kNeverRan
-                                               : dispatch::AttemptAdopted::Was::kMayHaveRun});
+                        a.ran == Ran::kOut     ? dispatch::AttemptAdopted::State::kInFlight
+                        : a.ran == Ran::kNever ? dispatch::AttemptAdopted::State::kNeverRan
+                                               : dispatch::AttemptAdopted::State::kMayHaveRun});
   }
   const auto ticket = node_->SubmitGuarded(std::move(job), this, this, attempts);
   if (!Must(ticket.has_value(), "open_after_all")) return false;
--- a/src/node/engine/node.cpp
+++ b/src/node/engine/node.cpp
@@ -16,7 +16,7 @@
 
 // The platform's workers answer 202 as soon as they have a job.
 dispatch::Settings WithTaken(dispatch::Settings settings) {
-  settings.tells_taken = true;
+  settings.reports_accept = true;
   return settings;
 }
 
@@ -40,7 +40,7 @@
                   Attempt& a = it->second.attempts[static_cast<std::size_t>(key.number)];
                   a.taken = true;
                   Hear(key.job, a, fences ? AttemptState::kTakenKnowsFences : AttemptState::kTaken);
-                  Post(dispatch::AttemptTaken{key.job, key.number, a.worker});
+                  Post(dispatch::AttemptAccepted{key.job, key.number, a.worker});
                 },
                 [this](AttemptKey key) { Reject(key); },
                 [this](AttemptKey key, Outcome outcome, const dispatch::LoadReport& load) {
@@ -77,7 +77,7 @@
   if (!timers_.empty()) at = std::min(at, timers_.top());
   if (!deadlines_.empty()) at = std::min(at, deadlines_.begin()->first);
   if (at == std::numeric_limits<Micros>::max()) return turn_.Clear();
-  turn_.Set(std::max(at, last_turn_ + site_.settings.round));
+  turn_.Set(std::max(at, last_turn_ + site_.settings.min_handle_interval));
 }
 
 void Node::Turn() {
@@ -110,12 +110,12 @@
   }
 }
 
-void Node::OnJudgement(const std::string& worker, dispatch::Judgement judgement) {
+void Node::OnJudgement(const std::string& worker, dispatch::HealthVerdict judgement) {
   const auto it = ids_.find(worker);
   if (it == ids_.end()) return;
   judgement.worker = it->second;
-  judgement.at -= clock_offset_;
-  Count(judgement.out ? "judged_out" : judgement.cold ? "judged_cold" : "judged_well");
+  judgement.observed_at -= clock_offset_;
+  Count(judgement.ejected ? "judged_out" : judgement.cold ? "judged_cold" : "judged_well");
   Post(std::move(judgement));
 }
 
@@ -183,7 +183,7 @@
       const std::string id = r.job.id;
       for (const auto& [key, attempt] : out) {
         if (attempt.held) {
-          End(key, Outcome::kMoot, {});
+          End(key, Outcome::kNotSent, {});
           continue;
         }
         if (!attempt.taken) workers_.GiveUp(key, attempt.worker, id);
@@ -192,7 +192,7 @@
     } else if (!r.answered) {
       Count("answered_overdue");
       Reply(ticket, r, {Answer::Kind::kFailed, "", 0, true});
-      Post(dispatch::RequestLapsed{ticket});
+      Post(dispatch::RequestAbandoned{ticket});
     } else {
       Must(r.out == 0, "outcome_missing");
       Forget(ticket);
@@ -233,21 +233,21 @@
 }
 
 void Node::LogDecision(const dispatch::LogLine& line) {
-  using What = dispatch::LogLine::What;
-  const std::string text = dispatch::Words(line, site_, names_);
+  using Kind = dispatch::LogLine::Kind;
+  const std::string text = dispatch::FormatLogLine(line, site_, names_);
   const std::string value = std::to_string(std::lround(line.value));
-  switch (line.what) {
-    case What::kWorkerSilent:
+  switch (line.kind) {
+    case Kind::kWorkerSilent:
       return Log("worker_silent", {{"worker", NameOf(line.worker)}}, text);
-    case What::kWorkerBack:
+    case Kind::kWorkerRecovered:
       return Log("worker_back", {{"worker", NameOf(line.worker)}}, text);
-    case What::kLimitCut:
+    case Kind::kLimitCut:
       return Log("limit_cut",
                  {{"pool", site_.kinds.at(static_cast<std::size_t>(line.pool))}, {"slots", value}},
                  text);
-    case What::kShedding:
+    case Kind::kShedding:
       return Log("shedding", {{"refused", value}}, text);
-    case What::kListFailed:
+    case Kind::kListFailed:
       return Log("list_failed", {}, text);
   }
 }
--- a/src/node/engine/node.h
+++ b/src/node/engine/node.h
@@ -65,7 +65,7 @@
     std::string worker;
     Micros sent = 0;  // by Now(); may lie before this process began
     bool started = false;
-    dispatch::AttemptAdopted::Was was = dispatch::AttemptAdopted::Was::kOut;
+    dispatch::AttemptAdopted::State was = dispatch::AttemptAdopted::State::kInFlight;
   };
 
   explicit Node(const Config& config);
@@ -108,7 +108,7 @@
   }
   void Watch(Witness* witness) { witness_ = witness; }
   // What several nodes have seen of a worker; `judgement.at` is Unix time in microseconds.
-  void OnJudgement(const std::string& worker, dispatch::Judgement judgement);
+  void OnJudgement(const std::string& worker, dispatch::HealthVerdict judgement);
 
   // A worker of a zone that the fleet has left takes nothing new: told to the module as draining,
   // like a banned one, until it is open again.
--- a/src/node/engine/node_attempts.cpp
+++ b/src/node/engine/node_attempts.cpp
@@ -30,7 +30,7 @@
     Attempt& a = it->second.attempts[static_cast<std::size_t>(key.number)];
     a.held = false;
     if (!a.out) return;  // given up meanwhile: nothing of it has gone out
-    if (fence == 0 || it->second.answered) return End(key, Outcome::kMoot, {});
+    if (fence == 0 || it->second.answered) return End(key, Outcome::kNotSent, {});
     it->second.job.fence = fence;
     a.sent = a.heard = Now();
     if (it->second.job.lease > 0) {
@@ -88,7 +88,7 @@
   const auto at = static_cast<std::size_t>(action.attempt);
   if (!Must(at < r.attempts.size(), "cancel_of_nothing") || !r.attempts[at].out) return;
   const AttemptKey key{action.request, action.attempt};
-  if (r.attempts[at].held) return End(key, Outcome::kMoot, {});
+  if (r.attempts[at].held) return End(key, Outcome::kNotSent, {});
   workers_.GiveUp(key, r.attempts[at].worker, r.job.id);
   End(key, Outcome::kCancelled, {});
 }
@@ -104,8 +104,8 @@
   a.out = false;
   --r.out;
   if (r.guard != nullptr) {
-    const bool never =
-        outcome == Outcome::kFull || outcome == Outcome::kNoConnection || outcome == Outcome::kMoot;
+    const bool never = outcome == Outcome::kFull || outcome == Outcome::kNoConnection ||
+                       outcome == Outcome::kNotSent;
     const bool said = outcome == Outcome::kGood || outcome == Outcome::kError;
     r.guard->OnAttempt(key.job, NameOf(a.worker),
                        never  ? AttemptState::kNeverRan
@@ -115,7 +115,7 @@
   Count((std::string("ended_") + kNames[static_cast<int>(outcome)]).c_str());
   if (load.free_slots || load.in_flight) Count("load_reports");
   // What never went out says nothing of the worker.
-  if (witness_ != nullptr && outcome != Outcome::kMoot)
+  if (witness_ != nullptr && outcome != Outcome::kNotSent)
     witness_->OnEnded(NameOf(a.worker), outcome, r.job.cls, a.started > 0 ? Now() - a.started : 0);
   dispatch::AttemptEnded e;
   e.request = key.job;
--- a/src/node/engine/node_jobs.cpp
+++ b/src/node/engine/node_jobs.cpp
@@ -34,7 +34,7 @@
   e.due = job.received + job.patience - std::min(kWayHere, job.patience / 2);
   Admission admission;
   if (admit_ && guard == nullptr) admission = admit_(job.tenant, job.is_repeat);
-  e.over_share = admission.over_share;
+  e.over_quota = admission.over_share;
   capture::Note note;
   if (recorder_ != nullptr) note.id = job.id;
   Record& r = records_[ticket];
@@ -52,7 +52,7 @@
   Post(e, std::move(note));
   for (const Adopted& a : attempts) {
     dispatch::AttemptAdopted adopted{ticket, IdOf(a.worker), a.sent, a.started, a.was};
-    const bool out = a.was == dispatch::AttemptAdopted::Was::kOut;
+    const bool out = a.was == dispatch::AttemptAdopted::State::kInFlight;
     r.attempts.push_back({adopted.worker, a.sent, out, true});
     if (out) {
       ++r.out;
@@ -75,7 +75,7 @@
   it->second.answered = true;
   it->second.client = nullptr;
   --open_;
-  Post(dispatch::RequestLapsed{ticket});
+  Post(dispatch::RequestAbandoned{ticket});
   Forget(ticket);
 }
 
--- a/src/node/fleet/rules_part.cpp
+++ b/src/node/fleet/rules_part.cpp
@@ -42,7 +42,7 @@
   return text;
 }
 std::uint64_t NumberOf(const std::string& text, const char* what) {
-  return dispatch::Number<std::uint64_t>(text, what);
+  return dispatch::ParseNumber<std::uint64_t>(text, what);
 }
 
 rules::Agreement MakeMachine(const rules::Options& options, std::uint64_t seed,
@@ -212,7 +212,7 @@
   std::vector<int> voters;
   try {
     for (const dispatch::Text voter : dispatch::Split(text, ' '))
-      if (!voter.empty()) voters.push_back(dispatch::Number<int>(voter, "voters"));
+      if (!voter.empty()) voters.push_back(dispatch::ParseNumber<int>(voter, "voters"));
   } catch (const dispatch::Malformed& wrong) {
     return {400, wrong.what()};
   }
--- a/src/node/http_frontend/front.cpp
+++ b/src/node/http_frontend/front.cpp
@@ -43,7 +43,7 @@
 Micros ReadTimeout(const std::string& text) {
   if (text.size() < 2 || (text.back() != 'm' && text.back() != 'u'))
     throw Malformed("bad X-Timeout " + dispatch::Quote(text));
-  const auto number = dispatch::Number<std::int64_t>(
+  const auto number = dispatch::ParseNumber<std::int64_t>(
       std::string_view(text).substr(0, text.size() - 1), "X-Timeout");
   const Micros unit = text.back() == 'm' ? kMs : 1;
   if (number < 0) throw Malformed("bad X-Timeout " + dispatch::Quote(text));
@@ -64,7 +64,7 @@
     while (part.ends_with(' ')) part.remove_suffix(1);
     if (part == "respond-async") prefer.async = true;
     if (!part.starts_with("wait=")) continue;
-    const auto seconds = dispatch::Number<std::int64_t>(part.substr(5), "Prefer: wait");
+    const auto seconds = dispatch::ParseNumber<std::int64_t>(part.substr(5), "Prefer: wait");
     if (seconds < 0) throw Malformed("bad Prefer: wait");
     prefer.wait = std::min<std::int64_t>(seconds, kMaxPatience / kSecond) * kSecond;
   }
@@ -367,7 +367,7 @@
       const std::size_t eq = pair.find('=');
       if (eq == std::string_view::npos) throw Malformed("bad X-Attrs");
       if (pair.substr(0, eq) == "slots")
-        job.slots = dispatch::Number<double>(pair.substr(eq + 1), "slots");
+        job.slots = dispatch::ParseNumber<double>(pair.substr(eq + 1), "slots");
     }
     if (job.slots <= 0 || job.slots > 1e6) throw Malformed("bad number of slots");
   } catch (const Malformed& wrong) {
--- a/src/node/knowledge/file.cpp
+++ b/src/node/knowledge/file.cpp
@@ -70,11 +70,11 @@
   for (const wire::Pool& p : in.pools()) {
     dispatch::PoolKnowledge k;
     k.limit = c.Figure(p.limit(), 0, 1e9);
-    k.found = c.Figure(p.found(), 0, 1e9);
+    k.proven_limit = c.Figure(p.found(), 0, 1e9);
     k.slots_seen = c.Figure(p.slots_seen(), 1, 1e6);
-    k.ran = c.Figure(p.ran(), 0, kMaxFigure);
-    k.worked = c.Figure(p.worked(), 0, kMaxFigure);
-    k.tell = c.Figure(p.tell(), 0, kMaxFigure);
+    k.mean_running = c.Figure(p.ran(), 0, kMaxFigure);
+    k.mean_work = c.Figure(p.worked(), 0, kMaxFigure);
+    k.start_report_delay = c.Figure(p.tell(), 0, kMaxFigure);
     m->pools.push_back({p.kind(), k});
   }
   c.good = c.good && in.workers_size() <= static_cast<int>(kMaxWorkers);
@@ -107,11 +107,11 @@
     wire::Pool* to = out.add_pools();
     to->set_kind(p.kind);
     to->set_limit(p.what.limit);
-    to->set_found(p.what.found);
+    to->set_found(p.what.proven_limit);
     to->set_slots_seen(p.what.slots_seen);
-    to->set_ran(p.what.ran);
-    to->set_worked(p.what.worked);
-    to->set_tell(p.what.tell);
+    to->set_ran(p.what.mean_running);
+    to->set_worked(p.what.mean_work);
+    to->set_tell(p.what.start_report_delay);
   }
   for (std::size_t i = 0; i < std::min(m.workers.size(), kMaxWorkers); ++i) {
     const Memory::Worker& w = m.workers[i];
@@ -138,7 +138,7 @@
   for (const Memory::Tenant& t : m.tenants) {
     wire::Tenant* to = out.add_tenants();
     to->set_name(t.name);
-    to->set_left(t.what.left);
+    to->set_left(t.what.tokens);
   }
   // The same memory is the same bytes.
   std::string bytes;
--- a/src/node/knowledge/memory.cpp
+++ b/src/node/knowledge/memory.cpp
@@ -66,16 +66,17 @@
   for (Memory::Pool& p : m.pools) {
     const double limit = Weight(age.age, kLimitHalf);
     p.what.limit *= limit;
-    p.what.found *= limit;
-    p.what.ran = Towards(p.what.worked, p.what.ran, speed);
+    p.what.proven_limit *= limit;
+    p.what.mean_running = Towards(p.what.mean_work, p.what.mean_running, speed);
   }
   for (Memory::Class& c : m.classes) {
     const int cls = IndexOf(site.classes, c.name);
     // The module begins with the aim for the work.
     if (cls >= 0)
-      c.what.work = Towards(static_cast<double>(std::max<Micros>(
-                                site.settings.classes[static_cast<std::size_t>(cls)].aim, 1000)),
-                            c.what.work, speed);
+      c.what.work =
+          Towards(static_cast<double>(std::max<Micros>(
+                      site.settings.classes[static_cast<std::size_t>(cls)].latency_target, 1000)),
+                  c.what.work, speed);
   }
   for (Memory::Worker& w : m.workers) {
     w.what.slowness = Towards(1, w.what.slowness, Weight(age.age, kSlownessHalf));
@@ -87,14 +88,14 @@
     if (w.what.died_at > site.settings.cold_time) w.what.died_at = 0;
     for (auto& [ago, work] : w.what.cold_sends) ago = age.unknown ? 0 : ago + passed;
     std::erase_if(w.what.cold_sends,
-                  [&](const auto& s) { return s.first > site.settings.fall_time; });
+                  [&](const auto& s) { return s.first > site.settings.overload_time; });
   }
   for (Memory::Tenant& t : m.tenants) {
     const int tenant = IndexOf(site.tenants, t.name);
     if (tenant < 0) continue;
     const double rate = site.settings.tenants[static_cast<std::size_t>(tenant)].quota_per_s /
                         std::max(1, site.settings.balancers);
-    t.what.left += rate * static_cast<double>(age.age) / 1e6;
+    t.what.tokens += rate * static_cast<double>(age.age) / 1e6;
   }
   return m;
 }
@@ -113,7 +114,7 @@
   for (Memory::Pool p : m.pools) {
     p.what.pool = IndexOf(site.kinds, p.kind);
     p.what.limit *= share;
-    p.what.found *= share;
+    p.what.proven_limit *= share;
     if (p.what.pool >= 0) r.common.pools.push_back(p.what);
   }
   for (Memory::Class c : m.classes)
--- a/src/node/rules/document.cpp
+++ b/src/node/rules/document.cpp
@@ -127,7 +127,7 @@
   const auto number = [&](const xmlNode* n, const char* attribute, auto* to) {
     using T = typename std::decay_t<decltype(*to)>::value_type;
     if (const std::string said = xml::Text(n, attribute); !said.empty())
-      *to = dispatch::Number<T>(said, attribute);
+      *to = dispatch::ParseNumber<T>(said, attribute);
   };
   Document d;
   std::optional<std::uint32_t> schema;
@@ -148,7 +148,7 @@
     const std::string word(rest.substr(0, space));
     rest = space == std::string_view::npos ? std::string_view() : rest.substr(space + 1);
     if (word.empty()) continue;
-    const int voter = dispatch::Number<int>(word, "voters");
+    const int voter = dispatch::ParseNumber<int>(word, "voters");
     if (voter >= nodes)
       xml::Fail(name, xml::Line(root),
                 "voters: there is no node " + word + " of " + std::to_string(nodes));
@@ -160,8 +160,9 @@
     const std::string of = xml::Text(n, what == "ban" ? "worker" : "name");
     bool first = true;
     if (what == "account") {
-      first = d.rules.shares.emplace(of, dispatch::Number<double>(xml::Text(n, "share"), "share"))
-                  .second;
+      first =
+          d.rules.shares.emplace(of, dispatch::ParseNumber<double>(xml::Text(n, "share"), "share"))
+              .second;
     } else if (what == "ban") {
       first = d.rules.bans.insert(of).second;
     } else {
--- a/src/tier/proxy/active_request.cpp
+++ b/src/tier/proxy/active_request.cpp
@@ -158,7 +158,7 @@
   // Guards drains: the list that the decision rests on may be older than the registry's update.
   const bool ready = chosen.present && host_->IsReady(chosen.record.worker_id);
   if (ready && TimeLeft() > kMinTimeLeft) return Send(worker);
-  EndPlacement(Outcome::kMoot);
+  EndPlacement(Outcome::kNotSent);
   if (!ready) host_->RefreshWorkers();
   if (!retries_.OnWorkerGone() || TimeLeft() <= kMinTimeLeft) return EndWithoutAnswer();
   RequestPlacement();
@@ -270,13 +270,13 @@
       pool_->dispatcher.OnWorkers(pool_->workers.DropWorker(worker_));
       host_->RefreshWorkers();  // which sees to it that the worker is tried again in time
     }
-    return Outcome::kMoot;
+    return Outcome::kNotSent;
   }
-  if (head.status == 400) return Outcome::kMoot;
+  if (head.status == 400) return Outcome::kNotSent;
   const double worker_tokens = host_->WorkerTokens(spec_.service);
   const bool too_large = worker_tokens > 0 && spec_.tokens > kLargeRequestFraction * worker_tokens;
   const bool overdue = TimeLeft() <= kMinTimeLeft;
-  return overdue || too_large ? Outcome::kMoot : Outcome::kFull;
+  return overdue || too_large ? Outcome::kNotSent : Outcome::kFull;
 }
 
 // ---------------------------------------------------------------- retries and the end
--- a/src/tier/proxy/pool_dispatcher.cpp
+++ b/src/tier/proxy/pool_dispatcher.cpp
@@ -84,7 +84,7 @@
 void PoolDispatcher::Withdraw(PlacementId id) {
   const auto found = open_.find(id);
   if (found == open_.end()) return;
-  if (!rebuild_) Post(dispatch::RequestLapsed{id});
+  if (!rebuild_) Post(dispatch::RequestAbandoned{id});
   RemoveQueued(found->second);
   open_.erase(found);
 }
@@ -189,7 +189,7 @@
     std::get<dispatch::RequestArrived>(events_.back()).due =
         std::max(now, open.placement.due) + kOutFor;
     events_.emplace_back(dispatch::AttemptAdopted{id, open.worker, open.sent, true,
-                                                  dispatch::AttemptAdopted::Was::kOut});
+                                                  dispatch::AttemptAdopted::State::kInFlight});
     if (open.began) events_.emplace_back(dispatch::StreamBegan{id, 0, open.worker});
   }
 }
@@ -200,7 +200,7 @@
   dispatch::Knowledge learned;
   if (!dispatcher_) return learned;
   learned = dispatcher_->Learned(now);
-  for (dispatch::PoolKnowledge& pool : learned.pools) pool.found = pool.limit;
+  for (dispatch::PoolKnowledge& pool : learned.pools) pool.proven_limit = pool.limit;
   return learned;
 }
 
@@ -254,18 +254,18 @@
 }
 
 void PoolDispatcher::LogDecision(const dispatch::LogLine& line) {
-  using What = dispatch::LogLine::What;
-  if (line.what == What::kLimitCut) {
+  using Kind = dispatch::LogLine::Kind;
+  if (line.kind == Kind::kLimitCut) {
     limit_cut_ = true;
     logging::Info(kModule, "limit cut",
                   {logging::F("service", service_), logging::F("slots", line.value)});
-  } else if (line.what == What::kShedding) {
+  } else if (line.kind == Kind::kShedding) {
     logging::Info(kModule, "refusing",
                   {logging::F("service", service_), logging::F("refused", line.value)});
-  } else if (line.what == What::kWorkerSilent || line.what == What::kWorkerBack) {
+  } else if (line.kind == Kind::kWorkerSilent || line.kind == Kind::kWorkerRecovered) {
     const ServiceWorker* worker = workers_->Find(line.worker);
     if (worker == nullptr) return;
-    const bool no_progress = line.what == What::kWorkerSilent;
+    const bool no_progress = line.kind == Kind::kWorkerSilent;
     logging::Info(
         kModule, no_progress ? "worker silent" : "worker back",
         {logging::F("service", service_), logging::F("worker", worker->record.worker_id)});
@@ -298,19 +298,20 @@
     dispatch::ClassSettings cls;
     // Each placement is sent once; the job repeats.
     cls.effect = dispatch::Effect::kRepeatable;
-    cls.aim = traffic_class.bulk ? kBulkTarget : std::max<Micros>(traffic_class.target, kMs);
+    cls.latency_target =
+        traffic_class.bulk ? kBulkTarget : std::max<Micros>(traffic_class.target, kMs);
     // A stream's objective is its first event, while its work is all of it.
-    cls.aim_stretch = traffic_class.streamed || traffic_class.bulk ? 1 : 0;
-    cls.worth = traffic_class.bulk ? kBulkValue : std::pow(kRankFalls, traffic_class.rank);
+    cls.latency_target_stretch = traffic_class.streamed || traffic_class.bulk ? 1 : 0;
+    cls.value = traffic_class.bulk ? kBulkValue : std::pow(kRankFalls, traffic_class.rank);
     cls.late_value = traffic_class.bulk ? 1 : kLateValue;
     cls.kind = 0;
     settings.classes.push_back(cls);
   }
   if (settings.classes.empty()) settings.classes.emplace_back();
-  settings.worth_by_work = true;
+  settings.value_by_work = true;
   settings.weighted_workers = true;
   settings.retry_after = true;
-  settings.progress_every = kNoProgressTimeout;
+  settings.progress_interval = kNoProgressTimeout;
   settings.connect_price = kConnectPrice;
   settings.connection_idle = kKeepIdle;
   return settings;
--- a/tests/contracts/node_bytes_test.cpp
+++ b/tests/contracts/node_bytes_test.cpp
@@ -413,8 +413,8 @@
   EXPECT_EQ(memory.nodes, 6);
   ASSERT_EQ(memory.pools.size(), 2u);
   EXPECT_EQ(memory.pools[1].kind, "cpu");
-  EXPECT_EQ(memory.pools[1].what.found, 21.5);
-  EXPECT_EQ(memory.pools[1].what.tell, 25.5);
+  EXPECT_EQ(memory.pools[1].what.proven_limit, 21.5);
+  EXPECT_EQ(memory.pools[1].what.start_report_delay, 25.5);
   ASSERT_EQ(memory.workers.size(), 2u);
   EXPECT_EQ(memory.workers[0].started_ms, 1111);
   EXPECT_EQ(memory.workers[0].what.slowness, 1.5);
@@ -423,7 +423,7 @@
   ASSERT_EQ(memory.classes.size(), 2u);
   EXPECT_EQ(memory.classes[0].what.work, 31.5);
   ASSERT_EQ(memory.tenants.size(), 2u);
-  EXPECT_EQ(memory.tenants[1].what.left, 42.5);
+  EXPECT_EQ(memory.tenants[1].what.tokens, 42.5);
 }
 
 TEST(NodeBytes, KnowledgeFile) {
@@ -468,7 +468,7 @@
 dispatch::Settings CheckpointSettings() {
   dispatch::Settings settings = dispatch::testing::BaseSettings();
   settings.tenants = {{5}, {20}};
-  settings.over_share_worth = 0.05;
+  settings.over_quota_value = 0.05;
   settings.balancers = 2;
   return settings;
 }
--- a/tests/dispatch/policy/checkpoint_test.cpp
+++ b/tests/dispatch/policy/checkpoint_test.cpp
@@ -44,7 +44,7 @@
       events.push_back(e);
       if (step.b % 11 == 3) {  // made before the module's time
         events.push_back(AttemptAdopted{e.request, step.a % 8, now - kSecond, step.a % 2 == 0,
-                                        static_cast<AttemptAdopted::Was>(step.b % 3)});
+                                        static_cast<AttemptAdopted::State>(step.b % 3)});
         if (step.b % 3 == 0) out_[{e.request, tries_[e.request]}] = step.a % 8;
         ++tries_[e.request];
       }
@@ -54,7 +54,7 @@
       if (step.b % 3 == 0) {
         events.push_back(AttemptStarted{request, attempt, it->second});
       } else if (step.b % 7 == 1) {
-        events.push_back(AttemptTaken{request, attempt, it->second});
+        events.push_back(AttemptAccepted{request, attempt, it->second});
       } else {
         AttemptEnded e;
         e.request = request;
@@ -88,7 +88,7 @@
       e.load.in_flight = step.b % 5;
       events.push_back(e);
     } else if (step.kind == 11 && last_ > 0) {
-      events.push_back(RequestLapsed{1 + step.a % last_});
+      events.push_back(RequestAbandoned{1 + step.a % last_});
     }
     for (auto it = out_.begin(); it != out_.end();) {  // the node stops waiting at the deadline
       if (due_[it->first.first] > now) {
@@ -128,13 +128,13 @@
   s.kinds = 2;
   s.balancers = 2;
   s.may_probe = probes;
-  s.tells_taken = !probes;
+  s.reports_accept = !probes;
   s.cross_zone_price = priced ? 0.1 : 0;
   s.connect_price = priced ? 0.1 : 0;
   s.connection_idle = kSecond;
   s.tenants = {{5}, {20}};
-  s.over_share_worth = 0.05;
-  s.goal_worst_class = 0.3;
+  s.over_quota_value = 0.05;
+  s.objective_worst_class = 0.3;
   return s;
 }
 
--- a/tests/dispatch/policy/driver.h
+++ b/tests/dispatch/policy/driver.h
@@ -17,23 +17,23 @@
 // Classes: 0 repeatable, 1 once, 2 by key (window 5 s). One kind, jobs of about 100 ms.
 inline Settings BaseSettings() {
   Settings s;
-  s.round = kMs;
-  s.tells_start = true;
-  s.progress_every = kSecond;
-  s.try_limit = 4;
+  s.min_handle_interval = kMs;
+  s.reports_start = true;
+  s.progress_interval = kSecond;
+  s.max_attempts = 4;
   s.may_cancel = true;
   s.may_probe = true;
   s.may_duplicate = true;
   s.cold_share = 0.3;
   s.cold_time = 8 * kSecond;
-  s.fall_multiple = 4;
-  s.fall_time = 1500 * kMs;
+  s.overload_multiple = 4;
+  s.overload_time = 1500 * kMs;
   for (const Effect effect : {Effect::kRepeatable, Effect::kOnce, Effect::kByKey}) {
     ClassSettings c;
     c.effect = effect;
     c.key_window = 5 * kSecond;
-    c.aim = 500 * kMs;
-    c.aim_stretch = 2;
+    c.latency_target = 500 * kMs;
+    c.latency_target_stretch = 2;
     c.deadline = 10 * kSecond;
     c.late_value = 0.3;
     s.classes.push_back(c);
@@ -66,7 +66,7 @@
       if (const auto* fail = std::get_if<Fail>(&a)) failed.push_back(fail->request);
       if (const auto* cancel = std::get_if<Cancel>(&a)) cancelled.push_back(*cancel);
       if (const auto* probe = std::get_if<Probe>(&a)) probed.push_back(probe->worker);
-      if (const auto* log = std::get_if<LogLine>(&a)) logs.push_back(log->what);
+      if (const auto* log = std::get_if<LogLine>(&a)) logs.push_back(log->kind);
       if (const auto* timer = std::get_if<SetTimer>(&a)) timers.insert({timer->at, 0});
       if (std::holds_alternative<Subscribe>(a)) ++subscribes;
     }
@@ -157,7 +157,7 @@
   std::vector<RequestId> refused, failed, all_refused, all_failed;
   std::vector<Cancel> cancelled;
   std::vector<WorkerId> probed;
-  std::vector<LogLine::What> logs;
+  std::vector<LogLine::Kind> logs;
   int subscribes = 0;
   std::map<RequestId, WorkerId> last_worker;
   std::map<RequestId, int> attempts;
--- a/tests/dispatch/policy/knowledge_test.cpp
+++ b/tests/dispatch/policy/knowledge_test.cpp
@@ -117,12 +117,12 @@
 TEST(Recalled, ATenantsShareIsNotThereTwice) {
   Settings s = BaseSettings();
   s.tenants = {{10}};
-  s.over_share_worth = 0.05;
+  s.over_quota_value = 0.05;
   Driver fresh(s), again(s);
   for (Driver* d : {&fresh, &again}) d->Workers(1);
   again.Give({Knowledge{{}, {}, {}, {{0, 0.5}}}});
-  EXPECT_NEAR(again.dispatcher.Learned(0).tenants.at(0).left, 0.5, 1e-9);
-  EXPECT_NEAR(fresh.dispatcher.Learned(0).tenants.at(0).left, 20, 1e-9);
+  EXPECT_NEAR(again.dispatcher.Learned(0).tenants.at(0).tokens, 0.5, 1e-9);
+  EXPECT_NEAR(fresh.dispatcher.Learned(0).tenants.at(0).tokens, 20, 1e-9);
 }
 
 TEST(Recalled, WhatIsTaughtIsWhatWasLearned) {
@@ -136,8 +136,8 @@
   second.Give({learned});
   const Knowledge again = second.dispatcher.Learned(second.now);
   EXPECT_EQ(again.pools.at(0).limit,
-            std::min(learned.pools.at(0).limit, learned.pools.at(0).found));
-  EXPECT_EQ(again.pools.at(0).ran, learned.pools.at(0).ran);
+            std::min(learned.pools.at(0).limit, learned.pools.at(0).proven_limit));
+  EXPECT_EQ(again.pools.at(0).mean_running, learned.pools.at(0).mean_running);
   EXPECT_EQ(again.classes.at(0).work, learned.classes.at(0).work);
 }
 
--- a/tests/dispatch/policy/policy_test.cpp
+++ b/tests/dispatch/policy/policy_test.cpp
@@ -135,7 +135,7 @@
 TEST(Limit, ACutGoesToThisNodesPartOfTheSlots) {
   Settings s = BaseSettings();
   s.balancers = 10;
-  s.try_limit = 100;
+  s.max_attempts = 100;
   Driver d(s);
   d.Workers(10);
   LoadReport load;
@@ -238,7 +238,7 @@
 
 TEST(Order, TheNewestHeldJobGoesFirst) {
   Settings s = BaseSettings();
-  for (ClassSettings& c : s.classes) c.aim = 5 * kSecond;
+  for (ClassSettings& c : s.classes) c.latency_target = 5 * kSecond;
   Driver d(s);
   d.List({});
   d.Ask(1);
@@ -277,7 +277,7 @@
 
 TEST(Order, WorthASlotSecondDecidesBetweenClasses) {
   Settings s = BaseSettings();
-  s.classes[1].worth = 8;
+  s.classes[1].value = 8;
   Driver d(s);
   d.List({});
   d.Give({d.Request(1, 1), d.Request(2, 0)});
@@ -367,7 +367,7 @@
 
 TEST(Key, AJobWaitsForItsFirstWorkersAndSpillsWithTime) {
   Settings s = BaseSettings();
-  for (ClassSettings& c : s.classes) c.aim = 5 * kSecond;
+  for (ClassSettings& c : s.classes) c.latency_target = 5 * kSecond;
   Driver d(s);
   EXPECT_LE(WorkersOfAKey(d, 200, 8).size(), 3u);
   const std::size_t before = d.all_sends.size();
@@ -377,7 +377,7 @@
 
 TEST(Key, AMuchAskedKeyGetsWorkersByItsPartOfTheWork) {
   Settings s = BaseSettings();
-  for (ClassSettings& c : s.classes) c.aim = 5 * kSecond;
+  for (ClassSettings& c : s.classes) c.latency_target = 5 * kSecond;
   Driver d(s);
   EXPECT_GE(WorkersOfAKey(d, 4, 8).size(), 6u);
 }
@@ -432,7 +432,7 @@
   static Settings Many() {
     Settings s = BaseSettings();
     s.balancers = 200;  // for twenty workers: hardly a job a node
-    for (ClassSettings& c : s.classes) c.aim = 5 * kSecond;
+    for (ClassSettings& c : s.classes) c.latency_target = 5 * kSecond;
     return s;
   }
   void AskKeyed(RequestId id) {
@@ -601,7 +601,7 @@
 TEST_F(Zones, LooksAreBoundedHoweverManyWorkersHaveNoRoom) {
   List(3000);
   for (RequestId id = 1; id <= 200; ++id) Serve(id, 8);
-  EXPECT_LE(d.dispatcher.Looks(), 200u * 40);
+  EXPECT_LE(d.dispatcher.WorkersExamined(), 200u * 40);
 }
 
 // With many workers and few jobs a node, nearly every send opened a connection.
@@ -653,7 +653,7 @@
   d.Workers(workers);
   for (RequestId id = 1; id <= 200; ++id) d.Serve(id, 20 * kMs);
   EXPECT_EQ(d.all_sends.size(), 200u);
-  return d.dispatcher.Looks();
+  return d.dispatcher.WorkersExamined();
 }
 
 TEST(Looks, AJobCostsTheSameHoweverManyWorkers) {
@@ -673,12 +673,12 @@
   }
   ASSERT_EQ(d.all_sends.size(), 300u);
   d.Ask(++id);
-  const std::uint64_t before = d.dispatcher.Looks();
+  const std::uint64_t before = d.dispatcher.WorkersExamined();
   d.Run(400 * kMs);
-  EXPECT_EQ(d.dispatcher.Looks(), before);
+  EXPECT_EQ(d.dispatcher.WorkersExamined(), before);
   d.Begin(7);
   EXPECT_EQ(d.sends.size(), 1u);
-  EXPECT_GT(d.dispatcher.Looks(), before);
+  EXPECT_GT(d.dispatcher.WorkersExamined(), before);
 }
 
 TEST(List, ChangesOneByOneLeaveTheSameHomesAsTheCompleteList) {
@@ -855,7 +855,7 @@
 
 TEST(Price, AfterAMissSlotsAreNotSpentOnJobsWorthLittle) {
   Settings s = BaseSettings();
-  s.classes[1].worth = 100;
+  s.classes[1].value = 100;
   Driver d(s);
   d.List({});
   d.Ask(1, 1);
@@ -879,8 +879,8 @@
 TEST(Price, LastsForSoManyArrivalsOfThisNode) {
   const auto sent_after_miss = [](Micros gap) {
     Settings s = BaseSettings();
-    s.worth_by_work = true;
-    s.classes[0].worth = 0.1;
+    s.value_by_work = true;
+    s.classes[0].value = 0.1;
     s.classes[1].late_value = 0;
     Driver d(s);
     d.Workers(1);
@@ -983,12 +983,14 @@
 struct NeverTaken : ::testing::Test {
   NeverTaken() {
     Settings s = BaseSettings();
-    s.tells_taken = true;
+    s.reports_accept = true;
     d.emplace(s);
     d->Workers(4);
     for (RequestId id = 1; id <= 30; ++id) d->Serve(id);  // the limit has room for some jobs
   }
-  void Take(RequestId id) { d->Give({AttemptTaken{id, d->attempts[id] - 1, d->last_worker[id]}}); }
+  void Take(RequestId id) {
+    d->Give({AttemptAccepted{id, d->attempts[id] - 1, d->last_worker[id]}});
+  }
   std::optional<Driver> d;
 };
 
@@ -1036,8 +1038,8 @@
 TEST(Tenants, WorkBeyondAShareGoesLast) {
   Settings s = BaseSettings();
   s.tenants = {{1.0}, {1.0}};  // requests a second
-  s.over_share_worth = 0.05;
-  for (ClassSettings& c : s.classes) c.aim = 5 * kSecond;
+  s.over_quota_value = 0.05;
+  for (ClassSettings& c : s.classes) c.latency_target = 5 * kSecond;
   Driver d(s);
   d.List({});
   RequestId id = 1;
@@ -1064,10 +1066,10 @@
 TEST(WorstClass, IsLiftedInTheMeasureTheGoalWeighsIt) {
   for (const double weight : {0.0, 0.5}) {
     Settings s = BaseSettings();
-    s.goal_whole = 0.5;
-    s.goal_worst_class = weight;
-    s.worth_by_work = true;
-    s.classes[1].worth = 1.2;
+    s.objective_total = 0.5;
+    s.objective_worst_class = weight;
+    s.value_by_work = true;
+    s.classes[1].value = 1.2;
     Driver d(s);
     d.Workers(1);
     RequestId id = 1;
@@ -1077,7 +1079,7 @@
       d.Run(5 * kMs);
       d.End(id, Outcome::kGood);
       d.Ask(id + 1, 0);
-      d.Give({RequestLapsed{id + 1}});
+      d.Give({RequestAbandoned{id + 1}});
       d.End(id + 1, Outcome::kCancelled);
     }
     d.List({});
@@ -1107,7 +1109,7 @@
 
 // ---------------------------------------------------------------- what several nodes have seen
 
-Judgement Out(WorkerId worker, Micros at, bool trial = false) {
+HealthVerdict Out(WorkerId worker, Micros at, bool trial = false) {
   return {worker, true, trial, false, at, {1, 2}};
 }
 
@@ -1119,9 +1121,9 @@
   d.Serve(1);
   for (RequestId id = 2; id <= 20; ++id) d.Serve(id);
   for (const Send& s : d.all_sends) EXPECT_EQ(s.worker, 1u);
-  Judgement back;
+  HealthVerdict back;
   back.worker = 0;
-  back.at = d.now;
+  back.observed_at = d.now;
   d.Give({back});
   d.ServeTogether(100, 40);
   EXPECT_TRUE(std::any_of(d.all_sends.begin(), d.all_sends.end(),
@@ -1170,7 +1172,7 @@
     d->Workers(1);
     d->now = 20 * kSecond;
   }
-  with.Give({Judgement{0, false, false, true, with.now, {1, 2}}});
+  with.Give({HealthVerdict{0, false, false, true, with.now, {1, 2}}});
   for (Driver* d : {&with, &without}) {
     std::vector<Event> all;
     for (RequestId id = 1; id <= 60; ++id) all.push_back(d->Request(id));
@@ -1187,14 +1189,14 @@
 TEST(Shared, OverItsShareIsWhatTheNodesSayTogether) {
   Settings s = BaseSettings();
   s.tenants = {{1000}};
-  s.over_share_worth = 0.05;
+  s.over_quota_value = 0.05;
   Driver d(s);
   d.Workers(1);
   std::vector<Event> all;
   for (RequestId id = 1; id <= 2; ++id) {
     RequestArrived e = d.Request(id);
     e.tenant = 0;
-    e.over_share = id == 2;  // the newest would go first
+    e.over_quota = id == 2;  // the newest would go first
     all.push_back(e);
   }
   d.Give(all);
@@ -1208,8 +1210,8 @@
   AttemptEnded ended;
   ended.request = 9;
   ended.worker = 44;
-  d.Give({AttemptStarted{9, 0, 0}, AttemptProgress{9, 3, 55, 0.5}, ended, RequestLapsed{9},
-          ProbeEnded{99, true, {}}, Judgement{98, true, true, true, 1, {}}, d.Request(1, 77)});
+  d.Give({AttemptStarted{9, 0, 0}, AttemptProgress{9, 3, 55, 0.5}, ended, RequestAbandoned{9},
+          ProbeEnded{99, true, {}}, HealthVerdict{98, true, true, true, 1, {}}, d.Request(1, 77)});
   d.Ask(1);
   d.Ask(1);  // the same id again
   EXPECT_EQ(d.all_sends.size(), 1u);
@@ -1222,7 +1224,7 @@
   s.classes.clear();
   EXPECT_EQ(ValidateSettings(s), "no request class");
   s = BaseSettings();
-  s.round = 0;
+  s.min_handle_interval = 0;
   EXPECT_EQ(ValidateSettings(s), "no round length");
 }
 
--- a/tests/dispatch/policy/property_test.cpp
+++ b/tests/dispatch/policy/property_test.cpp
@@ -124,7 +124,7 @@
         if (Chance(0.5) && !overdue) e.outcome = Outcome::kGood;
         a.out = false;
         a.may_have_run = e.outcome != Outcome::kFull && e.outcome != Outcome::kNoConnection &&
-                         e.outcome != Outcome::kMoot;
+                         e.outcome != Outcome::kNotSent;
         if (e.outcome == Outcome::kGood && r.finals == 0) {
           ++r.finals;
           ++served_;
@@ -154,7 +154,7 @@
     EXPECT_EQ(r.finals, 0) << "sent after its end";
     EXPECT_LT(now_, r.due);
     EXPECT_EQ(health_.at(s.worker), Health::kInService) << "sent to a draining worker";
-    EXPECT_LT(r.attempts.size(), static_cast<std::size_t>(settings_.try_limit));
+    EXPECT_LT(r.attempts.size(), static_cast<std::size_t>(settings_.max_attempts));
     if (c.kind >= 0) {
       EXPECT_EQ(static_cast<int>(s.worker % 2), c.kind);
     }
@@ -223,25 +223,25 @@
   Settings s;
   s.balancers = 2;
   s.kinds = 2;
-  s.try_limit = 2 + static_cast<int>(random() % 4);
-  s.tells_start = coin();
-  s.progress_every = coin() ? 1000 * kMs : 0;
+  s.max_attempts = 2 + static_cast<int>(random() % 4);
+  s.reports_start = coin();
+  s.progress_interval = coin() ? 1000 * kMs : 0;
   s.may_cancel = coin();
   s.may_probe = coin();
   s.may_duplicate = coin();
-  s.worth_by_work = coin();
-  s.goal_worst_class = coin() ? 0.3 : 0;
+  s.value_by_work = coin();
+  s.objective_worst_class = coin() ? 0.3 : 0;
   s.cold_time = 3000 * kMs;
   s.cold_share = 0.3;
-  s.fall_multiple = 4;
-  s.fall_time = 1000 * kMs;
+  s.overload_multiple = 4;
+  s.overload_time = 1000 * kMs;
   for (const Effect effect : {Effect::kRepeatable, Effect::kOnce, Effect::kByKey, Effect::kByKey}) {
     ClassSettings c;
     c.effect = effect;
     c.key_scope = s.classes.size() == 3 ? KeyScope::kZone : KeyScope::kAll;
     c.key_window = 800 * kMs;
-    c.aim = 300 * kMs;
-    c.aim_stretch = 2;
+    c.latency_target = 300 * kMs;
+    c.latency_target_stretch = 2;
     c.late_value = coin() ? 0.3 : 0;
     c.kind = s.classes.size() == 1 ? 1 : -1;
     s.classes.push_back(c);
--- a/tests/dispatch/policy/rules_test.cpp
+++ b/tests/dispatch/policy/rules_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 TEST(Once, GoesAgainOnlyWhenItProvablyNeverRan) {
-  for (const Outcome o : {Outcome::kFull, Outcome::kNoConnection, Outcome::kMoot}) {
+  for (const Outcome o : {Outcome::kFull, Outcome::kNoConnection, Outcome::kNotSent}) {
     Driver d(BaseSettings());
     d.Workers(2);
     d.Ask(1, 1);
@@ -141,8 +141,8 @@
   d.Workers(3);
   d.Ask(1, 0);
   d.End(1, Outcome::kGood);
-  d.End(1, Outcome::kReset, 0);                   // a late, repeated outcome
-  d.Give({RequestLapsed{1}, RequestLapsed{77}});  // ids no longer or never held
+  d.End(1, Outcome::kReset, 0);                         // a late, repeated outcome
+  d.Give({RequestAbandoned{1}, RequestAbandoned{77}});  // ids no longer or never held
   d.Run(20 * kSecond);
   EXPECT_EQ(d.all_sends.size(), 1u);
   EXPECT_TRUE(d.all_refused.empty() && d.all_failed.empty());
@@ -152,7 +152,7 @@
   Driver d(BaseSettings());
   d.Workers(1);
   d.Ask(1, 0);
-  d.Give({RequestLapsed{1}});
+  d.Give({RequestAbandoned{1}});
   EXPECT_EQ(d.cancelled.size(), 1u);
   d.End(1, Outcome::kCancelled);
   EXPECT_EQ(d.dispatcher.OpenRequests(), 0u);
@@ -266,7 +266,7 @@
 TEST(Adopted, IsNotSentAgainAndItsSlotsCount) {
   Driver d(BaseSettings());
   d.Workers(3);
-  AttemptAdopted adopted{7, 1, -kSecond, true, AttemptAdopted::Was::kOut};
+  AttemptAdopted adopted{7, 1, -kSecond, true, AttemptAdopted::State::kInFlight};
   d.Give({d.Request(7, 1), adopted});
   EXPECT_TRUE(d.sends.empty());
   EXPECT_EQ(d.dispatcher.PoolBusy(0), 1);
@@ -288,7 +288,7 @@
 TEST(Adopted, AtAWorkerThatHasGone) {
   Driver d(BaseSettings());
   d.Workers(1);
-  d.Give({d.Request(7, 1), AttemptAdopted{7, 9, 0, true, AttemptAdopted::Was::kOut}});
+  d.Give({d.Request(7, 1), AttemptAdopted{7, 9, 0, true, AttemptAdopted::State::kInFlight}});
   d.Run(3 * kSecond);
   EXPECT_TRUE(d.all_sends.empty());
   d.Serve(8);
@@ -299,10 +299,10 @@
 // on.
 TEST(Adopted, EndedAttemptsBindTheNextAsEver) {
   for (const auto& [cls, was, sent, wanted] :
-       {std::tuple{1, AttemptAdopted::Was::kNeverRan, -kSecond, 1u},
-        std::tuple{1, AttemptAdopted::Was::kMayHaveRun, -kSecond, 0u},
-        std::tuple{2, AttemptAdopted::Was::kMayHaveRun, -kSecond, 1u},
-        std::tuple{2, AttemptAdopted::Was::kMayHaveRun, -6 * kSecond, 0u}}) {
+       {std::tuple{1, AttemptAdopted::State::kNeverRan, -kSecond, 1u},
+        std::tuple{1, AttemptAdopted::State::kMayHaveRun, -kSecond, 0u},
+        std::tuple{2, AttemptAdopted::State::kMayHaveRun, -kSecond, 1u},
+        std::tuple{2, AttemptAdopted::State::kMayHaveRun, -6 * kSecond, 0u}}) {
     Driver d(BaseSettings());
     d.Workers(3);
     d.Give({d.Request(7, cls), AttemptAdopted{7, 1, sent, false, was}});
--- a/tests/node/config/config_test.cpp
+++ b/tests/node/config/config_test.cpp
@@ -36,9 +36,9 @@
   EXPECT_TRUE(c.site.x0_is_free_slots && wire.x0_is_free_slots);
   const dispatch::Settings &a = c.site.settings, &b = wire.settings;
   EXPECT_EQ(a.zone, 1);
-  EXPECT_EQ(a.round, b.round);
+  EXPECT_EQ(a.min_handle_interval, b.min_handle_interval);
   EXPECT_EQ(a.connect_timeout, b.connect_timeout);
-  EXPECT_EQ(a.try_limit, b.try_limit);
+  EXPECT_EQ(a.max_attempts, b.max_attempts);
   EXPECT_EQ(a.classes[0].deadline, b.classes[0].deadline);
   EXPECT_EQ(a.classes[1].kind, 0);
   EXPECT_EQ(a.classes[1].key_scope, dispatch::KeyScope::kCell);
@@ -76,7 +76,7 @@
   write("127.0.0.1:2", "9.0");
   EXPECT_TRUE(ReloadConfig(path, &c));
   EXPECT_EQ(c.discovery, "127.0.0.1:2");
-  EXPECT_EQ(c.site.settings.round, 2000) << "waits for a restart";
+  EXPECT_EQ(c.site.settings.min_handle_interval, 2000) << "waits for a restart";
   EXPECT_FALSE(ReloadConfig(path, &c));
   setenv("EDGE_DISCOVERY", "127.0.0.1:7", 1);
   Config of_start = LoadConfig(path);
--- a/tests/node/engine/stories_test.cpp
+++ b/tests/node/engine/stories_test.cpp
@@ -32,17 +32,17 @@
   dispatch::Settings& s = c.site.settings;
   s.classes.resize(2);
   for (auto& cls : s.classes) {
-    cls.aim = kSecond;
+    cls.latency_target = kSecond;
     cls.deadline = 5 * kSecond;
     cls.late_value = 0.3;
   }
   s.classes[1].effect = dispatch::Effect::kByKey;
   s.classes[1].key_scope = dispatch::KeyScope::kCell;
   s.classes[1].key_window = 7 * kSecond;
-  s.tells_start = true;
-  s.progress_every = kSecond;
+  s.reports_start = true;
+  s.progress_interval = kSecond;
   s.may_cancel = s.may_duplicate = true;
-  s.try_limit = 3;
+  s.max_attempts = 3;
   s.connection_idle = 60 * kSecond;
   return c;
 }
--- a/tests/node/knowledge/knowledge_test.cpp
+++ b/tests/node/knowledge/knowledge_test.cpp
@@ -30,10 +30,10 @@
   site.settings.kinds = 2;
   site.settings.balancers = nodes;
   site.settings.classes.resize(2);
-  for (auto& c : site.settings.classes) c.aim = 300'000;
+  for (auto& c : site.settings.classes) c.latency_target = 300'000;
   site.settings.tenants = {{30}};
   site.settings.cold_time = 8 * kSecond;
-  site.settings.fall_time = kSecond;
+  site.settings.overload_time = kSecond;
   return site;
 }
 
@@ -74,8 +74,9 @@
   EXPECT_LT(later.workers[0].what.failures, 0.001);
   EXPECT_TRUE(At(29 * kSecond).workers[1].what.silent);
   EXPECT_FALSE(At(31 * kSecond).workers[1].what.silent);
-  EXPECT_GT(later.pools[0].what.ran / later.pools[0].what.worked, 0.8) << "a kind's speed lasts";
-  EXPECT_NEAR(later.pools[0].what.ran / later.pools[0].what.worked, 0.8, 0.01);
+  EXPECT_GT(later.pools[0].what.mean_running / later.pools[0].what.mean_work, 0.8)
+      << "a kind's speed lasts";
+  EXPECT_NEAR(later.pools[0].what.mean_running / later.pools[0].what.mean_work, 0.8, 0.01);
   EXPECT_EQ(At(kForgetAfter).workers.size() + At(kForgetAfter).pools.size(), 0u);
 }
 
@@ -107,7 +108,7 @@
     }
     for (std::size_t i = 0; i < older.pools.size(); ++i) {
       RC_ASSERT(older.pools[i].what.limit <= younger.pools[i].what.limit);
-      RC_ASSERT(older.pools[i].what.found <= younger.pools[i].what.found);
+      RC_ASSERT(older.pools[i].what.proven_limit <= younger.pools[i].what.proven_limit);
     }
   });
 }
