--- a/src/node/durable_jobs/keeper_intake.cpp
+++ b/src/node/durable_jobs/keeper_intake.cpp
@@ -130,11 +130,12 @@
     if (a.execution == ExecutionState::kFenced ||
         (a.execution == ExecutionState::kNeverRan && !adopt))
       continue;
-    attempts.push_back(
-        {a.worker, Now() - std::max<Micros>(0, now - a.sent), a.started,
-         a.execution == ExecutionState::kInFlight   ? dispatch::AttemptAdopted::Was::kOut
-         : a.execution == ExecutionState::kNeverRan ? dispatch::AttemptAdopted::Was::kNeverRan
-                                                    : dispatch::AttemptAdopted::Was::kMayHaveRun});
+    attempts.push_back({a.worker, Now() - std::max<Micros>(0, now - a.sent), a.started,
+                        a.execution == ExecutionState::kInFlight
+                            ? dispatch::AttemptAdopted::State::kInFlight
+                        : a.execution == ExecutionState::kNeverRan
+                            ? dispatch::AttemptAdopted::State::kNeverRan
+                            : dispatch::AttemptAdopted::State::kMayHaveRun});
   }
   const auto ticket = node_->SubmitGuarded(std::move(job), this, this, attempts);
   if (!Must(ticket.has_value(), "open_after_all")) return false;
--- a/src/node/engine/node.cpp
+++ b/src/node/engine/node.cpp
@@ -16,7 +16,7 @@
 
 // The platform's workers answer 202 as soon as they have a job.
 dispatch::Settings WithAcceptedEvents(dispatch::Settings settings) {
-  settings.tells_taken = true;
+  settings.reports_accept = true;
   return settings;
 }
 
@@ -42,7 +42,7 @@
                   RecordAttemptUpdate(
                       key.job, a,
                       fences ? AttemptState::kAcceptedWithFencing : AttemptState::kAccepted);
-                  Post(dispatch::AttemptTaken{key.job, key.number, a.worker});
+                  Post(dispatch::AttemptAccepted{key.job, key.number, a.worker});
                 },
                 [this](AttemptKey key) { RejectJob(key); },
                 [this](AttemptKey key, Outcome outcome, const dispatch::LoadReport& load) {
@@ -79,7 +79,7 @@
   if (!timers_.empty()) at = std::min(at, timers_.top());
   if (!deadlines_.empty()) at = std::min(at, deadlines_.begin()->first);
   if (at == std::numeric_limits<Micros>::max()) return turn_alarm_.Clear();
-  turn_alarm_.Set(std::max(at, last_turn_ + site_.settings.round));
+  turn_alarm_.Set(std::max(at, last_turn_ + site_.settings.min_handle_interval));
 }
 
 void Node::RunTurn() {
@@ -114,12 +114,12 @@
   }
 }
 
-void Node::OnJudgement(const std::string& worker, dispatch::Judgement judgement) {
+void Node::OnJudgement(const std::string& worker, dispatch::HealthVerdict judgement) {
   const auto it = worker_ids_.find(worker);
   if (it == worker_ids_.end()) return;
   judgement.worker = it->second;
-  judgement.at -= clock_offset_;
-  Count(judgement.out ? "judged_out" : judgement.cold ? "judged_cold" : "judged_well");
+  judgement.observed_at -= clock_offset_;
+  Count(judgement.ejected ? "judged_out" : judgement.cold ? "judged_cold" : "judged_well");
   Post(std::move(judgement));
 }
 
@@ -188,7 +188,7 @@
       const std::string id = r.job.id;
       for (const auto& [key, attempt] : out) {
         if (attempt.awaiting_intent) {
-          EndAttempt(key, Outcome::kMoot, {});
+          EndAttempt(key, Outcome::kNotSent, {});
           continue;
         }
         if (!attempt.accepted) workers_.CancelAttempt(key, attempt.worker, id);
@@ -197,7 +197,7 @@
     } else if (!r.answered) {
       Count("answered_overdue");
       AnswerClient(ticket, r, {Answer::Kind::kFailed, "", 0, true});
-      Post(dispatch::RequestLapsed{ticket});
+      Post(dispatch::RequestAbandoned{ticket});
     } else {
       Must(r.in_flight == 0, "outcome_missing");
       MaybeRelease(ticket);
@@ -238,21 +238,21 @@
 }
 
 void Node::LogDecision(const dispatch::LogLine& line) {
-  using What = dispatch::LogLine::What;
-  const std::string text = dispatch::Words(line, site_, worker_names_);
+  using Kind = dispatch::LogLine::Kind;
+  const std::string text = dispatch::FormatLogLine(line, site_, worker_names_);
   const std::string value = std::to_string(std::lround(line.value));
-  switch (line.what) {
-    case What::kWorkerSilent:
+  switch (line.kind) {
+    case Kind::kWorkerSilent:
       return Log("worker_silent", {{"worker", WorkerName(line.worker)}}, text);
-    case What::kWorkerBack:
+    case Kind::kWorkerRecovered:
       return Log("worker_back", {{"worker", WorkerName(line.worker)}}, text);
-    case What::kLimitCut:
+    case Kind::kLimitCut:
       return Log("limit_cut",
                  {{"pool", site_.kinds.at(static_cast<std::size_t>(line.pool))}, {"slots", value}},
                  text);
-    case What::kShedding:
+    case Kind::kShedding:
       return Log("shedding", {{"refused", value}}, text);
-    case What::kListFailed:
+    case Kind::kListFailed:
       return Log("list_failed", {}, text);
   }
 }
--- a/src/node/engine/node_attempts.cpp
+++ b/src/node/engine/node_attempts.cpp
@@ -30,7 +30,7 @@
     Attempt& a = it->second.attempts[static_cast<std::size_t>(key.number)];
     a.awaiting_intent = false;
     if (!a.in_flight) return;  // given up meanwhile: nothing of it has gone out
-    if (fence == 0 || it->second.answered) return EndAttempt(key, Outcome::kMoot, {});
+    if (fence == 0 || it->second.answered) return EndAttempt(key, Outcome::kNotSent, {});
     it->second.job.fence = fence;
     a.sent_at = a.last_update = Now();
     if (it->second.job.lease > 0) {
@@ -88,7 +88,7 @@
   const auto at = static_cast<std::size_t>(action.attempt);
   if (!Must(at < r.attempts.size(), "cancel_of_nothing") || !r.attempts[at].in_flight) return;
   const AttemptKey key{action.request, action.attempt};
-  if (r.attempts[at].awaiting_intent) return EndAttempt(key, Outcome::kMoot, {});
+  if (r.attempts[at].awaiting_intent) return EndAttempt(key, Outcome::kNotSent, {});
   workers_.CancelAttempt(key, r.attempts[at].worker, r.job.id);
   EndAttempt(key, Outcome::kCancelled, {});
 }
@@ -104,8 +104,8 @@
   a.in_flight = false;
   --r.in_flight;
   if (r.guard != nullptr) {
-    const bool never =
-        outcome == Outcome::kFull || outcome == Outcome::kNoConnection || outcome == Outcome::kMoot;
+    const bool never = outcome == Outcome::kFull || outcome == Outcome::kNoConnection ||
+                       outcome == Outcome::kNotSent;
     const bool said = outcome == Outcome::kGood || outcome == Outcome::kError;
     r.guard->OnAttempt(key.job, WorkerName(a.worker),
                        never  ? AttemptState::kNeverRan
@@ -115,7 +115,7 @@
   Count((std::string("ended_") + kNames[static_cast<int>(outcome)]).c_str());
   if (load.free_slots || load.in_flight) Count("load_reports");
   // What never went out says nothing of the worker.
-  if (observer_ != nullptr && outcome != Outcome::kMoot)
+  if (observer_ != nullptr && outcome != Outcome::kNotSent)
     observer_->OnEnded(WorkerName(a.worker), outcome, r.job.cls,
                        a.started_at > 0 ? Now() - a.started_at : 0);
   dispatch::AttemptEnded e;
--- a/src/node/engine/node_jobs.cpp
+++ b/src/node/engine/node_jobs.cpp
@@ -34,7 +34,7 @@
   e.due = job.received + job.client_timeout - std::min(kRequestTransitTime, job.client_timeout / 2);
   Admission admission;
   if (admission_check_ && guard == nullptr) admission = admission_check_(job.tenant, job.is_repeat);
-  e.over_share = admission.over_share;
+  e.over_quota = admission.over_share;
   capture::Note note;
   if (recorder_ != nullptr) note.id = job.id;
   Record& r = records_[ticket];
@@ -51,8 +51,8 @@
   }
   Post(e, std::move(note));
   for (const AdoptedAttempt& a : attempts) {
-    dispatch::AttemptAdopted adopted{ticket, WorkerIdOf(a.worker), a.sent, a.started, a.was};
-    const bool out = a.was == dispatch::AttemptAdopted::Was::kOut;
+    dispatch::AttemptAdopted adopted{ticket, WorkerIdOf(a.worker), a.sent, a.started, a.state};
+    const bool out = a.state == dispatch::AttemptAdopted::State::kInFlight;
     r.attempts.push_back({adopted.worker, a.sent, out, true});
     if (out) {
       ++r.in_flight;
@@ -75,7 +75,7 @@
   it->second.answered = true;
   it->second.client = nullptr;
   --open_jobs_;
-  Post(dispatch::RequestLapsed{ticket});
+  Post(dispatch::RequestAbandoned{ticket});
   MaybeRelease(ticket);
 }
 
