--- a/src/node/job_state/ledger.cpp
+++ b/src/node/job_state/ledger.cpp
@@ -10,7 +10,7 @@
 using dispatch::ClassSettings;
 using dispatch::Effect;
 
-// It never ran, or can no longer take effect where it does.
+// The attempt never ran, or is fenced off.
 bool CannotTakeEffect(const Attempt& a) {
   return a.execution == ExecutionState::kNeverRan || a.execution == ExecutionState::kFenced;
 }
@@ -30,31 +30,36 @@
 }  // namespace
 
 bool MayRepeat(const Job& job, const ClassSettings& cls, UnixMicros now) {
-  const Attempt* risky = FirstPossiblyRun(job);
-  if (risky == nullptr || cls.effect == Effect::kRepeatable) return true;
-  // The window runs from the first send that may have run, also while no node was there to count.
-  return cls.effect == Effect::kByKey && now >= risky->sent && now < risky->sent + cls.key_window;
+  const Attempt* may_have_run = FirstPossiblyRun(job);
+  if (may_have_run == nullptr || cls.effect == Effect::kRepeatable) return true;
+  // The window starts with the first attempt that may have run, and includes the time without a
+  // node.
+  return cls.effect == Effect::kByKey && now >= may_have_run->sent &&
+         now < may_have_run->sent + cls.key_window;
 }
 
 Recovery Recover(const Job& job, const ClassSettings* cls, const Policy& policy, UnixMicros now) {
   using Action = Recovery::Action;
   if (IsEnd(job.state) || job.state == State::kInDoubt) return {Action::kNone, ""};
-  const Attempt* out = InFlightAttempt(job);
-  const bool risky = FirstPossiblyRun(job) != nullptr;
+  const Attempt* in_flight = InFlightAttempt(job);
+  const bool may_have_run = FirstPossiblyRun(job) != nullptr;
   if (cls == nullptr) return {Action::kFailUnknownClass, "its class is no more"};
   if (now >= job.due) {
-    if (risky && cls->effect == Effect::kOnce)
+    if (may_have_run && cls->effect == Effect::kOnce)
       return {Action::kMarkInDoubt, "its time ended while no node was there"};
     return {Action::kFailOverdue, "its time ended while no node was there"};
   }
-  if (out != nullptr) {
-    // A wall clock set back makes the lease look longer than it is, so it is cut to a whole one.
-    const UnixMicros until = std::min(out->lease_until, now + policy.lease);
+  if (in_flight != nullptr) {
+    // A wall clock that was set back makes the lease appear longer, so it is capped at a full
+    // lease.
+    const UnixMicros until = std::min(in_flight->lease_until, now + policy.lease);
     if (now < until || MayRepeat(job, *cls, now)) return {Action::kAdopt, ""};
     return {Action::kMarkInDoubt, "no word of it since before the restart"};
   }
-  // A result is written with the end that it makes, so who said an end and left none said 'failed'.
-  if (cls->effect == Effect::kOnce && risky && StateAfterFailure(job, *cls) == State::kFailed)
+  // A result is stored together with the job's end. An attempt that was reported as ended without a
+  // stored result therefore failed.
+  if (cls->effect == Effect::kOnce && may_have_run &&
+      StateAfterFailure(job, *cls) == State::kFailed)
     return {Action::kFailOverdue, "it failed before the restart"};
   if (!MayRepeat(job, *cls, now))
     return {Action::kMarkInDoubt, "it may have run before the restart"};
@@ -69,14 +74,14 @@
   return State::kFailed;
 }
 
-Resolution Resolve(const Job& job, const std::string& worker, WorkerReport word) {
+Resolution Resolve(const Job& job, const std::string& worker, WorkerReport report) {
   Resolution r;
   if (job.state != State::kInDoubt) return r;
   const auto it = std::find_if(job.attempts.rbegin(), job.attempts.rend(), [&](const Attempt& a) {
     return a.worker == worker && a.execution != ExecutionState::kNeverRan;
   });
   if (it == job.attempts.rend()) return r;
-  switch (word) {
+  switch (report) {
     case WorkerReport::kDone:
       return {true, State::kServed, ""};
     case WorkerReport::kFailed:
@@ -85,15 +90,14 @@
     case WorkerReport::kReturned:
       r.reason = worker + " says that it never ran it";
       break;
-    case WorkerReport::kLost:  // the process died: whether it had taken effect by then, nobody
-                               // knows
+    case WorkerReport::kLost:  // the process died; it is unknown whether the job took effect before
       return r;
   }
-  // One worker's word settles its own attempt; another that may have run leaves the doubt.
+  // A report settles the worker's own attempt only. The job stays in doubt if another may have run.
   for (const Attempt& a : job.attempts)
     if (&a != &*it && !CannotTakeEffect(a)) return {};
   r.resolves = true;
-  r.state = word == WorkerReport::kReturned ? State::kRefused : State::kFailed;
+  r.state = report == WorkerReport::kReturned ? State::kRefused : State::kFailed;
   return r;
 }
 
@@ -109,18 +113,18 @@
   return fence + 1;
 }
 
-void ScheduleAfterEnd(Job* job, const Policy& policy, UnixMicros now, double chance) {
-  const bool tells =
+void ScheduleAfterEnd(Job* job, const Policy& policy, UnixMicros now, double random) {
+  const bool calls_back =
       !job->callback.empty() && !job->callback_done && job->callback_tries < kMaxCallbackAttempts;
   const std::int64_t wait =
-      job->callback_tries == 0 ? 0 : CallbackBackoff(job->callback_tries - 1, chance);
-  job->next_callback_at = tells ? std::max<UnixMicros>(now + wait, 1) : 0;
-  job->purge_at = tells ? 0 : std::max<UnixMicros>(job->ended + policy.retention, 1);
+      job->callback_tries == 0 ? 0 : CallbackBackoff(job->callback_tries - 1, random);
+  job->next_callback_at = calls_back ? std::max<UnixMicros>(now + wait, 1) : 0;
+  job->purge_at = calls_back ? 0 : std::max<UnixMicros>(job->ended + policy.retention, 1);
 }
 
-std::int64_t CallbackBackoff(int tries, double chance) {
+std::int64_t CallbackBackoff(int tries, double random) {
   const double base = std::min(300.0, std::ldexp(1.0, std::min(tries, 20)));
-  return static_cast<std::int64_t>(1e6 * base * (0.5 + 0.5 * chance));
+  return static_cast<std::int64_t>(1e6 * base * (0.5 + 0.5 * random));
 }
 
 Pacer::Pacer(const Policy& policy)
@@ -134,7 +138,7 @@
 }
 
 int Pacer::RoomForBacklog() const {
-  // Large bodies in hand leave room for one at a time, never for none.
+  // Above the limit for bodies there is still room for one job, so that the backlog never stalls.
   const int window = bytes_ <= max_bytes_ ? window_ : 1;
   return std::max(0, window - backlog_in_flight_);
 }
@@ -144,22 +148,22 @@
   bytes_ += bytes;
 }
 
-void Pacer::OnFinished(bool backlog, std::size_t bytes, Result end) {
+void Pacer::OnFinished(bool backlog, std::size_t bytes, Result result) {
   --(backlog ? backlog_in_flight_ : new_in_flight_);
   bytes_ -= bytes;
-  if (!backlog || end == Result::kOther) return;
-  window_ = end == Result::kServed ? std::min(window_ + 1, max_window_)
-                                   : std::max(min_window_, window_ / 2);
+  if (!backlog || result == Result::kOther) return;
+  window_ = result == Result::kServed ? std::min(window_ + 1, max_window_)
+                                      : std::max(min_window_, window_ / 2);
 }
 
-std::string MakeJobId(std::uint64_t seq, std::uint64_t chance) {
+std::string MakeJobId(std::uint64_t seq, std::uint64_t random) {
   std::string id(32, '0');
   for (int i = 0; i < 16; ++i) {
     const auto digit = [&](std::uint64_t of) {
       return "0123456789abcdef"[of >> (60 - 4 * i) & 15];
     };
     id[static_cast<std::size_t>(i)] = digit(seq);
-    id[16 + static_cast<std::size_t>(i)] = digit(chance);
+    id[16 + static_cast<std::size_t>(i)] = digit(random);
   }
   return id;
 }
--- a/src/node/job_state/ledger.h
+++ b/src/node/job_state/ledger.h
@@ -1,7 +1,7 @@
-// What is decided about durable jobs beside the module: leases, doubt and what resolves it, what
-// becomes of a job after a crash and in which order, how fast recovered jobs come back, how long
-// ends are kept. Pure: no I/O, no clock. It must never let a `once` job out again that may have run
-// where the old attempt could still take effect.
+// The rules for durable jobs that the Dispatcher does not cover: leases, jobs in doubt and how they
+// are resolved, recovery after a crash, the pace at which recovered jobs are handed over, and the
+// retention of ended jobs. Pure functions without I/O or clock. A job of effect `once` that may
+// have run is never sent again while the old attempt could still take effect.
 #ifndef PEARREACH_SRC_NODE_JOB_STATE_LEDGER_H_
 #define PEARREACH_SRC_NODE_JOB_STATE_LEDGER_H_
 
@@ -15,23 +15,23 @@
 namespace pearreach::job_state {
 
 struct Policy {
-  std::int64_t lease = 10'000'000;                  // microseconds without a word of an attempt
-  std::int64_t retention = 3600'000'000ll;          // ends are kept so long
-  int initial_backlog_window = 64;                  // jobs of the backlog handed over at first
-  int max_in_flight = 4096;                         // durable jobs in the module's hands at most
-  std::size_t max_in_flight_bytes = 64u << 20;      // likewise, of their bodies
-  std::int64_t max_duration = 24 * 3600'000'000ll;  // of a job's time
+  std::int64_t lease = 10'000'000;              // microseconds without an update about an attempt
+  std::int64_t retention = 3600'000'000ll;      // microseconds for which ended jobs are kept
+  int initial_backlog_window = 64;              // backlog jobs handed over at first
+  int max_in_flight = 4096;                     // durable jobs with the Dispatcher
+  std::size_t max_in_flight_bytes = 64u << 20;  // total size of their bodies
+  std::int64_t max_duration = 24 * 3600'000'000ll;  // longest client time-out, in microseconds
 };
 
-// What becomes of a job that the store holds when a node starts.
+// How a stored job continues when a node starts.
 struct Recovery {
   enum class Action {
-    kNone,              // it has ended, or waits in doubt
-    kRequeue,           // to the module again, as a job that waits
-    kAdopt,             // to the module with its attempt, which may be running
-    kMarkInDoubt,       // its lease ran out meanwhile: the module never sees it
-    kFailOverdue,       // its time is over: failed, at once
-    kFailUnknownClass,  // it belongs to classes or tenants that are no more: failed, at once
+    kNone,              // it has ended, or is in doubt
+    kRequeue,           // hand it to the Dispatcher as a waiting job
+    kAdopt,             // hand it over with its attempt, which may be running
+    kMarkInDoubt,       // its lease has expired; the Dispatcher never sees it
+    kFailOverdue,       // fail it: its time is over, or it was reported failed
+    kFailUnknownClass,  // fail it: its class no longer exists
   } action = Action::kNone;
   std::string reason;
 };
@@ -39,49 +39,52 @@
 Recovery Recover(const Job& job, const dispatch::ClassSettings* cls, const Policy& policy,
                  UnixMicros now);
 
-// An attempt has been silent for its lease, or ended in a way that proves nothing: may the job go
-// out again by the rules alone (the module decides whether it does)?
+// Returns whether a job may be sent again after an attempt whose lease has expired, or that ended
+// without proof of whether it ran. Whether it is sent is up to the Dispatcher.
 bool MayRepeat(const Job& job, const dispatch::ClassSettings& cls, UnixMicros now);
 
-// The end that a 'failed' of the module means for the job: where an attempt may have run and the
-// class forbids a repeat, nobody knows whether it took effect.
+// Returns the state of a job that the Dispatcher has failed: kInDoubt if its class forbids repeats
+// and an attempt may have run, as it is then unknown whether the job took effect.
 State StateAfterFailure(const Job& job, const dispatch::ClassSettings& cls);
 
-// What a word about a job in doubt, or about one that ended without promise, makes of it.
+// The effect of a worker's report on a job in doubt.
 struct Resolution {
   bool resolves = false;
   State state = State::kFailed;
   std::string reason;
 };
 enum class WorkerReport { kDone, kFailed, kReturned, kLost };
-Resolution Resolve(const Job& job, const std::string& worker, WorkerReport word);
+Resolution Resolve(const Job& job, const std::string& worker, WorkerReport report);
 
-// A job in doubt may be given out once more where every attempt that may have run is at a worker
-// that knows fences: with a higher fence the old ones can no longer take effect.
+// Returns whether a job in doubt may be sent again with a higher fencing token. That requires that
+// each attempt that may have run is at a worker that supports fencing, as it can then no longer
+// take effect.
 bool MayFence(const Job& job);
 std::uint64_t NextFence(const Job& job);
 
-// Plans what follows an end, in the job's own fields: when its call-back is due (`chance` from 0 to
-// 1 spreads the calls: 1 s doubled, to 5 min) and, where nothing is left to tell, when its record
-// may go. To be called at the end and after each call.
-void ScheduleAfterEnd(Job* job, const Policy& policy, UnixMicros now, double chance);
-std::int64_t CallbackBackoff(int tries, double chance);
+// Sets when an ended job's next call-back is due or, if no call-back is left to make, when its
+// record may be deleted. To be called when the job ends and after each call-back. `random` is from
+// 0 to 1.
+void ScheduleAfterEnd(Job* job, const Policy& policy, UnixMicros now, double random);
+// Returns the wait after the call-back number `tries` (from 0) in microseconds: 1 s, doubled up to
+// 5 min, of which `random` (0 to 1) selects a value in the upper half.
+std::int64_t CallbackBackoff(int tries, double random);
 constexpr int kMaxCallbackAttempts = 20;
 
-// How many durable jobs are in the module's hands. New ones go to it at once while there is room;
-// what has no room, and what a restart found waiting, is the backlog: it lies in the store and
-// comes back a few at a time. The window for it grows by one with each that was served and halves
-// with each refused, so that a hundred thousand old jobs neither starve new ones nor push over cold
-// workers, and yet keep a warm fleet busy. The backlog's window is on top of the room for new ones:
-// neither can shut the other out.
+// Limits the durable jobs that the Dispatcher has at a time. New jobs are handed over at once while
+// there is room. Jobs without room, and those that a restart finds waiting, form the backlog: they
+// stay in the store and are handed over a few at a time. The window for the backlog grows by one
+// with each job served and halves with each job refused, so that a backlog of a hundred thousand
+// jobs neither starves new jobs nor overloads cold workers, and still keeps a warm fleet busy. The
+// window is in addition to the room for new jobs, so that neither can block the other.
 class Pacer {
  public:
   explicit Pacer(const Policy& policy);
   bool RoomForNew(std::size_t bytes) const;
-  int RoomForBacklog() const;  // how many more may be handed over now
+  int RoomForBacklog() const;  // how many more jobs may be handed over now
   void OnHandedOver(bool backlog, std::size_t bytes);
   enum class Result { kServed, kRefused, kOther };
-  void OnFinished(bool backlog, std::size_t bytes, Result end);
+  void OnFinished(bool backlog, std::size_t bytes, Result result);
   int window() const { return window_; }
   int in_flight() const { return new_in_flight_ + backlog_in_flight_; }
 
--- a/tests/node/job_state/ledger_test.cpp
+++ b/tests/node/job_state/ledger_test.cpp
@@ -1,4 +1,4 @@
-// The decisions about durable jobs, by table and by property.
+// Tests of the rules for durable jobs, by examples and by properties.
 #include "node/job_state/ledger.h"
 
 #include <gtest/gtest.h>
@@ -48,7 +48,7 @@
   EXPECT_EQ(After(JobWith({Tried(ExecutionState::kNeverRan)}, State::kQueued), Effect::kOnce),
             Action::kRequeue);
   EXPECT_EQ(After(JobWith({Tried(ExecutionState::kInFlight)}), Effect::kOnce), Action::kAdopt);
-  // Its lease ran out while no node was there.
+  // The lease expired while no node was running.
   EXPECT_EQ(After(JobWith({Tried(ExecutionState::kInFlight, kS, -1)}), Effect::kOnce),
             Action::kMarkInDoubt);
   EXPECT_EQ(After(JobWith({Tried(ExecutionState::kInFlight, kS, -1)}), Effect::kRepeatable),
@@ -57,7 +57,7 @@
             Action::kMarkInDoubt);
   EXPECT_EQ(After(JobWith({Tried(ExecutionState::kMayHaveRun)}), Effect::kRepeatable),
             Action::kRequeue);
-  // The window of a keyed job went on while no node was there.
+  // The key window of a job includes the time without a node.
   EXPECT_EQ(After(JobWith({Tried(ExecutionState::kMayHaveRun, 6 * kS)}), Effect::kByKey),
             Action::kRequeue);
   EXPECT_EQ(After(JobWith({Tried(ExecutionState::kMayHaveRun, 8 * kS)}), Effect::kByKey),
@@ -73,20 +73,20 @@
   EXPECT_EQ(Recover(JobWith({}, State::kQueued), nullptr, {}, kNow).action,
             Action::kFailUnknownClass);
   EXPECT_EQ(After(JobWith({Tried(ExecutionState::kDone)}), Effect::kOnce), Action::kFailOverdue)
-      << "it said 'failed'";
+      << "reported as ended, without a result: failed";
   EXPECT_EQ(After(JobWith({Tried(ExecutionState::kMayHaveRun), Tried(ExecutionState::kDone)}),
                   Effect::kOnce),
             Action::kMarkInDoubt);
 }
 
-// A wall clock that was set back makes a lease, or a window, look longer than it is.
+// A wall clock that was set back must not extend a lease or a key window.
 TEST(Recover, AClockThatSteppedDoesNotStretchALeaseOrAWindow) {
   Policy policy;
   const dispatch::ClassSettings once = Class(Effect::kOnce), keyed = Class(Effect::kByKey);
   const Job job = JobWith({Tried(ExecutionState::kInFlight, kS, 3600 * kS)});
   EXPECT_EQ(Recover(job, &once, policy, kNow).action, Action::kAdopt);
   EXPECT_FALSE(MayRepeat(JobWith({Tried(ExecutionState::kMayHaveRun, -30 * kS)}), keyed, kNow))
-      << "sent in what is now the future: how long ago, nobody knows";
+      << "sent in the future by the present clock: its age is unknown";
 }
 
 TEST(Doubt, IsWhatAFailureMeansWhereItMayHaveRun) {
@@ -107,16 +107,15 @@
   EXPECT_EQ(Resolve(job, "w", WorkerReport::kFailed).state, State::kFailed);
   EXPECT_EQ(Resolve(job, "w", WorkerReport::kReturned).state, State::kRefused);
   EXPECT_FALSE(Resolve(job, "w", WorkerReport::kLost).resolves)
-      << "it died: before or after its effect?";
+      << "it is unknown whether the job took effect before the worker died";
   EXPECT_FALSE(Resolve(job, "another", WorkerReport::kDone).resolves);
   Attempt second = Tried(ExecutionState::kMayHaveRun);
   second.worker = "v";
   job.attempts.push_back(second);
-  EXPECT_FALSE(Resolve(job, "w", WorkerReport::kReturned).resolves)
-      << "v may have run it all the same";
+  EXPECT_FALSE(Resolve(job, "w", WorkerReport::kReturned).resolves) << "v may have run it as well";
   EXPECT_TRUE(Resolve(job, "v", WorkerReport::kDone).resolves);
   job.state = State::kServed;
-  EXPECT_FALSE(Resolve(job, "w", WorkerReport::kFailed).resolves) << "an end is an end";
+  EXPECT_FALSE(Resolve(job, "w", WorkerReport::kFailed).resolves) << "an ended job does not change";
 }
 
 TEST(Doubt, MayBeFencedOnlyWhereAllKnowFences) {
@@ -130,7 +129,8 @@
   EXPECT_EQ(After(job, Effect::kOnce), Action::kRequeue) << "it can no longer take effect";
 }
 
-// Whatever the store holds: a `once` job of which some attempt may have run never goes out again.
+// Property: a `once` job with an attempt that may have run is never sent again, whatever its
+// record.
 TEST(Recover, NeverSendsOutAgainWhatMayHaveRun) {
   EXPECT_TRUE(rc::check("once and risky: adopted or in doubt", [] {
     Job job;
@@ -153,8 +153,8 @@
   }));
 }
 
-// A backlog of a hundred thousand and a stream of new jobs: neither shuts the other out, and the
-// window follows what the workers make of it.
+// A large backlog and a stream of new jobs must not block each other, and the window of the backlog
+// must follow the workers' results.
 TEST(Pacer, BacklogAndNewJobsHaveRoomOfTheirOwn) {
   Policy policy;
   policy.initial_backlog_window = 2;
@@ -165,27 +165,27 @@
     ASSERT_TRUE(pacer.RoomForNew(10));
     pacer.OnHandedOver(false, 10);
   }
-  EXPECT_FALSE(pacer.RoomForNew(10)) << "its place is in the store";
+  EXPECT_FALSE(pacer.RoomForNew(10)) << "it waits in the store";
   EXPECT_EQ(pacer.RoomForBacklog(), 2);
   pacer.OnHandedOver(true, 10);
   pacer.OnHandedOver(true, 10);
   EXPECT_EQ(pacer.RoomForBacklog(), 0);
   pacer.OnFinished(true, 10, Pacer::Result::kServed);
-  EXPECT_EQ(pacer.RoomForBacklog(), 2) << "one has been served: the window is three";
+  EXPECT_EQ(pacer.RoomForBacklog(), 2) << "after one job served the window is three";
   for (int i = 0; i < 20; ++i) {
     pacer.OnHandedOver(true, 0);
     pacer.OnFinished(true, 0, Pacer::Result::kServed);
   }
-  EXPECT_EQ(pacer.window(), 5) << "no wider than all that may be in hand";
+  EXPECT_EQ(pacer.window(), 5) << "at most max_in_flight";
   pacer.OnHandedOver(true, 0);
   pacer.OnFinished(true, 0, Pacer::Result::kRefused);
-  EXPECT_EQ(pacer.window(), 2) << "halved, no less than at first";
+  EXPECT_EQ(pacer.window(), 2) << "halved, but not below the initial window";
   pacer.OnFinished(false, 10, Pacer::Result::kServed);
   EXPECT_TRUE(pacer.RoomForNew(10));
-  EXPECT_FALSE(pacer.RoomForNew(100)) << "large bodies wait in the store";
+  EXPECT_FALSE(pacer.RoomForNew(100)) << "jobs above the limit for bodies wait in the store";
 }
 
-// Whatever comes and goes, the bounds hold and nothing is lost from the count.
+// Property: the bounds hold and the count stays exact in any sequence of calls.
 TEST(Pacer, NeverHoldsMoreThanItsBounds) {
   EXPECT_TRUE(rc::check([] {
     Policy policy;
@@ -223,11 +223,11 @@
   EXPECT_EQ(job.purge_at, kNow + 10 * kS);
   job.callback = "http://127.0.0.1:1/";
   ScheduleAfterEnd(&job, policy, kNow, 0.5);
-  EXPECT_EQ(job.next_callback_at, kNow) << "at once";
-  EXPECT_EQ(job.purge_at, 0) << "not before it is told";
+  EXPECT_EQ(job.next_callback_at, kNow) << "the first call-back is due at once";
+  EXPECT_EQ(job.purge_at, 0) << "kept until the client has been called";
   job.callback_tries = 3;
   ScheduleAfterEnd(&job, policy, kNow, 0);
-  EXPECT_EQ(job.next_callback_at, kNow + 2 * kS) << "4 s, at least half of it";
+  EXPECT_EQ(job.next_callback_at, kNow + 2 * kS) << "half of the backoff of 4 s";
   job.callback_done = true;
   ScheduleAfterEnd(&job, policy, kNow, 0);
   EXPECT_EQ(job.next_callback_at, 0);
@@ -235,18 +235,18 @@
   job.callback_done = false;
   job.callback_tries = kMaxCallbackAttempts;
   ScheduleAfterEnd(&job, policy, kNow, 0);
-  EXPECT_EQ(job.next_callback_at, 0) << "nobody is there";
+  EXPECT_EQ(job.next_callback_at, 0) << "no attempts left";
   EXPECT_NE(job.purge_at, 0);
   EXPECT_GE(CallbackBackoff(0, 0), kS / 2);
   EXPECT_LE(CallbackBackoff(100, 1), 300 * kS);
 }
 
 TEST(Id, HoldsItsPlaceInTheStoreAndCannotBeGuessed) {
-  EXPECT_TRUE(rc::check([](std::uint64_t seq, std::uint64_t chance) {
-    const std::string id = MakeJobId(seq, chance);
+  EXPECT_TRUE(rc::check([](std::uint64_t seq, std::uint64_t random) {
+    const std::string id = MakeJobId(seq, random);
     RC_ASSERT(id.size() == 32u);
     RC_ASSERT(SeqFromId(id) == seq);
-    RC_ASSERT(MakeJobId(seq, chance + 1) != id);
+    RC_ASSERT(MakeJobId(seq, random + 1) != id);
   }));
   for (const char* id :
        {"", "1", "0000000000000000000000000000000g", "../../../../etc/passwd/aaaaaaaaa"})
