--- a/src/node/admin/bans.cpp
+++ b/src/node/admin/bans.cpp
@@ -20,7 +20,7 @@
   return out;
 }
 
-Bans ReadBans(std::string_view text, const std::string& name, std::vector<std::string>* wrong) {
+Bans ReadBans(std::string_view text, const std::string& name, std::vector<std::string>* errors) {
   Bans bans;
   int number = 0;
   while (!text.empty()) {
@@ -29,15 +29,16 @@
     text = end == std::string_view::npos ? std::string_view() : text.substr(end + 1);
     ++number;
     if (line.empty() || line.front() == '#') continue;
-    const auto fault = [&](const char* what) {
-      wrong->push_back(name + ":" + std::to_string(number) + ": " + what);
+    const auto fault = [&](const std::string& reason) {
+      errors->push_back(name + ":" + std::to_string(number) + ": " + reason);
     };
     if (line.size() > kMaxId) {
-      fault("an id longer than 256 bytes");
+      fault("the id has " + std::to_string(line.size()) + " bytes, more than the maximum of " +
+            std::to_string(kMaxId));
       continue;
     }
     if (line.find_first_of(" \t\r") != std::string_view::npos) {
-      fault("an id with a space in it");
+      fault("the id contains white space");
       continue;
     }
     bans.emplace(line);
@@ -65,17 +66,17 @@
     g_error_free(error);
     return {};
   }
-  std::vector<std::string> wrong;
-  Bans bans = ReadBans(std::string_view(text, size), path_, &wrong);
+  std::vector<std::string> errors;
+  Bans bans = ReadBans(std::string_view(text, size), path_, &errors);
   g_free(text);
-  for (const std::string& line : wrong) CountFault("bad_ban_line", line);
+  for (const std::string& line : errors) CountFault("bad_ban_line", line);
   return bans;
 }
 
 bool BanFile::Save(const Bans& bans) {
   const std::string text = WriteBans(bans);
   GError* error = nullptr;
-  // Written beside and renamed: the other process reads the old file or the new, never half.
+  // Written to a temporary file and renamed: the other process reads the old or the new content.
   const bool saved =
       g_file_set_contents(path_.c_str(), text.data(), static_cast<gssize>(text.size()), &error);
   if (!saved) {
--- a/src/node/admin/bans.h
+++ b/src/node/admin/bans.h
@@ -1,8 +1,8 @@
-// The file of bans: the match workers detached at the operators' door, for this node alone. It
-// lets a ban outlive the process that took it and reach the other process while two run side by
-// side in an upgrade. It owns that file's form and its reading and writing; it must never decide
-// whether an id may be banned (the node says that), never leave a half-written file for the other
-// process to read, and never stop the node for a file it cannot read or write.
+// The ban file of a node: the match workers that operators have detached on its admin address. With
+// it a ban survives a restart and reaches the other process while two run side by side in an
+// upgrade. The file is replaced as a whole, so that the other process never reads half of one. A
+// file that cannot be read or written does not stop the node. Whether an id may be banned is
+// decided elsewhere.
 #ifndef PEARREACH_SRC_NODE_ADMIN_BANS_H_
 #define PEARREACH_SRC_NODE_ADMIN_BANS_H_
 
@@ -16,20 +16,21 @@
 
 using Bans = std::set<std::string>;
 
-// One id a line, after a line that says what the file is. What is no id is one line of `wrong`
-// ("name:line: what") and passed over; the others are kept.
+// The file has one id per line after a heading. Reading skips invalid lines and adds a message
+// "name:line: reason" to `errors` for each.
 std::string WriteBans(const Bans& bans);
-Bans ReadBans(std::string_view text, const std::string& name, std::vector<std::string>* wrong);
+Bans ReadBans(std::string_view text, const std::string& name, std::vector<std::string>* errors);
 
 class BanFile {
  public:
   explicit BanFile(std::string path) : path_(std::move(path)) {}
 
-  // What the file holds now; nothing where there is none. Faults are counted and logged.
+  // Returns the bans in the file, or none if there is no file. Errors are counted and logged.
   Bans Load();
-  // Whole or not at all, by a rename. False: it could not be written (counted and logged).
+  // Replaces the file atomically. Returns false if it could not be written; the error is counted
+  // and logged.
   bool Save(const Bans& bans);
-  // Whether another writer has changed the file since it was last loaded or saved here.
+  // Returns whether the file has changed since it was last loaded or saved here.
   bool Changed() const;
 
  private:
--- a/src/node/admin/door.cpp
+++ b/src/node/admin/door.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::string_view kWorkers = "/_match-workers/", kZones = "/_zones/", kRules = "/_rules";
 
-// The value of `name` in a query, percent-decoded; empty where it is not there or not text.
+// Returns the percent-decoded value of a query parameter; empty if it is missing or malformed.
 std::string QueryValue(std::string_view query, std::string_view name) {
   while (!query.empty()) {
     const std::size_t amp = query.find('&');
@@ -33,9 +33,10 @@
 
 Response Text(int status, std::string body) { return {status, std::move(body) + "\n", {}}; }
 
-Response Wrong(const char* why, int status, std::string body,
-               std::vector<http::Header> headers = {}) {
-  Count(why);
+// An error response; `counter` is the counter that it increments.
+Response CountedError(const char* counter, int status, std::string body,
+                      std::vector<http::Header> headers = {}) {
+  Count(counter);
   return {status, std::move(body) + "\n", std::move(headers)};
 }
 
@@ -60,13 +61,19 @@
 
 namespace {
 
-bool IsGet(const http::Message& call) { return call.method == "GET" || call.method == "HEAD"; }
+bool IsGet(const http::Message& request) {
+  return request.method == "GET" || request.method == "HEAD";
+}
 
-Response GetOnly() { return Wrong("door_bad_method", 405, "GET only", {{"Allow", "GET, HEAD"}}); }
-Response PostOnly() { return Wrong("door_bad_method", 405, "POST only", {{"Allow", "POST"}}); }
-Response NoSuchCall() { return Wrong("door_bad_path", 404, "no such call"); }
+Response GetOnly() {
+  return CountedError("door_bad_method", 405, "GET only", {{"Allow", "GET, HEAD"}});
+}
+Response PostOnly() {
+  return CountedError("door_bad_method", 405, "POST only", {{"Allow", "POST"}});
+}
+Response NoSuchCall() { return CountedError("door_bad_path", 404, "no such call"); }
 
-// A call's target, split at its query.
+// A request target, split at its query.
 struct Target {
   std::string_view path, query;
 };
@@ -77,45 +84,49 @@
   return {target.substr(0, question), target.substr(question + 1)};
 }
 
-Response RouteWorkers(const http::Message& call, const Target& at, const AdminHandlers& calls) {
-  const std::string_view verb = at.path.substr(kWorkers.size());
+Response RouteWorkers(const http::Message& request, const Target& target,
+                      const AdminHandlers& handlers) {
+  const std::string_view verb = target.path.substr(kWorkers.size());
   if (verb != "detach" && verb != "attach") return NoSuchCall();
-  if (call.method != "POST") return PostOnly();
-  const std::string id = QueryValue(at.query, "target");
-  if (id.empty()) return Wrong("door_bad_target", 400, "no target=ID");
+  if (request.method != "POST") return PostOnly();
+  const std::string id = QueryValue(target.query, "target");
+  if (id.empty()) return CountedError("door_bad_target", 400, "no target=ID");
   const bool detach = verb == "detach";
-  if (!(detach ? calls.detach : calls.attach)(id))
-    return Wrong("door_unknown_target", 404, "no list has named " + id);
+  if (!(detach ? handlers.detach : handlers.attach)(id))
+    return CountedError("door_unknown_target", 404, "no list has named " + id);
   Log(detach ? "detached" : "attached", {{"worker", id}},
-      (detach ? "detached " : "attached ") + id + " by the operators' door");
+      (detach ? "detached " : "attached ") + id + " on the admin address");
   return Text(200, (detach ? "detached " : "attached ") + id);
 }
 
-Response RouteZones(const http::Message& call, const Target& at, const AdminHandlers& calls) {
-  const std::string verb(at.path.substr(kZones.size()));
+Response RouteZones(const http::Message& request, const Target& target,
+                    const AdminHandlers& handlers) {
+  const std::string verb(target.path.substr(kZones.size()));
   if (verb != "leave" && verb != "return" && verb != "clear") return NoSuchCall();
-  if (call.method != "POST") return PostOnly();
-  const std::string target = QueryValue(at.query, "target");
-  if (target.empty()) return Wrong("door_bad_target", 400, "no target=ZONE");
-  if (!calls.order(target, verb))
-    return Wrong("door_unknown_target", 404, "there is no zone or region " + target);
-  return Text(200, verb + " " + target);
-}
-
-Response RouteRules(const http::Message& call, const Target& at, const AdminHandlers& calls) {
-  const bool post = call.method == "POST";
-  if (!post && !IsGet(call))
-    return Wrong("door_bad_method", 405, "GET or POST", {{"Allow", "GET, HEAD, POST"}});
-  AdminHandlers::RulesRequest request{post,
-                                      "",
-                                      call.body,
-                                      QueryValue(at.query, "after"),
-                                      QueryValue(at.query, "number"),
-                                      QueryValue(at.query, "from"),
-                                      QueryValue(at.query, "to"),
-                                      QueryValue(at.query, "voters")};
-  if (at.path.size() > kRules.size()) request.verb = at.path.substr(kRules.size() + 1);
-  const auto answer = calls.rules(request);
+  if (request.method != "POST") return PostOnly();
+  const std::string zone = QueryValue(target.query, "target");
+  if (zone.empty()) return CountedError("door_bad_target", 400, "no target=ZONE");
+  if (!handlers.order(zone, verb))
+    return CountedError("door_unknown_target", 404, "there is no zone or region " + zone);
+  return Text(200, verb + " " + zone);
+}
+
+Response RouteRules(const http::Message& request, const Target& target,
+                    const AdminHandlers& handlers) {
+  const bool post = request.method == "POST";
+  if (!post && !IsGet(request))
+    return CountedError("door_bad_method", 405, "GET or POST", {{"Allow", "GET, HEAD, POST"}});
+  AdminHandlers::RulesRequest rules_request{post,
+                                            "",
+                                            request.body,
+                                            QueryValue(target.query, "after"),
+                                            QueryValue(target.query, "number"),
+                                            QueryValue(target.query, "from"),
+                                            QueryValue(target.query, "to"),
+                                            QueryValue(target.query, "voters")};
+  if (target.path.size() > kRules.size())
+    rules_request.verb = target.path.substr(kRules.size() + 1);
+  const auto answer = handlers.rules(rules_request);
   if (!answer) return NoSuchCall();
   if (answer->first >= 400) Count("door_rules_refused");
   return Text(answer->first, answer->second);
@@ -123,25 +134,26 @@
 
 }  // namespace
 
-Response Route(const http::Message& call, const AdminHandlers& calls) {
-  const Target at = SplitTarget(call.target);
-  if (at.path == "/_ready" || at.path == "/_vars") {
-    if (!IsGet(call)) return GetOnly();
-    if (at.path == "/_vars")
-      return Response{200, WriteVars(calls.vars()), {{"Content-Type", "text/plain"}}};
-    return calls.ready() ? Text(200, "ready") : Text(503, "not ready");
+Response Route(const http::Message& request, const AdminHandlers& handlers) {
+  const Target target = SplitTarget(request.target);
+  if (target.path == "/_ready" || target.path == "/_vars") {
+    if (!IsGet(request)) return GetOnly();
+    if (target.path == "/_vars")
+      return Response{200, WriteVars(handlers.vars()), {{"Content-Type", "text/plain"}}};
+    return handlers.ready() ? Text(200, "ready") : Text(503, "not ready");
   }
-  if (at.path.starts_with(kWorkers)) return RouteWorkers(call, at, calls);
-  if (at.path == "/_zones" && calls.zones)
-    return IsGet(call) ? Text(200, calls.zones()) : GetOnly();
-  if (at.path.starts_with(kZones) && calls.order) return RouteZones(call, at, calls);
-  const bool rules = at.path == kRules || at.path.starts_with(std::string(kRules) + "/");
-  if (rules && calls.rules) return RouteRules(call, at, calls);
+  if (target.path.starts_with(kWorkers)) return RouteWorkers(request, target, handlers);
+  if (target.path == "/_zones" && handlers.zones)
+    return IsGet(request) ? Text(200, handlers.zones()) : GetOnly();
+  if (target.path.starts_with(kZones) && handlers.order)
+    return RouteZones(request, target, handlers);
+  const bool rules = target.path == kRules || target.path.starts_with(std::string(kRules) + "/");
+  if (rules && handlers.rules) return RouteRules(request, target, handlers);
   return NoSuchCall();
 }
 
-AdminServer::AdminServer(AdminHandlers calls)
-    : handlers_(std::move(calls)),
+AdminServer::AdminServer(AdminHandlers handlers)
+    : handlers_(std::move(handlers)),
       listener_([this](std::shared_ptr<Stream> stream) { OnAccepted(std::move(stream)); }),
       sweep_([this] { Sweep(); }) {}
 
@@ -153,8 +165,8 @@
 
 void AdminServer::OnAccepted(std::shared_ptr<Stream> stream) {
   Count("door_calls");
-  // Guards the descriptors that clients need, and the next caller against silent ones: beyond a
-  // few, the connection that is nearest its end goes now.
+  // Limits the descriptors taken from clients, without letting silent callers block the next one:
+  // above the limit, the connection that is closest to its deadline is closed.
   if (connections_.size() >= kMaxConnections) {
     Count("door_full");
     Connection* first = connections_.begin()->first;
@@ -178,22 +190,23 @@
 }
 
 void AdminServer::OnData(Connection* c, std::string_view bytes) {
-  if (c->answered) return;  // one call a connection: what else comes is dropped
+  if (c->answered) return;  // one request per connection; further bytes are dropped
   c->parser.Feed(bytes);
   switch (c->parser.Next()) {
     case http::Parser::State::kMore:
       return;
     case http::Parser::State::kBad:
       Count("door_bad_calls");
-      return Answer(c, Text(c->parser.error_status(), c->parser.error()));
+      return Respond(c, Text(c->parser.error_status(), c->parser.error()));
     case http::Parser::State::kMessage:
-      return Answer(c, Route(c->parser.Take(), handlers_));
+      return Respond(c, Route(c->parser.Take(), handlers_));
   }
 }
 
-void AdminServer::Answer(Connection* c, const Response& reply) {
+void AdminServer::Respond(Connection* c, const Response& response) {
   c->answered = true;
-  if (!c->stream->Write(http::WriteResponse(reply.status, reply.headers, reply.body, false)))
+  if (!c->stream->Write(
+          http::WriteResponse(response.status, response.headers, response.body, false)))
     return Destroy(c);
   c->stream->CloseAfterWrite();
   c->deadline = Now() + kLinger;
@@ -207,7 +220,6 @@
   connections_.erase(it);
 }
 
-// Answers what is late and closes what has lingered; then waits for the next of those times.
 void AdminServer::Sweep() {
   sweeping_ = true;
   const Micros now = Now();
@@ -223,7 +235,7 @@
       continue;
     }
     Count("door_calls_incomplete");
-    Answer(c, Text(408, "the call did not come whole in time"));
+    Respond(c, Text(408, "the call did not come whole in time"));
     next = next == 0 ? c->deadline : std::min(next, c->deadline);
   }
   sweeping_ = false;
--- a/src/node/admin/door.h
+++ b/src/node/admin/door.h
@@ -1,9 +1,8 @@
-// The operators' door: a second address of the node, HTTP/1.1 and one call a connection, for
-// /_ready, /_vars, the detach and attach of a match worker, and orders about zones. It owns that
-// listener and its few connections; it decides nothing about jobs or workers (a detach goes to the
-// node as a ban, and the module decides as for any drain), must never answer later than a second
-// after a call's connection came, and never let a caller that sends nothing or half a call hold
-// more than its own bounded share of descriptors.
+// The admin server: a second address of the node for operators, speaking HTTP/1.1 with one request
+// per connection. It serves /_ready and /_vars, detaches and attaches match workers, and takes
+// orders about zones. It answers each connection within a second, and limits the number of
+// connections, so that callers that send nothing or an incomplete request cannot exhaust the
+// descriptors. A detach is a ban in the node, which the Dispatcher treats as any drain.
 #ifndef PEARREACH_SRC_NODE_ADMIN_DOOR_H_
 #define PEARREACH_SRC_NODE_ADMIN_DOOR_H_
 
@@ -21,7 +20,7 @@
 
 namespace pearreach::admin {
 
-// The figures of /_vars, in the line form of statsd: "svc.success.C:812|c", "svc.inflight:14|g".
+// The metrics of /_vars, written as statsd lines: "svc.success.C:812|c", "svc.inflight:14|g".
 struct Vars {
   struct Class {
     std::string name;
@@ -33,22 +32,24 @@
 };
 std::string WriteVars(const Vars& vars);
 
-// What the door asks of the node.
+// The functions of the node that serve the requests.
 struct AdminHandlers {
-  std::function<bool()> ready;  // this process can serve
+  std::function<bool()> ready;  // whether this process can serve
   std::function<Vars()> vars;
-  // False: no list has named that id. Repeated calls are harmless.
+  // Return false if no worker list has named the id. Idempotent.
   std::function<bool(const std::string&id)> detach, attach;
-  // Zones, where the operator's file has them; else there are no such calls. `what` is "leave",
-  // "return" or "clear"; false: no such zone or region. `zones`: a text for people.
-  std::function<bool(const std::string& target, const std::string& what)> order = nullptr;
+  // Zones; null if the operator's file configures none, and the paths are then unknown. `command`
+  // is "leave", "return" or "clear"; `order` returns false if there is no such zone or region.
+  // `zones` returns a text for people.
+  std::function<bool(const std::string& target, const std::string& command)> order = nullptr;
   std::function<std::string()> zones = nullptr;
-  // Rules that are agreed on, where the operator's file has them. `verb`: "" (what holds),
-  // "history", "have", "diff", "proposal"; with POST "propose", "force". None: no such call.
+  // Rules that the nodes agree on; null if the operator's file configures none. `verb` is "" (the
+  // rules in force), "history", "have", "diff" or "proposal" for GET, and "propose" or "force" for
+  // POST. Returns the status and body, or nullopt if there is no such request.
   struct RulesRequest {
     bool post = false;
     std::string verb, body;
-    std::string after, number, from, to, voters;  // of the query
+    std::string after, number, from, to, voters;  // query parameters
   };
   std::function<std::optional<std::pair<int, std::string>>(const RulesRequest&)> rules = nullptr;
 };
@@ -58,37 +59,40 @@
   std::string body;
   std::vector<http::Header> headers;
 };
-// The answer to one call: pure, without sockets or clock.
-Response Route(const http::Message& call, const AdminHandlers& calls);
+// Returns the response to one request.
+Response Route(const http::Message& request, const AdminHandlers& handlers);
 
 class AdminServer {
  public:
-  explicit AdminServer(AdminHandlers calls);
+  explicit AdminServer(AdminHandlers handlers);
   ~AdminServer();
   AdminServer(const AdminServer&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
 
-  std::string Open(const std::string& address);  // empty, or what is wrong
+  // Starts listening. Returns an empty string, or the error.
+  std::string Open(const std::string& address);
   int port() const { return listener_.port(); }
   std::size_t connections() const { return connections_.size(); }
 
   static constexpr std::size_t kMaxConnections = 16;
-  static constexpr Micros kRequestTimeout = 800 * kMs;  // for a whole call, from its connection
-  static constexpr Micros kLinger = 300 * kMs;          // after the answer, for the caller to close
+  static constexpr Micros kRequestTimeout =
+      800 * kMs;                                // for a complete request, from its connection on
+  static constexpr Micros kLinger = 300 * kMs;  // after the response, for the caller to close
 
  private:
   struct Connection {
     std::shared_ptr<Stream> stream;
     http::Parser parser{http::Parser::Kind::kRequest,
                         http::Limits{.head = 8 << 10, .headers = 50, .body = 32 << 10}};
-    Micros deadline = 0;  // when it is answered late, or, once answered, closed
+    Micros deadline = 0;  // for the request or, once answered, for the caller to close
     bool answered = false;
   };
 
   void OnAccepted(std::shared_ptr<Stream> stream);
   void OnData(Connection* c, std::string_view bytes);
-  void Answer(Connection* c, const Response& reply);
+  void Respond(Connection* c, const Response& response);
   void Destroy(Connection* c);
+  // Answers connections past their deadline and closes those past their linger time.
   void Sweep();
 
   AdminHandlers handlers_;
--- a/src/node/admin/zone_orders.cpp
+++ b/src/node/admin/zone_orders.cpp
@@ -9,11 +9,11 @@
 namespace pearreach::admin {
 namespace {
 
-constexpr std::size_t kMaxFile = 1 << 20;
+constexpr std::size_t kMaxFileBytes = 1 << 20;
 
 template <typename T>
-bool Number(std::string_view text, T* to) {
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), *to);
+bool ParseNumber(std::string_view text, T* value) {
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), *value);
   return error == std::errc() && end == text.data() + text.size();
 }
 
@@ -28,7 +28,7 @@
 }
 
 std::vector<ZoneOrder> ReadZoneOrders(std::string_view text, const std::string& name,
-                                      std::vector<std::string>* wrong) {
+                                      std::vector<std::string>* errors) {
   std::vector<ZoneOrder> orders;
   for (int line_number = 1; !text.empty(); ++line_number) {
     const std::size_t end = text.find('\n');
@@ -42,10 +42,12 @@
       rest = space == std::string_view::npos ? std::string_view() : rest.substr(space + 1);
     }
     ZoneOrder o;
-    if (words.size() < 5 || !Number(words[0], &o.number) || o.number == 0 ||
+    if (words.size() < 5 || !ParseNumber(words[0], &o.number) || o.number == 0 ||
         (words[1] != "leave" && words[1] != "return" && words[1] != "none") ||
-        !Number(words[2], &o.by) || o.by < 0 || !Number(words[3], &o.at_ms) || words[4].empty()) {
-      wrong->push_back(name + ":" + std::to_string(line_number) + ": not an order about a zone");
+        !ParseNumber(words[2], &o.by) || o.by < 0 || !ParseNumber(words[3], &o.at_ms) ||
+        words[4].empty()) {
+      errors->push_back(name + ":" + std::to_string(line_number) +
+                        ": expected NUMBER leave|return|none NODE UNIX_MS NAME");
       continue;
     }
     o.command = words[1];
@@ -65,14 +67,15 @@
     g_error_free(error);
     return {};
   }
-  std::vector<std::string> wrong;
+  std::vector<std::string> errors;
   std::vector<ZoneOrder> orders;
-  if (size <= kMaxFile)
-    orders = ReadZoneOrders(std::string_view(text, size), path, &wrong);
+  if (size <= kMaxFileBytes)
+    orders = ReadZoneOrders(std::string_view(text, size), path, &errors);
   else
-    wrong.push_back(path + ": longer than 1 MiB");
+    errors.push_back(path + ": has " + std::to_string(size) + " bytes, more than the maximum of " +
+                     std::to_string(kMaxFileBytes));
   g_free(text);
-  for (const std::string& line : wrong) CountFault("bad_zone_order", line);
+  for (const std::string& line : errors) CountFault("bad_zone_order", line);
   return orders;
 }
 
--- a/tests/node/admin/door_test.cpp
+++ b/tests/node/admin/door_test.cpp
@@ -1,7 +1,5 @@
-// The operators' door: what each call is answered, and that callers who send nothing, half a call
-// or too many connections neither go unanswered nor hold the door from the next one.
-#include "node/admin/door.h"
-
+// Tests of the admin server: the response to each request, and that callers that send nothing or an
+// incomplete request, or open too many connections, are answered and do not block the next caller.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -9,6 +7,7 @@
 #include <vector>
 
 #include "common/diagnostics/log.h"
+#include "node/admin/door.h"
 
 namespace pearreach::admin {
 namespace {
@@ -23,7 +22,7 @@
 struct Fake {
   bool ready = false;
   std::set<std::string> listed = {"w1", "w 2"}, banned;
-  AdminHandlers calls() {
+  AdminHandlers handlers() {
     return {.ready = [this] { return ready; },
             .vars =
                 [] {
@@ -52,16 +51,16 @@
 
 TEST(DoorRoute, ReadyIsYesOnlyOnceTheProcessServes) {
   Fake fake;
-  EXPECT_EQ(Route(Call("GET", "/_ready"), fake.calls()).status, 503);
+  EXPECT_EQ(Route(Call("GET", "/_ready"), fake.handlers()).status, 503);
   fake.ready = true;
-  EXPECT_EQ(Route(Call("GET", "/_ready"), fake.calls()).status, 200);
+  EXPECT_EQ(Route(Call("GET", "/_ready"), fake.handlers()).status, 200);
 }
 
 TEST(DoorRoute, VarsAreInTheLineFormOfStatsd) {
   Fake fake;
-  const Response reply = Route(Call("GET", "/_vars"), fake.calls());
-  EXPECT_EQ(reply.status, 200);
-  EXPECT_EQ(reply.body,
+  const Response response = Route(Call("GET", "/_vars"), fake.handlers());
+  EXPECT_EQ(response.status, 200);
+  EXPECT_EQ(response.body,
             "svc.success.fast:812|c\nsvc.busy.fast:3|c\nsvc.failure.fast:1|c\n"
             "svc.backend_calls:900|c\nsvc.inflight:14|g\nsvc.hosts_listed:5|g\n"
             "svc.hosts_down:1|g\n");
@@ -69,57 +68,57 @@
 
 TEST(DoorRoute, DetachAndAttachAreRepeatableAndSayNoToAnUnlistedId) {
   Fake fake;
-  const AdminHandlers calls = fake.calls();
-  EXPECT_EQ(Route(Call("POST", "/_match-workers/detach?target=w1"), calls).status, 200);
-  EXPECT_EQ(Route(Call("POST", "/_match-workers/detach?target=w1"), calls).status, 200);
+  const AdminHandlers handlers = fake.handlers();
+  EXPECT_EQ(Route(Call("POST", "/_match-workers/detach?target=w1"), handlers).status, 200);
+  EXPECT_EQ(Route(Call("POST", "/_match-workers/detach?target=w1"), handlers).status, 200);
   EXPECT_EQ(fake.banned, std::set<std::string>{"w1"});
-  EXPECT_EQ(Route(Call("POST", "/_match-workers/attach?x=1&target=w1"), calls).status, 200);
+  EXPECT_EQ(Route(Call("POST", "/_match-workers/attach?x=1&target=w1"), handlers).status, 200);
   EXPECT_TRUE(fake.banned.empty());
-  EXPECT_EQ(Route(Call("POST", "/_match-workers/detach?target=w%202"), calls).status, 200);
+  EXPECT_EQ(Route(Call("POST", "/_match-workers/detach?target=w%202"), handlers).status, 200);
   EXPECT_EQ(fake.banned, std::set<std::string>{"w 2"});
   const std::uint64_t unknown = CountOf("door_unknown_target");
-  EXPECT_EQ(Route(Call("POST", "/_match-workers/detach?target=w9"), calls).status, 404);
+  EXPECT_EQ(Route(Call("POST", "/_match-workers/detach?target=w9"), handlers).status, 404);
   EXPECT_EQ(CountOf("door_unknown_target"), unknown + 1);
 }
 
 TEST(DoorRoute, OrdersAboutZonesAreThereOnlyWithZones) {
   Fake fake;
-  EXPECT_EQ(Route(Call("GET", "/_zones"), fake.calls()).status, 404);
-  EXPECT_EQ(Route(Call("POST", "/_zones/leave?target=z1"), fake.calls()).status, 404);
-  AdminHandlers calls = fake.calls();
-  std::string said;
-  calls.order = [&](const std::string& target, const std::string& what) {
-    said += what + ":" + target + " ";
+  EXPECT_EQ(Route(Call("GET", "/_zones"), fake.handlers()).status, 404);
+  EXPECT_EQ(Route(Call("POST", "/_zones/leave?target=z1"), fake.handlers()).status, 404);
+  AdminHandlers handlers = fake.handlers();
+  std::string received;
+  handlers.order = [&](const std::string& target, const std::string& command) {
+    received += command + ":" + target + " ";
     return target != "z9";
   };
-  calls.zones = [] { return "z1: in use"; };
-  EXPECT_EQ(Route(Call("GET", "/_zones"), calls).body, "z1: in use\n");
-  EXPECT_EQ(Route(Call("POST", "/_zones"), calls).status, 405);
-  EXPECT_EQ(Route(Call("POST", "/_zones/leave?target=z%201"), calls).status, 200);
-  EXPECT_EQ(Route(Call("POST", "/_zones/clear?target=z9"), calls).status, 404);
-  EXPECT_EQ(Route(Call("GET", "/_zones/leave?target=z1"), calls).status, 405);
-  EXPECT_EQ(Route(Call("POST", "/_zones/leave"), calls).status, 400);
-  EXPECT_EQ(Route(Call("POST", "/_zones/forget?target=z1"), calls).status, 404);
-  EXPECT_EQ(said, "leave:z 1 clear:z9 ");
+  handlers.zones = [] { return "z1: in use"; };
+  EXPECT_EQ(Route(Call("GET", "/_zones"), handlers).body, "z1: in use\n");
+  EXPECT_EQ(Route(Call("POST", "/_zones"), handlers).status, 405);
+  EXPECT_EQ(Route(Call("POST", "/_zones/leave?target=z%201"), handlers).status, 200);
+  EXPECT_EQ(Route(Call("POST", "/_zones/clear?target=z9"), handlers).status, 404);
+  EXPECT_EQ(Route(Call("GET", "/_zones/leave?target=z1"), handlers).status, 405);
+  EXPECT_EQ(Route(Call("POST", "/_zones/leave"), handlers).status, 400);
+  EXPECT_EQ(Route(Call("POST", "/_zones/forget?target=z1"), handlers).status, 404);
+  EXPECT_EQ(received, "leave:z 1 clear:z9 ");
 }
 
 TEST(DoorRoute, WrongCallsAreNoAndCounted) {
   Fake fake;
-  const AdminHandlers calls = fake.calls();
+  const AdminHandlers handlers = fake.handlers();
   const std::uint64_t before =
       CountOf("door_bad_method") + CountOf("door_bad_path") + CountOf("door_bad_target");
-  EXPECT_EQ(Route(Call("POST", "/_ready"), calls).status, 405);
-  EXPECT_EQ(Route(Call("GET", "/_match-workers/detach?target=w1"), calls).status, 405);
-  EXPECT_EQ(Route(Call("POST", "/_match-workers/detach"), calls).status, 400);
-  EXPECT_EQ(Route(Call("POST", "/_match-workers/detach?target="), calls).status, 400);
-  EXPECT_EQ(Route(Call("POST", "/_match-workers/remove?target=w1"), calls).status, 404);
-  EXPECT_EQ(Route(Call("GET", "/"), calls).status, 404);
+  EXPECT_EQ(Route(Call("POST", "/_ready"), handlers).status, 405);
+  EXPECT_EQ(Route(Call("GET", "/_match-workers/detach?target=w1"), handlers).status, 405);
+  EXPECT_EQ(Route(Call("POST", "/_match-workers/detach"), handlers).status, 400);
+  EXPECT_EQ(Route(Call("POST", "/_match-workers/detach?target="), handlers).status, 400);
+  EXPECT_EQ(Route(Call("POST", "/_match-workers/remove?target=w1"), handlers).status, 404);
+  EXPECT_EQ(Route(Call("GET", "/"), handlers).status, 404);
   EXPECT_EQ(CountOf("door_bad_method") + CountOf("door_bad_path") + CountOf("door_bad_target"),
             before + 6);
   EXPECT_TRUE(fake.banned.empty());
 }
 
-// A caller on the loop, as the bench would be: what it reads until the door closes.
+// A caller on the main loop, which reads until the server closes the connection.
 struct Caller {
   explicit Caller(int port, std::string send = {}) {
     stream = Stream::Connect(
@@ -141,23 +140,23 @@
 TEST(Door, AWholeCallIsAnsweredAndItsConnectionEnds) {
   Fake fake;
   fake.ready = true;
-  AdminServer door(fake.calls());
-  ASSERT_EQ(door.Open("127.0.0.1:0"), "");
-  Caller caller(door.port(), "GET /_ready HTTP/1.1\r\nHost: n\r\n\r\n");
+  AdminServer server(fake.handlers());
+  ASSERT_EQ(server.Open("127.0.0.1:0"), "");
+  Caller caller(server.port(), "GET /_ready HTTP/1.1\r\nHost: n\r\n\r\n");
   RunUntil([&] { return caller.closed; });
   EXPECT_TRUE(caller.got.starts_with("HTTP/1.1 200")) << caller.got;
   EXPECT_NE(caller.got.find("Connection: close"), std::string::npos);
 }
 
-// Cut at any byte, a call is not taken for a whole one: the door answers 408 at its deadline.
+// A request that is cut off at any byte is answered with 408 at its deadline.
 TEST(Door, HalfACallOrNoneIsAnswered408AtTheDeadline) {
   Fake fake;
-  AdminServer door(fake.calls());
-  ASSERT_EQ(door.Open("127.0.0.1:0"), "");
+  AdminServer server(fake.handlers());
+  ASSERT_EQ(server.Open("127.0.0.1:0"), "");
   const std::string call = "POST /_match-workers/detach?target=w1 HTTP/1.1\r\nHost: n\r\n\r\n";
   std::vector<std::unique_ptr<Caller>> callers;
   for (std::size_t cut : {std::size_t{0}, std::size_t{1}, call.size() / 2, call.size() - 1})
-    callers.push_back(std::make_unique<Caller>(door.port(), call.substr(0, cut)));
+    callers.push_back(std::make_unique<Caller>(server.port(), call.substr(0, cut)));
   RunUntil([&] {
     for (const auto& c : callers)
       if (!c->closed) return false;
@@ -165,26 +164,26 @@
   });
   for (const auto& c : callers) EXPECT_TRUE(c->got.starts_with("HTTP/1.1 408")) << c->got;
   EXPECT_TRUE(fake.banned.empty());
-  // Callers that stay after the answer are let go after a linger.
-  RunUntil([&] { return door.connections() == 0; });
+  // Callers that stay connected after the response are closed after the linger time.
+  RunUntil([&] { return server.connections() == 0; });
 }
 
-// Silent callers beyond the door's few do not shut the next caller out: the oldest goes.
+// Silent callers up to the connection limit do not block the next caller: the oldest one is closed.
 TEST(Door, SilentCallersDoNotShutTheNextOneOut) {
   Fake fake;
   fake.ready = true;
-  AdminServer door(fake.calls());
-  ASSERT_EQ(door.Open("127.0.0.1:0"), "");
+  AdminServer server(fake.handlers());
+  ASSERT_EQ(server.Open("127.0.0.1:0"), "");
   std::vector<std::unique_ptr<Caller>> silent;
   for (std::size_t i = 0; i < AdminServer::kMaxConnections; ++i) {
-    silent.push_back(std::make_unique<Caller>(door.port()));
-    RunUntil([&] { return door.connections() == i + 1; });
+    silent.push_back(std::make_unique<Caller>(server.port()));
+    RunUntil([&] { return server.connections() == i + 1; });
   }
-  Caller caller(door.port(), "GET /_vars HTTP/1.1\r\nHost: n\r\n\r\n");
+  Caller caller(server.port(), "GET /_vars HTTP/1.1\r\nHost: n\r\n\r\n");
   RunUntil([&] { return caller.closed; });
   EXPECT_TRUE(caller.got.starts_with("HTTP/1.1 200")) << caller.got;
   EXPECT_NE(caller.got.find("svc.inflight:14|g"), std::string::npos);
-  EXPECT_LE(door.connections(), AdminServer::kMaxConnections);
+  EXPECT_LE(server.connections(), AdminServer::kMaxConnections);
   RunUntil([&] { return silent.front()->closed; });
   EXPECT_TRUE(silent.front()->got.starts_with("HTTP/1.1 408"));
 }
