--- a/src/node/engine/answer_grace.h
+++ b/src/node/engine/answer_grace.h
@@ -1,4 +1,4 @@
-// The time that the node gives the module's own answers.
+// How long the node waits for the Dispatcher's answer after a job's deadline.
 #ifndef PEARREACH_SRC_NODE_ENGINE_ANSWER_GRACE_H_
 #define PEARREACH_SRC_NODE_ENGINE_ANSWER_GRACE_H_
 
@@ -6,8 +6,8 @@
 
 namespace pearreach {
 
-// The module answers by the deadline. What is still unanswered so long after it is failed by the
-// node.
+// The Dispatcher answers each job by its deadline. The node itself fails a job that is still
+// unanswered this long after the deadline.
 constexpr Micros kAnswerGrace = 10 * kMs;
 
 }  // namespace pearreach
--- a/src/node/engine/discovery.h
+++ b/src/node/engine/discovery.h
@@ -1,7 +1,8 @@
-// The watch of the worker list. It owns one connection to discovery and the version held; it must
-// never end because of what comes back, and never lets more than a moment pass between an answer
-// and the next call, for then the watch would start anew. Discovery serves the whole fleet: a node
-// whose calls fail must not come again in step with the others, nor ask for more than it lacks.
+// Watches the worker list by long polling over one connection to discovery. No answer or failure
+// ends the watch. The next call follows an answer at once, since discovery starts a new watch after
+// a pause between calls. As discovery serves the whole fleet, failed calls are repeated with
+// jitter, so that nodes do not retry in step, and ask only for the changes since the last known
+// version.
 #ifndef PEARREACH_SRC_NODE_ENGINE_DISCOVERY_H_
 #define PEARREACH_SRC_NODE_ENGINE_DISCOVERY_H_
 
@@ -19,28 +20,28 @@
 
 class Discovery {
  public:
-  // `sharers` is how many nodes share the work of a discovery that serves each call in turn (0: its
-  // agent is told by itself), and `seed` this one's own: together they set when it first calls, and
-  // how far apart its calls are while discovery has too much to do.
-  Discovery(std::string address, int sharers, std::uint64_t seed,
-            std::function<void(const Listing&)> heard);
+  // `nodes` is the number of nodes that call a discovery service which serves calls one at a time
+  // (0: the local agent receives the list without being called). It spreads the first calls of the
+  // nodes, and their retries while discovery is overloaded. `seed` must differ between the nodes.
+  Discovery(std::string address, int nodes, std::uint64_t seed,
+            std::function<void(const Listing&)> on_listing);
 
-  // Begins the watch behind a list that is held already, if any.
+  // Starts the watch from the version of a list that is already known, if any.
   void Start(std::optional<std::uint64_t> version);
-  // Goes on at another address, from its whole list on: versions are each agent's own.
+  // Continues at another address, with its complete list: versions differ between agents.
   void MoveTo(const std::string& address);
 
  private:
   void RequestListing();
   void OnData(std::string_view bytes);
   void OnMessage(const http::Message& message);
-  // Drops the connection and calls again after a wait, of which `least` is the first.
-  void RetryLater(const char* why, Micros least = 0);
+  // Drops the connection and calls again after a backoff of at least `min_wait`.
+  void RetryLater(const char* why, Micros min_wait = 0);
 
   std::string address_;
-  Micros start_spread_;  // this node's turn to begin lies within it
+  Micros start_spread_;  // the nodes' first calls are spread over this time
   std::function<void(const Listing&)> on_listing_;
-  std::optional<std::uint64_t> version_;  // none: the whole list is wanted
+  std::optional<std::uint64_t> version_;  // none: ask for the complete list
   std::shared_ptr<Stream> stream_;
   http::Parser parser_{http::Parser::Kind::kResponse, {16 << 10, 100, 1 << 20}};
   Alarm next_call_, response_timeout_;
--- a/src/node/engine/job_view.h
+++ b/src/node/engine/job_view.h
@@ -1,4 +1,4 @@
-// A durable job as its client sees it, in JSON. It owns the names of the fields.
+// The JSON form in which clients see a durable job.
 #ifndef PEARREACH_SRC_NODE_ENGINE_JOB_VIEW_H_
 #define PEARREACH_SRC_NODE_ENGINE_JOB_VIEW_H_
 
@@ -8,8 +8,8 @@
 
 namespace pearreach {
 
-// {"id":..., "state":..., "class":..., "attempts":N} and, once it has ended, "result" or "reason"
-// and "retry_after_ms".
+// Returns {"id":..., "state":..., "class":..., "attempts":N} and, where they are set, "result",
+// "reason" and "retry_after_ms".
 std::string WriteJobView(const JobView& view);
 
 }  // namespace pearreach
--- a/src/node/engine/node.cpp
+++ b/src/node/engine/node.cpp
@@ -11,10 +11,12 @@
 
 using dispatch::Outcome;
 
-constexpr Micros kRestoreWindow = 60 * kSecond;  // for a worker's first mention by the list
-constexpr int kWorkerSocketDivisor = 8;  // a part of so many of the descriptors leads to workers
+// Restored knowledge of a worker is dropped if no list has named it by then.
+constexpr Micros kRestoreWindow = 60 * kSecond;
+// One in this many of the process's descriptors may be a connection to a worker.
+constexpr int kWorkerSocketDivisor = 8;
 
-// The platform's workers answer 202 as soon as they have a job.
+// The platform's workers answer 202 as soon as they have accepted a job.
 dispatch::Settings WithAcceptedEvents(dispatch::Settings settings) {
   settings.reports_accept = true;
   return settings;
@@ -34,14 +36,14 @@
       start_time_(Now()),
       dispatcher_(WithAcceptedEvents(site_.settings), config.seed, start_time_),
       workers_(site_, config.sockets / kWorkerSocketDivisor,
-               {[this](AttemptKey key, bool fences) {
+               {[this](AttemptKey key, bool supports_fencing) {
                   const auto it = records_.find(key.job);
                   if (it == records_.end()) return;
                   Attempt& a = it->second.attempts[static_cast<std::size_t>(key.number)];
                   a.accepted = true;
-                  RecordAttemptUpdate(
-                      key.job, a,
-                      fences ? AttemptState::kAcceptedWithFencing : AttemptState::kAccepted);
+                  RecordAttemptUpdate(key.job, a,
+                                      supports_fencing ? AttemptState::kAcceptedWithFencing
+                                                       : AttemptState::kAccepted);
                   Post(dispatch::AttemptAccepted{key.job, key.number, a.worker});
                 },
                 [this](AttemptKey key) { RejectJob(key); },
@@ -71,8 +73,8 @@
   ScheduleTurn();
 }
 
-// The next turn: when something has come, a timer or a deadline is due, and no sooner than a round
-// after the last, so that the module is handed what is ready in one go and not in crumbs.
+// The next turn is due when an event is queued or a timer or deadline expires, but no sooner than
+// the minimum interval after the last one, so that the Dispatcher gets events in batches.
 void Node::ScheduleTurn() {
   Micros at = std::numeric_limits<Micros>::max();
   if (!events_.empty() || !over_limit_.empty()) at = 0;
@@ -85,9 +87,9 @@
 void Node::RunTurn() {
   const Micros now = Now();
   last_turn_ = now;
-  bool rang = false;
-  for (; !timers_.empty() && timers_.top() <= now; rang = true) timers_.pop();
-  if (rang) events_.emplace_back(dispatch::TimerFired{});
+  bool timer_fired = false;
+  for (; !timers_.empty() && timers_.top() <= now; timer_fired = true) timers_.pop();
+  if (timer_fired) events_.emplace_back(dispatch::TimerFired{});
   ExpireDeadlines(now);
   RefuseOverLimit();
   const std::vector<dispatch::Event> events = std::exchange(events_, {});
@@ -101,7 +103,7 @@
   ScheduleTurn();
 }
 
-// Jobs beyond a limit: refused at once, and the module never hears of them.
+// Refuses the jobs over a limit at once. The Dispatcher never sees them.
 void Node::RefuseOverLimit() {
   for (const auto& [ticket, wait] : std::exchange(over_limit_, {})) {
     const auto it = records_.find(ticket);
@@ -114,13 +116,13 @@
   }
 }
 
-void Node::OnJudgement(const std::string& worker, dispatch::HealthVerdict judgement) {
+void Node::OnJudgement(const std::string& worker, dispatch::HealthVerdict verdict) {
   const auto it = worker_ids_.find(worker);
   if (it == worker_ids_.end()) return;
-  judgement.worker = it->second;
-  judgement.observed_at -= clock_offset_;
-  Count(judgement.ejected ? "judged_out" : judgement.cold ? "judged_cold" : "judged_well");
-  Post(std::move(judgement));
+  verdict.worker = it->second;
+  verdict.observed_at -= clock_offset_;
+  Count(verdict.ejected ? "judged_out" : verdict.cold ? "judged_cold" : "judged_well");
+  Post(std::move(verdict));
 }
 
 void Node::SetCapture(const std::optional<CaptureSettings>& settings, const std::string& build,
@@ -131,7 +133,8 @@
   if (!settings) return;
   origin_.build = build;
   origin_.policy_hash = policy_hash;
-  // Before the first turn the module is as its settings and seed make it.
+  // Before the first turn the Dispatcher's state follows from its settings and seed alone, and no
+  // checkpoint is needed.
   recorder_ =
       std::make_unique<capture::Recorder>(*settings, origin_, dispatcher_, worker_names_,
                                           last_turn_ == 0 ? start_time_ : Now(), last_turn_ == 0);
@@ -148,30 +151,31 @@
                             process_started_ms_, origin_.node, g_get_real_time());
 }
 
-// Guards against taking one process for another: a worker that was started anew meanwhile, or
-// another machine at its address, is not the one that something was learned of.
+// Knowledge is restored only for the same worker process: it does not apply to a worker that has
+// restarted, or to another machine at its address.
 void Node::PostRestoredKnowledge(const Listing& list) {
   const Micros now = Now();
-  dispatch::Knowledge told = std::exchange(restored_knowledge_->common, {});
+  dispatch::Knowledge knowledge = std::exchange(restored_knowledge_->common, {});
   for (const ServerEntry& s : list.servers) {
     const auto it = restored_knowledge_->workers.find(s.id);
     if (it == restored_knowledge_->workers.end() || s.health == dispatch::Health::kGone) continue;
     if (it->second.started_ms == s.started_ms)
-      told.workers.push_back(knowledge::ForModule(it->second, WorkerIdOf(s.id), now));
+      knowledge.workers.push_back(knowledge::ForModule(it->second, WorkerIdOf(s.id), now));
     else
       Count("recalled_another_process");
     restored_knowledge_->workers.erase(it);
   }
-  Count("recalled_workers", told.workers.size());
+  Count("recalled_workers", knowledge.workers.size());
   if (now >= restore_until_ || restored_knowledge_->workers.empty()) restored_knowledge_.reset();
-  if (!told.pools.empty() || !told.workers.empty()) Post(std::move(told));
+  if (!knowledge.pools.empty() || !knowledge.workers.empty()) Post(std::move(knowledge));
 }
 
-void Node::AnnotateCapture(const std::string& what) {
-  if (recorder_ != nullptr) recorder_->Mark(what);
+void Node::AnnotateCapture(const std::string& note) {
+  if (recorder_ != nullptr) recorder_->Mark(note);
 }
 
-// The node stops waiting for what is out at the deadline; the module, told so, gives the answer.
+// At a job's deadline its attempts in flight end as timed out, and the Dispatcher gives the answer.
+// If it has not done so within kAnswerGrace, the node fails the job.
 void Node::ExpireDeadlines(Micros now) {
   while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
     const Ticket ticket = deadlines_.begin()->second;
@@ -180,9 +184,9 @@
     if (it == records_.end()) continue;
     Record& r = it->second;
     if (now < r.deadline + kAnswerGrace) {
-      // Before this one is failed here, the module has a turn to answer it.
+      // Give the Dispatcher a turn to answer before the node fails the job.
       deadlines_.insert({r.deadline + kAnswerGrace, ticket});
-      std::vector<std::pair<AttemptKey, Attempt>> out;  // End may take the record with it
+      std::vector<std::pair<AttemptKey, Attempt>> out;  // EndAttempt may drop the record
       for (std::size_t i = 0; i < r.attempts.size(); ++i)
         if (r.attempts[i].in_flight) out.push_back({{ticket, static_cast<int>(i)}, r.attempts[i]});
       const std::string id = r.job.id;
@@ -228,13 +232,13 @@
   } else if (const auto* timer = std::get_if<dispatch::SetTimer>(&action)) {
     timers_.push(timer->at);
   } else if (const auto* probe = std::get_if<dispatch::Probe>(&action)) {
-    // This platform's protocol has no probe; the module asks for none where the settings say so.
+    // The worker protocol has no probes, and the settings tell the Dispatcher not to ask for any.
     CountFault("probe_not_possible", WorkerName(probe->worker));
     Post(dispatch::ProbeEnded{probe->worker, false, {}});
   } else if (const auto* line = std::get_if<dispatch::LogLine>(&action)) {
     LogDecision(*line);
   }
-  // Subscribe needs nothing: the watch runs from the start.
+  // Subscribe needs no action: the watch has been running since the start.
 }
 
 void Node::LogDecision(const dispatch::LogLine& line) {
@@ -262,16 +266,16 @@
     std::string t = std::to_string(value);
     return t.substr(0, t.find('.') + 2);
   };
-  std::vector<std::string> names;  // outlive the fields
+  std::vector<std::string> names;  // must outlive `fields`
   names.reserve(2 * site_.kinds.size());
   std::vector<LogField> fields = {{"open", std::to_string(open_jobs_)},
                                   {"workers", std::to_string(dispatcher_.KnownWorkers())}};
   std::string line = "figures: open=" + fields[0].value + " workers=" + fields[1].value;
   for (std::size_t k = 0; k < site_.kinds.size(); ++k) {
     const int pool = static_cast<int>(k);
-    for (const auto& [what, value] : {std::pair("limit_", dispatcher_.PoolLimit(pool)),
-                                      std::pair("busy_", dispatcher_.PoolBusy(pool))}) {
-      names.push_back(what + site_.kinds[k]);
+    for (const auto& [prefix, value] : {std::pair("limit_", dispatcher_.PoolLimit(pool)),
+                                        std::pair("busy_", dispatcher_.PoolBusy(pool))}) {
+      names.push_back(prefix + site_.kinds[k]);
       fields.push_back({names.back().c_str(), text(value)});
       line += " " + names.back() + "=" + fields.back().value;
     }
--- a/src/node/engine/node_attempts.cpp
+++ b/src/node/engine/node_attempts.cpp
@@ -1,4 +1,4 @@
-// Attempts: the sends that the module asked for, what workers say of them, and their ends.
+// Attempts: sending them on the Dispatcher's behalf, the workers' updates, and their ends.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -14,7 +14,7 @@
 
 void Node::SendAttempt(const dispatch::Send& action) {
   const auto it = records_.find(action.request);
-  // An answer given since the module was handed its events: to send now would break rule 1.
+  // Rule 1: a job that has been answered since the Dispatcher's turn began must not be sent.
   if (it == records_.end() || it->second.answered) return Count("sends_passed_over");
   Record& r = it->second;
   const Micros now = Now();
@@ -29,7 +29,7 @@
     if (it == records_.end()) return;
     Attempt& a = it->second.attempts[static_cast<std::size_t>(key.number)];
     a.awaiting_intent = false;
-    if (!a.in_flight) return;  // given up meanwhile: nothing of it has gone out
+    if (!a.in_flight) return;  // cancelled while its intent was written; never sent
     if (fence == 0 || it->second.answered) return EndAttempt(key, Outcome::kNotSent, {});
     it->second.job.fence = fence;
     a.sent_at = a.last_update = Now();
@@ -49,7 +49,7 @@
                         r.deadline - Now());
 }
 
-// A word of an attempt renews its lease.
+// Each update about an attempt renews its lease.
 void Node::RecordAttemptUpdate(Ticket ticket, Attempt& a, AttemptState state) {
   a.last_update = Now();
   if (state == AttemptState::kStarted && a.started_at == 0) a.started_at = a.last_update;
@@ -59,8 +59,8 @@
     it->second.guard->OnAttempt(ticket, WorkerName(a.worker), state);
 }
 
-// Attempts that were not heard of for their lease are given up; what that means for the job is
-// decided elsewhere.
+// Ends attempts without an update for the length of their lease as timed out. The Dispatcher and
+// the job ledger decide what follows for the job.
 void Node::ExpireLeases() {
   const Micros now = Now();
   while (!leases_.empty() && leases_.begin()->first <= now) {
@@ -104,17 +104,17 @@
   a.in_flight = false;
   --r.in_flight;
   if (r.guard != nullptr) {
-    const bool never = outcome == Outcome::kFull || outcome == Outcome::kNoConnection ||
-                       outcome == Outcome::kNotSent;
-    const bool said = outcome == Outcome::kGood || outcome == Outcome::kError;
+    const bool never_ran = outcome == Outcome::kFull || outcome == Outcome::kNoConnection ||
+                           outcome == Outcome::kNotSent;
+    const bool reported = outcome == Outcome::kGood || outcome == Outcome::kError;
     r.guard->OnAttempt(key.job, WorkerName(a.worker),
-                       never  ? AttemptState::kNeverRan
-                       : said ? AttemptState::kReportedEnd
-                              : AttemptState::kMayHaveRun);
+                       never_ran  ? AttemptState::kNeverRan
+                       : reported ? AttemptState::kReportedEnd
+                                  : AttemptState::kMayHaveRun);
   }
   Count((std::string("ended_") + kNames[static_cast<int>(outcome)]).c_str());
   if (load.free_slots || load.in_flight) Count("load_reports");
-  // What never went out says nothing of the worker.
+  // An attempt that was never sent is no observation of the worker.
   if (observer_ != nullptr && outcome != Outcome::kNotSent)
     observer_->OnEnded(WorkerName(a.worker), outcome, r.job.cls,
                        a.started_at > 0 ? Now() - a.started_at : 0);
@@ -130,8 +130,8 @@
   MaybeRelease(key.job);
 }
 
-// A worker finds the job itself bad: no other would take it either, and it is no word against the
-// worker's health, which a bad client could otherwise spoil.
+// A worker has rejected the job as invalid. Other workers would reject it, too, so it is not sent
+// again. It does not count against the worker's health, which faulty clients could otherwise harm.
 void Node::RejectJob(AttemptKey key) {
   const auto it = records_.find(key.job);
   if (it == records_.end()) return;
@@ -141,58 +141,58 @@
   EndAttempt(key, Outcome::kCancelled, {});
 }
 
-// News may come before the 202, come again, or be of a job or an attempt that has ended: it counts
-// for an attempt that is out at the worker it comes from, and only once.
-void Node::ApplyJobUpdate(const News& news) {
-  const auto id = tickets_by_job_id_.find(news.job);
-  const auto from = worker_ids_.find(news.from);
+// Updates may arrive before the 202, repeatedly, or for a job or an attempt that has ended. An
+// update applies once, to the attempt in flight at the worker that sent it.
+void Node::ApplyJobUpdate(const News& update) {
+  const auto id = tickets_by_job_id_.find(update.job);
+  const auto from = worker_ids_.find(update.from);
   if (id == tickets_by_job_id_.end() || from == worker_ids_.end()) {
-    if (!unknown_job_handler_ || !unknown_job_handler_(news)) Count("news_passed_over");
+    if (!unknown_job_handler_ || !unknown_job_handler_(update)) Count("news_passed_over");
     return;
   }
   const Ticket ticket = id->second;
   Record& r = records_.at(ticket);
   int number = -1;
-  bool again = false;  // an earlier attempt went to the same worker
+  bool retried_here = false;  // an earlier attempt went to the same worker
   for (std::size_t i = 0; i < r.attempts.size(); ++i) {
     if (r.attempts[i].worker != from->second) continue;
-    again = again || !r.attempts[i].in_flight;
+    retried_here = retried_here || !r.attempts[i].in_flight;
     if (r.attempts[i].in_flight) number = static_cast<int>(i);
   }
   if (number < 0) return Count("news_passed_over");
   Attempt& a = r.attempts[static_cast<std::size_t>(number)];
   const AttemptKey key{ticket, number};
-  // Guards a job given out again to the same worker: what it says of the attempt that was fenced
-  // off is no word of the new one, unless that the job has taken effect.
-  if (news.fence != 0 && news.fence < r.job.fence && news.state != News::State::kDone)
+  // If a fenced job was sent to the same worker again, updates with an older fence are about the
+  // earlier attempt. Only `done` still counts, since the job has then taken effect.
+  if (update.fence != 0 && update.fence < r.job.fence && update.state != News::State::kDone)
     return Count("news_passed_over");
-  // Guards rule 2: where this worker had an attempt before, its 'returned' said again must not be
-  // read as a word of the new one, which would then be sent elsewhere though it may run.
-  if (again && !a.accepted && news.state == News::State::kReturned)
+  // Rule 2: a repeated `returned` for an earlier attempt at this worker must not be taken for the
+  // new attempt. The job would be sent elsewhere while the new attempt may run.
+  if (retried_here && !a.accepted && update.state == News::State::kReturned)
     return Count("news_passed_over");
-  switch (news.state) {
+  switch (update.state) {
     case News::State::kStarted:
       RecordAttemptUpdate(ticket, a, AttemptState::kStarted);
       return Post(dispatch::AttemptStarted{ticket, number, a.worker});
     case News::State::kRunning:
       RecordAttemptUpdate(ticket, a, AttemptState::kProgress);
-      return Post(dispatch::AttemptProgress{ticket, number, a.worker, news.share});
+      return Post(dispatch::AttemptProgress{ticket, number, a.worker, update.share});
     case News::State::kDone:
       workers_.DetachAttempt(key);
       if (!r.answered) {
         Count("served");
-        AnswerClient(ticket, r, {Answer::Kind::kServed, news.result, 0, false});
+        AnswerClient(ticket, r, {Answer::Kind::kServed, update.result, 0, false});
       }
-      return EndAttempt(key, Outcome::kGood, news.load);
+      return EndAttempt(key, Outcome::kGood, update.load);
     case News::State::kFailed:
     case News::State::kReturned:
     case News::State::kLost:
       workers_.DetachAttempt(key);
       return EndAttempt(key,
-                        news.state == News::State::kFailed     ? Outcome::kError
-                        : news.state == News::State::kReturned ? Outcome::kFull
-                                                               : Outcome::kReset,
-                        news.load);
+                        update.state == News::State::kFailed     ? Outcome::kError
+                        : update.state == News::State::kReturned ? Outcome::kFull
+                                                                 : Outcome::kReset,
+                        update.load);
   }
 }
 
--- a/src/node/engine/node_jobs.cpp
+++ b/src/node/engine/node_jobs.cpp
@@ -1,4 +1,4 @@
-// Jobs at the node: their intake, their answer, and when they are forgotten.
+// Jobs: submission, answer and release.
 #include <algorithm>
 #include <iterator>
 #include <utility>
@@ -9,7 +9,8 @@
 namespace pearreach {
 namespace {
 
-// The deadline runs from when the client sent; the way here is not told, so it is allowed for.
+// The client's time-out starts when it sends the request. The time in transit is unknown, so this
+// much is allowed for it.
 constexpr Micros kRequestTransitTime = 5 * kMs;
 
 }  // namespace
@@ -20,8 +21,8 @@
 
 std::optional<Ticket> Node::SubmitGuarded(Job job, Client* client, AttemptGuard* guard,
                                           const std::vector<AdoptedAttempt>& attempts) {
-  const auto [slot, fresh] = tickets_by_job_id_.try_emplace(job.id, last_ticket_ + 1);
-  if (!fresh) return std::nullopt;
+  const auto [slot, inserted] = tickets_by_job_id_.try_emplace(job.id, last_ticket_ + 1);
+  if (!inserted) return std::nullopt;
   const Ticket ticket = ++last_ticket_;
   Count("jobs");
   dispatch::RequestArrived e;
@@ -56,11 +57,11 @@
     r.attempts.push_back({adopted.worker, a.sent, out, true});
     if (out) {
       ++r.in_flight;
-      Attempt& mine = r.attempts.back();
-      mine.last_update = Now();  // a whole lease from now on: the worker may have spoken to nobody
+      Attempt& own = r.attempts.back();
+      own.last_update = Now();  // a full lease: the worker may have had no node to report to
       if (r.job.lease > 0)
         leases_.insert(
-            {mine.last_update + r.job.lease, {ticket, static_cast<int>(r.attempts.size()) - 1}});
+            {own.last_update + r.job.lease, {ticket, static_cast<int>(r.attempts.size()) - 1}});
     }
     Post(adopted);
   }
@@ -92,13 +93,12 @@
   r.client->OnAnswer(ticket, answer);
 }
 
-// A record goes when it is answered and none of its attempts is out.
 void Node::MaybeRelease(Ticket ticket) {
   const auto it = records_.find(ticket);
   if (it == records_.end() || !it->second.answered) return;
   Record& r = it->second;
   if (r.in_flight > 0) {
-    r.job.body = std::string();  // large, and of no more use
+    r.job.body = std::string();  // large, and no longer needed
     return;
   }
   deadlines_.erase({r.deadline, ticket});
--- a/src/node/engine/node_workers.cpp
+++ b/src/node/engine/node_workers.cpp
@@ -1,4 +1,4 @@
-// The node's workers: their list, and which of them are banned or shut.
+// The node's workers: the list, bans, and zone drains.
 #include <algorithm>
 #include <utility>
 
@@ -7,15 +7,15 @@
 namespace pearreach {
 
 dispatch::WorkerId Node::WorkerIdOf(const std::string& name) {
-  const auto [it, fresh] =
+  const auto [it, inserted] =
       worker_ids_.try_emplace(name, static_cast<dispatch::WorkerId>(worker_names_.size()));
-  if (fresh) worker_names_.push_back(name), process_started_ms_.push_back(0);
+  if (inserted) worker_names_.push_back(name), process_started_ms_.push_back(0);
   return it->second;
 }
 
 void Node::OnListing(const Listing& list) {
-  dispatch::WorkerList news;
-  news.form =
+  dispatch::WorkerList change;
+  change.form =
       list.full ? dispatch::WorkerList::Form::kComplete : dispatch::WorkerList::Form::kChanges;
   if (list.full) listed_workers_.clear();
   for (const ServerEntry& s : list.servers) {
@@ -25,7 +25,7 @@
     e.zone = dispatch::IndexOf(site_.zones, s.zone);
     e.kind = dispatch::IndexOf(site_.kinds, s.kind);
     if (e.kind < 0 && s.health != dispatch::Health::kGone)
-      CountFault("bad_list_entry", s.id + " is of unknown kind '" + s.kind + "'");
+      CountFault("bad_list_entry", "worker " + s.id + " has the unknown kind '" + s.kind + "'");
     e.cell = s.cell;
     e.health = s.health;
     e.weight = s.weight;
@@ -45,13 +45,13 @@
       listed_workers_[e.worker] = e;
       if (IsDrained(s.id)) e.health = dispatch::Health::kDraining;
     }
-    news.entries.push_back(e);
+    change.entries.push_back(e);
   }
   Count("lists");
   listed_ = true;
   capture::Note note;
   note.version = list.version;
-  Post(std::move(news), std::move(note));
+  Post(std::move(change), std::move(note));
   if (restored_knowledge_) PostRestoredKnowledge(list);
   if (on_first_listing_) std::exchange(on_first_listing_, nullptr)();
 }
@@ -76,9 +76,9 @@
   return true;
 }
 
-void Node::SetZoneDrain(const std::string& worker, bool shut) {
+void Node::SetZoneDrain(const std::string& worker, bool drained) {
   const auto it = worker_ids_.find(worker);
-  if ((shut ? zone_drained_.insert(worker).second : zone_drained_.erase(worker) > 0) &&
+  if ((drained ? zone_drained_.insert(worker).second : zone_drained_.erase(worker) > 0) &&
       it != worker_ids_.end())
     PostHealth(it->second);
 }
@@ -99,15 +99,15 @@
   return down;
 }
 
-// A change of one worker, as the list would tell it; nothing where no list names it now.
+// Posts a list change for one worker. Has no effect if the worker is not on the list.
 void Node::PostHealth(dispatch::WorkerId worker) {
   const auto it = listed_workers_.find(worker);
   if (it == listed_workers_.end()) return;
-  dispatch::WorkerList news;
-  news.form = dispatch::WorkerList::Form::kChanges;
-  news.entries.push_back(it->second);
-  if (IsDrained(WorkerName(worker))) news.entries.back().health = dispatch::Health::kDraining;
-  Post(std::move(news));
+  dispatch::WorkerList change;
+  change.form = dispatch::WorkerList::Form::kChanges;
+  change.entries.push_back(it->second);
+  if (IsDrained(WorkerName(worker))) change.entries.back().health = dispatch::Health::kDraining;
+  Post(std::move(change));
 }
 
 }  // namespace pearreach
--- a/src/node/engine/workers.h
+++ b/src/node/engine/workers.h
@@ -1,7 +1,7 @@
-// The connections to the match workers and the attempts on their way over them. It owns every
-// descriptor that leads to a worker, and an attempt from its start to the worker's first answer;
-// what becomes of a job after that is told to the node by call-back. It must never decide where a
-// job goes, never send one twice, and never call an attempt unrun unless PROTOCOL's table does.
+// The connections to the match workers, and the attempts that are sent over them. An attempt is
+// tracked here from its start to the worker's first answer; the worker reports the rest to the node
+// by call-back. Each request is sent at most once, and an attempt counts as never run only where
+// the table of the worker protocol says so.
 #ifndef PEARREACH_SRC_NODE_ENGINE_WORKERS_H_
 #define PEARREACH_SRC_NODE_ENGINE_WORKERS_H_
 
@@ -26,44 +26,48 @@
   auto operator<=>(const AttemptKey&) const = default;
 };
 
-// Learns how long a connection may stay unused and still be trusted with a job: less than the
-// settings say where those that rested for longer break under their next request more often.
+// Learns how long a connection may stay idle and still be reused. The limit drops below the
+// configured maximum if connections that were idle for longer break under their next request more
+// often than the others.
 class IdleLimit {
  public:
-  explicit IdleLimit(Micros longest) : longest_(longest) {}
-  // What became of a request that was written after so long a rest.
-  void Record(Micros rest, bool broke, Micros now);
+  explicit IdleLimit(Micros max_limit) : max_limit_(max_limit) {}
+  // Records whether the connection broke under a request that was written after `idle_time`.
+  void Record(Micros idle_time, bool broke, Micros now);
   Micros current() const { return limit_; }
 
  private:
   struct Bucket {
     double total = 0, broken = 0;
   };
-  Micros longest_, limit_ = longest_, last_decay_ = 0;
-  std::array<Bucket, 12> buckets_;  // of rests under 16 ms, under 32 ms, and so on
+  Micros max_limit_, limit_ = max_limit_, last_decay_ = 0;
+  std::array<Bucket, 12> buckets_;  // idle times under 16 ms, under 32 ms, and so on
 };
 
 class Workers {
  public:
-  // `ended` is told of every attempt that ends before or with the worker's first answer, `taken` of
-  // every one that a worker has taken on (202), `rejected` of every one that it finds bad (4xx).
-  // None is called from inside Start.
+  // `accepted` is called when a worker has accepted an attempt (202), `rejected` when it has found
+  // the job invalid (4xx), and `ended` for every attempt that ends otherwise before or with the
+  // worker's first answer. None of them is called from inside StartAttempt.
   struct Events {
-    std::function<void(AttemptKey, bool knows_fences)> accepted;
+    std::function<void(AttemptKey, bool supports_fencing)> accepted;
     std::function<void(AttemptKey)> rejected;
     std::function<void(AttemptKey, dispatch::Outcome, const dispatch::LoadReport&)> ended;
   };
 
-  Workers(const dispatch::Site& site, int budget, Events events);
+  Workers(const dispatch::Site& site, int max_connections, Events events);
   ~Workers();
 
   void SetAddress(dispatch::WorkerId worker, const std::string& address);
-  void Remove(dispatch::WorkerId worker);  // its idle connections go
+  // Closes the worker's idle connections.
+  void Remove(dispatch::WorkerId worker);
 
-  void StartAttempt(AttemptKey key, dispatch::WorkerId worker, const Job& job, Micros patience);
-  // Gives an attempt up: before the 202 by closing its connection, after it by DELETE.
+  // Sends an attempt; `timeout` is the time left for the job.
+  void StartAttempt(AttemptKey key, dispatch::WorkerId worker, const Job& job, Micros timeout);
+  // Cancels an attempt: before its 202 by closing the connection, after it by a DELETE.
   void CancelAttempt(AttemptKey key, dispatch::WorkerId worker, const std::string& job_id);
-  // News has ended it before its 202: the connection waits for the answer, nobody is told.
+  // For an attempt that an update has ended before its 202: the connection still waits for the
+  // answer, but no event is reported.
   void DetachAttempt(AttemptKey key);
 
   std::size_t connections() const { return connections_.size(); }
@@ -75,38 +79,39 @@
     dispatch::WorkerId worker = 0;
     State state = State::kConnecting;
     AttemptKey key;
-    bool carries_attempt = false;  // an attempt's, which is told of its end
-    bool call_counted = true;      // its request is an attempt's and counted as written whole
+    bool carries_attempt = false;  // `key` is an attempt whose end is to be reported
+    bool call_counted = true;      // no attempt, or already counted as written completely
     std::string request;
-    Micros expires_at = 0;  // 0: does not
+    Micros expires_at = 0;  // 0: never
     Micros idle_since = 0;
-    Micros idle_time = -1;  // before the request it carries; -1: that is its first
+    Micros idle_time = -1;  // before the current request; -1: it is the connection's first
     http::Parser parser{http::Parser::Kind::kResponse};
   };
   struct Endpoint {
     std::string address;
-    std::vector<Connection*> idle;  // the last used at the back
+    std::vector<Connection*> idle;  // most recently used last
   };
 
-  void Send(AttemptKey key, bool bound, dispatch::WorkerId worker, std::string request);
-  bool WriteRequest(Connection* link);
-  void OnRequestWritten(Connection* link);  // its request's last byte has gone out, or was read
-  void OnConnected(Connection* link);
-  void OnData(Connection* link, std::string_view bytes);
-  void OnClosed(Connection* link);
-  void OnMessage(Connection* link, const http::Message& message);
-  void MakeIdle(Connection* link);
-  void Finish(Connection* link, dispatch::Outcome outcome, const dispatch::LoadReport& load);
-  void Destroy(Connection* link);
+  void Send(AttemptKey key, bool carries_attempt, dispatch::WorkerId worker, std::string request);
+  bool WriteToConnection(Connection* connection);
+  // Counts the request, once its last byte has been sent or the worker has answered it.
+  void OnRequestWritten(Connection* connection);
+  void OnConnected(Connection* connection);
+  void OnData(Connection* connection, std::string_view bytes);
+  void OnClosed(Connection* connection);
+  void OnMessage(Connection* connection, const http::Message& message);
+  void MakeIdle(Connection* connection);
+  void Finish(Connection* connection, dispatch::Outcome outcome, const dispatch::LoadReport& load);
+  void Destroy(Connection* connection);
   bool EvictIdle();
-  void SetExpiry(Connection* link, Micros at);
+  void SetExpiry(Connection* connection, Micros at);
   void CloseExpired();
-  // Tells of an end from the loop, as neither event may come from inside Start.
+  // Reports an attempt's end from the main loop, as no event may come from inside StartAttempt.
   void DeferEnd(AttemptKey key, dispatch::Outcome outcome);
 
   const dispatch::Site& site_;
   std::size_t max_connections_;
-  IdleLimit idle_limit_;  // an idle connection is closed after this
+  IdleLimit idle_limit_;  // idle connections are closed after this time
   Events events_;
   std::map<Connection*, std::unique_ptr<Connection>> connections_;
   std::map<AttemptKey, Connection*> by_attempt_;
--- a/tests/node/engine/rig.h
+++ b/tests/node/engine/rig.h
@@ -1,5 +1,5 @@
-// Scripted peers of a node for stories over loopback sockets: workers or discovery, and callers.
-// They run on the main loop of the test.
+// Scripted peers of a node for tests over loopback sockets: workers, discovery and callers. They
+// run on the main loop of the test.
 #ifndef PEARREACH_TESTS_NODE_ENGINE_RIG_H_
 #define PEARREACH_TESTS_NODE_ENGINE_RIG_H_
 
@@ -18,7 +18,7 @@
 namespace pearreach::rig {
 
 using http::Message;
-using Replies = std::function<std::string(const Message&)>;  // empty: says nothing
+using Replies = std::function<std::string(const Message&)>;  // empty: no response
 
 inline void RunUntil(const std::function<bool()>& done, Micros most = 20 * kSecond) {
   lab::RunUntil(done, most);
@@ -27,7 +27,7 @@
   RunUntil([] { return false; }, time);
 }
 
-// A scripted worker or discovery: the laboratory's server, with what it was sent kept.
+// A scripted worker or discovery, which records the requests that it receives.
 class Server {
  public:
   explicit Server(Replies replies)
@@ -41,7 +41,7 @@
   std::string address() const { return server_.address(); }
   void CloseAll() { server_.CloseAll(); }
   std::vector<Message> got;
-  std::vector<std::shared_ptr<Stream>> streams;  // those that something came on
+  std::vector<std::shared_ptr<Stream>> streams;  // those that have received a request
 
  private:
   Replies replies_;
@@ -77,7 +77,7 @@
                                      R"({"id":")" + id + R"(","from":")" + from + R"(","state":")" +
                                          state + R"(","result":"r-)" + id + "\"}"));
   }
-  // The status of answer number `n`, waited for; 0: none came.
+  // Waits for answer number `n` and returns its status; 0 if none came.
   int Status(std::size_t n = 0) {
     RunUntil([&] { return answers.size() > n || closed; });
     return answers.size() > n ? answers[n].status : 0;
--- a/tests/node/engine/stories_test.cpp
+++ b/tests/node/engine/stories_test.cpp
@@ -1,5 +1,5 @@
-// Stories of the whole node over loopback sockets, against scripted clients, workers and discovery
-// that run on the same main loop. Each is about one failure that was met or is to be kept out.
+// Tests of a whole node over loopback sockets, against scripted clients, workers and discovery that
+// run on the same main loop. Each test guards against one failure.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -60,7 +60,7 @@
       list.servers.push_back({"s-" + std::to_string(i), addresses[i], "a", "m"});
     node.OnListing(list);
   }
-  // Nothing is left of any job.
+  // Expects that no record of any job is left.
   void ExpectClean() {
     RunUntil([&] { return node.records() == 0; });
     EXPECT_EQ(node.records(), 0u);
@@ -87,7 +87,7 @@
   EXPECT_EQ(worker.got[0].target, "/sync/x?y=1");
   EXPECT_EQ(worker.got[0].body, "body");
   EXPECT_EQ(*worker.got[0].Find("Idempotency-Key"), "k");
-  EXPECT_EQ(worker.streams.size(), 1u) << "after the 202 a connection is free again";
+  EXPECT_EQ(worker.streams.size(), 1u) << "a connection is reused after its 202";
   rig.ExpectClean();
 }
 
@@ -98,14 +98,14 @@
   Caller client(rig.port()), agent(rig.port());
   client.SendJob("j");
   RunUntil([&] { return !worker.got.empty(); });
-  agent.SendUpdate("j", "s-9", "lost");  // not the worker that has it
+  agent.SendUpdate("j", "s-9", "lost");  // from a worker that does not have the job
   for (int i = 0; i < 3; ++i) agent.SendUpdate("j", "s-0", "done");
   agent.SendUpdate("unknown", "s-0", "returned");
   EXPECT_EQ(agent.Status(4), 200);
   EXPECT_EQ(client.Status(), 200);
   worker.streams[0]->Write(kAccepted);
   rig.ExpectClean();
-  client.SendJob("k");  // the connection is good for the next
+  client.SendJob("k");  // the connection is reused
   RunUntil([&] { return worker.got.size() == 2; });
   EXPECT_EQ(worker.streams.size(), 1u);
   EXPECT_EQ(client.answers.size(), 1u);
@@ -137,11 +137,12 @@
   rig.Workers({cutting.address()});
   client.SendJob("k");
   EXPECT_EQ(client.Status(1), 502);
-  EXPECT_EQ(cutting.got.size(), 1u) << "what may have run is not sent again";
+  EXPECT_EQ(cutting.got.size(), 1u) << "a job that may have run is not sent again";
   rig.ExpectClean();
 }
 
-// Met where workers let go of connections after 130 ms, without a word: the settings said 60 s.
+// Workers that drop idle connections silently after 130 ms, while the settings say 60 s, break the
+// requests on reused connections.
 TEST(Story, AConnectionUnusedForLongerThanItsPeersBearIsNotUsedAgain) {
   Rig rig;
   Server* self = nullptr;
@@ -169,9 +170,9 @@
     const bool bad = client.Status(i) != 200;
     failed += bad ? 1 : 0;
     failed_late += bad && i >= 8 ? 1 : 0;
-    RunFor(300 * kMs);  // a trial after a reset is due by then, too
+    RunFor(300 * kMs);  // also long enough for the trial that follows a reset
   }
-  EXPECT_EQ(failed, 3) << "three breaks are evidence";
+  EXPECT_EQ(failed, 3) << "three broken connections lower the limit";
   EXPECT_EQ(failed_late, 0);
   rig.ExpectClean();
 }
@@ -180,14 +181,15 @@
   IdleLimit limit(30 * kSecond);
   for (int i = 0; i < 300; ++i) limit.Record((i % 60) * kMs, i % 20 == 0, kSecond);
   for (int i = 0; i < 30; ++i) limit.Record(90 * kMs, false, kSecond);
-  EXPECT_EQ(limit.current(), 30 * kSecond) << "one of twenty breaks whatever its rest";
+  EXPECT_EQ(limit.current(), 30 * kSecond) << "one in twenty breaks, whatever the idle time";
   for (int i = 0; i < 20; ++i) limit.Record((150 + 50 * (i % 10)) * kMs, i % 2 == 0, kSecond);
   EXPECT_EQ(limit.current(), 128 * kMs);
   for (int i = 0; i < 100; ++i) limit.Record(kMs, false, (10 + 2 * i) * kSecond);
-  EXPECT_EQ(limit.current(), 30 * kSecond) << "another try after a while";
+  EXPECT_EQ(limit.current(), 30 * kSecond) << "the learned limit is forgotten over time";
 }
 
-// A worker closes idle connections; a job written to one would end as a reset and be lost.
+// A worker closes idle connections. A job written to such a connection would end in a reset and be
+// lost.
 TEST(Story, AConnectionClosedByItsPeerIsNotWrittenTo) {
   Rig rig;
   Server worker(Accept);
@@ -215,7 +217,7 @@
   Caller client(rig.port()), agent(rig.port());
   client.SendJob("j");
   RunUntil([&] { return calls == 2; });
-  RunFor(5 * kMs);  // its 202 is in
+  RunFor(5 * kMs);  // for its 202 to arrive
   agent.SendUpdate("j", "s-0", "returned");
   RunUntil([&] { return calls == 3; });
   agent.SendUpdate("j", "s-0", "done");
@@ -235,7 +237,7 @@
   EXPECT_EQ(CountOf("answered_overdue"), 0u);
 }
 
-// A refusal says when to come back, in the module's figure, not above the settings' maximum.
+// A refusal carries the Dispatcher's retry-after time, capped at the configured maximum.
 TEST(Story, AJobNeverSentIsRefusedByItsDeadlineAndToldWhenToComeBack) {
   Config config = BaseConfig();
   config.site.settings.max_retry_after = 1500 * kMs;
@@ -249,8 +251,8 @@
   rig.ExpectClean();
 }
 
-// A limit that the fleet shares decides before the module: the client hears at once, with when
-// there will be room, and no worker sees the job.
+// A limit that the fleet shares is checked before the Dispatcher: the client is refused at once,
+// with the time until there will be room, and no worker sees the job.
 TEST(Story, AJobBeyondALimitIsRefusedAtOnceAndToldWhenThereWillBeRoom) {
   Config config = BaseConfig();
   config.site.settings.max_retry_after = 5 * kSecond;
@@ -273,22 +275,22 @@
 }
 
 TEST(Story, AWitnessHearsOfEveryAttemptAndWhatOthersSawReachesTheModule) {
-  struct Seen : WorkerObserver {
+  struct RecordingObserver : WorkerObserver {
     void OnListed(const std::string& w, const ListedWorker&) override { all += "+" + w + " "; }
     void OnGone(const std::string& w) override { all += "-" + w + " "; }
     void OnSent(const std::string& w) override { all += "sent:" + w + " "; }
-    void OnAttemptUpdate(const std::string&) override { ++heard; }
+    void OnAttemptUpdate(const std::string&) override { ++updates; }
     void OnEnded(const std::string& w, dispatch::Outcome o, int, Micros) override {
       all += "ended:" + w + ":" + std::to_string(static_cast<int>(o)) + " ";
     }
     std::string all;
-    int heard = 0;
-  } seen;
+    int updates = 0;
+  } observer;
   Rig rig;
-  rig.node.SetWorkerObserver(&seen);
+  rig.node.SetWorkerObserver(&observer);
   Server first(Accept), second(Accept);
   rig.Workers({first.address(), second.address()});
-  // Both have been out since before this node was told: it sends to the other one alone.
+  // Two other nodes have ejected s-0: this node sends to s-1 only.
   rig.node.OnJudgement("s-0", {0, true, false, false, g_get_real_time(), {3, 7}});
   Caller client(rig.port()), news(rig.port());
   client.SendJob("j");
@@ -296,19 +298,19 @@
   EXPECT_TRUE(first.got.empty());
   news.SendUpdate("j", "s-1", "done");
   EXPECT_EQ(client.Status(), 200);
-  EXPECT_EQ(seen.all, "+s-0 +s-1 sent:s-1 ended:s-1:0 ");
-  EXPECT_GT(seen.heard, 0);
+  EXPECT_EQ(observer.all, "+s-0 +s-1 sent:s-1 ended:s-1:0 ");
+  EXPECT_GT(observer.updates, 0);
   rig.ExpectClean();
 }
 
-// A zone that the fleet has left is a drain, whatever the list says, and whoever is heard of there.
+// The workers of a zone that the fleet has left are drained, whatever the list reports.
 TEST(Story, AShutWorkerTakesNothingUntilItIsOpenAgain) {
   Rig rig;
   Server first(Accept), second(Accept);
   rig.Workers({first.address(), second.address()});
   Caller client(rig.port()), news(rig.port());
   rig.node.SetZoneDrain("s-0", true);
-  rig.Workers({first.address(), second.address()});  // the list again
+  rig.Workers({first.address(), second.address()});  // the same list again
   for (const char* job : {"a", "b"}) {
     client.SendJob(job);
     const std::size_t before = second.got.size();
@@ -362,20 +364,22 @@
   client.stream->Write("GET /commit HTTP/1.1\r\n\r\n");
   EXPECT_EQ(client.Status(client.answers.size()), 405);
   client.stream->Write("GET /ready HTTP/1.1\r\n\r\n");
-  EXPECT_EQ(client.Status(client.answers.size()), 503) << "no list yet";
+  EXPECT_EQ(client.Status(client.answers.size()), 503) << "no worker list yet";
   rig.Workers({});
   client.SendJob("a");
   Caller twin(rig.port());
   RunUntil([&] { return rig.node.records() == 1; });
   twin.SendJob("a");
   EXPECT_EQ(twin.Status(), 409);
-  EXPECT_EQ(ask("/commit", "Content-Length: 70000\r\n"), 503) << "the job before it: no worker";
+  EXPECT_EQ(ask("/commit", "Content-Length: 70000\r\n"), 503)
+      << "the earlier job on this connection: no worker";
   RunUntil([&] { return client.closed; });
   EXPECT_TRUE(client.closed);
   EXPECT_EQ(client.answers.back().status, 413);
 }
 
-// Met with bad clients: what a worker turned away went to two more, and each lost standing by it.
+// A job that a worker rejects as invalid must not be sent to other workers, nor count against the
+// health of the worker.
 TEST(Story, AJobThatAWorkerFindsBadIsEndedAndSpoilsNothing) {
   Rig rig;
   Server worker([](const Message& m) {
@@ -387,21 +391,22 @@
     client.SendJob("bad", "sync", "5000m", "Idempotency-Key: k\r\n");
     EXPECT_EQ(client.Status(static_cast<std::size_t>(i)), 400);
   }
-  EXPECT_EQ(worker.got.size(), 3u) << "each once";
-  client.SendJob("j", "commit", "200m");  // would not be sent in time to a worker on trial
+  EXPECT_EQ(worker.got.size(), 3u) << "each job is sent once";
+  client.SendJob("j", "commit", "200m");  // would time out if the worker were on trial
   RunUntil([&] { return worker.got.size() == 4; });
   agent.SendUpdate("j", "s-0", "done");
   EXPECT_EQ(client.Status(3), 200);
   rig.ExpectClean();
 }
 
-// A silent or half-sent first request used to be let be for a minute.
+// A connection whose first request does not arrive in time is closed, even if bytes trickle in.
 TEST(Story, AFirstRequestThatDoesNotComeEndsItsConnectionHoweverItDrips) {
   Rig rig;
   const auto silent_before = CountOf("silent_closed"), overdue_before = CountOf("request_overdue");
   Caller silent(rig.port()), half(rig.port()), dripping(rig.port());
   half.SendJob("j");
-  half.stream->Write("POST /commit HTTP/1.1\r\nX-Req");  // its second: not the first
+  half.stream->Write(
+      "POST /commit HTTP/1.1\r\nX-Req");  // its second request, which has no such limit
   Caller first(rig.port());
   first.stream->Write("POST /commit HTTP/1.1\r\nX-Req");
   for (int i = 0; i < 25 && dripping.answers.empty(); ++i) {
@@ -418,7 +423,7 @@
   EXPECT_FALSE(half.closed);
 }
 
-// One that sends 60 MB reads its error when it is done, not a reset.
+// A client that sends a body of 60 MB must receive the error response, not a reset.
 TEST(Story, ASenderOfALongBodyReadsItsError) {
   Rig rig;
   GSocketAddress* at = ParseAddress("127.0.0.1:" + std::to_string(rig.port()));
@@ -438,7 +443,7 @@
   g_object_unref(at);
 }
 
-// Met among the workers: a connection stays open and says nothing more, though its worker is well.
+// A connection may stay open without any further answer although its worker is healthy.
 TEST(Story, AJobOnASilentConnectionGoesOutOnAnotherOrFailsSoon) {
   Config config = BaseConfig();
   config.site.settings.connect_timeout = 200 * kMs;
@@ -452,7 +457,7 @@
   RunUntil([&] { return worker.got.size() == 1; });
   const Micros sent = Now();
   EXPECT_EQ(client.Status(0), 502);
-  EXPECT_LT(Now() - sent, 4 * kSecond) << "not at its deadline, when its slot is long needed";
+  EXPECT_LT(Now() - sent, 4 * kSecond) << "well before its deadline, as its slot is needed";
   int calls = 0;
   Server again([&](const Message&) { return ++calls == 1 ? std::string() : kAccepted; });
   rig.Workers({again.address()});
@@ -465,7 +470,7 @@
   rig.ExpectClean();
 }
 
-// The front's share of 64 descriptors is 8 connections.
+// With 64 descriptors the frontend's share is 8 connections.
 struct Budget : testing::Test {
   Budget()
       : rig([] {
@@ -485,8 +490,8 @@
   std::vector<std::unique_ptr<Caller>> callers;
 };
 
-// Met on an overloaded day: connections just accepted were closed to make room, and with them their
-// first requests, one of them twice.
+// Under overload, closing connections that were just accepted to make room would lose their first
+// requests.
 TEST_F(Budget, ANewConnectionIsNotClosedToMakeRoom) {
   for (int i = 0; i < 8; ++i) Connect();
   RunFor(1100 * kMs);
@@ -519,15 +524,15 @@
   EXPECT_FALSE(callers.back()->answers[0].keep_alive);
 }
 
-// Silent connections over the budget used to keep the workers' news in the backlog for a minute.
+// Silent connections above the budget must not keep the workers' updates waiting in the backlog.
 TEST_F(Budget, SilentConnectionsDoNotKeepTheNewsOut) {
-  for (int i = 0; i < 24; ++i) Connect();  // 8, and 16 to spare
+  for (int i = 0; i < 24; ++i) Connect();  // 8 within the budget, and 16 above it
   Caller agent(rig.port());
   agent.SendUpdate("j", "s-0", "done");
   EXPECT_EQ(agent.Status(), 200);
 }
 
-// With accepting paused, hundreds of them are passed through in the time owed to each.
+// While accepting is paused, hundreds of silent connections are closed in turn.
 TEST_F(Budget, HundredsOfSilentConnectionsAreLetGoInTurn) {
   for (int i = 0; i < 150; ++i) callers.push_back(std::make_unique<Caller>(rig.port()));
   const auto closed = [&] {
@@ -537,15 +542,16 @@
   EXPECT_TRUE(closed());
 }
 
-// The sweep was put off by each answer that ended a connection, for as long as others came.
+// An answer that ends a connection must not postpone the sweep, or a steady flow of other clients
+// would keep a connection that its peer never closes.
 TEST(Story, APeerThatNeverClosesIsLetGoWhileOthersComeAndGo) {
   Rig rig;
   GSocketAddress* at = ParseAddress("127.0.0.1:" + std::to_string(rig.port()));
-  GSocket* deaf =
+  GSocket* unclosed =
       g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, nullptr);
-  ASSERT_TRUE(g_socket_connect(deaf, at, nullptr, nullptr));
+  ASSERT_TRUE(g_socket_connect(unclosed, at, nullptr, nullptr));
   const std::string last = "GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n";
-  g_socket_send(deaf, last.data(), last.size(), nullptr, nullptr);
+  g_socket_send(unclosed, last.data(), last.size(), nullptr, nullptr);
   for (int i = 0; i < 8; ++i) {
     Caller other(rig.port());
     other.stream->Write(last);
@@ -553,12 +559,12 @@
     RunFor(200 * kMs);
   }
   EXPECT_EQ(rig.front.connections(), 0u);
-  g_object_unref(deaf);
+  g_object_unref(unclosed);
   g_object_unref(at);
 }
 
 TEST(Story, DiscoveryIsWatchedThroughChangesNonsenseAndOutages) {
-  std::vector<std::string> answers;  // to be given in turn; then silence
+  std::vector<std::string> answers;  // given in turn; no response after the last
   Server discovery([&](const Message&) {
     if (answers.empty()) return std::string();
     const std::string body = answers.front();
@@ -582,7 +588,7 @@
   Listing known;
   known.version = 3;
   known.full = true;
-  known.servers = {{"s-7", "127.0.0.1:1", "a", "m"}};  // old: gone since
+  known.servers = {{"s-7", "127.0.0.1:1", "a", "m"}};  // stale: no longer listed
   config.known = known;
   Rig rig(config);
   rig.node.Start();
@@ -591,7 +597,8 @@
   ASSERT_EQ(discovery.got.size(), 5u);
   EXPECT_EQ(discovery.got[0].target, "/v1/endpoints?since=3&timeout_ms=5000");
   EXPECT_EQ(discovery.got[1].target, "/v1/endpoints?since=4&timeout_ms=5000");
-  EXPECT_EQ(discovery.got[2].target, "/v1/endpoints") << "after nonsense the whole list is wanted";
+  EXPECT_EQ(discovery.got[2].target, "/v1/endpoints")
+      << "after an invalid answer it asks for the complete list";
   EXPECT_EQ(discovery.got[4].target, "/v1/endpoints?since=6&timeout_ms=5000");
   discovery.CloseAll();
   RunUntil([&] { return discovery.got.size() == 6; });
@@ -599,11 +606,11 @@
   Caller client(rig.port());
   for (int i = 0; i < 4; ++i) client.SendJob("j" + std::to_string(i));
   RunUntil([&] { return !second.got.empty(); });
-  EXPECT_TRUE(first.got.empty()) << "it drains";
+  EXPECT_TRUE(first.got.empty()) << "the worker drains";
 }
 
-// A whole fleet that is told 503 and then asks for the whole list again and again keeps discovery
-// busy for good: a node goes on from the version that it holds.
+// After a 503 a node asks for the changes since its version. If the whole fleet asked for the
+// complete list instead, discovery would stay overloaded.
 TEST(Story, ABusyDiscoveryIsAskedForNoMoreThanWhatHasChanged) {
   int busy = 2;
   Server discovery([&](const Message&) {
@@ -624,16 +631,17 @@
     EXPECT_EQ(m.target, "/v1/endpoints?since=3&timeout_ms=5000");
 }
 
-// A hundred nodes start in one moment, where each watch is work for discovery: those that hold a
-// list do not all ask at once. One that holds none cannot wait, nor can those that are told anyway.
+// A hundred nodes start at once, where each watch costs discovery work: nodes that have a list
+// spread their first calls. A node without a list calls at once, and so do nodes whose agent
+// receives the list without being called.
 TEST(Story, NodesWithAListBeginTheirWatchesApart) {
   Server discovery(Silent);
-  const auto start = [&](int sharers, std::optional<std::uint64_t> version, Micros most) {
+  const auto start = [&](int sharing_nodes, std::optional<std::uint64_t> version, Micros most) {
     std::vector<std::unique_ptr<Discovery>> nodes;
     const std::size_t before = discovery.got.size();
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
-      nodes.push_back(
-          std::make_unique<Discovery>(discovery.address(), sharers, seed, [](const Listing&) {}));
+      nodes.push_back(std::make_unique<Discovery>(discovery.address(), sharing_nodes, seed,
+                                                  [](const Listing&) {}));
       nodes.back()->Start(version);
     }
     RunUntil([&] { return discovery.got.size() - before == 20; }, most);
@@ -649,7 +657,8 @@
          R"(","addr":")" + at + R"(","zone":"a","kind":"m","state":"up"}]})";
 }
 
-// The new agent numbers its lists anew; until it has told its own, the workers held are used.
+// The new agent has its own version numbers. Until its first list arrives, the known workers are
+// used.
 TEST(Story, DiscoveryMovesAndTheWorkersStayUntilTheNewListIsIn) {
   Server worker(Accept), other(Accept);
   Server before([&](const Message& m) {
@@ -667,24 +676,24 @@
   RunUntil([&] { return worker.got.size() == 1; });
   for (int i = 0; i < 3; ++i) rig.node.SetDiscoveryAddress(after.address());
   RunUntil([&] { return !after.got.empty(); });
-  EXPECT_EQ(after.got[0].target, "/v1/endpoints") << "90 is no version of this one";
+  EXPECT_EQ(after.got[0].target, "/v1/endpoints") << "version 90 is not of this agent";
   agent.SendUpdate("j", "s-0", "done");
   EXPECT_EQ(client.Status(0), 200);
   client.SendJob("k");
   RunUntil([&] { return worker.got.size() == 2; });
-  EXPECT_EQ(worker.streams.size(), 1u) << "its connection is kept too";
+  EXPECT_EQ(worker.streams.size(), 1u) << "its connection is kept, too";
   after.streams.back()->Write(
       http::WriteResponse(200, {}, ListOf(3, "s-1", other.address()), true));
   RunUntil([&] { return after.got.back().target == "/v1/endpoints?since=3&timeout_ms=5000"; });
   EXPECT_EQ(after.got.back().target, "/v1/endpoints?since=3&timeout_ms=5000");
   agent.SendUpdate("k", "s-0", "done");
-  EXPECT_EQ(client.Status(1), 200) << "a job at a worker that has left ends as it should";
+  EXPECT_EQ(client.Status(1), 200) << "a job at a delisted worker still ends normally";
   client.SendJob("l");
   RunUntil([&] { return other.got.size() == 1; });
   EXPECT_EQ(worker.got.size(), 2u);
 }
 
-// The program itself: SIGHUP used to end it, and with it all that it had taken.
+// The program must reload its configuration on SIGHUP and not exit, which would lose its open jobs.
 TEST(Story, TheProgramOutlivesSighupsAndEndsCleanlyAfterOne) {
   Server worker(Accept);
   const auto told = [&](const Message& m) {
@@ -710,13 +719,14 @@
   RunUntil([&] { return before.got.size() == 2; });
   EXPECT_EQ(before.got.size(), 2u);
   write("nonsense");
-  write_own("<pearreach><log format='xml'/></pearreach>");  // bad: capture goes on as it was
+  write_own(
+      "<pearreach><log format='xml'/></pearreach>");  // invalid: the capture continues unchanged
   g_subprocess_send_signal(program, SIGHUP);
   RunFor(100 * kMs);
   write(config(after.address()));
   for (int i = 0; i < 3; ++i) g_subprocess_send_signal(program, SIGHUP);
   RunUntil([&] { return after.got.size() == 2; });
-  EXPECT_EQ(after.got.size(), 2u) << "the list and its watch, once";
+  EXPECT_EQ(after.got.size(), 2u) << "one call for the list and one watch";
   g_subprocess_send_signal(program, SIGTERM);
   g_subprocess_send_signal(program, SIGHUP);
   bool ended = false;
@@ -736,8 +746,8 @@
   std::remove(path.c_str());
 }
 
-// What a node does across SIGHUPs that move discovery and switch the capture off and on: every
-// segment replays alone, and the jobs do not notice.
+// Reloads move discovery and switch the capture off and on. Each segment must replay by itself, and
+// the jobs must not be affected.
 TEST(Story, CaptureGoesOnAcrossReloads) {
   std::string folder = testing::TempDir() + "pearreach-XXXXXX";
   ASSERT_NE(mkdtemp(folder.data()), nullptr);
@@ -763,11 +773,11 @@
   rig.node.SetDiscoveryAddress(other.address());
   rig.node.AnnotateCapture("configuration read again");
   serve("b");
-  rig.node.SetCapture(settings, "test", 1);  // read again, unchanged: the segment goes on
+  rig.node.SetCapture(settings, "test", 1);  // reloaded without a change: the segment continues
   serve("c");
   rig.node.SetCapture(std::nullopt, "test", 1);
   serve("d");
-  rig.node.SetCapture(settings, "test", 1);  // a module with a past: a checkpoint
+  rig.node.SetCapture(settings, "test", 1);  // started in mid-run: begins with a checkpoint
   serve("e");
   rig.node.SetCapture(std::nullopt, "test", 1);
   std::string marks, ids;
@@ -789,7 +799,8 @@
   std::filesystem::remove_all(folder);
 }
 
-// Each list tells the same start again: by an offset taken anew it would look like a restart.
+// Each list repeats the start time of a worker. Converted with a newly measured clock offset it
+// would look like a restart.
 TEST(Story, AStartToldTwiceIsOneStart) {
   Rig rig;
   const std::int64_t unix_ms = g_get_real_time() / 1000 - 500;
@@ -800,11 +811,12 @@
     EXPECT_EQ(rig.node.FromUnixMs(unix_ms), first);
   }
   EXPECT_EQ(rig.node.FromUnixMs(0), 0) << "long ago";
-  EXPECT_GT(rig.node.FromUnixMs(1), 0) << "not the same as long ago";
+  EXPECT_GT(rig.node.FromUnixMs(1), 0) << "distinct from 0, which means long ago";
 }
 
-// A node that is started again knows the workers that are the same processes, and takes a worker
-// that was started anew meanwhile, or that the list names later, for what the list says it is.
+// A restarted node restores its knowledge only of workers whose process is the same. A worker that
+// has restarted meanwhile is new to it; knowledge of a worker that is listed later is restored
+// then.
 TEST(Story, ARestartedNodeRecallsTheSameProcessesOnly) {
   Server first(Accept), second(Accept);
   const auto listing = [&](std::int64_t second_started) {
@@ -825,7 +837,7 @@
     Rig rig(config);
     rig.node.OnListing(listing(1000));
     Caller one(rig.port()), other(rig.port()), agent(rig.port());
-    for (int i = 0; i < 4; ++i) {  // two at a time: one for each worker
+    for (int i = 0; i < 4; ++i) {  // two jobs at a time, one for each worker
       one.SendJob("a" + std::to_string(i));
       other.SendJob("b" + std::to_string(i));
       const auto n = static_cast<std::size_t>(i + 1);
@@ -855,7 +867,7 @@
     EXPECT_EQ(CountOf("recalled_another_process"), others + 1);
     RunFor(50 * kMs);
     EXPECT_GT(rig.node.ExportKnowledge().pools.at(0).what.limit, 1)
-        << "its limit does not start at zero";
+        << "the restored limit is in use";
   }
   {
     Rig rig(config);
@@ -863,14 +875,14 @@
     rig.node.OnListing(listing(-1));
     EXPECT_EQ(CountOf("recalled_workers"), known + 2);
     rig.node.OnListing(listing(1000));
-    EXPECT_EQ(CountOf("recalled_workers"), known + 3) << "it waits for the list to name it";
+    EXPECT_EQ(CountOf("recalled_workers"), known + 3) << "restored once the list names the worker";
     rig.node.OnListing(listing(1000));
-    EXPECT_EQ(CountOf("recalled_workers"), known + 3) << "once";
+    EXPECT_EQ(CountOf("recalled_workers"), known + 3) << "restored only once";
   }
 }
 
-// The program itself, killed outright and started again: it goes on from what it had kept; a
-// damaged file, or one that another signed, costs a line and no start.
+// The program, killed and started again, restores the knowledge that it has stored. A file that is
+// damaged or signed with another key is logged and does not keep the program from starting.
 TEST(Story, TheProgramRecallsWhatItKept) {
   Server worker(Accept);
   Server discovery([&](const Message& m) {
@@ -887,8 +899,8 @@
   std::ofstream(folder + "/own.xml") << "<pearreach><knowledge folder='" + folder +
                                             "/k' every-ms='100' key-file='" + folder +
                                             "/key'/></pearreach>";
-  std::string said;
-  const auto live = [&](int signal) {
+  std::string log_text;
+  const auto run = [&](int signal) {
     const std::string log = folder + "/log";
     GSubprocessLauncher* launcher = g_subprocess_launcher_new(G_SUBPROCESS_FLAGS_NONE);
     g_subprocess_launcher_set_stderr_file_path(launcher, log.c_str());
@@ -908,19 +920,19 @@
     g_object_unref(program);
     g_object_unref(launcher);
     std::ifstream in(log);
-    said.assign(std::istreambuf_iterator<char>(in), {});
+    log_text.assign(std::istreambuf_iterator<char>(in), {});
   };
-  live(SIGKILL);
-  EXPECT_EQ(said.find("recalled"), std::string::npos);
-  live(SIGTERM);
-  EXPECT_NE(said.find("recalled what was learned 0 s ago of "), std::string::npos) << said;
+  run(SIGKILL);
+  EXPECT_EQ(log_text.find("recalled"), std::string::npos);
+  run(SIGTERM);
+  EXPECT_NE(log_text.find("recalled what was learned 0 s ago of "), std::string::npos) << log_text;
   std::ofstream(folder + "/key") << std::string(40, 'x');
-  live(SIGTERM);
-  EXPECT_NE(said.find("its hash is not of this key"), std::string::npos) << said;
-  EXPECT_EQ(said.find("recalled what"), std::string::npos) << said;
-  live(SIGTERM);
-  EXPECT_NE(said.find("recalled what"), std::string::npos)
-      << "the clean end kept it under the new key";
+  run(SIGTERM);
+  EXPECT_NE(log_text.find("its hash is not of this key"), std::string::npos) << log_text;
+  EXPECT_EQ(log_text.find("recalled what"), std::string::npos) << log_text;
+  run(SIGTERM);
+  EXPECT_NE(log_text.find("recalled what"), std::string::npos)
+      << "the clean shutdown stored it under the new key";
   std::filesystem::remove_all(folder);
 }
 
@@ -935,42 +947,42 @@
   agent.SendUpdate("other", "s-0", "done");
   EXPECT_EQ(agent.Status(), 200);
   RunUntil([&] { return !worker.got.empty(); });
-  agent.SendUpdate("j", "s-0", "started");  // makes room for another
+  agent.SendUpdate("j", "s-0", "started");  // frees a slot for the next job
   bool done = false;
   rig.front.Drain([&] { done = true; });
-  Caller late(rig.port());  // still let in
+  Caller late(rig.port());  // still accepted
   late.SendJob("k");
   RunUntil([&] { return worker.got.size() == 2; });
   agent.SendUpdate("k", "s-0", "done");
   EXPECT_EQ(late.Status(), 200);
   EXPECT_TRUE(late.answers[0].keep_alive);
-  // Met with two nodes: the other was not back yet, and clients whose connections here were closed
-  // had nowhere to go.
+  // Client connections stay open for a while: with two nodes, the other one may not be back yet,
+  // and the clients would have no node to connect to.
   RunFor(1000 * kMs);
   idle.SendJob("m", "commit", "4900m");
   RunUntil([&] { return worker.got.size() == 3; });
   agent.SendUpdate("m", "s-0", "done");
-  EXPECT_EQ(idle.Status(1), 200) << "a connection that was kept is served on";
+  EXPECT_EQ(idle.Status(1), 200) << "a connection that was kept open is still served";
   idle.SendJob("n", "commit", "4900m");
   RunUntil([&] { return worker.got.size() == 4; });
   const int wait = std::stoi(*worker.got.back().Find("X-Timeout"));
-  EXPECT_LT(wait, 3000) << "no longer than until the node must be gone";
+  EXPECT_LT(wait, 3000) << "limited to the time until the node must exit";
   agent.SendUpdate("n", "s-0", "done");
   EXPECT_EQ(idle.Status(2), 200);
   RunUntil([&] { return idle.closed && late.closed; });
   EXPECT_TRUE(idle.closed && late.closed);
-  Caller later(rig.port());  // too late to be taken, and told so
+  Caller later(rig.port());  // too late: it is refused
   later.SendJob("l");
   EXPECT_EQ(later.Status(), 503);
   EXPECT_FALSE(done);
   agent.SendUpdate("j", "s-0", "done");
-  EXPECT_EQ(busy.Status(), 200) << "the call-backs' connection outlives the clients'";
+  EXPECT_EQ(busy.Status(), 200) << "the workers' connections are closed after the clients'";
   RunUntil([&] { return done; });
   EXPECT_TRUE(done);
 }
 
-// A worker detached by the operators is a drain for the module, whatever later lists say of it,
-// until it is attached again; an id that no list has named is no.
+// A worker that operators have detached is draining for the Dispatcher until it is attached again,
+// whatever later lists report. An id that no list has named cannot be detached.
 TEST(Story, ABannedWorkerIsADrainThatNoListEnds) {
   Server first(Accept), second(Accept);
   const auto entry = [](const std::string& id, const std::string& at) {
@@ -993,11 +1005,12 @@
   EXPECT_FALSE(rig.node.Ban("s-9")) << "never listed";
   rig.node.Start();
   ASSERT_TRUE(rig.node.Ban("s-0"));
-  ASSERT_TRUE(rig.node.Ban("s-0")) << "again: harmless";
+  ASSERT_TRUE(rig.node.Ban("s-0")) << "repeated: no effect";
   EXPECT_EQ(rig.node.hosts_listed(), 2u);
   EXPECT_EQ(rig.node.hosts_down(), 1u);
-  RunUntil([&] { return told; });  // a whole list that names s-0 as up
-  // One job at a time, each served: the limit grows, and the module might choose either worker.
+  RunUntil([&] { return told; });  // a complete list that reports s-0 as up
+  // One job at a time, each served: the limit grows, so that the Dispatcher could choose either
+  // worker.
   Caller client(rig.port()), news(rig.port());
   for (std::size_t i = 0; i < 6; ++i) {
     const std::string id = "j" + std::to_string(i);
@@ -1007,7 +1020,7 @@
     news.SendUpdate(id, "s-1", "done");
     EXPECT_EQ(client.Status(i), 200);
   }
-  EXPECT_TRUE(first.got.empty()) << "banned, whatever the list said";
+  EXPECT_TRUE(first.got.empty()) << "banned, whatever the list reports";
   EXPECT_TRUE(rig.node.Unban("s-0"));
   EXPECT_EQ(rig.node.hosts_down(), 0u);
   EXPECT_FALSE(rig.node.Unban("s-9"));
