--- a/src/dispatch/policy/attempts.h
+++ b/src/dispatch/policy/attempts.h
@@ -1,4 +1,5 @@
-// Attempts: the send, what the worker says of it, its outcome, and what a served job teaches.
+// The life of an attempt: its send, the worker's reports, its outcome, and the estimates that are
+// learned from a completed job.
 #ifndef PEARREACH_SRC_DISPATCH_POLICY_ATTEMPTS_H_
 #define PEARREACH_SRC_DISPATCH_POLICY_ATTEMPTS_H_
 
@@ -8,83 +9,91 @@
 
 namespace pearreach::dispatch {
 
-constexpr Micros kOutPeriod = 100 * kMs;            // the check while jobs are out
-constexpr double kTellMost = 5000, kTellRise = 10;  // a start's word is so long on its way, at most
-constexpr double kFirstSpeed = 0.25;  // of the first job where an earlier process's word stands
-constexpr double kSlowest = 3.0;      // a worker counts for no slower, nor faster than 1 over it
-constexpr double kOutlier = 4.0;      // a job counts for no more than this many expected ones
+// Period of the check while jobs are in flight.
+constexpr Micros kInFlightCheckInterval = 100 * kMs;
+// Upper bound, and rise per report, of Pool::start_report_delay, microseconds.
+constexpr double kMaxStartReportDelay = 5000, kStartReportDelayRise = 10;
+// Weight of the first job against a speed restored from an earlier process.
+constexpr double kRestoredSpeedWeight = 0.25;
+constexpr double kMaxSlowness = 3.0;  // slowness is clamped to this and to its reciprocal
+// A running time is clamped to this multiple of the expected one.
+constexpr double kMaxRunRatio = 4.0;
 
 class Attempts : public RequestQueue {
  protected:
   using RequestQueue::On;
 
+  // Sends an attempt of a request to a worker.
   void SendTo(Request& r, WorkerId id) {
     Dequeue(r);
     Worker& w = workers_[id];
     OpenAttempt(r, id, now_);
-    CheckWithin(kOutPeriod);
+    CheckWithin(kInFlightCheckInterval);
     CountColdSend(w, r);
     if (w.silent || w.blocked_until > 0) BackOff(w);
-    Act(Send{r.id, id});
+    Emit(Send{r.id, id});
   }
 
-  // Guards rule 2 across a restart: what may run already is never sent on suspicion.
+  // Upholds rule 2 (no double execution) across a restart of the node: an attempt that may be
+  // running already is not sent again on suspicion.
   void On(const AttemptAdopted& e) {
     Request* r = table_.FindId(e.request);
     if (r == nullptr || r->ended) return;
     Worker& w = WorkerAt(e.worker);
-    if (!w.known) SetSilent(w, true);  // not on the list: its slots fill no limit
-    const bool out = e.state == AttemptAdopted::State::kInFlight;
-    if (out) Dequeue(*r);
+    if (!w.listed) SetSilent(w, true);  // not listed: its slots do not count towards the limit
+    const bool in_flight = e.state == AttemptAdopted::State::kInFlight;
+    if (in_flight) Dequeue(*r);
     OpenAttempt(*r, e.worker, std::min(e.sent, now_));
-    CheckWithin(kOutPeriod);
+    CheckWithin(kInFlightCheckInterval);
     Attempt& a = r->attempts.back();
-    a.taken = a.late = true;  // when it began is not known here: no word on the limit
+    // The start time is unknown, so the attempt must not affect the limit.
+    a.accepted = a.late_start_counted = true;
     if (e.started) Start(*r, a);
-    if (out) return;
+    if (in_flight) return;
     CloseAttempt(*r, a, static_cast<int>(r->attempts.size()) - 1,
-                 e.state == AttemptAdopted::State::kNeverRan ? Ran::kNo : Ran::kMaybe);
+                 e.state == AttemptAdopted::State::kNeverRan ? Execution::kNeverRan
+                                                             : Execution::kMayHaveRun);
   }
 
   void On(const AttemptAccepted& e) {
-    if (Request * r; Attempt* a = table_.FindOut(e.request, e.attempt, &r)) a->taken = true;
+    if (Request * r; Attempt* a = table_.FindInFlight(e.request, e.attempt, &r)) a->accepted = true;
   }
-  void On(const AttemptStarted& e) { Heard(e); }
-  void On(const AttemptProgress& e) { Heard(e); }
+  void On(const AttemptStarted& e) { RecordReport(e); }
+  void On(const AttemptProgress& e) { RecordReport(e); }
   void On(const StreamBegan& e) {
-    Request* r = Heard(e);
-    if (r != nullptr && !r->ended) End(*r, now_ <= AimAt(*r));
+    Request* r = RecordReport(e);
+    if (r != nullptr && !r->ended) End(*r, now_ <= LatencyTargetAt(*r));
   }
 
   void On(const AttemptEnded& e) {
     Request* r;
-    Attempt* a = table_.FindOut(e.request, e.attempt, &r);
+    Attempt* a = table_.FindInFlight(e.request, e.attempt, &r);
     if (a == nullptr) return;
-    Report(workers_[a->worker], e.load);
-    if (e.outcome == Outcome::kGood) Succeed(*r, *a);
+    RecordLoad(workers_[a->worker], e.load);
+    if (e.outcome == Outcome::kGood) RecordSuccess(*r, *a);
     const bool never_ran = e.outcome == Outcome::kFull || e.outcome == Outcome::kNoConnection ||
                            e.outcome == Outcome::kNotSent;
-    CloseAttempt(*r, *a, e.attempt, never_ran ? Ran::kNo : Ran::kMaybe);
-    WeighOutcome(e.outcome, *a);
+    CloseAttempt(*r, *a, e.attempt, never_ran ? Execution::kNeverRan : Execution::kMayHaveRun);
+    RecordOutcome(e.outcome, *a);
     if (r->ended) return Forget(*r);
     if (e.settled) {
-      End(*r, e.outcome == Outcome::kGood && now_ <= AimAt(*r));
+      End(*r, e.outcome == Outcome::kGood && now_ <= LatencyTargetAt(*r));
       return Abandon(*r);
     }
-    if (!r->held)
-      Hold(*r);
-    else if (!PermitFor(*r).send && r->out == 0)
+    if (!r->queued)
+      QueueOrAnswer(*r);
+    else if (!PermitFor(*r).send && r->in_flight == 0)
       Answer(*r, false);
   }
 
  private:
-  // A word of a running attempt; null: of one that is not out.
-  template <class Word>
-  Request* Heard(const Word& e) {
+  // Records a report of a running attempt; returns null if the attempt is not in flight.
+  template <class ReportEvent>
+  Request* RecordReport(const ReportEvent& e) {
     Request* r;
-    Attempt* a = table_.FindOut(e.request, e.attempt, &r);
+    Attempt* a = table_.FindInFlight(e.request, e.attempt, &r);
     if (a == nullptr) return nullptr;
-    Hear(workers_[a->worker], a->sent);
+    RecordResponse(workers_[a->worker], a->sent);
     Start(*r, *a);
     return r;
   }
@@ -92,46 +101,50 @@
   void Start(Request& r, Attempt& a) {
     if (a.started >= 0) return;
     MarkStarted(r, a);
-    if (a.late) return;
+    if (a.late_start_counted) return;
     Worker& w = workers_[a.worker];
     Pool& p = PoolOf(w);
-    p.tell = std::min({p.tell + kTellRise, static_cast<double>(now_ - a.sent), kTellMost});
-    if (w.busy > w.full_level) w.full_until = 0, w.full_wait = 0;
-    NoteWorks(p);
+    p.start_report_delay = std::min({p.start_report_delay + kStartReportDelayRise,
+                                     static_cast<double>(now_ - a.sent), kMaxStartReportDelay});
+    if (w.busy > w.slots_when_full) w.full_until = 0, w.full_backoff = 0;
+    RecordUseThatWorked(p);
   }
 
-  // What an outcome says of the worker and of its pool's limit.
-  void WeighOutcome(Outcome outcome, const Attempt& a) {
+  // Updates the health of the worker and the limit of its pool after an outcome.
+  void RecordOutcome(Outcome outcome, const Attempt& a) {
     Worker& w = workers_[a.worker];
     const bool good = outcome == Outcome::kGood, full = outcome == Outcome::kFull;
     if (good || outcome == Outcome::kError) CountFailure(w, !good);
-    if (good || full) Hear(w, a.sent);
+    if (good || full) RecordResponse(w, a.sent);
     if (full) MarkFull(w, w.busy);
-    if (full || (outcome == Outcome::kTimeout && !a.late)) CountRefusal(PoolOf(w), a.sent);
+    if (full || (outcome == Outcome::kTimeout && !a.late_start_counted))
+      CountRefusal(PoolOf(w), a.sent);
     const bool lost = outcome == Outcome::kNoConnection, reset = outcome == Outcome::kReset;
     if (outcome != Outcome::kError && !lost && !reset) return;
-    w.idle = 0;
-    Block(w);  // a worker that fails at once looks idle: it would draw all jobs
+    w.idle_connections = 0;
+    Block(w);  // a worker that fails at once looks idle and would attract all jobs
     if (lost || (reset && a.started >= 0)) w.died_at = now_;
   }
 
-  // A served job raises the limit and teaches the work of its class and the speed of its kind.
-  void Succeed(const Request& r, const Attempt& a) {
+  // A completed job raises the limit and updates the estimates of the work of its class and of the
+  // speed of its kind.
+  void RecordSuccess(const Request& r, const Attempt& a) {
     Worker& w = workers_[a.worker];
     Pool& p = PoolOf(w);
-    if (!a.late) Grow(p, r.slots);
+    if (!a.late_start_counted) Grow(p, r.slots);
     if (a.started < 0) return;
     const double expected = Work(r) * p.slowdown;
-    const double run = std::min(static_cast<double>(now_ - a.started), kOutlier * expected);
-    p.ran += kLearn * (run - p.ran);
-    p.worked += kLearn * (Work(r) - p.worked);
-    // One of its kind may be slower for good, or for as long as another program takes its cores.
-    const double weight = w.recalled ? kFirstSpeed : kLearn * Work(r) / p.worked;
+    const double run = std::min(static_cast<double>(now_ - a.started), kMaxRunRatio * expected);
+    p.mean_running += kMeanWeight * (run - p.mean_running);
+    p.mean_work += kMeanWeight * (Work(r) - p.mean_work);
+    // A single worker may be slower than its kind, permanently or while another program uses its
+    // cores.
+    const double weight = w.restored ? kRestoredSpeedWeight : kMeanWeight * Work(r) / p.mean_work;
     w.slowness += weight * (run / expected - w.slowness);
-    w.slowness = std::clamp(w.slowness, 1 / kSlowest, kSlowest);
-    p.slowdown = std::clamp(p.ran / p.worked, 0.1, 10.0);
+    w.slowness = std::clamp(w.slowness, 1 / kMaxSlowness, kMaxSlowness);
+    p.slowdown = std::clamp(p.mean_running / p.mean_work, 0.1, 10.0);
     ClassState& c = classes_[r.cls];
-    c.work += kLearn * (run / p.slowdown - c.work);
+    c.work += kMeanWeight * (run / p.slowdown - c.work);
   }
 };
 
--- a/src/dispatch/policy/checkpoint.cpp
+++ b/src/dispatch/policy/checkpoint.cpp
@@ -14,13 +14,13 @@
 using google::protobuf::io::CodedInputStream;
 using google::protobuf::io::CodedOutputStream;
 
-// Bounds of what a state holds. Bytes beyond them are none, and sums of what is within cannot
-// overflow in the module.
+// Bounds of the values in a state. Load() rejects values beyond them, so that sums of valid values
+// cannot overflow in the policy.
 constexpr std::uint64_t kMaxItems = 50'000'000;
-constexpr std::int64_t kMaxTime = std::int64_t{1} << 61;  // kLongAgo is the least
+constexpr std::int64_t kMaxTime = std::int64_t{1} << 61;  // kLongAgo is the smallest time in use
 constexpr std::int64_t kMaxCount = 1'000'000'000;
-constexpr double kMaxFigure = 1e15;
-constexpr std::int64_t kNever = std::numeric_limits<Micros>::max();
+constexpr double kMaxNumber = 1e15;
+constexpr std::int64_t kNever = std::numeric_limits<Micros>::max();  // State::kNever
 
 std::uint64_t ZigZag(std::int64_t v) {
   return (static_cast<std::uint64_t>(v) << 1) ^ static_cast<std::uint64_t>(v >> 63);
@@ -48,25 +48,28 @@
   }
 
 struct Checkpoint::Fields {
-  PEARREACH_FIELDS(FadingSum, "FadingSum{sum, at}", sum, at)
-  PEARREACH_FIELDS(WindowSum, "WindowSum{parts}", parts)
-  PEARREACH_FIELDS(Ref, "Ref{slot, generation}", slot, generation)
+  PEARREACH_FIELDS(DecayingSum, "FadingSum{sum, at}", sum, at)
+  PEARREACH_FIELDS(WindowedSum, "WindowSum{parts}", parts)
+  PEARREACH_FIELDS(RequestRef, "Ref{slot, generation}", slot, generation)
   PEARREACH_FIELDS(Due, "Due{at, ref}", at, ref)
   PEARREACH_FIELDS(Member, "Member{identity, id}", identity, id)
-  PEARREACH_FIELDS(MeanGap, "MeanGap{mean, last}", mean, last)
-  PEARREACH_FIELDS(KeySums, "KeySums{sums, all}", sums, all)
-  PEARREACH_FIELDS(Bucket, "Bucket{left, cap, per_second, at}", left, cap, per_second, at)
-  PEARREACH_FIELDS(ClassState, "ClassState{work, asked, good, weight}", work, asked, good, weight)
-  PEARREACH_FIELDS(Queue, "Queue{passed, jobs}", passed, jobs)
+  PEARREACH_FIELDS(MeanInterval, "MeanGap{mean, last}", mean, last)
+  PEARREACH_FIELDS(KeyLoad, "KeySums{sums, all}", sums, all)
+  PEARREACH_FIELDS(TokenBucket, "Bucket{left, cap, per_second, at}", tokens, capacity, rate_per_s,
+                   at)
+  PEARREACH_FIELDS(ClassState, "ClassState{work, asked, good, weight}", work, offered_value,
+                   in_time_value, weight)
+  PEARREACH_FIELDS(Queue, "Queue{passed, jobs}", skipped, jobs)
   PEARREACH_FIELDS(
       Attempt,
       "Attempt{worker, sent, started, ran, taken, given_up, late, written_off, zone, cell}", worker,
-      sent, started, ran, taken, given_up, late, written_off, zone, cell)
+      sent, started, execution, accepted, cancelled_unaccepted, late_start_counted, written_off,
+      zone, cell)
   PEARREACH_FIELDS(Request,
                    "Request{id, generation, live, held, late, ended, over_share, cls, slots, "
                    "arrived, due, hint, key, preferred, attempts, out, asked_at}",
-                   id, generation, live, held, late, ended, over_share, cls, slots, arrived, due,
-                   hint, key, preferred, attempts, out, asked_at)
+                   id, generation, live, queued, late, ended, over_quota, cls, slots, arrived, due,
+                   hint, key, preferred, attempts, in_flight, probes_sent_at)
   PEARREACH_FIELDS(WorkerEntry,
                    "WorkerEntry{worker, identity, zone, kind, cell, health, weight, ready_at}",
                    worker, identity, zone, kind, cell, health, weight, ready_at)
@@ -75,26 +78,29 @@
                    "waiting, idle, failures, silent, member, used, known, recalled, judged, named, "
                    "entry, idle_since, probed_at, answered_at, others, taken, part, running, "
                    "heard, full_wait, trial_wait, died_at, cold_part, cold_sends, out}",
-                   blocked_until, next_trial, full_until, full_level, busy, slowness, waiting, idle,
-                   failures, silent, member, used, known, recalled, judged, named, entry,
-                   idle_since, probed_at, answered_at, others, taken, part, running, heard,
-                   full_wait, trial_wait, died_at, cold_part, cold_sends, out)
+                   blocked_until, next_trial, full_until, slots_when_full, busy, slowness,
+                   unstarted, idle_connections, failures, silent, member, used, listed, restored,
+                   ejected, last_list_number, entry, idle_since, probed_at, answered_at,
+                   others_in_flight, used_by_others, own_share, running_slots, last_response,
+                   full_backoff, trial_backoff, died_at, cold_share, cold_sends, in_flight)
   PEARREACH_FIELDS(Pool,
                    "Pool{members, local, home, used, changed, limit, busy, found, price, refusals, "
                    "last_refusal, last_cut, wanted, shut_until, shut_slots, ran, worked, slowdown, "
                    "told, slots_seen, tell, repeats}",
-                   members, local, home, used, changed, limit, busy, found, price, refusals,
-                   last_refusal, last_cut, wanted, shut_until, shut_slots, ran, worked, slowdown,
-                   told, slots_seen, tell, repeats)
-  // The index is made again from the slab: it is only looked up, never walked.
+                   members, local, assigned, used, members_changed, limit, busy, proven_limit,
+                   price, consecutive_refusals, last_refusal, last_cut, limit_reached,
+                   no_capacity_until, no_capacity_slots, mean_running, mean_work, slowdown,
+                   reports_free_slots, slots_seen, start_report_delay, allows_repeats)
+  // The index is not stored but rebuilt from the slab; it serves lookups only and is never
+  // iterated.
   PEARREACH_FIELDS(RequestTable, "RequestTable{slab, free, index}", slab, free, index)
   PEARREACH_FIELDS(State,
                    "State{random, now, table, workers, pools, classes, queues, due, looks, lists, "
                    "keys, quota, gap, subscribe_at, subscribe_wait, next_check, armed, logged, "
                    "largest_weight, held, refused}",
-                   random, now, table, workers, pools, classes, queues, due, looks, lists, keys,
-                   quota, gap, subscribe_at, subscribe_wait, next_check, armed, logged,
-                   largest_weight, held, refused)
+                   random, now, table, workers, pools, classes, queues, due, workers_examined,
+                   list_updates, keys, quota, arrival_interval, subscribe_at, subscribe_wait,
+                   next_check, timer_at, logged, largest_weight, queued, refused)
 
   class Saver {
    public:
@@ -119,7 +125,7 @@
         Each(v, *this);
       }
     }
-    // A slot that is not in use is told from a new one by its generation alone.
+    // Of a slot that is not in use only the generation is stored.
     void Put(Request& r) {
       out_->WriteVarint64(r.live ? 1 : 0);
       if (r.live)
@@ -168,7 +174,9 @@
       (Get(fields), ...);
     }
     bool good() const { return good_; }
-    std::size_t nevers() const { return nevers_; }  // times that were kNever
+    std::size_t unset_times() const {
+      return unset_times_;
+    }  // number of loaded times that are kNever
 
    private:
     std::uint64_t Varint() {
@@ -182,21 +190,21 @@
         std::uint64_t bits = 0;
         good_ = good_ && in_->ReadLittleEndian64(&bits);
         v = std::bit_cast<double>(bits);
-        good_ = good_ && std::abs(v) <= kMaxFigure;
+        good_ = good_ && std::abs(v) <= kMaxNumber;
       } else if constexpr (std::is_same_v<T, bool>) {
         v = Varint() != 0;
       } else if constexpr (std::is_enum_v<T>) {
         const std::uint64_t n = Varint();
-        good_ = good_ && n <= 2;  // every kind kept here has three values
+        good_ = good_ && n <= 2;  // all stored enums have three values
         v = static_cast<T>(good_ ? n : 0);
       } else if constexpr (std::is_integral_v<T>) {
         const std::uint64_t n = Varint();
         if constexpr (std::is_signed_v<T>) {
           const std::int64_t wide = UnZigZag(n);
           const std::int64_t most = sizeof(T) == 8 ? kMaxTime : kMaxCount;
-          const bool never = sizeof(T) == 8 && wide == kNever;
-          nevers_ += never ? 1 : 0;
-          good_ = good_ && (never || (wide >= -most && wide <= most));
+          const bool unset = sizeof(T) == 8 && wide == kNever;
+          unset_times_ += unset ? 1 : 0;
+          good_ = good_ && (unset || (wide >= -most && wide <= most));
           v = static_cast<T>(good_ ? wide : 0);
         } else {
           v = static_cast<T>(n);
@@ -239,7 +247,7 @@
     void GetList(List& list) {
       list.clear();
       const std::uint64_t size = Varint();
-      // Each item takes a byte at least, so no list is longer than what is left to read.
+      // Each item takes at least one byte, so no valid list is longer than the remaining input.
       good_ = good_ && size <= left_ && size <= kMaxItems;
       for (std::uint64_t i = 0; good_ && i < size; ++i) {
         list.emplace_back();
@@ -249,67 +257,101 @@
 
     CodedInputStream* in_;
     std::uint64_t left_;
-    std::size_t nevers_ = 0;
+    std::size_t unset_times_ = 0;
     bool good_ = true;
   };
 
-  // What the module relies on without asking. Empty, or what does not hold.
-  static std::string Broken(State& s, const State& fresh, std::size_t nevers) {
+  // The sizes that depend on the settings, for an error message.
+  static std::string Sizes(const State& s) {
+    return std::to_string(s.pools_.size()) + " pools, " + std::to_string(s.classes_.size()) +
+           " classes, " + std::to_string(s.queues_.size()) + " queues, " +
+           std::to_string(s.quota_.size()) + " tenants and " +
+           std::to_string(s.keys_.sums_.size()) + " key sums";
+  }
+
+  // Checks the invariants that the policy relies on. Returns an empty string, or a description of
+  // the first violation.
+  static std::string CheckConsistency(State& s, const State& fresh, std::size_t unset_times) {
     const auto& slab = s.table_.slab_;
     const auto worker = [&](WorkerId id) { return id < s.workers_.size(); };
-    const auto slot = [&](const Ref& r) { return r.slot < slab.size(); };
+    const auto slot = [&](const RequestRef& r) { return r.slot < slab.size(); };
     if (s.pools_.size() != fresh.pools_.size() || s.classes_.size() != fresh.classes_.size() ||
         s.queues_.size() != fresh.queues_.size() || s.quota_.size() != fresh.quota_.size() ||
         s.keys_.sums_.size() != fresh.keys_.sums_.size())
-      return "its settings are others";
-    // Only these times may be never; to any other the module adds.
-    std::size_t may = (s.subscribe_at_ == kNever ? 1 : 0) + (s.next_check_ == kNever ? 1 : 0);
-    for (const Pool& p : s.pools_) may += p.shut_until == kNever ? 1 : 0;
-    if (nevers != may) return "a time is out of range";
+      return "saved with other settings: expected " + Sizes(fresh) + ", found " + Sizes(s);
+    // Only these times may be kNever. All others are used in sums, which would overflow.
+    std::size_t expected_unset =
+        (s.subscribe_at_ == kNever ? 1 : 0) + (s.next_check_ == kNever ? 1 : 0);
+    for (const Pool& p : s.pools_) expected_unset += p.no_capacity_until == kNever ? 1 : 0;
+    if (unset_times != expected_unset)
+      return "expected " + std::to_string(expected_unset) + " times without a value, found " +
+             std::to_string(unset_times);
     for (const Pool& p : s.pools_)
-      if (p.slowdown < 0.1 || p.slowdown > 10) return "a pool's speed is out of range";
-    if (s.subscribe_wait_ < 2) return "a wait is out of range";
+      if (p.slowdown < 0.1 || p.slowdown > 10)
+        return "slowdown of a pool is " + std::to_string(p.slowdown) + ": expected 0.1 to 10";
+    if (s.subscribe_wait_ < 2)
+      return "subscribe backoff is " + std::to_string(s.subscribe_wait_) +
+             " us: expected at least 2";
     for (const Pool& p : s.pools_)
-      for (const Members* set : {&p.members, &p.local, &p.home, &p.used})
+      for (const Members* set : {&p.members, &p.local, &p.assigned, &p.used})
         for (const Member& m : *set)
-          if (!worker(m.id)) return "a pool names a worker that is none";
+          if (!worker(m.id)) return "a pool refers to unknown worker " + std::to_string(m.id);
     for (const Worker& w : s.workers_) {
-      if (w.slowness < 0.1 || w.slowness > 10) return "a worker's speed is out of range";
+      if (w.slowness < 0.1 || w.slowness > 10)
+        return "slowness of a worker is " + std::to_string(w.slowness) + ": expected 0.1 to 10";
       if (w.entry.kind < 0 || w.entry.kind >= static_cast<int>(s.pools_.size()))
-        return "a worker is of no kind";
-      for (const auto& [ref, number] : w.out) {
-        if (!slot(ref)) return "a worker has an attempt of no request";
+        return "kind of a worker is " + std::to_string(w.entry.kind) + ": expected less than " +
+               std::to_string(s.pools_.size());
+      for (const auto& [ref, number] : w.in_flight) {
+        if (!slot(ref))
+          return "a worker refers to request slot " + std::to_string(ref.slot) +
+                 ": expected less than " + std::to_string(slab.size());
         const Request& r = slab[ref.slot];
         if (r.live && r.generation == ref.generation &&
             (number < 0 || number >= static_cast<int>(r.attempts.size())))
-          return "a worker has an attempt that was never made";
+          return "a worker refers to attempt " + std::to_string(number) + ": expected less than " +
+                 std::to_string(r.attempts.size());
       }
     }
-    std::size_t held = 0;
+    std::size_t queued = 0;
     for (std::uint32_t i = 0; i < slab.size(); ++i) {
       const Request& r = slab[i];
       if (!r.live) continue;
       if (r.cls < 0 || r.cls >= static_cast<int>(s.classes_.size()))
-        return "a request is of no class";
-      if (!s.table_.index_.emplace(r.id, i).second) return "two requests have one id";
+        return "class of a request is " + std::to_string(r.cls) + ": expected less than " +
+               std::to_string(s.classes_.size());
+      if (!s.table_.index_.emplace(r.id, i).second)
+        return "request id " + std::to_string(r.id) + " is used twice";
       for (const Attempt& a : r.attempts)
-        if (!worker(a.worker)) return "an attempt is at no worker";
-      held += r.held ? 1 : 0;
+        if (!worker(a.worker))
+          return "an attempt refers to unknown worker " + std::to_string(a.worker);
+      queued += r.queued ? 1 : 0;
     }
-    if (s.held_ < 0 || held != static_cast<std::size_t>(s.held_)) return "held jobs do not add up";
+    if (s.queued_ < 0 || queued != static_cast<std::size_t>(s.queued_))
+      return "counter of queued requests is " + std::to_string(s.queued_) + ": found " +
+             std::to_string(queued);
     std::vector<bool> free(slab.size());
     for (const std::uint32_t f : s.table_.free_) {
-      if (f >= slab.size() || slab[f].live || free[f]) return "a free slot is in use";
+      if (f >= slab.size() || slab[f].live || free[f])
+        return "free request slot " + std::to_string(f) +
+               " does not exist, is in use or is listed twice";
       free[f] = true;
     }
-    if (s.table_.free_.size() + s.table_.index_.size() != slab.size()) return "a slot is lost";
+    if (s.table_.free_.size() + s.table_.index_.size() != slab.size())
+      return "expected " + std::to_string(slab.size()) + " request slots, found " +
+             std::to_string(s.table_.free_.size()) + " free and " +
+             std::to_string(s.table_.index_.size()) + " in use";
     for (const Queue& q : s.queues_)
-      for (const Ref& r : q.jobs)
-        if (!slot(r)) return "a queue holds no request";
+      for (const RequestRef& r : q.jobs)
+        if (!slot(r))
+          return "a queue refers to request slot " + std::to_string(r.slot) +
+                 ": expected less than " + std::to_string(slab.size());
     for (const Due& d : s.due_.container())
-      if (!slot(d.ref)) return "a moment is of no request";
+      if (!slot(d.ref))
+        return "a due time refers to request slot " + std::to_string(d.ref.slot) +
+               ": expected less than " + std::to_string(slab.size());
     if (!std::is_heap(s.due_.container().begin(), s.due_.container().end(), std::greater<Due>()))
-      return "the moments are out of order";
+      return "due times are not in heap order";
     return "";
   }
 };
@@ -332,9 +374,12 @@
                       static_cast<int>(bytes.size()));
   Fields::Loader loader(&in, bytes.size());
   loader(s);
-  if (!loader.good()) return "it cannot be read";
-  if (in.CurrentPosition() != static_cast<int>(bytes.size())) return "it is too long";
-  return Fields::Broken(s, fresh, loader.nevers());
+  if (!loader.good())
+    return "truncated or invalid value in " + std::to_string(bytes.size()) + " bytes";
+  if (in.CurrentPosition() != static_cast<int>(bytes.size()))
+    return "expected " + std::to_string(in.CurrentPosition()) + " bytes, found " +
+           std::to_string(bytes.size());
+  return Fields::CheckConsistency(s, fresh, loader.unset_times());
 }
 
 std::uint64_t Checkpoint::Layout() {
@@ -342,8 +387,9 @@
   const auto add = [&]<class... T>() {
     (Fields::Describe(static_cast<const T*>(nullptr), &text), ...);
   };
-  add.operator()<FadingSum, WindowSum, Ref, Due, Member, MeanGap, KeySums, Bucket, ClassState,
-                 Queue, Attempt, Request, WorkerEntry, Worker, Pool, RequestTable, State>();
+  add.
+  operator()<DecayingSum, WindowedSum, RequestRef, Due, Member, MeanInterval, KeyLoad, TokenBucket,
+             ClassState, Queue, Attempt, Request, WorkerEntry, Worker, Pool, RequestTable, State>();
   std::uint64_t h = 0xcbf29ce484222325u;
   for (const unsigned char c : text) h = (h ^ c) * 0x100000001b3u;
   return h;
@@ -363,9 +409,9 @@
     if (keyed != nullptr && r.key) *keyed = true;
   }
   for (Worker& w : s.workers_)
-    if (w.named > 0) w.entry.identity = identity(w.entry.identity);
+    if (w.last_list_number > 0) w.entry.identity = identity(w.entry.identity);
   for (Pool& p : s.pools_)
-    for (Members* set : {&p.members, &p.local, &p.home, &p.used})
+    for (Members* set : {&p.members, &p.local, &p.assigned, &p.used})
       for (Member& m : *set) m.identity = identity(m.identity);
 }
 
--- a/src/dispatch/policy/policy.cpp
+++ b/src/dispatch/policy/policy.cpp
@@ -1,7 +1,6 @@
-// The top layer of the policy: the call that takes events, the pump that sends, the periodic check,
-// and what is made of an earlier process's knowledge. Interface:
-// include/pearreach::dispatch/dispatcher.h, the layers below: bookkeeping.h, source:
-// docs/design.md.
+// The top layer of the policy: the processing of events, the sending of queued jobs, the periodic
+// check, and the use of the knowledge of an earlier process. See include/pearreach/dispatcher.h for
+// the interface, bookkeeping.h for the layers below, and docs/design.md for the design.
 #include <algorithm>
 
 #include "dispatch/policy/attempts.h"
@@ -10,8 +9,8 @@
 namespace pearreach::dispatch {
 namespace {
 
-constexpr Micros kHeldPeriod = 25 * kMs;  // the check while jobs wait
-constexpr double kQuotaBurst = 2.0;       // seconds of its quota that a tenant may use at once
+constexpr Micros kQueuedCheckInterval = 25 * kMs;  // period of the check while jobs are queued
+constexpr double kQuotaBurst = 2.0;  // seconds of its quota that a tenant may use in a burst
 
 }  // namespace
 
@@ -19,7 +18,7 @@
  public:
   Impl(const Settings& settings, std::uint64_t seed, Micros now) {
     Configure(settings, seed, now);
-    subscribe_wait_ = kSubscribeFirst;
+    subscribe_wait_ = kSubscribeBackoffMin;
     if (s_.must_subscribe) subscribe_at_ = now;
     for (const TenantSettings& t : s_.tenants) {
       const double rate = t.quota_per_s / s_.balancers, burst = std::max(1.0, kQuotaBurst * rate);
@@ -31,10 +30,10 @@
     now_ = std::max(now_, now);
     actions_ = actions;
     for (const Event& e : events) std::visit([this](const auto& v) { On(v); }, e);
-    RunDue();
+    ProcessDue();
     if (now_ >= next_check_) Check();
-    Pump();
-    ArmTimer(held_ > 0 ? kHeldPeriod : kOutPeriod);
+    SendQueued();
+    ArmTimer(queued_ > 0 ? kQueuedCheckInterval : kInFlightCheckInterval);
   }
 
  private:
@@ -42,26 +41,28 @@
   void On(const TimerFired&) {}
   void On(const PeerMessage&) {}
 
-  // An earlier process's word, weighed by its age: evidence until this one hears for itself.
+  // Restores the knowledge of an earlier process, discounted by its age. It counts until this
+  // process has evidence of its own.
   void On(const Knowledge& k) {
     for (const PoolKnowledge& e : k.pools) {
-      Pool* p = Numbered(pools_, e.pool);
+      Pool* p = ItemAt(pools_, e.pool);
       if (p == nullptr || p->last_cut != kLongAgo || e.mean_work <= 0) continue;
-      p->limit =
-          std::max(p->limit, std::min(e.limit, e.proven_limit));  // no further than what worked
+      // The limit is restored only as far as it has proven to work.
+      p->limit = std::max(p->limit, std::min(e.limit, e.proven_limit));
       p->slots_seen = std::max(p->slots_seen, e.slots_seen);
-      p->ran = e.mean_running, p->worked = e.mean_work, p->tell = e.start_report_delay;
-      p->slowdown = std::clamp(p->ran / p->worked, 0.1, 10.0);
+      p->mean_running = e.mean_running, p->mean_work = e.mean_work,
+      p->start_report_delay = e.start_report_delay;
+      p->slowdown = std::clamp(p->mean_running / p->mean_work, 0.1, 10.0);
     }
     for (const ClassKnowledge& e : k.classes)
-      if (ClassState* c = Numbered(classes_, e.cls); c != nullptr && e.work > 0) c->work = e.work;
+      if (ClassState* c = ItemAt(classes_, e.cls); c != nullptr && e.work > 0) c->work = e.work;
     for (const TenantKnowledge& e : k.tenants)
-      if (Bucket* b = Numbered(quota_, e.tenant)) b->left = std::min(b->left, e.tokens);
+      if (TokenBucket* b = ItemAt(quota_, e.tenant)) b->tokens = std::min(b->tokens, e.tokens);
     for (const WorkerKnowledge& e : k.workers) {
-      Worker* w = Numbered(workers_, e.worker);
-      if (w == nullptr || !w->known || w->heard > 0) continue;
-      w->recalled = true;
-      w->slowness = std::clamp(e.slowness, 1 / kSlowest, kSlowest);
+      Worker* w = ItemAt(workers_, e.worker);
+      if (w == nullptr || !w->listed || w->last_response > 0) continue;
+      w->restored = true;
+      w->slowness = std::clamp(e.slowness, 1 / kMaxSlowness, kMaxSlowness);
       w->failures = e.failures;
       w->died_at = std::max(w->died_at, e.died_at);
       for (const auto& [at, work] : e.cold_sends) w->cold_sends.Add(work, at);
@@ -69,32 +70,34 @@
     }
   }
 
-  void Pump() {
-    for (Queue& q : queues_) q.passed = 0;
-    while (held_ > 0) {
-      Queue* best = MostWorth();
+  // Sends queued jobs, the most valuable first, until no more can be placed.
+  void SendQueued() {
+    for (Queue& q : queues_) q.skipped = 0;
+    while (queued_ > 0) {
+      Queue* best = MostValuableQueue();
       if (best == nullptr) return;
-      Request& r = *best->Next(kLookahead, table_);
-      const WorkerId* w = Pick(r);
-      if (observer_ != nullptr) Show(r, w);
+      Request& r = *best->Next(kQueueLookahead, table_);
+      const WorkerId* w = ChooseWorker(r);
+      if (observer_ != nullptr) ReportChoice(r, w);
       if (w == nullptr)
-        ++best->passed;
+        ++best->skipped;
       else
         SendTo(r, *w);
     }
   }
 
+  // The periodic check of pools and workers.
   void Check() {
     for (Pool& p : pools_) {
       RaiseForBacklog(p);
       DropUnused(p);
       for (const Member& m : p.used)
-        if (!workers_[m.id].out.empty()) CheckWorker(workers_[m.id]);
+        if (!workers_[m.id].in_flight.empty()) CheckWorker(workers_[m.id]);
     }
-    WeighClasses();
+    UpdateClassWeights();
     if (now_ >= subscribe_at_) {
       subscribe_at_ = kNever;
-      Act(Subscribe{});
+      Emit(Subscribe{});
     }
     if (refused_ > 0 && Log({LogLine::Kind::kShedding, 0, 0, static_cast<double>(refused_)}))
       refused_ = 0;
--- a/src/dispatch/policy/request_table.h
+++ b/src/dispatch/policy/request_table.h
@@ -1,5 +1,5 @@
-// The open requests of a Dispatcher, the queues of those that wait and the moments at which
-// something must be done about them. No decision is made here.
+// The open requests of a Dispatcher, the queues of the waiting ones and the times at which they
+// must be reconsidered. No decision is made here.
 #ifndef PEARREACH_SRC_DISPATCH_POLICY_REQUEST_TABLE_H_
 #define PEARREACH_SRC_DISPATCH_POLICY_REQUEST_TABLE_H_
 
@@ -14,38 +14,41 @@
 
 namespace pearreach::dispatch {
 
+// A time at which a queued job must be reconsidered.
 struct Due {
   Micros at = 0;
-  Ref ref;
+  RequestRef ref;
   bool operator>(const Due& o) const { return at > o.at; }
 };
 
-// The open requests in a slab whose slots are used again; a Ref goes stale when its request is
-// forgotten.
+// The open requests, in a slab whose slots are reused. A RequestRef becomes stale when its request
+// is removed.
 class RequestTable {
  public:
-  Ref RefOf(const Request& r) const {
+  RequestRef RefOf(const Request& r) const {
     return {static_cast<std::uint32_t>(&r - slab_.data()), r.generation};
   }
-  Request* Find(Ref ref) {
+  // Returns null if the reference is stale.
+  Request* Find(RequestRef ref) {
     Request& r = slab_[ref.slot];
     return r.live && r.generation == ref.generation ? &r : nullptr;
   }
+  // Returns null if no open request has the id.
   Request* FindId(RequestId id) {
     const auto it = index_.find(id);
     return it == index_.end() ? nullptr : &slab_[it->second];
   }
-  bool IsHeld(Ref ref) {
+  bool IsQueued(RequestRef ref) {
     const Request* r = Find(ref);
-    return r != nullptr && r->held;
+    return r != nullptr && r->queued;
   }
-  // An attempt that is out, or null.
-  Attempt* FindOut(RequestId id, int attempt, Request** r) {
+  // Returns the attempt if it is in flight, else null; sets *r to the request, or null.
+  Attempt* FindInFlight(RequestId id, int attempt, Request** r) {
     *r = FindId(id);
     if (*r == nullptr || attempt < 0 || attempt >= static_cast<int>((*r)->attempts.size()))
       return nullptr;
     Attempt* a = &(*r)->attempts[static_cast<std::size_t>(attempt)];
-    return a->ran == Ran::kOut ? a : nullptr;
+    return a->execution == Execution::kInFlight ? a : nullptr;
   }
   std::size_t size() const { return index_.size(); }
 
@@ -76,31 +79,34 @@
   friend class Checkpoint;
   std::vector<Request> slab_;
   std::vector<std::uint32_t> free_;
-  std::unordered_map<RequestId, std::uint32_t> index_;  // looked up only, never walked
+  // For lookups only: its iteration order is not deterministic.
+  std::unordered_map<RequestId, std::uint32_t> index_;
 };
 
-// Held jobs of one class, the newest last; those no longer held are dropped when met.
+// Queued jobs of one class, the newest last. Jobs that are no longer queued are dropped when they
+// are encountered.
 struct Queue {
-  std::size_t passed = 0;  // jobs from the back that this pump could not place
-  std::deque<Ref> jobs;
+  std::size_t skipped = 0;  // jobs from the back that could not be placed in this call
+  std::deque<RequestRef> jobs;
 
-  void Push(Ref job, RequestTable& table) {
-    while (!jobs.empty() && !table.IsHeld(jobs.front())) jobs.pop_front();
+  void Push(RequestRef job, RequestTable& table) {
+    while (!jobs.empty() && !table.IsQueued(jobs.front())) jobs.pop_front();
     jobs.push_back(job);
   }
-  // The newest that this pump has not passed, of the `most` newest; null: none.
+  // Returns the newest job not skipped in this call, among the `most` newest; null if there is
+  // none.
   Request* Next(std::size_t most, RequestTable& table) {
-    while (passed < jobs.size() && passed < most) {
-      const auto at = jobs.end() - 1 - static_cast<std::ptrdiff_t>(passed);
-      if (table.IsHeld(*at)) return table.Find(*at);
+    while (skipped < jobs.size() && skipped < most) {
+      const auto at = jobs.end() - 1 - static_cast<std::ptrdiff_t>(skipped);
+      if (table.IsQueued(*at)) return table.Find(*at);
       jobs.erase(at);
     }
     return nullptr;
   }
 };
 
-// The jobs' moments, the soonest first. Ties come out in an order that the container's own order
-// decides, so that is kept too.
+// Due times of the jobs, the earliest first. The order of equal times depends on the order within
+// the container, so a checkpoint stores the container as it is.
 struct DueQueue : std::priority_queue<Due, std::vector<Due>, std::greater<Due>> {
   container_type& container() { return c; }
 };
--- a/src/dispatch/policy/slot_limit.h
+++ b/src/dispatch/policy/slot_limit.h
@@ -1,5 +1,5 @@
-// The slot limit of a pool: how many slots this node may have in use there. Jobs served and jobs
-// waiting raise it; refusals cut it.
+// The concurrency limit of a pool: the number of slots that this node may use there. Completed jobs
+// and queued jobs raise it, refusals cut it.
 #ifndef PEARREACH_SRC_DISPATCH_POLICY_SLOT_LIMIT_H_
 #define PEARREACH_SRC_DISPATCH_POLICY_SLOT_LIMIT_H_
 
@@ -10,54 +10,65 @@
 
 namespace pearreach::dispatch {
 
-constexpr double kGrowSlow = 0.25;     // limit gained by a success, per slot of the job
-constexpr double kGrowFast = 1.0;      // the same after a spell without refusals
-constexpr Micros kSpell = 2000 * kMs;  // length of that spell
-constexpr int kRefusalRun = 3;         // consecutive refusals that cut the limit
-constexpr double kCutMargin = 0.85;    // the cut goes to this share of the highest value found
-constexpr double kCutPart = 1.2;       // and to no more than so many parts of all slots
-constexpr double kBacklogRaise = 1.5;  // slots a worker gained, over all nodes, by a check with
-constexpr double kSpellRaise = 0.05;   // jobs waiting; this share of it within the spell
-constexpr double kAhead = 2.0;  // successes raise it to this times the value found: it must bind
+constexpr double kGrowSlow = 0.25;  // rise of the limit by a completed job, per slot of the job
+constexpr double kGrowFast = 1.0;   // the same when the pool has not refused recently
+constexpr Micros kRefusalMemory = 2000 * kMs;  // a refusal counts as recent for this time
+constexpr int kRefusalsBeforeCut = 3;          // consecutive refusals that cut the limit
+constexpr double kCutMargin = 0.85;  // a cut lowers the limit to this share of the proven one
+// A cut lowers the limit to at most this multiple of this node's share of all slots.
+constexpr double kMaxShareAfterCut = 1.2;
+// Slots per worker, summed over all nodes, that one check with queued jobs adds to the limit, and
+// the share of them that it adds after a recent refusal.
+constexpr double kBacklogRaise = 1.5;
+constexpr double kBacklogRaiseAfterRefusal = 0.05;
+// Completed jobs raise the limit to at most this multiple of the proven one, so that the limit
+// stays close enough to bind in a burst.
+constexpr double kMaxLimitRatio = 2.0;
 
 class SlotLimit : public RetryRules {
  protected:
-  // A start in time: what is in use works.
-  void NoteWorks(Pool& p) {
-    p.refusals = 0;
-    p.found = std::max(p.found, p.busy);
+  // Records that a job started in time with the slots in use now.
+  void RecordUseThatWorked(Pool& p) {
+    p.consecutive_refusals = 0;
+    p.proven_limit = std::max(p.proven_limit, p.busy);
   }
 
+  // Raises the limit after a completed job of `slots` slots.
   void Grow(Pool& p, double slots) {
-    NoteWorks(p);
-    const double gain = slots * (InSpell(p) ? kGrowSlow : kGrowFast);
-    p.limit = std::max(p.limit, std::min(p.limit + gain, kAhead * (p.found + slots)));
+    RecordUseThatWorked(p);
+    const double gain = slots * (RefusedRecently(p) ? kGrowSlow : kGrowFast);
+    p.limit =
+        std::max(p.limit, std::min(p.limit + gain, kMaxLimitRatio * (p.proven_limit + slots)));
   }
 
-  // FULL, a time-out or a late start. One burst sent before a cut makes one cut.
+  // Counts a refusal (Outcome::kFull), a timeout or a late start. Attempts sent before the last cut
+  // are not counted, so one burst causes one cut.
   void CountRefusal(Pool& p, Micros sent) {
     if (sent <= p.last_cut) return;
     p.last_refusal = now_;
-    if (++p.refusals < kRefusalRun) return;
-    p.refusals = 0;
+    if (++p.consecutive_refusals < kRefusalsBeforeCut) return;
+    p.consecutive_refusals = 0;
     p.last_cut = now_;
-    p.found = std::min(std::max(p.found, p.busy), p.limit);
-    p.limit = kCutMargin * p.found;
-    if (p.told) p.limit = std::min(p.limit, kCutPart * p.slots_seen * WorkersEach(p));
-    p.found = p.limit = std::max({p.limit, WorkersEach(p), 1.0});
+    p.proven_limit = std::min(std::max(p.proven_limit, p.busy), p.limit);
+    p.limit = kCutMargin * p.proven_limit;
+    if (p.reports_free_slots)
+      p.limit = std::min(p.limit, kMaxShareAfterCut * p.slots_seen * WorkersPerNode(p));
+    p.proven_limit = p.limit = std::max({p.limit, WorkersPerNode(p), 1.0});
     Log({LogLine::Kind::kLimitCut, 0, static_cast<int>(&p - pools_.data()), p.limit});
   }
 
-  // At each check: a pool under whose limit a job did not fit, while jobs wait.
+  // Called at each check: raises the limit of a pool that has kept a job waiting, while jobs are
+  // queued.
   void RaiseForBacklog(Pool& p) {
-    const double raise = InSpell(p) ? kSpellRaise * kBacklogRaise : kBacklogRaise;
-    if (std::exchange(p.wanted, false) && held_ > 0)
+    const double raise =
+        RefusedRecently(p) ? kBacklogRaiseAfterRefusal * kBacklogRaise : kBacklogRaise;
+    if (std::exchange(p.limit_reached, false) && queued_ > 0)
       p.limit += raise * static_cast<double>(p.members.size()) / s_.balancers;
   }
 
  private:
-  bool InSpell(const Pool& p) const { return now_ - p.last_refusal < kSpell; }
-  double WorkersEach(const Pool& p) const {
+  bool RefusedRecently(const Pool& p) const { return now_ - p.last_refusal < kRefusalMemory; }
+  double WorkersPerNode(const Pool& p) const {
     return static_cast<double>(p.members.size()) / s_.balancers;
   }
 };
--- a/src/dispatch/policy/worker_choice.h
+++ b/src/dispatch/policy/worker_choice.h
@@ -1,5 +1,5 @@
-// The choice of a worker for one job: the least busy of a few that are sampled, in pools whose
-// limit has room.
+// The choice of a worker for one job: the cheapest of a small sample, taken from the pools that are
+// below their limit.
 #ifndef PEARREACH_SRC_DISPATCH_POLICY_WORKER_CHOICE_H_
 #define PEARREACH_SRC_DISPATCH_POLICY_WORKER_CHOICE_H_
 
@@ -14,30 +14,38 @@
 
 namespace pearreach::dispatch {
 
-constexpr int kSample = 4;                   // workers looked at for one job
-constexpr double kRemoteCost = 0.5;          // slots that another zone counts for
-constexpr double kPricedRemote = 2;          // the same where going there has a price
-constexpr std::size_t kLocalLooks = 32;      // workers of this zone looked at for room
-constexpr Micros kHomeProbe = 2000 * kMs;    // the node's own workers are probed this often
-constexpr double kKeyPlaces = 2;             // workers in a key's own order looked at first, and
-constexpr double kKeySpread = 4;             // times the key's part of the work, of all workers
-constexpr Micros kKeyMemory = 10'000 * kMs;  // the part fades over this
-constexpr double kKeyDoubt = 10;  // jobs of doubt: a node that saw few jobs knows no key's part
-constexpr Micros kKeyWait = 1000 * kMs;  // one more worker for each of these waited
-constexpr Micros kAskWait = 40 * kMs;    // probes of a keyed job are waited for this long
-constexpr double kFetchCost = 2;         // a place past the key's own, in workers full of jobs
+constexpr int kSampleSize = 4;           // workers compared for one job
+constexpr double kRemoteCost = 0.5;      // extra cost of a worker in another zone, in slots
+constexpr double kRemoteCostPriced = 2;  // the same if Settings::cross_zone_price is set
+// Number of workers of this zone that are examined for free slots.
+constexpr std::size_t kMaxLocalSampled = 32;
+// Interval of the probes of an assigned worker.
+constexpr Micros kAssignedProbeInterval = 2000 * kMs;
+// A key has this many places (the first workers in its rank order), plus this multiple of its share
+// of the work, as a share of all workers.
+constexpr double kMinKeyPlaces = 2;
+constexpr double kKeyPlacesFactor = 4;
+constexpr Micros kKeyMemory = 10'000 * kMs;  // time constant of a key's share
+// Number of mean jobs added to the total: few jobs do not show a key's share.
+constexpr double kKeyPriorJobs = 10;
+// A waiting job may use one more worker per interval.
+constexpr Micros kKeySpillInterval = 1000 * kMs;
+// A keyed job waits this long for the answers to its probes.
+constexpr Micros kProbeTimeout = 40 * kMs;
+// Cost of a worker beyond the places of the key, which must fetch the data, in fully used workers.
+constexpr double kKeyMissCost = 2;
 
 class WorkerChoice : public WorkerMembership {
  protected:
-  // The least busy of the sample; null: the job waits.
-  const WorkerId* Pick(Request& r) {
+  // Returns the cheapest worker of the sample; null if the job must wait.
+  const WorkerId* ChooseWorker(Request& r) {
     const Permit permit = PermitFor(r);
     if (!permit.send) return nullptr;
-    FindRoom(r);
+    FindOpenPools(r);
     sample_.clear();
     if (open_.empty()) return nullptr;
     SamplePreferred(r, permit);
-    if (sample_.empty() && r.key && TallySaysLittle()) return AskByKey(r, permit);
+    if (sample_.empty() && r.key && OwnLoadIsSparse()) return ProbeByKey(r, permit);
     if (sample_.empty()) r.key ? SampleByKey(r, permit, 0) : Sample(r, permit);
     const auto best = std::min_element(sample_.begin(), sample_.end(), [&](WorkerId a, WorkerId b) {
       return Cost(a, r) < Cost(b, r);
@@ -45,189 +53,209 @@
     return best == sample_.end() ? nullptr : &*best;
   }
 
-  // Tells the observer of the last look.
-  void Show(const Request& r, const WorkerId* chosen) {
+  // Reports the last search to the observer.
+  void ReportChoice(const Request& r, const WorkerId* chosen) {
     std::vector<Candidate> sampled;
     for (const WorkerId id : sample_)
-      sampled.push_back(Describe(workers_[id], id, Cost(id, r), IsCold(workers_[id]),
-                                 workers_[id].taken.Now(now_, kTakenMemory)));
-    Tell(r, chosen, !open_.empty(), sampled);
+      sampled.push_back(
+          MakeCandidate(workers_[id], id, Cost(id, r), IsCold(workers_[id]),
+                        workers_[id].used_by_others.ValueAt(now_, kLoadReportMemory)));
+    NotifyObserver(r, chosen, !open_.empty(), sampled);
   }
 
  private:
-  // The pools that may take the job: of its kind, not too dear for it, their limit not reached.
-  void FindRoom(const Request& r) {
+  // Collects the pools that may take the job: of its kind, with a price that the job reaches, and
+  // below their limit.
+  void FindOpenPools(const Request& r) {
     open_.clear();
     for (Pool& p : pools_) {
-      if (!MayRunOn(r, p) || TooDear(r, p)) continue;
-      // An empty pool lets one job through, whatever the limit.
+      if (!MayRunOn(r, p) || BelowPrice(r, p)) continue;
+      // A pool without jobs in flight accepts one regardless of the limit.
       if (p.busy > 0 && p.busy + r.slots > p.limit)
-        p.wanted = true;
-      else if (now_ >= p.shut_until || r.slots < p.shut_slots || r.key)
+        p.limit_reached = true;
+      else if (now_ >= p.no_capacity_until || r.slots < p.no_capacity_slots || r.key)
         open_.push_back(&p);
     }
   }
 
-  // The first of the job's preferred workers that has a free slot for it, by what is known here.
+  // Samples the first preferred worker of the job that has a free slot according to this node.
   void SamplePreferred(const Request& r, const Permit& permit) {
     for (const WorkerId id : r.preferred) {
       if (id >= workers_.size() || !sample_.empty()) continue;
       Worker& w = workers_[id];
-      if (w.member && std::ranges::count(open_, &PoolOf(w)) > 0 && HasRoom(w, r, 0) &&
-          InGroup(r, permit, w) && Usable(w, r))
+      if (w.member && std::ranges::count(open_, &PoolOf(w)) > 0 && HasFreeSlots(w, r, 0) &&
+          InKeyScope(r, permit, w) && Usable(w, r))
         sample_.push_back(id);
     }
   }
 
-  // Where crossing zones has a price, workers of this one that have room; then home workers, and
-  // open connections where a new one has a price. All others only when these yield nobody, and not
-  // again while nothing has changed: the ordinary send costs the same however many workers there
-  // are.
+  // Samples the workers of this zone that have free slots, if crossing zones has a price; then the
+  // assigned workers; if a connection has a price, those with an open connection first. All other
+  // workers are examined only if this yields none, and not again until something has changed, so
+  // that the cost of an ordinary send does not depend on the number of workers.
   void Sample(Request& r, const Permit& permit) {
-    const auto linked = [&](const Worker& w) { return Connected(w); };
-    const auto home = [&](Worker& w) { return HomeRoom(w, r); };
-    const auto room = [&](const Worker& w) { return HasRoom(w, r, kPricedRemote); };
+    const auto connected = [&](const Worker& w) { return HasIdleConnection(w); };
+    const auto assigned_free = [&](Worker& w) { return HasFreeAssignedSlots(w, r); };
+    const auto free = [&](const Worker& w) { return HasFreeSlots(w, r, kRemoteCostPriced); };
     const bool priced = s_.connect_price > 0;
-    if (s_.cross_zone_price > 0 && Look(&Pool::local, r, permit, room, kLocalLooks)) return;
-    if (priced && Look(&Pool::home, r, permit, [&](Worker& w) { return home(w) && linked(w); }))
+    if (s_.cross_zone_price > 0 && SampleSet(&Pool::local, r, permit, free, kMaxLocalSampled))
       return;
-    if (Look(&Pool::home, r, permit, home)) return;
-    if (priced && Look(&Pool::used, r, permit, linked)) return;
-    if (Look(&Pool::members, r, permit, [](const Worker&) { return true; })) return;
+    if (priced && SampleSet(&Pool::assigned, r, permit,
+                            [&](Worker& w) { return assigned_free(w) && connected(w); }))
+      return;
+    if (SampleSet(&Pool::assigned, r, permit, assigned_free)) return;
+    if (priced && SampleSet(&Pool::used, r, permit, connected)) return;
+    if (SampleSet(&Pool::members, r, permit, [](const Worker&) { return true; })) return;
     for (Pool* p : open_) {
-      p->shut_until = kNever;
-      p->shut_slots = r.slots;
-      looks_ += p->members.size();
+      p->no_capacity_until = kNever;
+      p->no_capacity_slots = r.slots;
+      workers_examined_ += p->members.size();
       for (const Member& m : p->members)
-        p->shut_until = std::min(p->shut_until, OpensAt(workers_[m.id], r.slots));
+        p->no_capacity_until = std::min(p->no_capacity_until, AvailableAt(workers_[m.id], r.slots));
     }
   }
 
-  // Samples one set of the pools with room: each is met once at most, until enough of them suit.
-  template <class Good>
-  bool Look(Members Pool::*set, const Request& r, const Permit& permit, Good good,
-            std::size_t most = std::numeric_limits<std::size_t>::max()) {
+  // Samples one member set of the open pools. Examines each worker at most once, and stops after
+  // `most` workers or when the sample is complete.
+  template <class Predicate>
+  bool SampleSet(Members Pool::*set, const Request& r, const Permit& permit, Predicate suitable,
+                 std::size_t most = std::numeric_limits<std::size_t>::max()) {
     std::size_t n = 0;
     for (const Pool* p : open_) n += (p->*set).size();
-    RandomWalk walk(n, Mix(random_++));
-    while (sample_.size() < kSample && !walk.Done() && most-- > 0) {
+    RandomWalk walk(n, HashMix(random_++));
+    while (sample_.size() < kSampleSize && !walk.Done() && most-- > 0) {
       std::size_t k = walk.Next(), pool = 0;
       while (k >= (open_[pool]->*set).size()) k -= (open_[pool++]->*set).size();
       const WorkerId id = (open_[pool]->*set)[k].id;
       Worker& w = workers_[id];
-      if (w.member && InGroup(r, permit, w) && Usable(w, r) && good(w)) sample_.push_back(id);
+      if (w.member && InKeyScope(r, permit, w) && Usable(w, r) && suitable(w))
+        sample_.push_back(id);
     }
     return !sample_.empty();
   }
 
-  // By its own tally and what it told, no more than so many slots' jobs wait there with this one.
-  bool HasRoom(const Worker& w, const Request& r, double wait) const {
-    return w.busy + w.taken.Now(now_, kTakenMemory) + r.slots <= PoolOf(w).slots_seen + wait;
+  // Whether at most `wait` slots of jobs would queue at the worker with this job, by the slots that
+  // this node uses and by the worker's load reports.
+  bool HasFreeSlots(const Worker& w, const Request& r, double wait) const {
+    return w.busy + w.used_by_others.ValueAt(now_, kLoadReportMemory) + r.slots <=
+           PoolOf(w).slots_seen + wait;
   }
 
-  // Its slots that are this node's part are not all in use, nor are all of them by its last word.
-  // On its own part a node's tally tells most of the load. How many slots it has is asked at times.
-  bool HomeRoom(Worker& w, const Request& r) {
-    if (w.part <= 0) return false;
-    if (s_.may_probe && now_ > w.probed_at + kHomeProbe) {
+  // Whether this node's share of the worker's slots has a free one, and the worker as a whole by
+  // its last report. Most of the load on the share is this node's own. The worker is probed from
+  // time to time to learn its number of slots.
+  bool HasFreeAssignedSlots(Worker& w, const Request& r) {
+    if (w.own_share <= 0) return false;
+    if (s_.may_probe && now_ > w.probed_at + kAssignedProbeInterval) {
       w.probed_at = now_;
-      Act(Probe{IdOf(w)});
+      Emit(Probe{IdOf(w)});
     }
     const Pool& p = PoolOf(w);
-    const double room = std::min(std::ceil(w.part * p.slots_seen), p.slots_seen - Others(w));
-    return !p.told || w.busy + r.slots <= room;
+    const double own_slots =
+        std::min(std::ceil(w.own_share * p.slots_seen), p.slots_seen - OthersInFlight(w));
+    return !p.reports_free_slots || w.busy + r.slots <= own_slots;
   }
 
-  // A job with a key samples the first workers in the key's own order, the same at every node, and
-  // spills further down the longer it waits: a fetch costs its slot and the shared store, which
-  // jams when keys scatter; but a much asked key has work for more than a few workers.
+  // A job with a key samples the first workers in the rank order of the key, which is the same at
+  // every node, and more of them the longer it waits. A worker without the data of the key must
+  // fetch it, which costs slot time and load on the shared store; the store gets overloaded when
+  // the keys are scattered. A frequently requested key, however, has work for more than a few
+  // workers.
   void SampleByKey(const Request& r, const Permit& permit, std::size_t at_least) {
     order_.clear();
     for (const Pool* p : open_)
       for (const Member& m : p->members)
-        if (InGroup(r, permit, workers_[m.id])) order_.emplace_back(Rank(m, *r.key), m.id);
+        if (InKeyScope(r, permit, workers_[m.id])) order_.emplace_back(Rank(m, *r.key), m.id);
     const double mean = std::min(Work(r), classes_[r.cls].work) * r.slots;
-    const double part = keys_.Part(*r.key, mean, kKeyDoubt * mean, now_, kKeyMemory);
-    const double wanted = kKeyPlaces + kKeySpread * part * static_cast<double>(order_.size());
-    const std::size_t places =
-        std::min(order_.size(), static_cast<std::size_t>(wanted) + (now_ - r.arrived) / kKeyWait);
-    const std::size_t looked = std::min(order_.size(), std::max(places, at_least));
-    std::partial_sort(order_.begin(), order_.begin() + static_cast<std::ptrdiff_t>(looked),
+    const double share = keys_.Share(*r.key, mean, kKeyPriorJobs * mean, now_, kKeyMemory);
+    const double wanted =
+        kMinKeyPlaces + kKeyPlacesFactor * share * static_cast<double>(order_.size());
+    const std::size_t places = std::min(
+        order_.size(), static_cast<std::size_t>(wanted) + (now_ - r.arrived) / kKeySpillInterval);
+    const std::size_t examined = std::min(order_.size(), std::max(places, at_least));
+    std::partial_sort(order_.begin(), order_.begin() + static_cast<std::ptrdiff_t>(examined),
                       order_.end(), std::greater<>());
-    places_ = 0;
-    for (std::size_t i = 0; i < looked; ++i) {
+    key_places_ = 0;
+    for (std::size_t i = 0; i < examined; ++i) {
       if (!Usable(workers_[order_[i].second], r)) continue;
       sample_.push_back(order_[i].second);
-      if (i < places) places_ = sample_.size();
+      if (i < places) key_places_ = sample_.size();
     }
   }
 
-  // This node's part of all slots is under one: it has hardly a job at any worker to tally.
-  bool TallySaysLittle() const {
+  // Whether this node's share of all slots is below one, so that its own jobs in flight tell little
+  // about the load of the workers.
+  bool OwnLoadIsSparse() const {
     double slots = 0;
     for (const Pool& p : pools_) slots += static_cast<double>(p.members.size()) * p.slots_seen;
     return s_.may_probe && slots < s_.balancers;
   }
 
-  // There the first workers of the key's order are probed, and what they tell counts as tallied.
-  // Past the key's places a job must fetch, which costs as much as full workers: a much asked key
-  // spreads.
-  const WorkerId* AskByKey(Request& r, const Permit& permit) {
-    SampleByKey(r, permit, kSample);
+  // Used instead of SampleByKey if the own load is sparse: probes the first workers in the rank
+  // order and uses their reports. Returns null while the answers are awaited. Beyond the places of
+  // the key a job must fetch the data, which costs as much as kKeyMissCost fully used workers; so a
+  // frequently requested key spreads.
+  const WorkerId* ProbeByKey(Request& r, const Permit& permit) {
+    SampleByKey(r, permit, kSampleSize);
     const WorkerId* best = nullptr;
     double least = 0;
     bool all = true;
-    for (std::size_t i = 0; i < std::min<std::size_t>(kSample, sample_.size()); ++i) {
+    for (std::size_t i = 0; i < std::min<std::size_t>(kSampleSize, sample_.size()); ++i) {
       const Worker& w = workers_[sample_[i]];
-      const bool answered = Answered(w);
+      const bool answered = HasRecentProbe(w);
       all = all && answered;
-      if (!answered && r.asked_at == 0) Act(Probe{sample_[i]});
-      const double full = (i < places_ ? 0 : kFetchCost) + (answered ? 0 : 1);
-      const double cost = Cost(sample_[i], r) + full * PoolOf(w).slots_seen;
+      if (!answered && r.probes_sent_at == 0) Emit(Probe{sample_[i]});
+      const double penalty = (i < key_places_ ? 0 : kKeyMissCost) + (answered ? 0 : 1);
+      const double cost = Cost(sample_[i], r) + penalty * PoolOf(w).slots_seen;
       if (best != nullptr && cost >= least) continue;
       best = &sample_[i];
       least = cost;
     }
-    if (r.asked_at == 0) r.asked_at = now_;
-    next_check_ = std::min(next_check_, r.asked_at + kAskWait);
-    return all || now_ >= r.asked_at + kAskWait ? best : nullptr;
+    if (r.probes_sent_at == 0) r.probes_sent_at = now_;
+    next_check_ = std::min(next_check_, r.probes_sent_at + kProbeTimeout);
+    return all || now_ >= r.probes_sent_at + kProbeTimeout ? best : nullptr;
   }
 
-  // Jobs of others there, as it told last; what it told fades.
-  double Others(const Worker& w) const {
-    return w.others * std::max(0.0, 1 - static_cast<double>(now_ - w.answered_at) / kTakenMemory);
+  // Jobs of other nodes at the worker by its last report, discounted by the age of the report.
+  double OthersInFlight(const Worker& w) const {
+    return w.others_in_flight *
+           std::max(0.0, 1 - static_cast<double>(now_ - w.answered_at) / kLoadReportMemory);
   }
 
-  // What it told of others' jobs when it was probed is fresh.
-  bool Answered(const Worker& w) const { return now_ <= w.answered_at + 2 * kAskWait; }
+  // Whether the worker has answered a probe recently.
+  bool HasRecentProbe(const Worker& w) const { return now_ <= w.answered_at + 2 * kProbeTimeout; }
 
+  // Whether the worker can take the job now.
   bool Usable(Worker& w, const Request& r) {
-    ++looks_;
-    if (now_ < OpensAt(w, r.slots)) return false;
-    // Whoever tries it for all, does so with a job that may be sent again if there is such a class.
-    if (w.judged && PoolOf(w).repeats && s_.classes[r.cls].effect == Effect::kOnce) return false;
+    ++workers_examined_;
+    if (now_ < AvailableAt(w, r.slots)) return false;
+    // The trial of an ejected worker uses a job that may be sent again, if there is such a class.
+    if (w.ejected && PoolOf(w).allows_repeats && s_.classes[r.cls].effect == Effect::kOnce)
+      return false;
     for (const Attempt& a : r.attempts)
-      if (a.ran == Ran::kOut && &workers_[a.worker] == &w) return false;
+      if (a.execution == Execution::kInFlight && &workers_[a.worker] == &w) return false;
     if (!r.late && now_ > LatestStart(r, PoolOf(w).slowdown * w.slowness))
-      return false;  // too slow a kind
+      return false;  // the worker or its kind is too slow for the job
     return ColdAllows(w, r);
   }
 
+  // Load of the worker with the job, in slots of a standard worker; slow, small and remote workers
+  // cost more.
   double Cost(WorkerId id, const Request& r) const {
     const Worker& w = workers_[id];
     const double size = s_.weighted_workers && largest_weight_ > 0
                             ? w.entry.weight / largest_weight_
                             : 1 / pools_[w.entry.kind].slowdown;
-    double cost = (w.busy + Others(w) + r.slots) * w.slowness / std::max(size, 0.01);
-    if (w.entry.zone != s_.zone) cost += s_.cross_zone_price > 0 ? kPricedRemote : kRemoteCost;
+    double cost = (w.busy + OthersInFlight(w) + r.slots) * w.slowness / std::max(size, 0.01);
+    if (w.entry.zone != s_.zone) cost += s_.cross_zone_price > 0 ? kRemoteCostPriced : kRemoteCost;
     return cost;
   }
 
-  // Scratch of one look.
-  std::vector<Pool*> open_;       // pools with room for the job in hand
-  std::vector<WorkerId> sample_;  // workers to choose from for it
-  std::size_t places_ = 0;        // how many of the sample are places of the key
-  std::vector<std::pair<std::uint64_t, WorkerId>> order_;  // of its key
+  // Scratch space of one search.
+  std::vector<Pool*> open_;       // pools below their limit that may take the job
+  std::vector<WorkerId> sample_;  // workers to choose from
+  std::size_t key_places_ = 0;    // leading entries of the sample that are places of the key
+  std::vector<std::pair<std::uint64_t, WorkerId>> order_;  // rank order of the key
 };
 
 }  // namespace pearreach::dispatch
--- a/src/dispatch/policy/worker_membership.h
+++ b/src/dispatch/policy/worker_membership.h
@@ -1,5 +1,5 @@
-// The list of workers: who is a member of which pool, what a new process of a worker voids, and
-// which part of each worker is this node's own.
+// The worker list: the membership of pools, the reset of a worker's evidence when its process is
+// replaced, and the share of each worker that is assigned to this node.
 #ifndef PEARREACH_SRC_DISPATCH_POLICY_WORKER_MEMBERSHIP_H_
 #define PEARREACH_SRC_DISPATCH_POLICY_WORKER_MEMBERSHIP_H_
 
@@ -10,7 +10,8 @@
 
 namespace pearreach::dispatch {
 
-constexpr Micros kSubscribeFirst = 250 * kMs;  // wait after a failed call of the list; it doubles
+// First wait after a failed fetch of the list; it doubles.
+constexpr Micros kSubscribeBackoffMin = 250 * kMs;
 
 class WorkerMembership : public WorkerHealth {
  protected:
@@ -18,48 +19,51 @@
 
   void On(const WorkerList& list) {
     if (list.form == WorkerList::Form::kFailed) {
-      subscribe_at_ = now_ + subscribe_wait_ / 2 + Mix(random_++) % (subscribe_wait_ / 2);
-      subscribe_wait_ = std::min(2 * subscribe_wait_, kTrialLast);
+      subscribe_at_ = now_ + subscribe_wait_ / 2 + HashMix(random_++) % (subscribe_wait_ / 2);
+      subscribe_wait_ = std::min(2 * subscribe_wait_, kTrialBackoffMax);
       Log({LogLine::Kind::kListFailed, 0, 0, 0});
       return;
     }
-    ++lists_;
-    for (const WorkerEntry& e : list.entries) Update(e);
+    ++list_updates_;
+    for (const WorkerEntry& e : list.entries) UpdateWorker(e);
     if (list.form == WorkerList::Form::kComplete)
       for (Worker& w : workers_)
-        if (w.named != lists_) SetKnown(w, false);
+        if (w.last_list_number != list_updates_) SetListed(w, false);
     for (Pool& p : pools_)
-      if (std::exchange(p.changed, false)) ShareMembers(p);
-    for (const WorkerEntry& e : list.entries)  // once in service: drained, its part is nothing
-      if (Worker* w = Numbered(workers_, e.worker); w != nullptr && w->cold_part < 0 && w->member)
-        w->cold_part = w->part;
+      if (std::exchange(p.members_changed, false)) ShareMembers(p);
+    // The share is fixed once the worker is in service: a draining worker has no share.
+    for (const WorkerEntry& e : list.entries)
+      if (Worker* w = ItemAt(workers_, e.worker); w != nullptr && w->cold_share < 0 && w->member)
+        w->cold_share = w->own_share;
   }
 
  private:
-  void Update(const WorkerEntry& e) {
+  void UpdateWorker(const WorkerEntry& e) {
     if (e.kind < 0 || e.kind >= s_.kinds) return;
     Worker& w = WorkerAt(e.worker);
     if (e.kind != w.entry.kind || e.identity != w.entry.identity || e.zone != w.entry.zone) {
-      SetKnown(w, false);
+      SetListed(w, false);
       SetUsed(PoolOf(w).used, w, e.worker, false);
     }
-    // A new process: what was held against the old one is void, but its attempts count on.
-    const bool fresh = e.ready_at != w.entry.ready_at || !w.known;
+    // A new process: the evidence against the old one no longer applies, but its attempts keep
+    // their slots.
+    const bool new_process = e.ready_at != w.entry.ready_at || !w.listed;
     w.entry = e;
-    if (fresh) {
+    if (new_process) {
       SetSilent(w, false);
-      w.Renew();
-      for (auto& [ref, i] : w.out)
+      w.ResetForNewProcess();
+      for (auto& [ref, i] : w.in_flight)
         if (Request* r = table_.Find(ref)) r->attempts[i].written_off = true;
     }
-    w.named = lists_;
-    SetKnown(w, e.health != Health::kGone);
-    SetUsed(PoolOf(w).used, w, e.worker, !w.out.empty() || Connected(w));
+    w.last_list_number = list_updates_;
+    SetListed(w, e.health != Health::kGone);
+    SetUsed(PoolOf(w).used, w, e.worker, !w.in_flight.empty() || HasIdleConnection(w));
   }
 
-  void SetKnown(Worker& w, bool known) {
-    SetMembership(w, known);
-    if (!known && w.busy > 0) SetSilent(w, true);  // gone: its slots fill no limit
+  void SetListed(Worker& w, bool listed) {
+    SetMembership(w, listed);
+    if (!listed && w.busy > 0)
+      SetSilent(w, true);  // gone: its slots do not count towards the limit
   }
 };
 
--- a/src/dispatch/settings/settings_reader.cpp
+++ b/src/dispatch/settings/settings_reader.cpp
@@ -10,14 +10,16 @@
 
 Micros ParseMillis(Text text, Text what) {
   const double ms = ParseNumber<double>(text, what);
-  if (std::abs(ms) > 9e12) throw Malformed("bad " + std::string(what) + " " + Quote(text));
+  if (std::abs(ms) > 9e12)
+    throw Malformed("bad " + std::string(what) + " " + Quote(text) + ": expected at most 9e12 ms");
   return std::llround(ms * 1000);
 }
 
 bool ParseBool(Text text, Text what) {
   if (text == "1" || text == "true") return true;
   if (text == "0" || text == "false") return false;
-  throw Malformed("bad " + std::string(what) + " " + Quote(text));
+  throw Malformed("bad " + std::string(what) + " " + Quote(text) +
+                  ": expected 0, 1, false or true");
 }
 
 std::vector<Text> Split(Text text, char separator) {
@@ -65,7 +67,8 @@
 
 int Conf::Count(const std::string& path) const {
   const int n = Num<int>(path + ".count", 0);
-  if (n < 0 || n > 10000) throw Malformed("bad " + path + ".count");
+  if (n < 0 || n > 10000)
+    throw Malformed("bad " + path + ".count " + std::to_string(n) + ": expected 0 to 10000");
   return n;
 }
 
@@ -73,7 +76,8 @@
   Conf::Values values;
   for (const Text pair : Split(text, ' ')) {
     const std::size_t eq = pair.find('=');
-    if (eq == Text::npos || eq == 0) throw Malformed("bad setting " + Quote(pair));
+    if (eq == Text::npos || eq == 0)
+      throw Malformed("bad setting " + Quote(pair) + ": expected path=value");
     values[std::string(pair.substr(0, eq))] = pair.substr(eq + 1);
   }
   return Conf(std::move(values));
@@ -90,14 +94,15 @@
   else if (effect == "by_key")
     c.effect = Effect::kByKey;
   else if (effect != "once")
-    throw Malformed("bad " + path + "Effect " + Quote(effect));
+    throw Malformed("bad " + path + "Effect " + Quote(effect) +
+                    ": expected repeatable, by_key or once");
   const Text scope = conf.Get(path + "KeyScope");
   if (scope == "zone")
     c.key_scope = KeyScope::kZone;
   else if (scope == "cell")
     c.key_scope = KeyScope::kCell;
   else if (!scope.empty() && scope != "all")
-    throw Malformed("bad " + path + "KeyScope " + Quote(scope));
+    throw Malformed("bad " + path + "KeyScope " + Quote(scope) + ": expected all, zone or cell");
   c.key_window = conf.Ms(path + "WindowMs");
   c.latency_target = conf.Ms(path + "AimMs");
   c.deadline = conf.Ms(path + "DeadlineMs");
--- a/src/dispatch/settings/settings_reader.h
+++ b/src/dispatch/settings/settings_reader.h
@@ -40,7 +40,9 @@
   }
   bool good = r.ec == std::errc() && r.ptr == text.data() + text.size();
   if constexpr (std::is_floating_point_v<T>) good = good && std::isfinite(value);
-  if (!good) throw Malformed("bad " + std::string(what) + " " + Quote(text));
+  if (!good)
+    throw Malformed("bad " + std::string(what) + " " + Quote(text) +
+                    ": expected a number in range");
   return value;
 }
 
--- a/src/dispatch/simulator/wire.cpp
+++ b/src/dispatch/simulator/wire.cpp
@@ -20,7 +20,7 @@
 namespace pearreach::dispatch {
 namespace {
 
-// The values of one line, taken in order. '-' and a value left off at the end are absent.
+// Reads the values of one line in order. A value is absent if it is '-' or missing at the end.
 class Fields {
  public:
   explicit Fields(Text line) : rest_(line) {}
@@ -38,7 +38,7 @@
   }
   Text Required(Text what) {
     const auto part = Optional();
-    if (!part) throw Malformed("no " + std::string(what));
+    if (!part) throw Malformed("missing " + std::string(what));
     return *part;
   }
   Text Rest() { return std::exchange(rest_, Text()); }
@@ -73,7 +73,8 @@
   }
   WorkerId Find(Text name) const {
     const auto it = ids.find(name);
-    if (it == ids.end()) throw Malformed("executor " + Quote(name) + " was never listed");
+    if (it == ids.end())
+      throw Malformed("unknown executor " + Quote(name) + ": not in any list so far");
     return it->second;
   }
 
@@ -81,13 +82,13 @@
   Dispatcher dispatcher;
   std::unordered_map<std::string, WorkerId, HashText, std::equal_to<>> ids;
   Names names;
-  std::vector<Event> events;  // of the batch being read
+  std::vector<Event> events;  // of the current batch
 };
 
-// Requests travel by the number their 16 hex digits spell.
+// A request id is written as 16 lower-case hex digits.
 RequestId ReadId(Text text) {
   if (text.size() != 16 || text.find_first_not_of("0123456789abcdef") != Text::npos)
-    throw Malformed("bad request id " + Quote(text));
+    throw Malformed("bad request id " + Quote(text) + ": expected 16 lower-case hex digits");
   return ParseNumber<RequestId>(text, "request id", 16);
 }
 
@@ -106,7 +107,8 @@
   if (!text) return load;
   for (const Text pair : Split(*text, ',')) {
     const std::size_t colon = pair.find(':');
-    if (colon == Text::npos) throw Malformed("bad load report " + Quote(pair));
+    if (colon == Text::npos)
+      throw Malformed("bad load report " + Quote(pair) + ": expected name:value");
     ReadLoadValue(site, pair.substr(0, colon), pair.substr(colon + 1), &load);
   }
   return load;
@@ -211,15 +213,16 @@
  public:
   explicit Host(WireObserver* watcher) : watcher_(watcher) {}
 
-  // Takes one line. True when a reply is ready in `reply`.
+  // Processes one line. Returns true if it completed a batch, whose reply is then in `reply`.
   bool Take(Text line, std::string* reply) {
     if (rows_left_ > 0) return TakeRow(line), false;
     Fields f(line);
     const Text verb = f.Next();
     if (verb == "begin_batch") {
-      if (in_batch_) throw Malformed("begin_batch inside a batch");
+      if (in_batch_) throw Malformed("begin_batch inside a batch: expected eof_batch first");
       const Micros now = ParseMillis(f.Required("clock"), "clock");
-      if (now < now_) throw Malformed("the clock ran backwards");
+      if (now < now_)
+        throw Malformed("clock ran backwards by " + std::to_string(now_ - now) + " us");
       now_ = now;
       in_batch_ = true;
       return false;
@@ -254,13 +257,17 @@
 
   std::size_t Slot(Text text) const {
     const auto slot = ParseNumber<std::size_t>(text, "list number");
-    if (slot >= lists_.size()) throw Malformed("bad list number " + Quote(text));
+    if (slot >= lists_.size())
+      throw Malformed("bad list number " + Quote(text) + ": expected less than " +
+                      std::to_string(lists_.size()));
     return slot;
   }
 
   void TakeRow(Text line) {
     Fields f(line);
-    if (f.Next() != "row") throw Malformed("expected a row of the list");
+    if (const Text verb = f.Next(); verb != "row")
+      throw Malformed("expected row, got " + Quote(verb) + ": " + std::to_string(rows_left_) +
+                      " rows of the list are missing");
     Row row;
     row.executor = f.Required("executor");
     row.zone = f.Required("zone");
@@ -272,7 +279,8 @@
     else if (health == "terminated")
       row.health = Health::kGone;
     else if (health != "in_service")
-      throw Malformed("unknown health " + Quote(health));
+      throw Malformed("unknown health " + Quote(health) +
+                      ": expected in_service, terminating or terminated");
     if (const auto weight = f.Optional())
       row.weight = ParseNumber<double>(*weight, "capacity hint");
     if (const auto at = f.Optional()) row.ready_at = ParseMillis(*at, "start time");
@@ -329,7 +337,7 @@
     else if (form == "X")
       list.form = WorkerList::Form::kFailed;
     else
-      throw Malformed("unknown form of list " + Quote(form));
+      throw Malformed("unknown form of list " + Quote(form) + ": expected D, F, C or X");
     if (list.form == WorkerList::Form::kFailed) return list;
     f.Optional();
     for (const Row& row : lists_[Slot(f.Required("list number"))]) {
@@ -370,7 +378,8 @@
     PeerMessage e;
     e.from = ParseNumber<int>(f.Required("sender"), "sender");
     const Text hex = f.Optional().value_or(Text());
-    if (hex.size() % 2 != 0) throw Malformed("bad datagram " + Quote(hex));
+    if (hex.size() % 2 != 0)
+      throw Malformed("bad datagram " + Quote(hex) + ": expected an even number of hex digits");
     for (std::size_t i = 0; i < hex.size(); i += 2)
       e.data += static_cast<char>(ParseNumber<unsigned char>(hex.substr(i, 2), "datagram", 16));
     return e;
@@ -382,7 +391,7 @@
     const WorkerId worker = instance.Find(f.Required("executor"));
     const int kind = ParseNumber<int>(f.Required("kind of note"), "kind of note");
     if (kind == 1) return AttemptStarted{id, attempt, worker};
-    if (kind != 2) return TimerFired{};  // a note of a kind not known yet
+    if (kind != 2) return TimerFired{};  // unknown kinds of notes are ignored
     const auto level = f.Optional();
     return AttemptProgress{id, attempt, worker, level ? ParseNumber<double>(*level, "level") : 0};
   }
@@ -425,8 +434,8 @@
   std::array<std::vector<Row>, 16> lists_;
   std::vector<Row>* list_ = nullptr;
   std::size_t rows_left_ = 0;
-  std::unordered_map<std::uint64_t, std::unique_ptr<Instance>> instances_;  // never walked
-  std::vector<std::uint64_t> touched_;  // instances with events, in the order of their first
+  std::unordered_map<std::uint64_t, std::unique_ptr<Instance>> instances_;  // never iterated
+  std::vector<std::uint64_t> touched_;  // instances with events, in the order of their first event
   std::vector<Action> actions_;
 };
 
@@ -441,9 +450,9 @@
       ++number;
       if (!host.Take(line, &reply)) continue;
       out << reply << std::flush;
-      if (!out) throw Malformed("standard output is closed");
+      if (!out) throw Malformed("cannot write to standard output");
     }
-    if (!host.Idle()) throw Malformed("the input ends inside a batch");
+    if (!host.Idle()) throw Malformed("the input ends inside a batch: expected eof_batch");
   } catch (const Malformed& wrong) {
     err << "pearreach-simulator-adapter: line " << number << ": " << wrong.what() << '\n';
     return 1;
--- a/tests/dispatch/policy/driver.h
+++ b/tests/dispatch/policy/driver.h
@@ -1,4 +1,4 @@
-// Drives one Dispatcher by hand: events in, actions sorted by kind out.
+// Drives one Dispatcher in a test: passes events to it and sorts the returned actions by kind.
 #ifndef PEARREACH_TESTS_DISPATCH_POLICY_DRIVER_H_
 #define PEARREACH_TESTS_DISPATCH_POLICY_DRIVER_H_
 
@@ -14,7 +14,7 @@
 constexpr Micros kMs = 1000;
 constexpr Micros kSecond = 1000 * kMs;
 
-// Classes: 0 repeatable, 1 once, 2 by key (window 5 s). One kind, jobs of about 100 ms.
+// Classes: 0 repeatable, 1 once, 2 by key (window 5 s). One worker kind, jobs of about 100 ms.
 inline Settings BaseSettings() {
   Settings s;
   s.min_handle_interval = kMs;
@@ -75,7 +75,7 @@
     for (const RequestId id : failed) all_failed.push_back(id);
   }
 
-  // Lets time pass, firing timers as they fall due.
+  // Advances the clock by `length` and fires the timers that become due.
   void Run(Micros length) {
     const Micros end = now + length;
     while (!timers.empty() && timers.begin()->first <= end) {
@@ -126,7 +126,7 @@
     e.settled = outcome == Outcome::kGood;
     Give({e});
   }
-  // Asks, starts and serves one job.
+  // Submits, starts and completes one job.
   void Serve(RequestId id, Micros length = 100 * kMs) {
     Ask(id);
     Begin(id);
@@ -134,7 +134,8 @@
     End(id, Outcome::kGood);
   }
 
-  // Serves jobs `first` and so on that are there at once, as many together as the limit lets out.
+  // Serves `n` jobs with ids from `first` that arrive at once, as many in parallel as the limit
+  // permits.
   void ServeTogether(RequestId first, int n, Micros length = 30 * kMs) {
     std::vector<RequestId> open;
     for (int i = 0; i < n; ++i) open.push_back(first + static_cast<RequestId>(i));
@@ -153,7 +154,7 @@
 
   Dispatcher dispatcher;
   Micros now = 0;
-  std::vector<Send> sends, all_sends;  // of the last call; of all calls
+  std::vector<Send> sends, all_sends;  // of the last call of Handle; of all calls
   std::vector<RequestId> refused, failed, all_refused, all_failed;
   std::vector<Cancel> cancelled;
   std::vector<WorkerId> probed;
--- a/tests/dispatch/policy/knowledge_test.cpp
+++ b/tests/dispatch/policy/knowledge_test.cpp
@@ -1,5 +1,5 @@
-// An earlier process's word as the module takes it: evidence, and gone with the first word of its
-// own.
+// The use of the knowledge of an earlier process: it serves as evidence until the new process has
+// evidence of its own.
 #include <gtest/gtest.h>
 
 #include "driver.h"
@@ -19,18 +19,18 @@
   Driver d(BaseSettings());
   d.now = 10 * kSecond;
   d.Workers(8);
-  EXPECT_EQ(d.dispatcher.PoolLimit(0), 0) << "what is unknown starts at zero";
+  EXPECT_EQ(d.dispatcher.PoolLimit(0), 0) << "an unknown limit starts at zero";
   d.Give({Knowledge{{APool(20)}, {}, {}, {}}});
   EXPECT_EQ(d.dispatcher.PoolLimit(0), 20);
   std::vector<Event> all;
   for (RequestId id = 1; id <= 8; ++id) all.push_back(d.Request(id, 1));
   d.Give(all);
-  EXPECT_EQ(d.sends.size(), 8u) << "a full share at once, without growing first";
+  EXPECT_EQ(d.sends.size(), 8u) << "the restored limit applies at once";
   for (RequestId id = 1; id <= 4; ++id) d.End(id, Outcome::kFull);
   const double cut = d.dispatcher.PoolLimit(0);
   EXPECT_LT(cut, 10);
   d.Give({Knowledge{{APool(20)}, {}, {}, {}}});
-  EXPECT_EQ(d.dispatcher.PoolLimit(0), cut) << "its own refusals tell more";
+  EXPECT_EQ(d.dispatcher.PoolLimit(0), cut) << "own refusals take precedence";
 }
 
 TEST(Recalled, TheFirstWordOutweighsIt) {
@@ -44,17 +44,18 @@
   d.Ask(1);
   d.Begin(1);
   d.Ask(2);
-  EXPECT_EQ(d.all_sends.size(), 1u) << "a sick one gets one trial at a time";
+  EXPECT_EQ(d.all_sends.size(), 1u) << "a failing worker gets one trial at a time";
   d.Run(100 * kMs);
   d.End(1, Outcome::kGood);
   const WorkerKnowledge now = d.dispatcher.Learned(d.now).workers.at(0);
-  EXPECT_LT(now.failures, 0.3) << "one job that it served";
-  EXPECT_NEAR(now.slowness, 1.75, 0.01) << "a quarter of the way";
+  EXPECT_LT(now.failures, 0.3) << "after one completed job";
+  EXPECT_NEAR(now.slowness, 1.75, 0.01) << "a quarter of the way to the observed speed";
   d.Begin(2);
   d.Run(100 * kMs);
   d.End(2, Outcome::kGood);
-  EXPECT_GT(d.dispatcher.Learned(d.now).workers.at(0).slowness, 1.6) << "then as any other word";
-  // What was heard stands against whatever comes later.
+  EXPECT_GT(d.dispatcher.Learned(d.now).workers.at(0).slowness, 1.6)
+      << "later jobs have the usual weight";
+  // Knowledge that arrives after the first response is ignored.
   d.Give({Knowledge{{}, {sick}, {}, {}}});
   EXPECT_LT(d.dispatcher.Learned(d.now).workers.at(0).failures, 0.3);
 }
@@ -76,12 +77,12 @@
   for (RequestId id = 1; id <= 6; ++id)
     if (d.attempts[id] > 0 && d.last_worker[id] == 0) {
       d.Begin(id);
-      EXPECT_FALSE(d.dispatcher.Learned(d.now).workers.at(0).silent) << "it has spoken";
+      EXPECT_FALSE(d.dispatcher.Learned(d.now).workers.at(0).silent) << "the worker has responded";
     }
 }
 
-// Guards rule 4 across a restart: what the old process sent in the window counts against the new
-// one.
+// Rule 4 (a cold worker is not overloaded) across a restart of the node: the work that the old
+// process sent in the window counts for the new process too.
 TEST(Recalled, SpentColdPressureIsSpent) {
   for (const bool told : {false, true}) {
     Driver d(BaseSettings());
@@ -93,11 +94,12 @@
     d.Ask(1);
     EXPECT_EQ(d.all_sends.size(), told ? 0u : 1u);
     d.Run(1500 * kMs);
-    EXPECT_EQ(d.all_sends.size(), 1u) << "once the window has passed";
+    EXPECT_EQ(d.all_sends.size(), 1u) << "sent once the window has passed";
   }
 }
 
-// Its process died while the list says nothing: still cold for the next process of the node.
+// A worker whose process died without an update of the list is still cold for the next process of
+// the node.
 TEST(Recalled, ADeathIsRemembered) {
   Driver d(BaseSettings());
   d.now = 10 * kSecond;
@@ -108,10 +110,11 @@
   d.Give({Knowledge{{APool(8)}, {w}, {}, {}}});
   d.Ask(1);
   EXPECT_TRUE(d.all_sends.empty());
-  // The list names a new process: what was held against the old one is void.
+  // The list reports a new process, so the evidence against the old one no longer applies.
   d.List({Driver::Entry(0, Health::kInService, 1)});
   EXPECT_EQ(d.all_sends.size(), 1u);
-  EXPECT_EQ(d.dispatcher.Learned(d.now).workers.size(), 0u) << "and of this one nothing is known";
+  EXPECT_EQ(d.dispatcher.Learned(d.now).workers.size(), 0u)
+      << "nothing is known of the new process";
 }
 
 TEST(Recalled, ATenantsShareIsNotThereTwice) {
--- a/tests/dispatch/policy/policy_test.cpp
+++ b/tests/dispatch/policy/policy_test.cpp
@@ -1,4 +1,4 @@
-// The mechanism, and one small test for each failure found.
+// Unit tests of the policy, and one regression test for each fault that was found.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -26,7 +26,7 @@
   d.now = 10 * kSecond;
   d.Ask(1);
   d.End(1, Outcome::kFull);  // a refusal just now: slow growth
-  d.Run(150 * kMs);          // the worker rests
+  d.Run(150 * kMs);          // the backoff of the full worker passes
   ASSERT_EQ(d.all_sends.size(), 2u);
   d.Begin(1);
   const double before = d.dispatcher.PoolLimit(0);
@@ -63,7 +63,7 @@
   d.Run(1);
   for (RequestId id = 1; id <= 3; ++id) d.End(id, outcome);
   EXPECT_LT(d.dispatcher.PoolLimit(0), found);
-  EXPECT_GE(d.dispatcher.PoolLimit(0), 4);  // a margin below what was found, not to nothing
+  EXPECT_GE(d.dispatcher.PoolLimit(0), 4);  // cut to a margin below the proven limit, not to zero
 }
 
 TEST(Limit, DropsBelowTheHighestFoundAfterConsecutiveFull) {
@@ -73,8 +73,8 @@
   Refuse3(d, Outcome::kFull);
 }
 
-// A day of jobs one after the other raised it to thousands with nine slots busy: nothing bound a
-// burst until a run of refusals had cut it.
+// Regression: a day of sequential jobs raised the limit to thousands while nine slots were in use,
+// so that it did not bind in a burst until a series of refusals had cut it.
 TEST(Limit, GrowsNoFurtherThanTwiceWhatWasUsed) {
   Driver d(BaseSettings());
   d.Workers(4);
@@ -82,23 +82,23 @@
   EXPECT_LE(d.dispatcher.PoolLimit(0), 4);
   d.ServeTogether(1000, 40);
   const double limit = d.dispatcher.PoolLimit(0);
-  EXPECT_GT(limit, 10) << "and grows on where it binds";
+  EXPECT_GT(limit, 10) << "the limit keeps growing where it binds";
   for (RequestId id = 2000; id < 2500; ++id) d.Serve(id);
   EXPECT_LE(d.dispatcher.PoolLimit(0), 2 * 41);
 }
 
-// A worker with many slots for short jobs: most of them are done before the word of their start is
-// here, and one at a time went there, whatever the limit.
+// Regression: on a worker with many slots, most short jobs end before the report of their start
+// arrives; only one job at a time was sent there regardless of the limit.
 TEST(Pick, ShortJobsDoNotWaitForTheWordOfAnotherStart) {
-  // Jobs served in three seconds where forty are always there, and the most that are sent and not
-  // told to have started, late in that time.
+  // Returns the number of jobs completed in 3 s while 40 are always open, and the maximum number of
+  // sent jobs without a reported start during the last second.
   const auto serve = [](Micros work) {
     Driver d(BaseSettings());
     d.Workers(1);
     LoadReport load;
     load.free_slots = 100;
     d.Give({ProbeEnded{0, true, load}});
-    std::map<RequestId, std::pair<Micros, Micros>> open;  // when sent, when begun
+    std::map<RequestId, std::pair<Micros, Micros>> open;  // times of the send and of the start
     RequestId id = 0;
     int served = 0, most = 0;
     for (Micros at = 0; at < 3 * kSecond; at += kMs) {
@@ -106,7 +106,7 @@
         open[++id] = {-1, -1};
         d.Ask(id);
       }
-      int untold = 0;
+      int unreported = 0;
       std::vector<RequestId> done;
       for (auto& [job, times] : open) {
         if (times.first < 0 && d.attempts[job] > 0) times.first = d.now;
@@ -115,9 +115,9 @@
           times.second = d.now;
         }
         if (times.second >= 0 && d.now >= times.second + work) done.push_back(job);
-        untold += times.first >= 0 && times.second < 0 ? 1 : 0;
+        unreported += times.first >= 0 && times.second < 0 ? 1 : 0;
       }
-      if (at > 2 * kSecond) most = std::max(most, untold);
+      if (at > 2 * kSecond) most = std::max(most, unreported);
       for (const RequestId job : done) {
         d.End(job, Outcome::kGood);
         open.erase(job);
@@ -127,11 +127,12 @@
     }
     return std::pair(served, most);
   };
-  EXPECT_GT(serve(2 * kMs).first, 6000) << "one at a time makes two thousand";
-  EXPECT_LE(serve(400 * kMs).second, 1) << "a long one's start is waited for, as ever";
+  EXPECT_GT(serve(2 * kMs).first, 6000) << "one job at a time would complete 2000";
+  EXPECT_LE(serve(400 * kMs).second, 1) << "the start of a long job is still awaited";
 }
 
-// A limit far above its part took a run of refusals for each 15%, and few jobs bring few refusals.
+// Regression: a limit far above this node's share needed a series of refusals for each cut of 15%,
+// and a node with few jobs gets few refusals.
 TEST(Limit, ACutGoesToThisNodesPartOfTheSlots) {
   Settings s = BaseSettings();
   s.balancers = 10;
@@ -156,7 +157,7 @@
   Refuse3(d, Outcome::kTimeout);
 }
 
-// ---------------------------------------------------------------- the pick
+// ---------------------------------------------------------------- the choice of a worker
 
 TEST(Pick, TakesTheLeastBusyOfTheClassesKind) {
   Settings s = BaseSettings();
@@ -176,7 +177,7 @@
     d.Begin(id);
     used.insert(d.last_worker[id]);
   }
-  EXPECT_EQ(used, (std::set<WorkerId>{2, 3}));  // both of the kind, one job each
+  EXPECT_EQ(used, (std::set<WorkerId>{2, 3}));  // both workers of the kind, one job each
 }
 
 TEST(Pick, AKeyFindsTheSameWorkerAtEveryNode) {
@@ -192,7 +193,7 @@
   EXPECT_EQ(used.size(), 1u);
 }
 
-// ---------------------------------------------------------------- failures found
+// ---------------------------------------------------------------- regressions
 
 TEST(Silent, AHungWorkerLeavesTheSampleAndThePoolsCount) {
   Driver d(BaseSettings());
@@ -201,7 +202,7 @@
   d.Begin(1);
   const WorkerId hung = d.last_worker[1];
   d.Run(4 * kSecond);
-  EXPECT_EQ(d.dispatcher.PoolBusy(0), 0);  // its stuck slot is out of the count
+  EXPECT_EQ(d.dispatcher.PoolBusy(0), 0);  // the slot without progress is not counted
   for (RequestId id = 2; id < 12; ++id) {
     d.Ask(id, 1);
     if (d.last_worker[id] != hung) {
@@ -213,7 +214,7 @@
   int to_hung = 0;
   for (const Send& s : d.all_sends) to_hung += s.worker == hung ? 1 : 0;
   EXPECT_LE(to_hung, 2);
-  d.Progress(1);  // a word from it: back in the count
+  d.Progress(1);  // a report: its slot is counted again
   EXPECT_GE(d.dispatcher.PoolBusy(0), 1);
 }
 
@@ -225,11 +226,11 @@
   RequestArrived r = d.Request(1, 1);
   r.hint = 100 * kMs;
   d.Give({r});
-  d.Run(700 * kMs);  // aim 500 + 2 x 100
+  d.Run(700 * kMs);  // latency target 500 ms + 2 x 100 ms
   EXPECT_EQ(d.all_refused, std::vector<RequestId>{1});
 }
 
-// Fills the only worker with one running job, so that what comes next must wait.
+// Occupies the only worker with one running job, so that the next job must wait.
 void Occupy(Driver& d, RequestId id) {
   d.Workers(1);
   d.Ask(id, 1, 100 * kSecond);
@@ -254,7 +255,7 @@
   d.List({});
   d.Ask(1);
   d.Ask(2);
-  d.Run(1400 * kMs);  // aim 500 + 2 x 500 of work, less the work: both are late now
+  d.Run(1400 * kMs);  // target 500 ms + 2 x 500 ms of work, minus the work: both are late
   d.Ask(3);
   d.Workers(1);
   ASSERT_EQ(d.sends.size(), 1u);
@@ -264,7 +265,7 @@
 TEST(Order, AJobThatTurnsLateKeepsItsPlaceBehindNewerOnes) {
   Driver d(BaseSettings());
   d.Workers(1);
-  d.Ask(1, 1);  // held up: not begun
+  d.Ask(1, 1);  // not started
   d.Ask(2, 1);
   d.Run(700 * kMs);
   d.Ask(3, 1);
@@ -291,7 +292,7 @@
   d.Workers(1);
   d.Ask(1);
   d.End(1, Outcome::kFull);
-  EXPECT_TRUE(d.sends.empty());  // not straight back
+  EXPECT_TRUE(d.sends.empty());  // not sent back to the worker at once
   d.Run(30 * kMs);
   EXPECT_EQ(d.all_sends.size(), 1u);
   d.Run(200 * kMs);
@@ -306,7 +307,7 @@
   d.Run(100 * kMs);
   ASSERT_EQ(d.all_sends.size(), 2u);
   d.End(d.all_sends[1].request, Outcome::kFull);
-  d.End(1, Outcome::kGood);  // the slot it held is known to be free
+  d.End(1, Outcome::kGood);  // its slot is known to be free
   EXPECT_EQ(d.sends.size(), 1u);
 }
 
@@ -334,15 +335,16 @@
   d.Run(150 * kMs);
   std::set<WorkerId> used;
   for (const Send& send : d.all_sends) used.insert(send.worker);
-  EXPECT_EQ(used.size(), d.all_sends.size());  // none got a second before its first began
+  EXPECT_EQ(used.size(),
+            d.all_sends.size());  // no worker got a second job before its first had started
   const double found = d.dispatcher.PoolLimit(0);
-  d.Run(200 * kMs);  // none began in time
+  d.Run(200 * kMs);  // no job started in time
   EXPECT_LT(d.dispatcher.PoolLimit(0), found);
 }
 
-// Other keys' work first, so that the key asked for next is a small part of it; then `n` jobs of
-// one key, none of which begins. Returns the workers that these were sent to within the first
-// second.
+// Serves `others` jobs of other keys first, so that the tested key has a small share of the work,
+// and then submits `n` jobs of one key, none of which starts. Returns the workers that these were
+// sent to within the first second.
 std::set<WorkerId> WorkersOfAKey(Driver& d, int others, int n) {
   RequestId id = 1;
   d.Workers(12);
@@ -386,7 +388,7 @@
  protected:
   Preferred() : d(BaseSettings()) {
     d.Workers(8);
-    d.ServeTogether(100, 40);  // the limit is none here
+    d.ServeTogether(100, 40);  // raises the limit so that it does not bind
   }
   WorkerId Ask(RequestId id, std::vector<WorkerId> preferred) {
     RequestArrived e = d.Request(id);
@@ -400,9 +402,9 @@
 
 TEST_F(Preferred, TheFirstWithAFreeSlotTakesTheJob) {
   EXPECT_EQ(Ask(1, {5, 2}), 5u);
-  EXPECT_EQ(Ask(2, {5, 2}), 2u);  // the first has one slot, in use
+  EXPECT_EQ(Ask(2, {5, 2}), 2u);  // the first worker has one slot, which is in use
   const WorkerId other = Ask(3, {5, 2});
-  EXPECT_LT(other, 8u);  // neither has room: any worker
+  EXPECT_LT(other, 8u);  // neither has a free slot: any worker
   EXPECT_NE(other, 5u);
   EXPECT_NE(other, 2u);
   d.Begin(1);
@@ -411,12 +413,12 @@
 }
 
 TEST_F(Preferred, OnesThatMayNotBeUsedArePassedOver) {
-  EXPECT_LT(Ask(1, {99}), 8u);  // not on the list
+  EXPECT_LT(Ask(1, {99}), 8u);  // not in the list
   std::vector<WorkerEntry> draining = {Driver::Entry(5, Health::kDraining)};
   d.List(draining, WorkerList::Form::kChanges);
   EXPECT_EQ(Ask(2, {5, 6}), 6u);
   d.Begin(2);
-  d.End(2, Outcome::kNoConnection);  // it is blocked for a while
+  d.End(2, Outcome::kNoConnection);  // the worker is blocked for a while
   EXPECT_NE(Ask(3, {6}), 6u);
 }
 
@@ -431,7 +433,7 @@
  protected:
   static Settings Many() {
     Settings s = BaseSettings();
-    s.balancers = 200;  // for twenty workers: hardly a job a node
+    s.balancers = 200;  // for 20 workers: less than one job per node
     for (ClassSettings& c : s.classes) c.latency_target = 5 * kSecond;
     return s;
   }
@@ -449,7 +451,8 @@
   Driver d{Many()};
 };
 
-// A node that has hardly a job out cannot tally what others send to the places of a key.
+// A node with hardly a job in flight cannot estimate the load of the other nodes on the places of a
+// key from its own jobs.
 TEST_F(Asking, WhatTheProbedTellOfOthersCounts) {
   d.Workers(20);
   AskKeyed(1);
@@ -461,8 +464,8 @@
   EXPECT_EQ(d.last_worker[1], asked[1]);
 }
 
-// Also guards against a node that has seen few jobs taking one key for much of all work, so that
-// all nodes scatter all keys over all workers.
+// Also guards against a node that has seen few jobs and takes one key for a large share of all
+// work, so that all nodes scatter all keys over all workers.
 TEST_F(Asking, APlaceOfTheKeyIsLeftForAFullWorkersJobsOnly) {
   d.Workers(20);
   AskKeyed(1);
@@ -488,7 +491,8 @@
   EXPECT_EQ(d.attempts[1], 1);
 }
 
-// Nodes that pick among all workers meet each other there unseen, the more so the more they are.
+// Nodes that choose among all workers collide on the same workers without seeing each other, the
+// more often the more nodes there are.
 TEST(Home, NodesStartOnPartsOfTheirOwn) {
   std::set<WorkerId> used;
   for (int node = 0; node < 5; ++node) {
@@ -530,7 +534,8 @@
   EXPECT_NE(d.last_worker[4], home);
 }
 
-// Six of ten jobs went to another data centre, each at a price, while workers of this one idled.
+// Regression: six of ten jobs were sent to another zone, each at a price, while workers of the own
+// zone were idle.
 struct Zones : ::testing::Test {
   static Settings Priced() {
     Settings s = BaseSettings();
@@ -542,11 +547,12 @@
     std::vector<WorkerEntry> entries;
     for (WorkerId id = 0; id < static_cast<WorkerId>(workers); ++id) {
       entries.push_back(Driver::Entry(id));
-      entries.back().zone = id % 3;  // 1, 4, 7 ... are in this node's
+      entries.back().zone = id % 3;  // 1, 4, 7 ... are in this node's zone
     }
     d.List(entries);
   }
-  // Serves a job whose worker then tells so many free slots; true: in the node's own zone.
+  // Serves a job whose worker then reports `free` free slots. Returns whether the worker is in the
+  // node's own zone.
   bool Serve(RequestId id, double free) {
     d.Ask(id);
     d.Begin(id);
@@ -568,7 +574,7 @@
   List(3);
   RequestId id = 0;
   while (id < 10) Serve(++id, 8);
-  for (int batch = 0; batch < 12; ++batch) {  // until the limit has room for twelve
+  for (int batch = 0; batch < 12; ++batch) {  // until the limit permits twelve jobs
     const RequestId first = id + 1;
     for (int i = 0; i < 24; ++i) d.Ask(++id);
     std::set<RequestId> done;
@@ -582,7 +588,7 @@
     }
   }
   while (id < 400) Serve(++id, 0);
-  // Of twelve jobs at once, those that stay in this zone.
+  // Returns how many of twelve simultaneous jobs stay in this zone.
   const auto stay = [&] {
     int own = 0;
     for (const RequestId last = id + 12; id < last;) {
@@ -593,9 +599,9 @@
     for (RequestId i = id - 11; i <= id; ++i) d.End(i, Outcome::kGood);
     return own;
   };
-  EXPECT_LE(stay(), 9) << "others have taken all slots here";
+  EXPECT_LE(stay(), 9) << "other nodes use all slots of this zone";
   d.Run(5 * kSecond);
-  EXPECT_EQ(stay(), 12) << "what was told then says nothing of now";
+  EXPECT_EQ(stay(), 12) << "the old reports no longer count";
 }
 
 TEST_F(Zones, LooksAreBoundedHoweverManyWorkersHaveNoRoom) {
@@ -604,7 +610,7 @@
   EXPECT_LE(d.dispatcher.WorkersExamined(), 200u * 40);
 }
 
-// With many workers and few jobs a node, nearly every send opened a connection.
+// Regression: with many workers and few jobs per node, nearly every send opened a connection.
 TEST(Connections, OpenOnesComeFirstWhereNewOnesHaveAPrice) {
   for (const double price : {0.0, 0.08}) {
     Settings s = BaseSettings();
@@ -624,7 +630,7 @@
   }
 }
 
-// Each node's raise added up to many slots a worker at once.
+// Regression: the raises of all nodes added up to many slots per worker at once.
 TEST(Limit, TheBacklogRaiseIsThisNodesPart) {
   double raised[2];
   for (const int balancers : {1, 100}) {
@@ -642,8 +648,8 @@
   EXPECT_NEAR(raised[1], raised[0] / 100, 1e-9);
 }
 
-// Each pick and each check looked at every worker: at 474 workers the node needed 2.4 times the CPU
-// it was given for a request.
+// Regression: each choice and each check examined every worker; with 474 workers the node
+// needed 2.4 times its CPU budget per request.
 std::uint64_t LooksOfTwoHundredJobs(int workers) {
   Settings s = BaseSettings();
   s.balancers = workers + workers / 4;
@@ -669,7 +675,7 @@
   RequestId id = 0;
   while (id < 300) {
     d.Ask(++id);
-    d.Run(200 * kMs);  // none of them starts, so each of the 300 keeps out of the sample
+    d.Run(200 * kMs);  // no job starts, so none of the 300 workers is sampled again
   }
   ASSERT_EQ(d.all_sends.size(), 300u);
   d.Ask(++id);
@@ -702,8 +708,8 @@
   }
 }
 
-// A complete list told again voids nothing of what a cold worker was sent, and its part stays
-// though the order has moved.
+// A repeated complete list does not reset the work that a cold worker was sent, and this node's
+// share of the worker stays the same although the member order has changed.
 TEST(Home, AColdWorkersPartStaysAsFirstHeard) {
   Settings s = BaseSettings();
   s.balancers = 2;
@@ -725,9 +731,9 @@
   EXPECT_LE(sent, 3);  // half of 4 x 0.3 slots x 1.5 s is 0.9 s of work, on one worker of the two
 }
 
-// Met on the operators' days: a worker that served here is detached, restarts while it is out and
-// is heard of first as draining, when this node's part of it is nothing. That part stood as its
-// share of the cold budget, and once put back it drew no job until it was warm.
+// Regression: a worker is removed from service, restarts meanwhile, and is first listed as
+// draining, when this node's share of it is zero. This share was used for the cold budget, so that
+// the worker got no job after its return until it was warm.
 TEST(Home, AWorkerPutBackAfterARestartWhileOutDrawsJobs) {
   Settings s = BaseSettings();
   Driver d(s);
@@ -743,7 +749,7 @@
   d.List({Driver::Entry(0, Health::kDraining, restarted)}, WorkerList::Form::kChanges);
   d.Run(kSecond);
   d.List({Driver::Entry(0, Health::kInService, restarted)}, WorkerList::Form::kChanges);
-  // Jobs that stay out a while: the least busy of the others is busier than the one put back.
+  // The jobs stay in flight, so all other workers are busier than the returned one.
   int to_it = 0;
   for (const RequestId last = id + 6; id < last; ++id) {
     d.Ask(id);
@@ -752,14 +758,15 @@
   EXPECT_GE(to_it, 1);
 }
 
-// A worker that starts each job and fails it at once looked idle and drew most jobs.
+// Regression: a worker that starts each job and fails it at once looked idle and attracted most
+// jobs.
 TEST(Errors, AWorkerThatFailsEverythingAtOnceDrawsFewJobs) {
   Driver d(BaseSettings());
   d.Workers(4);
   int to_bad = 0;
   for (RequestId id = 1; id <= 100; ++id) {
     d.Ask(id, 1);
-    const bool bad = d.last_worker[id] == d.last_worker[1];  // the first one met
+    const bool bad = d.last_worker[id] == d.last_worker[1];  // the worker of the first job
     to_bad += bad ? 1 : 0;
     d.Begin(id);
     d.Run(bad ? kMs : 50 * kMs);
@@ -769,12 +776,13 @@
   EXPECT_LE(to_bad, 8);
 }
 
-// One that failed two jobs of three at once was trusted again after each that it served.
+// Regression: a worker that failed two of three jobs got its full share again after each completed
+// job.
 TEST(Errors, AWorkerThatFailsManyIsOnTrialUntilItServesSeveralInTurn) {
   Driver d(BaseSettings());
   d.Workers(4);
   RequestId id = 0;
-  // Of 50 times 8 jobs at once, those that come to worker 2.
+  // Sends 50 batches of 8 simultaneous jobs. Returns how many went to worker 2.
   const auto to_bad = [&](int fails_of_three) {
     int count = 0;
     for (int batch = 0; batch < 50; ++batch) {
@@ -786,17 +794,17 @@
         if (bad && ++count % 3 < fails_of_three) d.End(id, Outcome::kError);
       }
       d.Run(50 * kMs);
-      for (RequestId i = first; i <= id; ++i) d.End(i, Outcome::kGood);  // those that are out
+      for (RequestId i = first; i <= id; ++i) d.End(i, Outcome::kGood);  // those in flight
     }
     return count;
   };
-  while (id < 60) d.Serve(++id);  // the limit has room for eight
+  while (id < 60) d.Serve(++id);  // raises the limit to eight jobs
   EXPECT_GE(to_bad(0), 80);
   const int tried = to_bad(2);
   EXPECT_GE(tried, 1);
   EXPECT_LE(tried, 12);
   d.Run(5 * kSecond);
-  EXPECT_GE(to_bad(0), 80) << "it is well again, and gets its part";
+  EXPECT_GE(to_bad(0), 80) << "the worker has recovered and gets its share again";
 }
 
 TEST(Kind, AJobGoesToNoKindTooSlowForIt) {
@@ -807,7 +815,7 @@
   entries[1].kind = 1;
   d.List({entries[1]});
   RequestId id = 1;
-  for (int i = 0; i < 60; ++i, ++id) {  // kind 1 takes four times a job's work
+  for (int i = 0; i < 60; ++i, ++id) {  // kind 1 needs four times the work of a job
     RequestArrived r = d.Request(id);
     r.hint = 100 * kMs;
     d.Give({r});
@@ -819,7 +827,7 @@
   d.List({});
   RequestArrived r = d.Request(id);
   r.hint = 400 * kMs;
-  d.Give({r});  // aim 500 + 2 x 400 = 1300 ms: 1600 ms there are too long
+  d.Give({r});  // target 500 + 2 x 400 = 1300 ms: the 1600 ms of kind 1 are too long
   d.Run(100 * kMs);
   d.List({entries[1]});
   EXPECT_TRUE(d.sends.empty());
@@ -859,7 +867,7 @@
   Driver d(s);
   d.List({});
   d.Ask(1, 1);
-  d.Run(1600 * kMs);  // it missed its time for want of a worker
+  d.Run(1600 * kMs);  // misses its target for lack of a worker
   d.Ask(2, 0);
   d.Workers(2);
   d.Begin(1);
@@ -867,15 +875,15 @@
   ASSERT_EQ(d.all_sends.size(), 1u);
   EXPECT_EQ(d.all_sends[0].request, 1u);
   d.End(1, Outcome::kGood);
-  d.Run(70 * kSecond);  // the price fades, however seldom jobs come
+  d.Run(70 * kSecond);  // the price decays even with few arrivals
   d.End(2, Outcome::kTimeout);
   d.Ask(3, 0);
   d.Run(100 * kMs);
   EXPECT_EQ(d.attempts[3], 1);
 }
 
-// A node of few jobs is told of a miss now and then only; between two of them it spent its slots on
-// jobs worth little while others of its kind of job were missed at all nodes.
+// Regression: a node with few jobs rarely sees a missed target; between two of them it gave its
+// slots to jobs of little value while valuable jobs were missed at all nodes.
 TEST(Price, LastsForSoManyArrivalsOfThisNode) {
   const auto sent_after_miss = [](Micros gap) {
     Settings s = BaseSettings();
@@ -885,12 +893,12 @@
     Driver d(s);
     d.Workers(1);
     RequestId id = 0;
-    for (int i = 0; i < 60; ++i) {  // teaches how often jobs come
+    for (int i = 0; i < 60; ++i) {  // establishes the arrival interval
       d.Serve(++id, 10 * kMs);
       d.Run(gap);
     }
     for (int i = 0; i < 10; ++i) d.Ask(++id, 1);
-    d.Run(3 * kSecond);  // what is held is missed
+    d.Run(3 * kSecond);  // the queued jobs miss their target
     for (RequestId out = 1; out <= id; ++out)
       if (d.attempts[out] > 0) d.End(out, Outcome::kGood);
     for (Micros passed = 0; passed < 8 * kSecond; passed += gap) {
@@ -927,7 +935,7 @@
     ++id;
   }
   d.Run(10 * kSecond);
-  for (RequestId out = 1; out < id; ++out)  // the deadline of what is still out
+  for (RequestId out = 1; out < id; ++out)  // the deadline of the attempts in flight
     if (d.attempts[out] > 0) d.End(out, Outcome::kTimeout);
   d.Run(4 * kSecond);
   int in_a_row = 0;
@@ -968,25 +976,25 @@
   Occupy(d, 1);
   d.Run(100 * kMs);
   d.Ask(2, 1);
-  d.Run(700 * kMs);  // sent, and late to start
-  d.Begin(2);        // it runs now, but the worker is known to be full with one more than before
+  d.Run(700 * kMs);  // sent, and started late
+  d.Begin(2);        // it runs now, but the worker was full with one job less
   d.Ask(3, 1);
   d.Run(50 * kMs);
   EXPECT_EQ(d.attempts[3], 0);
   d.End(1, Outcome::kGood);
-  EXPECT_EQ(d.attempts[3], 0);  // two ran of ours, one was trusted
+  EXPECT_EQ(d.attempts[3], 0);  // two of this node's jobs ran, one is allowed
   d.End(2, Outcome::kGood);
   EXPECT_EQ(d.attempts[3], 1);
 }
 
-// A connection that had fallen silent kept its worker out until the job's deadline.
+// Regression: one silent connection excluded its worker until the deadline of the job.
 struct NeverTaken : ::testing::Test {
   NeverTaken() {
     Settings s = BaseSettings();
     s.reports_accept = true;
     d.emplace(s);
     d->Workers(4);
-    for (RequestId id = 1; id <= 30; ++id) d->Serve(id);  // the limit has room for some jobs
+    for (RequestId id = 1; id <= 30; ++id) d->Serve(id);  // raises the limit to some jobs
   }
   void Take(RequestId id) {
     d->Give({AttemptAccepted{id, d->attempts[id] - 1, d->last_worker[id]}});
@@ -1012,7 +1020,7 @@
   d->End(100, Outcome::kCancelled);
   EXPECT_EQ(d->attempts[100], 2);
   Take(100);
-  EXPECT_EQ(cancels(101, 200), 1) << "once, and none of those that were taken";
+  EXPECT_EQ(cancels(101, 200), 1) << "one cancel, and none of the accepted attempts";
   d->End(101, Outcome::kCancelled);
   EXPECT_EQ(d->failed, std::vector<RequestId>{101});
 }
@@ -1022,13 +1030,13 @@
   d->Ask(99, 1);
   Take(99);
   d->Begin(99);
-  d->Ask(100, 1);  // its connection is silent
+  d->Ask(100, 1);  // the connection of this attempt is silent
   d->Run(20 * kMs);
   d->Progress(99);
   d->Run(400 * kMs);
   d->Ask(101, 1);
   EXPECT_EQ(d->attempts[101], 1);
-  d->Run(400 * kMs);  // this one is not taken either, and nothing has been heard since
+  d->Run(400 * kMs);  // this attempt is not accepted either, and the worker has not responded since
   d->Ask(102, 1);
   EXPECT_EQ(d->attempts[102], 0);
   d->Progress(99);
@@ -1043,7 +1051,7 @@
   Driver d(s);
   d.List({});
   RequestId id = 1;
-  for (; id <= 5; ++id) {  // two seconds of its quota at once are inside the share
+  for (; id <= 5; ++id) {  // a burst of two seconds of its quota is within the quota
     RequestArrived r = d.Request(id);
     r.tenant = 0;
     d.Give({r});
@@ -1107,7 +1115,7 @@
   EXPECT_EQ(again, 1);
 }
 
-// ---------------------------------------------------------------- what several nodes have seen
+// ---------------------------------------------------------------- health verdicts of several nodes
 
 HealthVerdict Out(WorkerId worker, Micros at, bool trial = false) {
   return {worker, true, trial, false, at, {1, 2}};
@@ -1144,12 +1152,12 @@
   EXPECT_EQ(d.all_sends[0].request, 2u);
   d.Ask(3, 0);
   d.Run(2 * kSecond);
-  EXPECT_EQ(d.all_sends.size(), 1u) << "one job; the next is another node's";
-  d.Begin(2);  // it lives
+  EXPECT_EQ(d.all_sends.size(), 1u) << "one trial job only; another node makes the next trial";
+  d.Begin(2);  // the worker responds
   d.Run(100 * kMs);
   d.End(2, Outcome::kGood);
   d.Run(100 * kMs);
-  EXPECT_GT(d.all_sends.size(), 1u) << "own evidence is fresher than what was said";
+  EXPECT_GT(d.all_sends.size(), 1u) << "own evidence is more recent than the verdict";
 }
 
 TEST(Judged, WhatThisNodeHasHeardSinceOutweighsIt) {
@@ -1162,8 +1170,8 @@
   EXPECT_EQ(d.all_sends.size(), 2u);
 }
 
-// A worker that others saw die is cold when it answers, though the list has not told of its new
-// process: without their word this node gives it all it has.
+// A worker whose death other nodes observed is cold when it answers, even if the list does not show
+// its new process yet. Without the verdict this node sends it all queued jobs.
 TEST(Judged, ADeathThatOthersSawMakesItColdBeforeTheListSaysSo) {
   Settings s = BaseSettings();
   s.balancers = 4;
@@ -1196,7 +1204,7 @@
   for (RequestId id = 1; id <= 2; ++id) {
     RequestArrived e = d.Request(id);
     e.tenant = 0;
-    e.over_quota = id == 2;  // the newest would go first
+    e.over_quota = id == 2;  // without quotas the newest would go first
     all.push_back(e);
   }
   d.Give(all);
@@ -1213,7 +1221,7 @@
   d.Give({AttemptStarted{9, 0, 0}, AttemptProgress{9, 3, 55, 0.5}, ended, RequestAbandoned{9},
           ProbeEnded{99, true, {}}, HealthVerdict{98, true, true, true, 1, {}}, d.Request(1, 77)});
   d.Ask(1);
-  d.Ask(1);  // the same id again
+  d.Ask(1);  // a repeated id
   EXPECT_EQ(d.all_sends.size(), 1u);
   EXPECT_EQ(d.dispatcher.OpenRequests(), 1u);
 }
@@ -1222,10 +1230,10 @@
   EXPECT_EQ(ValidateSettings(BaseSettings()), "");
   Settings s = BaseSettings();
   s.classes.clear();
-  EXPECT_EQ(ValidateSettings(s), "no request class");
+  EXPECT_EQ(ValidateSettings(s), "no request classes: expected at least 1");
   s = BaseSettings();
   s.min_handle_interval = 0;
-  EXPECT_EQ(ValidateSettings(s), "no round length");
+  EXPECT_EQ(ValidateSettings(s), "interval between calls of Handle is 0 us: expected more than 0");
 }
 
 }  // namespace
--- a/tests/dispatch/policy/property_test.cpp
+++ b/tests/dispatch/policy/property_test.cpp
@@ -1,4 +1,4 @@
-// Random legal events against an independent checker of the rules. The checker keeps its own books
+// Random legal events against an independent checker of the rules. The checker tracks all requests
 // from the events and actions alone and shares no code with the module.
 #include <gtest/gtest.h>
 
@@ -46,13 +46,14 @@
       Step();
       CheckDeadlines();
     }
-    for (int i = 0; i < 4000 && Open(); ++i) {  // run dry
+    for (int i = 0; i < 4000 && Open(); ++i) {  // until all requests have ended
       now_ += 10 * kMs;
       Outcomes();
       Step();
       CheckDeadlines();
     }
-    for (const auto& [id, r] : requests_) EXPECT_EQ(r.finals, 1) << "answers of " << id;
+    for (const auto& [id, r] : requests_)
+      EXPECT_EQ(r.finals, 1) << "final answers of request " << id;
     EXPECT_EQ(dispatcher_.OpenRequests(), 0u);
     EXPECT_GT(served_, steps / 20);
   }
@@ -151,7 +152,7 @@
     trace += std::to_string(s.worker) + ";";
     BookedRequest& r = requests_.at(s.request);
     const ClassSettings& c = settings_.classes[static_cast<std::size_t>(r.cls)];
-    EXPECT_EQ(r.finals, 0) << "sent after its end";
+    EXPECT_EQ(r.finals, 0) << "sent after its final answer";
     EXPECT_LT(now_, r.due);
     EXPECT_EQ(health_.at(s.worker), Health::kInService) << "sent to a draining worker";
     EXPECT_LT(r.attempts.size(), static_cast<std::size_t>(settings_.max_attempts));
@@ -160,10 +161,10 @@
     }
     for (const BookedAttempt& a : r.attempts) {
       if (!settings_.may_duplicate) {
-        EXPECT_FALSE(a.out) << "two attempts out";
+        EXPECT_FALSE(a.out) << "two attempts in flight";
       }
       if (!a.may_have_run) continue;
-      EXPECT_NE(c.effect, Effect::kOnce) << "ran twice";
+      EXPECT_NE(c.effect, Effect::kOnce) << "may have run twice";
       if (c.effect != Effect::kByKey) continue;
       EXPECT_LT(now_ - a.sent, c.key_window);
       if (c.key_scope != KeyScope::kAll) {
@@ -178,7 +179,7 @@
     const ClassSettings& c = settings_.classes[static_cast<std::size_t>(r.cls)];
     for (const BookedAttempt& a : r.attempts) {
       if (!a.may_have_run) continue;
-      EXPECT_NE(c.effect, Effect::kOnce) << "refused though it may have run";
+      EXPECT_NE(c.effect, Effect::kOnce) << "refused although it may have run";
       if (c.effect == Effect::kByKey) {
         EXPECT_EQ(c.key_scope, KeyScope::kAll);
       }
@@ -194,7 +195,7 @@
   void CheckDeadlines() {
     for (const auto& [id, r] : requests_)
       if (now_ >= r.due + 20 * kMs) {
-        EXPECT_EQ(r.finals, 1) << "no answer in time: " << id;
+        EXPECT_EQ(r.finals, 1) << "no final answer by the deadline: request " << id;
       }
   }
 
--- a/tests/dispatch/policy/rules_test.cpp
+++ b/tests/dispatch/policy/rules_test.cpp
@@ -1,4 +1,4 @@
-// The four rules at their edges.
+// Edge cases of the four rules: final answers, double execution, draining workers, cold workers.
 #include <gtest/gtest.h>
 
 #include "driver.h"
@@ -34,7 +34,7 @@
   d.Workers(3);
   d.Ask(1, 1);
   d.Begin(1);
-  d.Run(9 * kSecond);  // its worker falls silent
+  d.Run(9 * kSecond);  // its worker becomes silent
   EXPECT_EQ(d.all_sends.size(), 1u);
   EXPECT_TRUE(d.all_failed.empty());
 }
@@ -52,14 +52,15 @@
   late.Workers(2);
   late.Ask(1, 2);
   late.Begin(1);
-  for (int i = 0; i < 12; ++i) {  // keeps its worker from falling silent
+  for (int i = 0; i < 12; ++i) {  // progress keeps its worker from becoming silent
     late.Run(500 * kMs);
     late.Progress(1);
   }
   late.End(1, Outcome::kReset);
   late.Run(5 * kSecond);
   EXPECT_EQ(late.all_sends.size(), 1u);
-  EXPECT_EQ(late.all_refused, std::vector<RequestId>{1});  // group "all": a refusal is allowed
+  EXPECT_EQ(late.all_refused,
+            std::vector<RequestId>{1});  // with key scope kAll a refusal is allowed
 }
 
 TEST(ByKey, StaysInItsGroup) {
@@ -87,7 +88,7 @@
     }
     d.Run(10 * kSecond);
     d.End(1, Outcome::kTimeout);
-    EXPECT_TRUE(d.all_refused.empty());  // a group short of "all" allows a failure only
+    EXPECT_TRUE(d.all_refused.empty());  // with a narrower key scope only a failure is allowed
   }
 }
 
@@ -111,7 +112,7 @@
   d.Workers(3);
   d.Ask(1, 0);
   d.Begin(1);
-  d.Run(4 * kSecond);  // silent: cancelled, not doubled
+  d.Run(4 * kSecond);  // silent: no second attempt while the first is in flight
   EXPECT_EQ(d.all_sends.size(), 1u);
   d.End(1, Outcome::kCancelled);
   EXPECT_EQ(d.all_sends.size(), 2u);
@@ -141,8 +142,8 @@
   d.Workers(3);
   d.Ask(1, 0);
   d.End(1, Outcome::kGood);
-  d.End(1, Outcome::kReset, 0);                         // a late, repeated outcome
-  d.Give({RequestAbandoned{1}, RequestAbandoned{77}});  // ids no longer or never held
+  d.End(1, Outcome::kReset, 0);                         // a late, duplicate outcome
+  d.Give({RequestAbandoned{1}, RequestAbandoned{77}});  // ended and unknown ids
   d.Run(20 * kSecond);
   EXPECT_EQ(d.all_sends.size(), 1u);
   EXPECT_TRUE(d.all_refused.empty() && d.all_failed.empty());
@@ -162,7 +163,7 @@
 TEST(Drain, NothingIsSentFromTheMomentItIsHeard) {
   Driver d(BaseSettings());
   d.Workers(2);
-  // Drain heard in the same instant as the request.
+  // The drain notice arrives at the same instant as the request.
   d.Give({WorkerList{WorkerList::Form::kChanges, {Driver::Entry(0, Health::kDraining)}},
           d.Request(1)});
   d.List({Driver::Entry(1, Health::kGone)}, WorkerList::Form::kChanges);
@@ -170,7 +171,7 @@
   d.Run(2 * kSecond);
   ASSERT_EQ(d.all_sends.size(), 1u);
   EXPECT_EQ(d.all_sends[0].worker, 1u);
-  d.Workers(1);  // back: the held jobs go
+  d.Workers(1);  // the worker is back: the queued jobs are sent
   EXPECT_FALSE(d.sends.empty());
 }
 
@@ -183,7 +184,7 @@
   EXPECT_EQ(d.last_worker[1], 2u);
 }
 
-// Work sent to one cold worker in the rule's window, in worker-microseconds by the told hints.
+// Returns the work sent to one cold worker in the window of rule 4, in microseconds by the hints.
 double SentToCold(int balancers, bool restart) {
   Settings s = BaseSettings();
   s.balancers = balancers;
@@ -197,7 +198,7 @@
     RequestArrived r = d.Request(id, 0);
     r.hint = 50 * kMs;
     d.Give({r});
-    while (!d.sends.empty()) {  // each is refused at once, and counts all the same
+    while (!d.sends.empty()) {  // refused at once, which still counts
       const RequestId sent = d.sends[0].request;
       work += 50 * kMs;
       d.End(sent, Outcome::kFull);
@@ -209,7 +210,7 @@
 }
 
 TEST(Cold, GetsThisNodesPartOfTheBudget) {
-  // One slot is all that is known of it: 4 x share x 1.5 s, and the share grows to 0.45 meanwhile.
+  // One slot has been seen: 4 x share x 1.5 s, and the share grows to 0.45 in this time.
   const double budget = 4 * 0.45 * 1500 * kMs;
   for (const bool restart : {false, true}) {
     const double alone = SentToCold(1, restart);
@@ -220,8 +221,8 @@
   }
 }
 
-// Met on a day of resets: each broken connection made its worker cold for seconds, though all else
-// that ran there went on.
+// Regression: each connection reset made its worker cold for seconds although all its other jobs
+// kept running.
 TEST(Cold, AWorkerThatSpeaksOfWhatItHadBeforeDidNotDie) {
   Driver d(BaseSettings());
   d.now = 10 * kSecond;
@@ -234,10 +235,10 @@
   }
   d.Run(50 * kMs);
   d.End(2, Outcome::kReset);
-  EXPECT_TRUE(dead()) << "so it seems";
+  EXPECT_TRUE(dead()) << "a reset looks like a death";
   d.Run(50 * kMs);
   d.Progress(1);
-  EXPECT_FALSE(dead()) << "the other job runs on";
+  EXPECT_FALSE(dead()) << "the other job still runs";
   d.Ask(3, 1);
   d.Begin(3);
   d.Run(50 * kMs);
@@ -247,7 +248,7 @@
   d.Run(500 * kMs);
   d.Ask(4, 1);
   d.Begin(4);
-  EXPECT_TRUE(dead()) << "what a new process has been sent says nothing of the old one";
+  EXPECT_TRUE(dead()) << "a job of the new process does not show that the old one lives";
 }
 
 TEST(Cold, IsWarmAfterTheStatedTime) {
@@ -262,7 +263,8 @@
   EXPECT_EQ(d.all_sends.size(), 1u);
 }
 
-// Rule 2 across a restart: a job whose attempt was made before this module's time.
+// Rule 2 (no double execution) across a restart: a job whose attempt was sent by the earlier
+// process.
 TEST(Adopted, IsNotSentAgainAndItsSlotsCount) {
   Driver d(BaseSettings());
   d.Workers(3);
@@ -283,8 +285,8 @@
   EXPECT_EQ(d.dispatcher.OpenRequests(), 0u);
 }
 
-// At a worker that is not on the list any more: its slots fill no limit, and it is not sent
-// elsewhere.
+// An attempt at a worker that is no longer listed: its slots do not count towards the limit, and
+// the job is not sent elsewhere.
 TEST(Adopted, AtAWorkerThatHasGone) {
   Driver d(BaseSettings());
   d.Workers(1);
@@ -295,8 +297,8 @@
   EXPECT_EQ(d.all_sends.size(), 1u);
 }
 
-// What never ran goes out at once; what may have run only within its window, from the first send
-// on.
+// A job that never ran is sent at once; a job that may have run only within its key window, counted
+// from the first send.
 TEST(Adopted, EndedAttemptsBindTheNextAsEver) {
   for (const auto& [cls, was, sent, wanted] :
        {std::tuple{1, AttemptAdopted::State::kNeverRan, -kSecond, 1u},
--- a/tests/dispatch/simulator/wire_test.cpp
+++ b/tests/dispatch/simulator/wire_test.cpp
@@ -1,4 +1,4 @@
-// The adapter alone, on hand-written transcripts.
+// The simulator adapter on hand-written transcripts.
 #include "dispatch/simulator/wire.h"
 
 #include <gtest/gtest.h>
@@ -171,19 +171,20 @@
     All, Malformed,
     ::testing::Values(
         BadLine{"dance 3", "unknown message"}, BadLine{"elapsed 4 1", "instance 4 not started"},
-        BadLine{"elapsed x 1", "bad node"}, BadLine{"elapsed 3", "no timer mark"},
+        BadLine{"elapsed x 1", "bad node"}, BadLine{"elapsed 3", "missing timer mark"},
         BadLine{"request 3 00000000000000ff - soon 1 read", "bad due time"},
         BadLine{"request 3 ff - 5 1 read", "bad request id"},
         BadLine{"request 3 00000000000000ff - 5 1 sing", "unknown class"},
-        BadLine{"request 3 00000000000000ff", "no due time"},
+        BadLine{"request 3 00000000000000ff", "missing due time"},
         BadLine{"ended 3 00000000000000ff 0 10.0.0.1:5000 WHAT 1 0", "unknown outcome"},
-        BadLine{"ended 3 00000000000000ff 0 10.7.7.7:5000 GOOD 1 0", "never listed"},
+        BadLine{"ended 3 00000000000000ff 0 10.7.7.7:5000 GOOD 1 0",
+                "unknown executor '10.7.7.7:5000'"},
         BadLine{"ended 3 00000000000000ff 0 10.0.0.1:5000 GOOD nan 0", "bad latency"},
         BadLine{"discovery 3 C 1 99", "bad list number"},
         BadLine{"begin_batch 2000", "inside a batch"},
-        BadLine{"start 5 42 RoundMs=5", "no request class"},
+        BadLine{"start 5 42 RoundMs=5", "no request classes"},
         BadLine{"start 5 42 RequestClasses.count=1 RequestClasses.0.Effect=once Models=a",
-                "no round length"},
+                "interval between calls of Handle is 0 us"},
         BadLine{"start 5 42 RoundMs=abc", "bad RoundMs"}),
     [](const auto& info) { return "Line" + std::to_string(info.index); });
 
