--- a/lab/cli/trial.cpp
+++ b/lab/cli/trial.cpp
@@ -85,8 +85,8 @@
       p.plan.length = 90'000'000;
       p.lost = lost;
       p.options.voters = nodes >= 5 ? std::vector<int>{0, 1, 2, 3, 4} : std::vector<int>{0, 1, 2};
-      p.options.every = std::max<Micros>(250'000, nodes * Micros{8'000});
-      p.options.lease = std::max<Micros>(4'700'000, 4 * p.options.every);
+      p.options.round_interval = std::max<Micros>(250'000, nodes * Micros{8'000});
+      p.options.lease = std::max<Micros>(4'700'000, 4 * p.options.round_interval);
       p.propose_every = 8'000'000;
       p.ahead = 200'000;
       p.drift = 0.01;
--- a/lab/trial/checkers.cpp
+++ b/lab/trial/checkers.cpp
@@ -777,14 +777,14 @@
 }  // namespace
 
 Micros NoticeWithin(int nodes, Micros period) {
-  const double least = membership::Members::SuspicionLeast({.nodes = nodes});
+  const double least = membership::Members::MinSuspicionPeriods({.nodes = nodes});
   return static_cast<Micros>((6 * least + 15) * static_cast<double>(period));
 }
 
 Micros JudgementsGoneWithin() { return kJudgementGone + 500'000; }
 
 Micros AgreementWithin(int nodes, Micros period) {
-  const double least = membership::Members::SuspicionLeast({.nodes = nodes});
+  const double least = membership::Members::MinSuspicionPeriods({.nodes = nodes});
   return static_cast<Micros>((6 * least + 15) * static_cast<double>(period));
 }
 
--- a/lab/trial/rules_virtual.cpp
+++ b/lab/trial/rules_virtual.cpp
@@ -12,8 +12,8 @@
 namespace pearreach::lab {
 namespace {
 
-using rules::Agreement;
-using rules::Head;
+using rules::Consensus;
+using rules::VersionId;
 
 constexpr Micros kReturn = 300'000;  // a restarted process speaks again
 constexpr Micros kBegun = 6'000'000;
@@ -67,11 +67,11 @@
     bool operator<(const Event& o) const { return at != o.at ? at > o.at : number > o.number; }
   };
   struct Node {
-    std::unique_ptr<Agreement> machine;
+    std::unique_ptr<Consensus> machine;
     int stalls = 0, deaths = 0;
     std::uint64_t life = 0, bytes = 0;
     Micros ahead = 0;
-    std::optional<rules::Kept> kept;
+    std::optional<rules::PersistentState> kept;
     std::vector<std::pair<int, std::string>> waiting;
     int writes_left = 0;  // until it is killed; 0: never
   };
@@ -109,31 +109,31 @@
     o.self = n;
     o.nodes = p_.plan.nodes;
     if (n == p_.old_node) o.schema = 1;
-    node.machine = std::make_unique<Agreement>(
+    node.machine = std::make_unique<Consensus>(
         o, SeedOf(p_.plan.seed, 53, static_cast<std::uint64_t>(n) * 1000 + node.life), Clock(n),
         p_.disks ? node.kept : std::nullopt);
-    node.machine->Leave(p_.without);
+    node.machine->DisableGuards(p_.without);
     Arm(n);
   }
   void Arm(int n) {
     Node& node = Of(n);
     if (node.machine == nullptr || node.stalls > 0) return;
-    At(std::max(now_, FromClock(n, node.machine->next()) + 1), [this, n, life = node.life] {
+    At(std::max(now_, FromClock(n, node.machine->next_tick()) + 1), [this, n, life = node.life] {
       Node& node = Of(n);
       if (node.life != life || node.machine == nullptr || node.stalls > 0 ||
-          node.machine->next() > Clock(n))
+          node.machine->next_tick() > Clock(n))
         return;
-      std::vector<Agreement::Out> out;
+      std::vector<Consensus::Outgoing> out;
       node.machine->Tick(Clock(n), Alive(n), &out);
       Send(n, out);
       Arm(n);
     });
   }
   // What is to be kept is kept before anything is said.
-  void Send(int n, const std::vector<Agreement::Out>& out) {
+  void Send(int n, const std::vector<Consensus::Outgoing>& out) {
     Node& node = Of(n);
     if (node.machine->dirty()) {
-      node.kept = node.machine->TakeKept();
+      node.kept = node.machine->TakeState();
       if (node.writes_left > 0 && --node.writes_left == 0) {
         Line("n" + std::to_string(n) + " dies after a write");
         Kill(n);
@@ -142,9 +142,9 @@
       }
     }
     for (const auto& o : node.machine->TakeOutcomes()) Outcome(n, o);
-    for (const Agreement::Out& o : out) {
+    for (const Consensus::Outgoing& o : out) {
       const std::size_t size =
-          o.section.size() + peer_transport::kHeadBytes + peer_transport::kSectionHead;
+          o.section.size() + peer_transport::kHeaderBytes + peer_transport::kSectionHeaderBytes;
       ++r_.words;
       r_.bytes += size;
       node.bytes += size;
@@ -164,8 +164,8 @@
     Node& node = Of(to);
     if (node.machine == nullptr) return;
     if (node.stalls > 0) return node.waiting.push_back({from, bytes});
-    std::vector<Agreement::Out> out;
-    node.machine->Hear(Clock(to), from, bytes, &out);
+    std::vector<Consensus::Outgoing> out;
+    node.machine->Receive(Clock(to), from, bytes, &out);
     Send(to, out);
     Arm(to);
   }
@@ -199,7 +199,7 @@
     if (chance_.Uniform() < 0.5) d.rules.attempts = 1 + static_cast<int>(chance_.Below(4));
     if (chance_.Uniform() < 0.5) d.rules.bans.insert("s-" + std::to_string(chance_.Below(3)));
     if (chance_.Uniform() < 0.5)
-      d.rules.leaves["z" + std::to_string(chance_.Below(3))] = chance_.Uniform() < 0.5;
+      d.rules.zone_left["z" + std::to_string(chance_.Below(3))] = chance_.Uniform() < 0.5;
     if (chance_.Uniform() < 0.2 && p_.plan.nodes >= 5) {
       std::set<int> voters;
       while (voters.size() < 3)
@@ -217,22 +217,22 @@
     if (p_.kill_after > 0 && r_.proposed % 2 == 1) node.writes_left = p_.kill_after;
     Arm(n);
   }
-  void Outcome(int n, const Agreement::Outcome& o) {
-    using What = Agreement::Outcome::What;
+  void Outcome(int n, const Consensus::Outcome& o) {
+    using What = Consensus::Outcome::Result;
     Line("n" + std::to_string(n) + ": " + o.text);
-    r_.chosen += o.what == What::kChosen ? 1 : 0;
-    r_.lost += o.what == What::kLost ? 1 : 0;
-    r_.open += o.what == What::kOpen ? 1 : 0;
-    r_.no_majority += o.what == What::kNoMajority ? 1 : 0;
+    r_.chosen += o.result == What::kChosen ? 1 : 0;
+    r_.lost += o.result == What::kLost ? 1 : 0;
+    r_.open += o.result == What::kOpen ? 1 : 0;
+    r_.no_majority += o.result == What::kNoMajority ? 1 : 0;
     const auto it = asked_.find({n, Of(n).life, o.proposal});
-    if (o.what == What::kChosen && it != asked_.end()) waiting_[o.head] = it->second;
+    if (o.result == What::kChosen && it != asked_.end()) waiting_[o.version] = it->second;
   }
 
   Micros LookEvery() const { return 20'000 + 200 * p_.plan.nodes; }
   struct Acts {
     std::vector<std::uint64_t> numbers;
-    Head head;
-    Agreement::Basis basis{};
+    VersionId head;
+    Consensus::Basis basis{};
     rules::Rules rules;
     bool operator<(const Acts& o) const {
       return std::tie(head, basis, numbers) < std::tie(o.head, o.basis, o.numbers);
@@ -245,21 +245,21 @@
     for (int n = 0; n < p_.plan.nodes; ++n) {
       Node& node = Of(n);
       if (node.machine == nullptr || node.stalls > 0) continue;
-      const Agreement::Acting a = node.machine->acting(Clock(n));
+      const Consensus::EffectiveRules a = node.machine->effective_rules(Clock(n));
       const rules::Version* v = node.machine->current();
       ++running;
-      floors += a.basis == Agreement::Basis::kFloor ? 1 : 0;
-      if (v != nullptr && a.basis != Agreement::Basis::kFloor) {
-        const auto [it, fresh] = truth_.emplace(std::pair(v->head.epoch, v->head.number),
+      floors += a.basis == Consensus::Basis::kFloor ? 1 : 0;
+      if (v != nullptr && a.basis != Consensus::Basis::kFloor) {
+        const auto [it, fresh] = truth_.emplace(std::pair(v->id.epoch, v->id.number),
                                                 Truth{v->bytes, v->document, now_});
         if (!fresh && it->second.bytes != v->bytes && forked_.insert(it->first).second) {
           ++r_.forks;
           Line("n" + std::to_string(n) + " acts on another version " +
-               std::to_string(v->head.number));
+               std::to_string(v->id.number));
         }
-        r_.versions = std::max(r_.versions, v->head.number);
+        r_.versions = std::max(r_.versions, v->id.number);
       }
-      all.emplace(Acts{a.numbers, v != nullptr ? v->head : Head{}, a.basis, a.rules}, n);
+      all.emplace(Acts{a.versions, v != nullptr ? v->id : VersionId{}, a.basis, a.rules}, n);
     }
     if (now_ > kBegun && running > 0) {
       floor_time_ += static_cast<double>(floors) / running;
@@ -272,8 +272,9 @@
       bool everyone = true;
       for (Node& node : nodes_)
         everyone =
-            everyone && (node.machine == nullptr || node.stalls > 0 ||
-                         (node.machine->head() >= it->first && node.machine->current() != nullptr));
+            everyone &&
+            (node.machine == nullptr || node.stalls > 0 ||
+             (node.machine->version_id() >= it->first && node.machine->current() != nullptr));
       if (everyone) r_.to_all.push_back(now_ - it->second);
       it = everyone ? waiting_.erase(it) : std::next(it);
     }
@@ -281,7 +282,7 @@
   }
   // `x` is looser than the newest version that `y` acts on, and `y` has given up what `x` acts on.
   void Compare(const Acts& x, int xn, const Acts& y, int yn) {
-    if (y.basis == Agreement::Basis::kFloor) return;
+    if (y.basis == Consensus::Basis::kFloor) return;
     if (std::pair(x.head.epoch, x.head.number) > std::pair(y.head.epoch, y.head.number)) return;
     const auto newest = truth_.find({y.head.epoch, y.head.number});
     if (newest == truth_.end()) return;
@@ -289,9 +290,9 @@
       return x.head.epoch == y.head.epoch &&
              std::find(y.numbers.begin(), y.numbers.end(), number) != y.numbers.end();
     });
-    if (common || rules::Obeys(x.rules, newest->second.document.rules)) return;
+    if (common || rules::Satisfies(x.rules, newest->second.document.rules)) return;
     const Micros since = now_ - newest->second.in_force;
-    if (x.basis == Agreement::Basis::kFloor) {
+    if (x.basis == Consensus::Basis::kFloor) {
       r_.unheard = std::max(r_.unheard, since);
       return;
     }
@@ -340,33 +341,35 @@
   }
   void Look1(int n) {
     Node& node = Of(n);
-    const Agreement::Acting a = node.machine->acting(Clock(n));
+    const Consensus::EffectiveRules a = node.machine->effective_rules(Clock(n));
     const rules::Version* v = node.machine->current();
-    const Acts x{a.numbers, v != nullptr ? v->head : Head{}, a.basis, a.rules};
+    const Acts x{a.versions, v != nullptr ? v->id : VersionId{}, a.basis, a.rules};
     for (int other = 0; other < p_.plan.nodes; ++other) {
       Node& o = Of(other);
       if (other == n || o.machine == nullptr || o.stalls > 0) continue;
-      const Agreement::Acting b = o.machine->acting(Clock(other));
+      const Consensus::EffectiveRules b = o.machine->effective_rules(Clock(other));
       const rules::Version* w = o.machine->current();
-      Compare(x, n, {b.numbers, w != nullptr ? w->head : Head{}, b.basis, b.rules}, other);
+      Compare(x, n, {b.versions, w != nullptr ? w->id : VersionId{}, b.basis, b.rules}, other);
     }
   }
   void Finish() {
     r_.length = now_;
-    Head highest;
+    VersionId highest;
     for (Node& node : nodes_)
-      if (node.machine != nullptr) highest = std::max(highest, node.machine->head());
+      if (node.machine != nullptr) highest = std::max(highest, node.machine->version_id());
     r_.agreed = true;
     for (int n = 0; n < p_.plan.nodes; ++n) {
       Node& node = Of(n);
       r_.busiest_bytes = std::max(r_.busiest_bytes, node.bytes);
       if (node.machine == nullptr) continue;
-      const bool same = node.machine->head() == highest && node.machine->current() != nullptr &&
-                        node.machine->acting(Clock(n)).basis == Agreement::Basis::kVersion;
+      const bool same = node.machine->version_id() == highest &&
+                        node.machine->current() != nullptr &&
+                        node.machine->effective_rules(Clock(n)).basis == Consensus::Basis::kVersion;
       if (!same)
-        Line("n" + std::to_string(n) + " ends on " + std::to_string(node.machine->head().number) +
-             " of epoch " + std::to_string(node.machine->head().epoch) + ", basis " +
-             std::to_string(static_cast<int>(node.machine->acting(Clock(n)).basis)) +
+        Line("n" + std::to_string(n) + " ends on " +
+             std::to_string(node.machine->version_id().number) + " of epoch " +
+             std::to_string(node.machine->version_id().epoch) + ", basis " +
+             std::to_string(static_cast<int>(node.machine->effective_rules(Clock(n)).basis)) +
              (node.machine->recovering() ? ", recovering" : ""));
       r_.agreed = r_.agreed && same;
     }
@@ -384,9 +387,9 @@
   Micros now_ = 0, propose_until_ = 0;
   std::map<std::pair<std::uint64_t, std::uint64_t>, Truth> truth_;
   std::set<std::pair<std::uint64_t, std::uint64_t>> forked_;
-  std::map<std::pair<Head, Head>, Micros> pairs_;
+  std::map<std::pair<VersionId, VersionId>, Micros> pairs_;
   std::map<std::tuple<int, std::uint64_t, std::uint64_t>, Micros> asked_;
-  std::map<Head, Micros> waiting_;
+  std::map<VersionId, Micros> waiting_;
   double floor_time_ = 0;
   std::uint64_t looks_ = 0;
   RulesResult r_;
--- a/lab/trial/rules_virtual.h
+++ b/lab/trial/rules_virtual.h
@@ -19,7 +19,7 @@
 struct RulesPlan {
   TrialPlan plan;               // its faults of words and of processes
   rules::Options options = {};  // self and nodes are the plan's
-  rules::Agreement::Without without = {};
+  rules::Consensus::DisabledGuards without = {};
   double lost = 0;  // of all words, all the time
   Micros way_least = 500, way_most = 18'000;
   bool disks = false;                // what is kept outlives a process
@@ -33,7 +33,7 @@
   // Orders at moments of their own.
   struct Call {
     Micros at = 0;
-    std::function<void(rules::Agreement* node, Micros clock)> call;
+    std::function<void(rules::Consensus* node, Micros clock)> call;
     int node = 0;
   };
   std::vector<Call> calls = {};
--- a/lab/trial/virtual.cpp
+++ b/lab/trial/virtual.cpp
@@ -77,7 +77,7 @@
   };
   struct Node {
     std::unique_ptr<membership::Members> machine;  // none: its process is not there
-    std::unique_ptr<peer_transport::Gate> gate;
+    std::unique_ptr<peer_transport::DatagramFilter> gate;
     std::uint32_t number = 0;
     int stalls = 0, deaths = 0;
     std::vector<std::pair<int, std::string>> waiting;  // came while it was stopped
@@ -116,7 +116,7 @@
         options, SeedOf(plan_.seed, 33, static_cast<std::uint64_t>(n) * 1000 + node.life), now_,
         static_cast<std::uint64_t>((kUnix + now_) / 1000));
     node.machine->TakeChanges();
-    node.gate = std::make_unique<peer_transport::Gate>(n, plan_.nodes);
+    node.gate = std::make_unique<peer_transport::DatagramFilter>(n, plan_.nodes);
     node.doubts = false;
     Say("trial", "started", {{"node", Name(n)}});
     Say(Name(n), "peers_open", {{"process", std::to_string(node.machine->process())}});
@@ -132,14 +132,14 @@
       if (node.life != life || node.machine == nullptr || node.stalls > 0 ||
           node.machine->next() > now_)
         return;
-      std::vector<membership::Out> out;
+      std::vector<membership::Outgoing> out;
       node.machine->Tick(now_, &out);
       Send(n, out);
     });
   }
-  void Send(int n, const std::vector<membership::Out>& out) {
+  void Send(int n, const std::vector<membership::Outgoing>& out) {
     Node& node = Of(n);
-    for (const membership::Out& o : out) {
+    for (const membership::Outgoing& o : out) {
       peer_transport::Writer writer(n, node.machine->process(), ++node.number);
       writer.Add(peer_transport::Topic::kMembers, o.section);
       const std::string bytes = writer.Take();
@@ -246,7 +246,7 @@
       node.zones->Seen(KeyOf(w), static_cast<zones::Cause>(node.shared->judgements().own(KeyOf(w))),
                        node.shared->judgements().own_at(KeyOf(w)));
     std::vector<zones::Zones::Out> out;
-    node.zones->Tick(Unix(), AliveFor(n), node.machine->view(now_).doubts_itself, &out);
+    node.zones->Tick(Unix(), AliveFor(n), node.machine->view(now_).unconfirmed_after_stall, &out);
     if (n == o_.zones->liar) Lie(n, &out);
     SendZones(n, out);
   }
@@ -497,13 +497,13 @@
       node.waiting.push_back({from, bytes});
       return;
     }
-    peer_transport::Dropped why{};
+    peer_transport::DropReason why{};
     const auto word = node.gate->Admit(bytes, from, &why);
     if (!word) {
-      if (why == peer_transport::Dropped::kReplaced) node.machine->Refused(from);
+      if (why == peer_transport::DropReason::kReplaced) node.machine->NoteReplacedSender(from);
       return;
     }
-    std::vector<membership::Out> out;
+    std::vector<membership::Outgoing> out;
     for (const peer_transport::Section& s : word->datagram.sections) {
       if (s.topic == static_cast<std::uint8_t>(peer_transport::Topic::kShared)) {
         std::vector<shared_state::Shared::Out> said;
@@ -519,7 +519,7 @@
         SendZones(to, said);
         continue;
       }
-      node.machine->Hear(now_, from, word->datagram.process, word->late, s.bytes, &out);
+      node.machine->Receive(now_, from, word->datagram.process, word->late, s.bytes, &out);
     }
     Send(to, out);
   }
@@ -527,11 +527,11 @@
     Node& node = Of(n);
     for (const membership::Change& c : node.machine->TakeChanges()) {
       if (c.node != n && c.after.process > c.before.process)
-        node.gate->Known(c.node, c.after.process);
+        node.gate->ObserveProcess(c.node, c.after.process);
       const Node& other = Of(c.node);
       const bool runs = other.machine != nullptr && other.stalls == 0 &&
                         other.machine->process() == c.after.process;
-      if (runs && c.by == n && c.node != n) {
+      if (runs && c.reported_by == n && c.node != n) {
         result_.false_suspicions += c.after.status == membership::Status::kSuspect ? 1 : 0;
         result_.false_unreachable += c.after.status == membership::Status::kUnreachable ? 1 : 0;
       }
@@ -540,9 +540,9 @@
            {"status", NameOf(c.after.status)},
            {"process", std::to_string(c.after.process)},
            {"version", std::to_string(c.after.version)},
-           {"by", std::to_string(c.by)}});
+           {"by", std::to_string(c.reported_by)}});
     }
-    const bool doubts = node.machine->view(now_).doubts_itself;
+    const bool doubts = node.machine->view(now_).unconfirmed_after_stall;
     if (doubts != node.doubts) {
       node.doubts = doubts;
       Say(Name(n), doubts ? "doubts_itself" : "trusts_itself", {});
@@ -636,7 +636,7 @@
         });
       } else if (f.what == What::kRestart && node.machine != nullptr && node.stalls == 0) {
         Say("trial", "ending", {{"node", Name(n)}});
-        std::vector<membership::Out> out;
+        std::vector<membership::Outgoing> out;
         node.machine->Leave(now_, &out);
         Send(n, out);
         At(now_ + kReturn / 2, [this, n, life = node.life] {
@@ -665,7 +665,7 @@
     const auto waiting = std::exchange(node.waiting, {});
     const bool clock_first = chance_.Uniform() < 0.5;
     if (clock_first) {
-      std::vector<membership::Out> out;
+      std::vector<membership::Outgoing> out;
       node.machine->Tick(now_, &out);
       Send(n, out);
     }
--- a/src/node/cli/fleet_setup.cpp
+++ b/src/node/cli/fleet_setup.cpp
@@ -77,12 +77,13 @@
     for (int n = 0; n < (nodes >= 5 ? 5 : nodes >= 3 ? 3 : 1); ++n) o.voters.push_back(n);
   if (o.voters.back() >= nodes)
     wrong("there is no node " + std::to_string(o.voters.back()) + " of " + std::to_string(nodes));
-  o.every = r.every > 0 ? r.every : std::max<Micros>(250 * kMs, nodes * kRulesEveryNode);
-  o.lease = static_cast<Micros>(static_cast<double>(r.within - o.turn) / (1 + 2 * o.drift));
-  if (o.lease < 4 * o.every)
-    wrong("within-ms is too short for rounds of " + std::to_string(o.every / kMs) +
+  o.round_interval = r.every > 0 ? r.every : std::max<Micros>(250 * kMs, nodes * kRulesEveryNode);
+  o.lease =
+      static_cast<Micros>(static_cast<double>(r.within - o.max_staleness) / (1 + 2 * o.drift));
+  if (o.lease < 4 * o.round_interval)
+    wrong("within-ms is too short for rounds of " + std::to_string(o.round_interval / kMs) +
           " ms: no lease would outlive three lost words");
-  o.ready_within = r.ready;
+  o.ready_timeout = r.ready;
   agreed.keep = r.keep;
   return agreed;
 }
--- a/src/node/fleet/fleet.cpp
+++ b/src/node/fleet/fleet.cpp
@@ -19,7 +19,8 @@
       peers_(
           {settings_.listen, settings_.nodes, settings_.all, settings_.self,
            settings_.bytes_per_second},
-          [this] { return members_->process(); }, [this](int from) { members_->Refused(from); }),
+          [this] { return members_->process(); },
+          [this](int from) { members_->NoteReplacedSender(from); }),
       lines_(settings_.lines_per_minute),
       lines_at_(Now()),
       turn_([this] { Turn(); }),
@@ -30,8 +31,8 @@
   peers_.Register(
       Topic::kMembers,
       {0, nullptr, [this](int from, std::uint64_t process, bool late, std::string_view bytes) {
-         std::vector<membership::Out> out;
-         members_->Hear(Now(), from, process, late, bytes, &out);
+         std::vector<membership::Outgoing> out;
+         members_->Receive(Now(), from, process, late, bytes, &out);
          Send(&out);
        }});
   peers_.Register(Topic::kModule,
@@ -93,20 +94,20 @@
 }
 
 void Fleet::Turn() {
-  std::vector<membership::Out> out;
+  std::vector<membership::Outgoing> out;
   members_->Tick(Now(), &out);
   Send(&out);
 }
 
-void Fleet::Send(std::vector<membership::Out>* out) {
-  for (const membership::Out& o : *out) peers_.Say(o.to, Topic::kMembers, o.section);
+void Fleet::Send(std::vector<membership::Outgoing>* out) {
+  for (const membership::Outgoing& o : *out) peers_.Send(o.to, Topic::kMembers, o.section);
   Report();
   turn_.Set(members_->next());
 }
 
 void Fleet::Leave() {
   if (yielded_ || !peers_.open()) return;
-  std::vector<membership::Out> out;
+  std::vector<membership::Outgoing> out;
   members_->Leave(Now(), &out);
   Send(&out);
 }
@@ -148,7 +149,7 @@
 void Fleet::Report() {
   for (const Change& c : members_->TakeChanges()) {
     if (c.after.process > c.before.process && c.node != settings_.self)
-      peers_.Known(c.node, c.after.process);
+      peers_.ObserveProcess(c.node, c.after.process);
     Count((std::string("members_") + NameOf(c.after.status)).c_str());
     if (!MayLog()) continue;
     const std::string before = c.before.process == 0 ? "unknown" : NameOf(c.before.status);
@@ -158,29 +159,31 @@
          {"before", before},
          {"process", std::to_string(c.after.process)},
          {"version", std::to_string(c.after.version)},
-         {"by", std::to_string(c.by)}},
+         {"by", std::to_string(c.reported_by)}},
         "node " + std::to_string(c.node) + " is " + NameOf(c.after.status) + " (was " + before +
-            "), by " + (c.by == settings_.self ? "this node" : "node " + std::to_string(c.by)));
+            "), by " +
+            (c.reported_by == settings_.self ? "this node"
+                                             : "node " + std::to_string(c.reported_by)));
   }
   const membership::Counts& n = members_->counts();
   CountGrowth("member_probes", n.probes, &reported_.probes);
-  CountGrowth("member_probes_failed", n.failed, &reported_.failed);
-  CountGrowth("member_asks", n.asks, &reported_.asks);
+  CountGrowth("member_probes_failed", n.failed_probes, &reported_.failed_probes);
+  CountGrowth("member_asks", n.ping_requests, &reported_.ping_requests);
   CountGrowth("member_suspicions", n.suspicions, &reported_.suspicions);
-  CountGrowth("member_suspicions_held_back", n.held_back, &reported_.held_back);
+  CountGrowth("member_suspicions_held_back", n.withheld_suspicions, &reported_.withheld_suspicions);
   CountGrowth("member_refutations", n.refutations, &reported_.refutations);
   CountGrowth("member_sections_malformed", n.malformed, &reported_.malformed);
   CountGrowth("member_stalls", n.stalls, &reported_.stalls);
   const membership::View v = members_->view(Now());
-  if (v.doubts_itself != doubts_) {
-    doubts_ = v.doubts_itself;
+  if (v.unconfirmed_after_stall != doubts_) {
+    doubts_ = v.unconfirmed_after_stall;
     if (MayLog())
       Log(doubts_ ? "doubts_itself" : "trusts_itself", {},
           doubts_ ? "this process was stopped: suspects nobody until somebody answers"
                   : "answered again after a stop");
   }
-  if (v.hears_nobody != nobody_) {
-    nobody_ = v.hears_nobody;
+  if (v.isolated != nobody_) {
+    nobody_ = v.isolated;
     if (MayLog())
       Log(nobody_ ? "hears_nobody" : "hears_again", {},
           nobody_ ? "hears no other node: says nothing about them" : "hears other nodes again");
@@ -192,7 +195,7 @@
   std::string entries;
   for (int n = 0; n < static_cast<int>(settings_.nodes.size()); ++n) {
     const membership::Entry& e = members_->entry(n);
-    const auto [asked, heard] = members_->says(n);
+    const auto [asked, heard] = members_->reported_reachability(n);
     entries += (n > 0 ? " " : "") + std::to_string(n) + ":" +
                (e.process == 0 ? "unknown" : NameOf(e.status)) + ":" + std::to_string(e.process) +
                ":" + std::to_string(e.version);
@@ -200,21 +203,21 @@
   }
   const int of = static_cast<int>(settings_.nodes.size()) - 1;
   Log("view",
-      {{"asked", std::to_string(v.asked)},
-       {"heard", std::to_string(v.heard)},
-       {"heard_by", std::to_string(v.heard_by)},
+      {{"asked", std::to_string(v.probed)},
+       {"heard", std::to_string(v.received_from)},
+       {"heard_by", std::to_string(v.acked_by)},
        {"alive", std::to_string(v.alive)},
        {"suspect", std::to_string(v.suspect)},
        {"unreachable", std::to_string(v.unreachable)},
        {"left", std::to_string(v.left)},
        {"unknown", std::to_string(v.unknown)},
-       {"slow", std::to_string(members_->slow())},
-       {"nobody", v.hears_nobody ? "1" : "0"},
-       {"doubts", v.doubts_itself ? "1" : "0"},
+       {"slow", std::to_string(members_->health_score())},
+       {"nobody", v.isolated ? "1" : "0"},
+       {"doubts", v.unconfirmed_after_stall ? "1" : "0"},
        {"digest", std::to_string(v.digest)},
        {"entries", entries}},
-      "hears " + std::to_string(v.heard) + " of the last " + std::to_string(v.asked) +
-          " nodes asked, " + std::to_string(v.heard_by) + " of them hear it; of " +
+      "hears " + std::to_string(v.received_from) + " of the last " + std::to_string(v.probed) +
+          " nodes asked, " + std::to_string(v.acked_by) + " of them hear it; of " +
           std::to_string(of) + " alive " + std::to_string(v.alive) + ", suspect " +
           std::to_string(v.suspect) + ", unreachable " + std::to_string(v.unreachable) + ", left " +
           std::to_string(v.left) + ", never heard of " + std::to_string(v.unknown));
@@ -236,7 +239,7 @@
   settings.options.nodes = static_cast<int>(settings_.nodes.size());
   rules_ = std::make_unique<RulesPart>(
       settings, settings_.seed ^ static_cast<std::uint64_t>(g_get_real_time()),
-      [this](int to, const std::string& section) { peers_.Say(to, Topic::kRules, section); },
+      [this](int to, const std::string& section) { peers_.Send(to, Topic::kRules, section); },
       [this] { return Alive(); }, [this] { ApplyRules(); });
   rules_->Begin();
 }
@@ -245,11 +248,11 @@
 // next look, which is at once.
 void Fleet::ApplyRules() {
   if (rules_ == nullptr) return;
-  const rules::Agreement::Acting& a = rules_->acting();
+  const rules::Consensus::EffectiveRules& a = rules_->acting();
   if (rule_bans_) rule_bans_(a.rules.bans);
   if (shared_ != nullptr && settings_.shared) {
     shared_state::Budgets& budgets = shared_->budgets();
-    const bool floor = a.basis == rules::Agreement::Basis::kFloor;
+    const bool floor = a.basis == rules::Consensus::Basis::kFloor;
     for (std::size_t k = 0; !floor && k < settings_.accounts.size(); ++k) {
       if (k >= settings_.shared->shares.size()) break;
       const auto it = a.rules.shares.find(settings_.accounts[k]);
@@ -258,10 +261,10 @@
     }
     const auto repeats = static_cast<int>(settings_.shared->shares.size());
     if (!floor && settings_.shared->repeats > 0 && budgets.budgets() > repeats)
-      budgets.SetWhole(
-          Unix(), repeats,
-          std::min(settings_.shared->repeats, a.rules.repeats.value_or(settings_.shared->repeats)));
-    budgets.SetParts(Unix(), a.rules.nodes.value_or(0));
+      budgets.SetWhole(Unix(), repeats,
+                       std::min(settings_.shared->repeats,
+                                a.rules.retries_per_s.value_or(settings_.shared->repeats)));
+    budgets.SetParts(Unix(), a.rules.budget_parts.value_or(0));
   }
   uses_at_ = 0;
   if (zones_ != nullptr) ApplyZones();
--- a/src/node/fleet/fleet.h
+++ b/src/node/fleet/fleet.h
@@ -55,7 +55,7 @@
 
   // Words for other nodes' decision module; they come there as its PeerMessage events.
   bool Tell(int to, const std::string& bytes) {
-    return peers_.Say(to, peer_transport::Topic::kModule, bytes);
+    return peers_.Send(to, peer_transport::Topic::kModule, bytes);
   }
   void OnTold(std::function<void(int from, std::string bytes)> told) { told_ = std::move(told); }
   const membership::Members* members() const { return members_.get(); }
@@ -110,7 +110,7 @@
  private:
   void Open();
   void Turn();
-  void Send(std::vector<membership::Out>* out);
+  void Send(std::vector<membership::Outgoing>* out);
   void Report();
   void ReportView();
   Micros Unix() const { return Now() + unix_offset_; }
@@ -134,7 +134,7 @@
 
   FleetSettings settings_;
   std::unique_ptr<membership::Members> members_;  // once the address is this process's
-  peer_transport::Peers peers_;
+  peer_transport::PeerTransport peers_;
   std::function<void(int, std::string)> told_;
   bool yielded_ = false, nobody_ = false, doubts_ = false;
   double lines_ = 0;  // that may be written now
--- a/src/node/fleet/fleet_shared.cpp
+++ b/src/node/fleet/fleet_shared.cpp
@@ -48,7 +48,7 @@
 }
 
 void Fleet::SendShared(std::vector<shared_state::Shared::Out>* out) {
-  for (const shared_state::Shared::Out& o : *out) peers_.Say(o.to, Topic::kShared, o.section);
+  for (const shared_state::Shared::Out& o : *out) peers_.Send(o.to, Topic::kShared, o.section);
   const shared_state::SharedCounts& n = shared_->figures();
   CountGrowth("shared_words", n.words, &shared_reported_.words);
   CountGrowth("shared_words_malformed", n.malformed, &shared_reported_.malformed);
@@ -68,7 +68,7 @@
   if (shared_ != nullptr) {
     // A process that was stopped looks at its lease before it acts.
     const bool floor =
-        rules_ != nullptr && rules_->acting().basis == rules::Agreement::Basis::kFloor;
+        rules_ != nullptr && rules_->acting().basis == rules::Consensus::Basis::kFloor;
     shared_state::Shared::Admission a = shared_->Admit(Unix(), account, is_repeat);
     if (floor && account >= 0) a.over_share = true;
     return a;
--- a/src/node/fleet/fleet_zones.cpp
+++ b/src/node/fleet/fleet_zones.cpp
@@ -55,13 +55,13 @@
   zones_->Pressed((refused - std::exchange(refused_before_, refused)) * 20 >
                   jobs - std::exchange(jobs_before_, jobs));
   std::vector<zones::Zones::Out> out;
-  zones_->Tick(Unix(), Alive(), members_->view(Now()).doubts_itself, &out);
+  zones_->Tick(Unix(), Alive(), members_->view(Now()).unconfirmed_after_stall, &out);
   SendZones(&out);
   zones_turn_.Set(zones_->next() - unix_offset_);
 }
 
 void Fleet::SendZones(std::vector<zones::Zones::Out>* out) {
-  for (const zones::Zones::Out& o : *out) peers_.Say(o.to, Topic::kZones, o.section);
+  for (const zones::Zones::Out& o : *out) peers_.Send(o.to, Topic::kZones, o.section);
   ApplyZones();
   const zones::Figures& n = zones_->figures();
   CountGrowth("zone_words", n.words, &zones_reported_.words);
@@ -137,7 +137,7 @@
 zones::Use Fleet::UseOf(Micros now, zones::WorkerKey worker, int zone) const {
   const auto named = static_cast<std::size_t>(zone);
   if (rules_ != nullptr && named < settings_.zones->zones.size()) {
-    const auto& leaves = rules_->acting().rules.leaves;
+    const auto& leaves = rules_->acting().rules.zone_left;
     if (const auto it = leaves.find(settings_.zones->zones[named]); it != leaves.end())
       return it->second ? zones::Use::kShut : zones::Use::kOpen;
   }
--- a/src/node/fleet/rules_file.cpp
+++ b/src/node/fleet/rules_file.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-std::optional<rules::Kept> RulesFile::Load(std::string* wrong) const {
+std::optional<rules::PersistentState> RulesFile::Load(std::string* wrong) const {
   wrong->clear();
   std::string bytes;
   if (disk_->Read(path_, kMaxFile, &bytes) != 0) {
@@ -30,15 +30,15 @@
   }
   const std::size_t head = kMagicBytes + kHashBytes;
   const std::string body = bytes.size() >= head ? bytes.substr(head) : std::string();
-  std::optional<rules::Kept> kept;
+  std::optional<rules::PersistentState> kept;
   if (bytes.size() >= head && bytes.compare(0, head, Head(body)) == 0)
-    kept = rules::DecodeKept(body);
+    kept = rules::DecodeState(body);
   if (!kept) *wrong = path_ + ": not a file of rules, or damaged";
   return kept;
 }
 
-std::string RulesFile::Save(const rules::Kept& kept) const {
-  const std::string body = rules::EncodeKept(kept), bytes = Head(body) + body;
+std::string RulesFile::Save(const rules::PersistentState& kept) const {
+  const std::string body = rules::EncodeState(kept), bytes = Head(body) + body;
   const std::string aside = path_ + ".new";
   const auto wrong = [&](const char* what) {
     const int error = errno;
--- a/src/node/fleet/rules_file.h
+++ b/src/node/fleet/rules_file.h
@@ -18,9 +18,9 @@
       : path_(std::move(path)), disk_(disk) {}
 
   // None: there is no file, or (`*wrong`) it is none of these.
-  std::optional<rules::Kept> Load(std::string* wrong) const;
+  std::optional<rules::PersistentState> Load(std::string* wrong) const;
   // Empty, or what went wrong: what was there before is there still. Blocking.
-  std::string Save(const rules::Kept& kept) const;
+  std::string Save(const rules::PersistentState& kept) const;
 
  private:
   std::string path_;
--- a/src/node/fleet/rules_part.cpp
+++ b/src/node/fleet/rules_part.cpp
@@ -12,7 +12,7 @@
 namespace pearreach {
 namespace {
 
-using rules::Agreement;
+using rules::Consensus;
 
 constexpr std::size_t kMaxOutcomes = 32;
 
@@ -31,9 +31,9 @@
   for (const std::string& name : names) text += (text.empty() ? "" : " ") + name;
   return text;
 }
-const char* NameOf(Agreement::Basis basis) {
-  return basis == Agreement::Basis::kVersion ? "version"
-         : basis == Agreement::Basis::kBoth  ? "both"
+const char* NameOf(Consensus::Basis basis) {
+  return basis == Consensus::Basis::kVersion ? "version"
+         : basis == Consensus::Basis::kBoth  ? "both"
                                              : "floor";
 }
 std::string Hash(std::uint64_t hash) {
@@ -45,9 +45,9 @@
   return dispatch::Number<std::uint64_t>(text, what);
 }
 
-rules::Agreement MakeMachine(const rules::Options& options, std::uint64_t seed,
+rules::Consensus MakeMachine(const rules::Options& options, std::uint64_t seed,
                              const std::optional<RulesFile>& file) {
-  std::optional<rules::Kept> kept;
+  std::optional<rules::PersistentState> kept;
   if (file) {
     std::string wrong;
     kept = file->Load(&wrong);
@@ -55,7 +55,7 @@
     // Where a file is kept and there is none yet, nothing has been accepted.
     if (!kept && wrong.empty()) kept.emplace();
   }
-  return Agreement(options, seed, Now(), kept);
+  return Consensus(options, seed, Now(), kept);
 }
 
 }  // namespace
@@ -73,14 +73,14 @@
 void RulesPart::Begin() { Turn(); }
 
 void RulesPart::Turn() {
-  std::vector<Agreement::Out> out;
+  std::vector<Consensus::Outgoing> out;
   machine_.Tick(Now(), alive_(), &out);
   Send(&out);
 }
 
 void RulesPart::Hear(int from, std::string_view section) {
-  std::vector<Agreement::Out> out;
-  machine_.Hear(Now(), from, section, &out);
+  std::vector<Consensus::Outgoing> out;
+  machine_.Receive(Now(), from, section, &out);
   Send(&out);
 }
 
@@ -88,7 +88,7 @@
 // the others this node is one whose words are lost, and its lease ends.
 bool RulesPart::Keep() {
   if (!file_) return true;
-  if (machine_.dirty()) to_keep_ = machine_.TakeKept();
+  if (machine_.dirty()) to_keep_ = machine_.TakeState();
   if (!to_keep_) return true;
   if (const std::string wrong = file_->Save(*to_keep_); !wrong.empty()) {
     CountFault("rules_not_kept", wrong);
@@ -99,65 +99,65 @@
   return true;
 }
 
-void RulesPart::Send(std::vector<Agreement::Out>* out) {
+void RulesPart::Send(std::vector<Consensus::Outgoing>* out) {
   if (Keep())
-    for (const Agreement::Out& o : *out) say_(o.to, o.section);
-  for (Agreement::Outcome& o : machine_.TakeOutcomes()) {
+    for (const Consensus::Outgoing& o : *out) say_(o.to, o.section);
+  for (Consensus::Outcome& o : machine_.TakeOutcomes()) {
     Log("rules_proposal",
         {{"proposal", std::to_string(o.proposal)},
-         {"what", o.what == Agreement::Outcome::What::kChosen       ? "chosen"
-                  : o.what == Agreement::Outcome::What::kLost       ? "lost"
-                  : o.what == Agreement::Outcome::What::kNoMajority ? "no_majority"
-                                                                    : "open"}},
+         {"what", o.result == Consensus::Outcome::Result::kChosen       ? "chosen"
+                  : o.result == Consensus::Outcome::Result::kLost       ? "lost"
+                  : o.result == Consensus::Outcome::Result::kNoMajority ? "no_majority"
+                                                                        : "open"}},
         "proposal " + std::to_string(o.proposal) + ": " + o.text);
     outcomes_[o.proposal] = std::move(o);
     if (outcomes_.size() > kMaxOutcomes) outcomes_.erase(outcomes_.begin());
   }
-  const rules::Figures& n = machine_.figures();
-  CountGrowth("rules_words", n.words, &reported_.words);
+  const rules::Counters& n = machine_.counters();
+  CountGrowth("rules_words", n.messages_sent, &reported_.messages_sent);
   CountGrowth("rules_words_malformed", n.malformed, &reported_.malformed);
   CountGrowth("rules_ballots", n.ballots, &reported_.ballots);
   CountGrowth("rules_chosen", n.chosen, &reported_.chosen);
   CountGrowth("rules_learned", n.learned, &reported_.learned);
-  CountGrowth("rules_refused", n.refused, &reported_.refused);
+  CountGrowth("rules_refused", n.rejected_documents, &reported_.rejected_documents);
   if (n.forked > reported_.forked)
     CountFault("rules_forked", "another node has another version " +
-                                   std::to_string(machine_.head().number) +
+                                   std::to_string(machine_.version_id().number) +
                                    ": do all files name the same voters?");
   reported_.forked = n.forked;
   Look();
-  turn_.Set(std::max(Now(), std::min(machine_.next(), acting_.until)));
+  turn_.Set(std::max(Now(), std::min(machine_.next_tick(), acting_.valid_until)));
 }
 
-const Agreement::Acting& RulesPart::acting() {
-  if (!looked_ || Now() >= acting_.until) Look();
+const Consensus::EffectiveRules& RulesPart::acting() {
+  if (!looked_ || Now() >= acting_.valid_until) Look();
   return acting_;
 }
 
 void RulesPart::Look() {
-  Agreement::Acting now = machine_.acting(Now());
-  const bool same = looked_ && now.basis == acting_.basis && now.numbers == acting_.numbers &&
-                    told_epoch_ == machine_.head().epoch;
+  Consensus::EffectiveRules now = machine_.effective_rules(Now());
+  const bool same = looked_ && now.basis == acting_.basis && now.versions == acting_.versions &&
+                    told_epoch_ == machine_.version_id().epoch;
   const bool alike = same && now.rules == acting_.rules;
   acting_ = std::move(now);
   looked_ = true;
   if (alike) return;
-  told_epoch_ = machine_.head().epoch;
+  told_epoch_ = machine_.version_id().epoch;
   Log("rules",
       {{"basis", NameOf(acting_.basis)},
-       {"versions", Joined(acting_.numbers, "+")},
-       {"number", std::to_string(machine_.head().number)},
-       {"epoch", std::to_string(machine_.head().epoch)},
-       {"hash", Hash(machine_.head().hash)},
+       {"versions", Joined(acting_.versions, "+")},
+       {"number", std::to_string(machine_.version_id().number)},
+       {"epoch", std::to_string(machine_.version_id().epoch)},
+       {"hash", Hash(machine_.version_id().hash)},
        {"bans", Words(acting_.rules.bans)},
        {"has", machine_.current() != nullptr ? "1" : "0"}},
       std::string("acts on ") +
-          (acting_.basis == Agreement::Basis::kFloor
+          (acting_.basis == Consensus::Basis::kFloor
                ? "the floor: no majority of the voters vouches for version " +
-                     std::to_string(machine_.head().number)
-           : acting_.basis == Agreement::Basis::kBoth
-               ? "the stricter of versions " + Joined(acting_.numbers, " and ")
-               : "version " + std::to_string(machine_.head().number)));
+                     std::to_string(machine_.version_id().number)
+           : acting_.basis == Consensus::Basis::kBoth
+               ? "the stricter of versions " + Joined(acting_.versions, " and ")
+               : "version " + std::to_string(machine_.version_id().number)));
   changed_();
 }
 
@@ -204,7 +204,7 @@
   }
   const auto it = outcomes_.find(number);
   if (it == outcomes_.end()) return {202, "not decided yet"};
-  const bool chosen = it->second.what == Agreement::Outcome::What::kChosen;
+  const bool chosen = it->second.result == Consensus::Outcome::Result::kChosen;
   return {chosen ? 200 : 409, it->second.text};
 }
 
@@ -219,30 +219,32 @@
   std::string why;
   if (!machine_.Force(Now(), voters, g_get_real_time() / 1000, &why)) return {409, why};
   CountFault("rules_forced", "an operator has forced version " +
-                                 std::to_string(machine_.head().number) +
+                                 std::to_string(machine_.version_id().number) +
                                  " without a majority; voters are now " + List(machine_.voters()));
   turn_.Set(Now());
-  return {200, "version " + std::to_string(machine_.head().number) + " is forced, epoch " +
-                   std::to_string(machine_.head().epoch) + "; voters " + List(machine_.voters())};
+  return {200, "version " + std::to_string(machine_.version_id().number) + " is forced, epoch " +
+                   std::to_string(machine_.version_id().epoch) + "; voters " +
+                   List(machine_.voters())};
 }
 
 RulesPart::Reply RulesPart::Show() {
   const rules::Version* v = machine_.current();
-  const Agreement::Acting& a = acting();
-  std::string text = "version " + std::to_string(machine_.head().number) + " of epoch " +
-                     std::to_string(machine_.head().epoch) + ", " + Hash(machine_.head().hash);
+  const Consensus::EffectiveRules& a = acting();
+  std::string text = "version " + std::to_string(machine_.version_id().number) + " of epoch " +
+                     std::to_string(machine_.version_id().epoch) + ", " +
+                     Hash(machine_.version_id().hash);
   if (v == nullptr)
     text += ", not read here yet";
-  else if (v->head.number > 0)
+  else if (v->id.number > 0)
     text += std::string(v->document.forced ? ", forced" : "") + ", said at node " +
-            std::to_string(v->document.by) + " at " + When(v->document.at_ms);
+            std::to_string(v->document.proposer) + " at " + When(v->document.proposed_at_ms);
   text += "\nacts on ";
-  text += a.basis == Agreement::Basis::kFloor  ? "the floor: no lease of a majority"
-          : a.basis == Agreement::Basis::kBoth ? "the stricter of " + Joined(a.numbers, " and ")
+  text += a.basis == Consensus::Basis::kFloor  ? "the floor: no lease of a majority"
+          : a.basis == Consensus::Basis::kBoth ? "the stricter of " + Joined(a.versions, " and ")
                                                : "it";
   const Micros lease = machine_.lease_until(Now()) - Now();
   if (lease > 0) text += ", lease of " + std::to_string(lease / 1000) + " ms";
-  text += "\nT " + std::to_string(options_.within() / 1000) + " ms; voters " +
+  text += "\nT " + std::to_string(options_.MaxContradiction() / 1000) + " ms; voters " +
           List(machine_.voters()) + (machine_.recovering() ? "; recovering" : "");
   const Reply have = Have();
   text += "\n" + have.text;
@@ -251,15 +253,15 @@
 }
 
 RulesPart::Reply RulesPart::Have() const {
-  const std::set<int> have = machine_.have(Now());
+  const std::set<int> have = machine_.holders(Now());
   std::vector<int> has(have.begin(), have.end()), lacks;
   const std::vector<int> alive = alive_();
   for (const int n : alive)
     if (have.count(n) == 0) lacks.push_back(n);
-  std::string text = std::to_string(machine_.head().number) + " of " +
-                     std::to_string(machine_.head().epoch) + "\nhas " + List(has) + "\nnot " +
+  std::string text = std::to_string(machine_.version_id().number) + " of " +
+                     std::to_string(machine_.version_id().epoch) + "\nhas " + List(has) + "\nnot " +
                      List(lacks);
-  if (const std::vector<int> refusing = machine_.refusing(); !refusing.empty())
+  if (const std::vector<int> refusing = machine_.rejecting_nodes(); !refusing.empty())
     text += "\nrefuses " + List(refusing);
   return {200, text};
 }
@@ -267,12 +269,13 @@
 RulesPart::Reply RulesPart::History() const {
   std::string text;
   for (const rules::Version& v : machine_.history())
-    text += (text.empty() ? "" : "\n") + std::to_string(v.head.number) + " of " +
-            std::to_string(v.head.epoch) + " " + Hash(v.head.hash) +
-            (v.head.number == 0 ? std::string(" what the nodes begin with")
-                                : std::string(v.document.forced ? " forced" : "") +
-                                      " said at node " + std::to_string(v.document.by) + " at " +
-                                      When(v.document.at_ms) + " after " + Hash(v.document.before));
+    text += (text.empty() ? "" : "\n") + std::to_string(v.id.number) + " of " +
+            std::to_string(v.id.epoch) + " " + Hash(v.id.hash) +
+            (v.id.number == 0 ? std::string(" what the nodes begin with")
+                              : std::string(v.document.forced ? " forced" : "") + " said at node " +
+                                    std::to_string(v.document.proposer) + " at " +
+                                    When(v.document.proposed_at_ms) + " after " +
+                                    Hash(v.document.previous_hash));
   return {200, text};
 }
 
--- a/src/node/fleet/rules_part.h
+++ b/src/node/fleet/rules_part.h
@@ -35,9 +35,9 @@
   void Hear(int from, std::string_view section);
 
   // As of now: a process that was stopped looks at its lease before it acts.
-  const rules::Agreement::Acting& acting();
+  const rules::Consensus::EffectiveRules& acting();
   bool ready() const { return machine_.ready(Now()); }
-  const rules::Agreement& machine() const { return machine_; }
+  const rules::Consensus& machine() const { return machine_; }
 
   // ---- operators; a text of `status` 200, 202, 400, 404 or 409
   struct Reply {
@@ -54,23 +54,23 @@
 
  private:
   void Turn();
-  void Send(std::vector<rules::Agreement::Out>* out);
+  void Send(std::vector<rules::Consensus::Outgoing>* out);
   bool Keep();
   void Look();
   std::string When(std::int64_t unix_ms) const;
 
   rules::Options options_;
   std::optional<RulesFile> file_;
-  rules::Agreement machine_;
+  rules::Consensus machine_;
   Say say_;
   std::function<std::vector<int>()> alive_;
   std::function<void()> changed_;
-  rules::Agreement::Acting acting_;
+  rules::Consensus::EffectiveRules acting_;
   std::uint64_t told_number_ = 0, told_epoch_ = 0;
   bool looked_ = false;
-  std::optional<rules::Kept> to_keep_;
-  std::map<std::uint64_t, rules::Agreement::Outcome> outcomes_;
-  rules::Figures reported_;
+  std::optional<rules::PersistentState> to_keep_;
+  std::map<std::uint64_t, rules::Consensus::Outcome> outcomes_;
+  rules::Counters reported_;
   Alarm turn_;
 };
 
--- a/src/node/peer_transport/datagram.h
+++ b/src/node/peer_transport/datagram.h
@@ -18,9 +18,9 @@
 
 namespace pearreach::peer_transport {
 
-constexpr std::size_t kMaxBytes = 256;  // of a datagram, by the platform's protocol
-constexpr std::size_t kHeadBytes = 20;
-constexpr std::size_t kSectionHead = 2;
+constexpr std::size_t kMaxDatagramBytes = 256;  // of a datagram, by the platform's protocol
+constexpr std::size_t kHeaderBytes = 20;
+constexpr std::size_t kSectionHeaderBytes = 2;
 constexpr std::uint8_t kVersion = 1;
 
 // What a section is about. Numbers are for good; those of later versions are passed over.
@@ -35,23 +35,23 @@
 struct Datagram {
   int from = 0;
   std::uint64_t process = 0;
-  std::uint32_t number = 0;
+  std::uint32_t sequence = 0;
   std::vector<Section> sections;
 };
 
 // Why a datagram is not believed.
-enum class Dropped {
-  kShort,     // less than a head, or a section beyond its end
-  kLong,      // over 256 bytes
-  kForeign,   // not this program's
-  kVersion,   // of another form
-  kDamaged,   // its checksum is another
-  kSender,    // from no address of `peers`, or another one than its number's
-  kReplaced,  // of a process that was replaced
-  kOld,       // read before, or too much older than what is held
+enum class DropReason {
+  kShort,          // less than a head, or a section beyond its end
+  kLong,           // over 256 bytes
+  kForeign,        // not this program's
+  kVersion,        // of another form
+  kDamaged,        // its checksum is another
+  kUnknownSender,  // from no address of `peers`, or another one than its number's
+  kReplaced,       // of a process that was replaced
+  kStale,          // read before, or too much older than what is held
 };
-constexpr int kReasons = 8;
-const char* NameOf(Dropped reason);
+constexpr int kDropReasons = 8;
+const char* NameOf(DropReason reason);
 
 // Writes datagrams of one sender. Sections are added while there is room.
 class Writer {
@@ -59,15 +59,15 @@
   Writer(int from, std::uint64_t process, std::uint32_t number);
   std::size_t room() const;                       // for a further section's bytes
   bool Add(Topic topic, std::string_view bytes);  // false: it does not fit
-  bool empty() const { return text_.size() == kHeadBytes; }
+  bool empty() const { return bytes_.size() == kHeaderBytes; }
   std::string Take();
 
  private:
-  std::string text_;
+  std::string bytes_;
 };
 
-// The views point into `bytes`. None: `*why` says the reason.
-std::optional<Datagram> Read(std::string_view bytes, Dropped* why);
+// The views point into `bytes`. None: `*drop_reason` says the reason.
+std::optional<Datagram> Read(std::string_view bytes, DropReason* drop_reason);
 
 }  // namespace pearreach::peer_transport
 
--- a/src/node/peer_transport/gate.cpp
+++ b/src/node/peer_transport/gate.cpp
@@ -2,33 +2,34 @@
 
 namespace pearreach::peer_transport {
 
-std::optional<Gate::Word> Gate::Admit(std::string_view bytes, int source, Dropped* why) {
-  std::optional<Datagram> d = Read(bytes, why);
+std::optional<DatagramFilter::Accepted> DatagramFilter::Admit(std::string_view bytes, int source,
+                                                              DropReason* drop_reason) {
+  std::optional<Datagram> d = Read(bytes, drop_reason);
   if (!d) return std::nullopt;
-  const auto drop = [&](Dropped reason) {
-    *why = reason;
+  const auto drop = [&](DropReason reason) {
+    *drop_reason = reason;
     return std::nullopt;
   };
   if (source < 0 || source != d->from || source == self_ ||
       static_cast<std::size_t>(source) >= peers_.size())
-    return drop(Dropped::kSender);
+    return drop(DropReason::kUnknownSender);
   Peer& p = peers_[static_cast<std::size_t>(source)];
-  if (d->process < p.process) return drop(Dropped::kReplaced);
+  if (d->process < p.process) return drop(DropReason::kReplaced);
   if (d->process > p.process) p = {d->process, 0, 0};
   // A window, as IPsec keeps one against replays: what is new is taken, once.
-  if (d->number > p.highest) {
-    const std::uint32_t by = d->number - p.highest;
-    p.read = (by < 64 ? p.read << by : 0) | 1;
-    p.highest = d->number;
-    return Word{std::move(*d), false};
+  if (d->sequence > p.highest) {
+    const std::uint32_t advance = d->sequence - p.highest;
+    p.received = (advance < 64 ? p.received << advance : 0) | 1;
+    p.highest = d->sequence;
+    return Accepted{std::move(*d), false};
   }
-  const std::uint32_t behind = p.highest - d->number;
-  if (behind >= 64 || (p.read >> behind & 1) != 0) return drop(Dropped::kOld);
-  p.read |= std::uint64_t{1} << behind;
-  return Word{std::move(*d), true};
+  const std::uint32_t behind = p.highest - d->sequence;
+  if (behind >= 64 || (p.received >> behind & 1) != 0) return drop(DropReason::kStale);
+  p.received |= std::uint64_t{1} << behind;
+  return Accepted{std::move(*d), true};
 }
 
-void Gate::Known(int node, std::uint64_t process) {
+void DatagramFilter::ObserveProcess(int node, std::uint64_t process) {
   Peer& p = peers_[static_cast<std::size_t>(node)];
   if (process > p.process) p = {process, 0, 0};
 }
--- a/src/node/peer_transport/gate.h
+++ b/src/node/peer_transport/gate.h
@@ -15,25 +15,25 @@
 
 namespace pearreach::peer_transport {
 
-class Gate {
+class DatagramFilter {
  public:
-  Gate(int self, int nodes) : self_(self), peers_(static_cast<std::size_t>(nodes)) {}
+  DatagramFilter(int self, int nodes) : self_(self), peers_(static_cast<std::size_t>(nodes)) {}
 
-  struct Word {
+  struct Accepted {
     Datagram datagram;
     bool late = false;  // the sender's later ones have been read already
   };
   // `source`: whose address of `peers` it came from; -1: none's.
-  std::optional<Word> Admit(std::string_view bytes, int source, Dropped* why);
+  std::optional<Accepted> Admit(std::string_view bytes, int source, DropReason* drop_reason);
   // A later process of that node is known of, from it or from others.
-  void Known(int node, std::uint64_t process);
+  void ObserveProcess(int node, std::uint64_t process);
   std::uint64_t process(int node) const { return peers_[static_cast<std::size_t>(node)].process; }
 
  private:
   struct Peer {
     std::uint64_t process = 0;
     std::uint32_t highest = 0;
-    std::uint64_t read = 0;  // bit i: the one i before the highest
+    std::uint64_t received = 0;  // bit i: the one i before the highest
   };
   int self_;
   std::vector<Peer> peers_;
--- a/src/node/peer_transport/peers.cpp
+++ b/src/node/peer_transport/peers.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 // Read in one turn at most: about a tenth of a millisecond, then clients have theirs.
-constexpr int kWordsATurn = 32;
+constexpr int kMaxDatagramsPerWakeup = 32;
 
-std::string TextOf(GSocketAddress* address) {
+std::string ToString(GSocketAddress* address) {
   if (!G_IS_INET_SOCKET_ADDRESS(address)) return "";
   auto* inet = G_INET_SOCKET_ADDRESS(address);
   gchar* host = g_inet_address_to_string(g_inet_socket_address_get_address(inet));
@@ -19,27 +19,27 @@
 
 }  // namespace
 
-Peers::Peers(Options options, std::function<std::uint64_t()> process,
-             std::function<void(int)> replaced)
+PeerTransport::PeerTransport(Options options, std::function<std::uint64_t()> process,
+                             std::function<void(int)> replaced)
     : options_(std::move(options)),
       process_(std::move(process)),
-      replaced_(std::move(replaced)),
-      gate_(options_.self, static_cast<int>(options_.nodes.size())),
+      on_replaced_(std::move(replaced)),
+      filter_(options_.self, static_cast<int>(options_.nodes.size())),
       budget_(options_.bytes_per_second, Now()) {
   for (std::size_t n = 0; n < options_.nodes.size(); ++n) {
     nodes_.push_back(ParseAddress(options_.nodes[n]));
-    if (nodes_.back() != nullptr) numbers_[TextOf(nodes_.back())] = static_cast<int>(n);
+    if (nodes_.back() != nullptr) node_by_address_[ToString(nodes_.back())] = static_cast<int>(n);
   }
-  if (!options_.all.empty()) all_ = ParseAddress(options_.all);
+  if (!options_.broadcast.empty()) broadcast_address_ = ParseAddress(options_.broadcast);
 }
 
-Peers::~Peers() {
+PeerTransport::~PeerTransport() {
   Close();
   for (GSocketAddress*& address : nodes_) g_clear_object(&address);
-  g_clear_object(&all_);
+  g_clear_object(&broadcast_address_);
 }
 
-std::string Peers::Open() {
+std::string PeerTransport::Open() {
   GError* error = nullptr;
   const auto fail = [&](std::string what) {
     if (error != nullptr) what = error->message;
@@ -47,39 +47,40 @@
     g_clear_object(&socket_);
     return what;
   };
-  GSocketAddress* at = ParseAddress(options_.listen);
-  if (at == nullptr) return fail("'" + options_.listen + "' is no ip:port");
-  socket_ = g_socket_new(g_socket_address_get_family(at), G_SOCKET_TYPE_DATAGRAM,
+  GSocketAddress* address = ParseAddress(options_.listen);
+  if (address == nullptr) return fail("'" + options_.listen + "' is no ip:port");
+  socket_ = g_socket_new(g_socket_address_get_family(address), G_SOCKET_TYPE_DATAGRAM,
                          G_SOCKET_PROTOCOL_UDP, &error);
   // Not shared: of two processes with this address one speaks for the node, the other waits.
-  const bool bound = socket_ != nullptr && g_socket_bind(socket_, at, FALSE, &error);
-  g_object_unref(at);
+  const bool bound = socket_ != nullptr && g_socket_bind(socket_, address, FALSE, &error);
+  g_object_unref(address);
   if (!bound) return fail("cannot be bound");
   g_socket_set_blocking(socket_, FALSE);
-  number_ = 0;
+  last_sequence_ = 0;
   if (!Poller::Default().Set(g_socket_get_fd(socket_), EPOLLIN, this))
     return fail("cannot be polled");
   return "";
 }
 
-void Peers::Close() {
+void PeerTransport::Close() {
   if (socket_ == nullptr) return;
   Poller::Default().Remove(g_socket_get_fd(socket_));
   g_socket_close(socket_, nullptr);
   g_clear_object(&socket_);
 }
 
-int Peers::port() const {
+int PeerTransport::port() const {
   if (socket_ == nullptr) return 0;
-  GSocketAddress* at = g_socket_get_local_address(socket_, nullptr);
-  const int port = at == nullptr ? 0 : g_inet_socket_address_get_port(G_INET_SOCKET_ADDRESS(at));
-  g_clear_object(&at);
+  GSocketAddress* address = g_socket_get_local_address(socket_, nullptr);
+  const int port =
+      address == nullptr ? 0 : g_inet_socket_address_get_port(G_INET_SOCKET_ADDRESS(address));
+  g_clear_object(&address);
   return port;
 }
 
-void Peers::OnReady(std::uint32_t) {
-  char bytes[kMaxBytes + 1];  // one more shows what is too long
-  for (int i = 0; i < kWordsATurn && socket_ != nullptr; ++i) {
+void PeerTransport::OnReady(std::uint32_t) {
+  char bytes[kMaxDatagramBytes + 1];  // one more shows what is too long
+  for (int i = 0; i < kMaxDatagramsPerWakeup && socket_ != nullptr; ++i) {
     GSocketAddress* from = nullptr;
     GError* error = nullptr;
     const gssize n = g_socket_receive_from(socket_, &from, bytes, sizeof bytes, nullptr, &error);
@@ -95,27 +96,27 @@
   }
 }
 
-void Peers::Read(std::string_view bytes, GSocketAddress* from) {
-  const auto it = numbers_.find(TextOf(from));
-  const int source = it == numbers_.end() ? -1 : it->second;
-  Dropped why{};
-  const auto word = gate_.Admit(bytes, source, &why);
-  if (!word) {
-    Count(NameOf(why));
-    if (why == Dropped::kReplaced) replaced_(source);
+void PeerTransport::Read(std::string_view bytes, GSocketAddress* from) {
+  const auto it = node_by_address_.find(ToString(from));
+  const int source = it == node_by_address_.end() ? -1 : it->second;
+  DropReason reason{};
+  const auto accepted = filter_.Admit(bytes, source, &reason);
+  if (!accepted) {
+    Count(NameOf(reason));
+    if (reason == DropReason::kReplaced) on_replaced_(source);
     return;
   }
   Count("peer_words");
-  for (const Section& s : word->datagram.sections) {
-    const auto it = sources_.find(static_cast<Topic>(s.topic));
-    if (it == sources_.end())
+  for (const Section& s : accepted->datagram.sections) {
+    const auto it = handlers_.find(static_cast<Topic>(s.topic));
+    if (it == handlers_.end())
       Count("peer_sections_unknown");
     else
-      it->second.hear(source, word->datagram.process, word->late, s.bytes);
+      it->second.receive(source, accepted->datagram.process, accepted->late, s.bytes);
   }
 }
 
-bool Peers::SendTo(GSocketAddress* to, std::string_view bytes) {
+bool PeerTransport::SendTo(GSocketAddress* to, std::string_view bytes) {
   GError* error = nullptr;
   const bool sent = g_socket_send_to(socket_, to, bytes.data(), bytes.size(), nullptr, &error) >= 0;
   if (!sent) Count("peer_words_not_sent");
@@ -123,44 +124,44 @@
   return sent;
 }
 
-bool Peers::Say(int to, Topic topic, std::string_view bytes) {
+bool PeerTransport::Send(int to, Topic topic, std::string_view bytes) {
   if (socket_ == nullptr) return false;
-  const bool all = to < 0;
-  if (!all && (static_cast<std::size_t>(to) >= nodes_.size() ||
-               nodes_[static_cast<std::size_t>(to)] == nullptr || to == options_.self))
+  const bool to_all = to < 0;
+  if (!to_all && (static_cast<std::size_t>(to) >= nodes_.size() ||
+                  nodes_[static_cast<std::size_t>(to)] == nullptr || to == options_.self))
     return false;
-  Writer writer(options_.self, process_(), number_ + 1);
+  Writer writer(options_.self, process_(), last_sequence_ + 1);
   if (!writer.Add(topic, bytes)) {
     Count("peer_words_without_room");
     return false;
   }
   // The others in their order of priority, as long as there is room.
-  std::vector<std::pair<int, Topic>> order;
-  for (const auto& [other, source] : sources_)
-    if (other != topic && source.add) order.emplace_back(source.priority, other);
-  std::sort(order.begin(), order.end());
-  for (const auto& [priority, other] : order) {
-    bool more = false;
-    const std::string added = sources_[other].add(to, writer.room(), &more);
-    if (!added.empty()) Must(writer.Add(other, added), "peer_section_too_long");
-    if (more) Count("peer_words_without_room");
+  std::vector<std::pair<int, Topic>> handlers;
+  for (const auto& [other, source] : handlers_)
+    if (other != topic && source.add) handlers.emplace_back(source.priority, other);
+  std::sort(handlers.begin(), handlers.end());
+  for (const auto& [priority, other] : handlers) {
+    bool truncated = false;
+    const std::string section = handlers_[other].add(to, writer.room(), &truncated);
+    if (!section.empty()) Must(writer.Add(other, section), "peer_section_too_long");
+    if (truncated) Count("peer_words_without_room");
   }
-  const std::string text = writer.Take();
-  const std::size_t receivers = all ? nodes_.size() - 1 : 1;
-  if (!budget_.Take(Now(), static_cast<double>(text.size() * receivers),
-                    sources_[topic].priority)) {
+  const std::string datagram = writer.Take();
+  const std::size_t receivers = to_all ? nodes_.size() - 1 : 1;
+  if (!budget_.Take(Now(), static_cast<double>(datagram.size() * receivers),
+                    handlers_[topic].priority)) {
     Count("peer_words_over_budget");
     return false;
   }
-  ++number_;
+  ++last_sequence_;
   Count("peer_words_sent", receivers);
-  Count("peer_bytes_sent", text.size() * receivers);
-  if (!all) return SendTo(nodes_[static_cast<std::size_t>(to)], text);
-  if (all_ != nullptr) return SendTo(all_, text);
+  Count("peer_bytes_sent", datagram.size() * receivers);
+  if (!to_all) return SendTo(nodes_[static_cast<std::size_t>(to)], datagram);
+  if (broadcast_address_ != nullptr) return SendTo(broadcast_address_, datagram);
   bool sent = false;
   for (std::size_t n = 0; n < nodes_.size(); ++n)
     if (static_cast<int>(n) != options_.self && nodes_[n] != nullptr)
-      sent = SendTo(nodes_[n], text) || sent;
+      sent = SendTo(nodes_[n], datagram) || sent;
   return sent;
 }
 
--- a/src/node/peer_transport/peers.h
+++ b/src/node/peer_transport/peers.h
@@ -19,26 +19,27 @@
 struct Options {
   std::string listen;              // ip:port
   std::vector<std::string> nodes;  // each node's address, this one's included, by number
-  std::string all;                 // an address that reaches every node; may be empty
+  std::string broadcast;           // an address that reaches every node; may be empty
   int self = 0;
   double bytes_per_second = 2000;  // sent, counted for each receiver
 };
 
-class Peers : private Poller::Client {
+class PeerTransport : private Poller::Client {
  public:
-  struct Source {
+  struct TopicHandler {
     int priority = 0;  // 0: the highest
     // What it has to say to that node (-1: to all) beside what is going there anyhow: at most
     // `room` bytes, or nothing. `*more`: there was not room enough.
     std::function<std::string(int to, std::size_t room, bool* more)> add;
-    std::function<void(int from, std::uint64_t process, bool late, std::string_view bytes)> hear;
+    std::function<void(int from, std::uint64_t process, bool late, std::string_view bytes)> receive;
   };
   // `process`: asked for each datagram, once the socket is open. `replaced`: a word came from a
   // process of that node that is known to be replaced.
-  Peers(Options options, std::function<std::uint64_t()> process, std::function<void(int)> replaced);
-  ~Peers();
-  Peers(const Peers&) = delete;
-  Peers& operator=(const Peers&) = delete;
+  PeerTransport(Options options, std::function<std::uint64_t()> process,
+                std::function<void(int)> replaced);
+  ~PeerTransport();
+  PeerTransport(const PeerTransport&) = delete;
+  PeerTransport& operator=(const PeerTransport&) = delete;
 
   // Empty, or what is wrong: another process of this node may have the address still.
   std::string Open();
@@ -46,10 +47,10 @@
   void Close();
   int port() const;
 
-  void Register(Topic topic, Source source) { sources_[topic] = std::move(source); }
+  void Register(Topic topic, TopicHandler source) { handlers_[topic] = std::move(source); }
   // Says it now, with what others add; -1: to all. False: no budget, no socket, or too long.
-  bool Say(int to, Topic topic, std::string_view bytes);
-  void Known(int node, std::uint64_t process) { gate_.Known(node, process); }
+  bool Send(int to, Topic topic, std::string_view bytes);
+  void ObserveProcess(int node, std::uint64_t process) { filter_.ObserveProcess(node, process); }
 
  private:
   void OnReady(std::uint32_t events) override;
@@ -58,15 +59,15 @@
 
   Options options_;
   std::function<std::uint64_t()> process_;
-  std::function<void(int)> replaced_;
-  Gate gate_;
+  std::function<void(int)> on_replaced_;
+  DatagramFilter filter_;
   Budget budget_;
   GSocket* socket_ = nullptr;
   std::vector<GSocketAddress*> nodes_;
-  GSocketAddress* all_ = nullptr;
-  std::map<std::string, int> numbers_;  // by address
-  std::map<Topic, Source> sources_;
-  std::uint32_t number_ = 0;
+  GSocketAddress* broadcast_address_ = nullptr;
+  std::map<std::string, int> node_by_address_;  // by address
+  std::map<Topic, TopicHandler> handlers_;
+  std::uint32_t last_sequence_ = 0;
 };
 
 }  // namespace pearreach::peer_transport
--- a/src/node/rules/document.h
+++ b/src/node/rules/document.h
@@ -19,32 +19,32 @@
 
 namespace pearreach::rules {
 
-constexpr std::uint32_t kSchema = 1;            // the latest that this build reads
-constexpr std::size_t kMaxDocument = 16 << 10;  // bytes, canonical
+constexpr std::uint32_t kSchema = 1;                 // the latest that this build reads
+constexpr std::size_t kMaxDocumentBytes = 16 << 10;  // bytes, canonical
 
 // What is not said here is as the node's own file has it.
 struct Rules {
-  std::map<std::string, double> shares;  // accounts': jobs a second, all nodes
-  std::optional<double> others;          // of accounts that are not named above
-  std::optional<double> repeats;         // clients' own retries a second, all nodes
-  std::optional<int> attempts;           // of a job, at most
-  std::optional<int> nodes;              // into so many parts a budget is shared
-  std::set<std::string> bans;            // workers that get no job
-  std::map<std::string, bool> leaves;    // zones: left, or (false) in use whatever is seen of them
+  std::map<std::string, double> shares;   // accounts': jobs a second, all nodes
+  std::optional<double> default_share;    // of accounts that are not named above
+  std::optional<double> retries_per_s;    // clients' own retries a second, all nodes
+  std::optional<int> attempts;            // of a job, at most
+  std::optional<int> budget_parts;        // into so many parts a budget is shared
+  std::set<std::string> bans;             // workers that get no job
+  std::map<std::string, bool> zone_left;  // zones: left, or (false) in use whatever is seen of them
   bool operator==(const Rules&) const = default;
 };
 // Commutative, associative, idempotent; obeys both.
 Rules StricterOf(const Rules& a, const Rules& b);
-bool Obeys(const Rules& a, const Rules& b);  // `a` permits nothing that `b` forbids
+bool Satisfies(const Rules& a, const Rules& b);  // `a` permits nothing that `b` forbids
 // What a node acts on that knows of `known` and cannot tell what is in force.
 Rules FloorOf(const Rules& known);
 
 struct Document {
   std::uint32_t schema = kSchema;
-  std::uint64_t number = 0;  // 0: what the nodes begin with
-  std::uint64_t before = 0;  // hash of the version before
-  int by = 0;
-  std::int64_t at_ms = 0;
+  std::uint64_t number = 0;         // 0: what the nodes begin with
+  std::uint64_t previous_hash = 0;  // hash of the version before
+  int proposer = 0;
+  std::int64_t proposed_at_ms = 0;
   bool forced = false;      // in an operator's forced way, without a majority
   std::vector<int> voters;  // ascending; they decide on the version after this one
   Rules rules;
@@ -55,13 +55,13 @@
 Document ReadXml(std::string_view text, const std::string& name, const std::vector<int>& voters,
                  int nodes);
 std::string WriteXml(const Document& document);
-std::string Words(const Document& document);  // a line for people
+std::string Describe(const Document& document);  // a line for people
 // What of the rules differs, a line each ("account a: share 5 -> 3").
 std::vector<std::string> Differences(const Rules& from, const Rules& to);
 
 std::string Encode(const Document& document);  // canonical
 // None: not a document, not in canonical form, or of a later schema (`*later`, if given).
-std::optional<Document> Decode(std::string_view bytes, bool* later = nullptr);
+std::optional<Document> Decode(std::string_view bytes, bool* later_schema = nullptr);
 std::uint64_t HashOf(std::string_view canonical);  // BLAKE2b, never 0
 
 }  // namespace pearreach::rules
--- a/src/node/rules/documents.cpp
+++ b/src/node/rules/documents.cpp
@@ -6,77 +6,80 @@
 namespace pearreach::rules {
 namespace {
 
-constexpr std::size_t kMaxHistory = 32;    // versions held
-constexpr std::size_t kMaxDocuments = 16;  // that were not chosen
+constexpr std::size_t kMaxHistory = 32;            // versions held
+constexpr std::size_t kMaxUnchosenDocuments = 16;  // that were not chosen
 constexpr std::size_t kMaxFetches = 8;
-constexpr int kBatch = 4;  // parts of a document that one question brings
+constexpr int kPartsPerRequest = 4;  // parts of a document that one question brings
 
 }  // namespace
 
-void Agreement::Install(Micros) {
-  const std::string bytes = *DocumentOf(head_.hash);
+void Consensus::Install(Micros) {
+  const std::string bytes = *DocumentOf(version_id_.hash);
   bool later = false;
   const std::optional<Document> document = Decode(bytes, &later);
-  if (!document || document->number != head_.number) {
-    unread_.insert(head_.hash);
-    ++figures_.refused;
+  if (!document || document->number != version_id_.number) {
+    unreadable_.insert(version_id_.hash);
+    ++counters_.rejected_documents;
     return;
   }
-  if (history_.back().head.hash != head_.hash) history_.push_back({head_, *document, bytes});
-  history_.back().head = head_;
+  if (history_.back().id.hash != version_id_.hash)
+    history_.push_back({version_id_, *document, bytes});
+  history_.back().id = version_id_;
   if (history_.size() > kMaxHistory) history_.pop_front();
   last_voters_ = document->voters;
   dirty_ = true;
-  ++figures_.learned;
+  ++counters_.learned;
 }
 
-const std::string* Agreement::DocumentOf(std::uint64_t hash) const {
+const std::string* Consensus::DocumentOf(std::uint64_t hash) const {
   for (auto it = history_.rbegin(); it != history_.rend(); ++it)
-    if (it->head.hash == hash) return &it->bytes;
+    if (it->id.hash == hash) return &it->bytes;
   const auto it = documents_.find(hash);
   return it == documents_.end() ? nullptr : &it->second;
 }
 
 // Those that are in use stay; of the others the oldest goes.
-void Agreement::StoreDocument(std::uint64_t hash, const std::string& bytes) {
+void Consensus::StoreDocument(std::uint64_t hash, const std::string& bytes) {
   if (documents_.emplace(hash, bytes).second) documents_order_.push_back(hash);
-  for (std::size_t i = documents_order_.size(); i > 0 && documents_order_.size() > kMaxDocuments;
-       --i) {
+  for (std::size_t i = documents_order_.size();
+       i > 0 && documents_order_.size() > kMaxUnchosenDocuments; --i) {
     const std::uint64_t oldest = documents_order_.front();
     documents_order_.pop_front();
-    if (oldest == accepted_hash_ || oldest == head_.hash || oldest == hash ||
-        (proposal_ && (oldest == proposal_->hash || oldest == proposal_->value)))
+    if (oldest == accepted_hash_ || oldest == version_id_.hash || oldest == hash ||
+        (proposal_ && (oldest == proposal_->hash || oldest == proposal_->value_hash)))
       documents_order_.push_back(oldest);
     else
       documents_.erase(oldest);
   }
 }
 
-void Agreement::RequestDocument(Micros now, int from, std::uint64_t hash, std::vector<Out>* out) {
-  if (unread_.count(hash) > 0 || DocumentOf(hash) != nullptr) return;
+void Consensus::RequestDocument(Micros now, int from, std::uint64_t hash,
+                                std::vector<Outgoing>* out) {
+  if (unreadable_.count(hash) > 0 || DocumentOf(hash) != nullptr) return;
   if (fetches_.count(hash) == 0 && fetches_.size() >= kMaxFetches) {
     auto oldest = fetches_.begin();
     for (auto it = fetches_.begin(); it != fetches_.end(); ++it)
-      if (it->second.asked < oldest->second.asked) oldest = it;
+      if (it->second.requested_at < oldest->second.requested_at) oldest = it;
     fetches_.erase(oldest);
   }
   Fetch& f = fetches_[hash];
-  f.from = from;
-  f.asked = now;
-  Message m = Base(now);
-  m.want = hash;
-  while (f.got.count(m.want_part) > 0) ++m.want_part;
+  f.source = from;
+  f.requested_at = now;
+  Message m = NewMessage(now);
+  m.requested_hash = hash;
+  while (f.received.count(m.requested_part) > 0) ++m.requested_part;
   Send(from, m, out);
 }
 
 // The parts of a document that another node asks for.
-void Agreement::SendParts(Micros now, int to, const Message& request, std::vector<Out>* out) {
-  const std::string* bytes = DocumentOf(request.want);
+void Consensus::SendParts(Micros now, int to, const Message& request, std::vector<Outgoing>* out) {
+  const std::string* bytes = DocumentOf(request.requested_hash);
   if (bytes == nullptr) return;
   const int parts = static_cast<int>((bytes->size() + kPartBytes - 1) / kPartBytes);
-  for (int i = request.want_part; i < std::min(parts, request.want_part + kBatch); ++i) {
-    Message part = Base(now);
-    part.part_of = request.want;
+  for (int i = request.requested_part;
+       i < std::min(parts, request.requested_part + kPartsPerRequest); ++i) {
+    Message part = NewMessage(now);
+    part.part_hash = request.requested_hash;
     part.part = i;
     part.parts = parts;
     part.bytes = bytes->substr(static_cast<std::size_t>(i) * kPartBytes, kPartBytes);
@@ -84,27 +87,28 @@
   }
 }
 
-void Agreement::OnDocumentPart(Micros now, int from, const Message& m, std::vector<Out>* out) {
-  const auto it = fetches_.find(m.part_of);
+void Consensus::OnDocumentPart(Micros now, int from, const Message& m, std::vector<Outgoing>* out) {
+  const auto it = fetches_.find(m.part_hash);
   if (it == fetches_.end()) return;
   Fetch& f = it->second;
-  if (f.parts != m.parts) f.got.clear();
+  if (f.parts != m.parts) f.received.clear();
   f.parts = m.parts;
-  f.got[m.part] = m.bytes;
-  if (static_cast<int>(f.got.size()) < f.parts) {
-    if (m.part % kBatch == kBatch - 1) RequestDocument(now, from, m.part_of, out);
+  f.received[m.part] = m.bytes;
+  if (static_cast<int>(f.received.size()) < f.parts) {
+    if (m.part % kPartsPerRequest == kPartsPerRequest - 1)
+      RequestDocument(now, from, m.part_hash, out);
     return;
   }
   std::string bytes;
-  for (const auto& [part, piece] : f.got) bytes += piece;
+  for (const auto& [part, piece] : f.received) bytes += piece;
   fetches_.erase(it);
-  if (HashOf(bytes) != m.part_of) {
-    ++figures_.malformed;
+  if (HashOf(bytes) != m.part_hash) {
+    ++counters_.malformed;
     return;
   }
-  StoreDocument(m.part_of, bytes);
-  if (m.part_of == head_.hash) Install(now);
-  if (proposal_) Advance(now, out);
+  StoreDocument(m.part_hash, bytes);
+  if (m.part_hash == version_id_.hash) Install(now);
+  if (proposal_) AdvanceProposal(now, out);
 }
 
 }  // namespace pearreach::rules
--- a/src/node/rules/messages.h
+++ b/src/node/rules/messages.h
@@ -13,9 +13,9 @@
 namespace pearreach::rules {
 
 // A version that was chosen. A later epoch begins where voters have lost what they knew.
-struct Head {
+struct VersionId {
   std::uint64_t epoch = 0, number = 0, hash = 0;
-  auto operator<=>(const Head&) const = default;
+  auto operator<=>(const VersionId&) const = default;
 };
 
 constexpr std::size_t kPartBytes = 100;  // of a document, in one word
@@ -23,23 +23,23 @@
 enum class Step : std::uint8_t { kNone, kPrepare, kPromise, kAccept, kAccepted, kRefused };
 
 struct Message {
-  Head head;
+  VersionId version;
   std::int64_t age_ms = 0;
   std::uint32_t schema = 1;
-  bool refuses = false;
-  std::uint32_t ask = 0, answer = 0;
-  bool clean = false, recovering = false, formed = false;
+  bool cannot_read = false;
+  std::uint32_t query = 0, reply_to = 0;
+  bool vouches = false, recovering = false, started_epoch = false;
   std::uint64_t promised = 0, accepted = 0, accepted_hash = 0;
-  std::string have;  // a bit a node
+  std::string holders;  // a bit a node
   Step step = Step::kNone;
-  std::uint64_t ballot = 0, value_ballot = 0, value = 0;
-  std::uint64_t want = 0, part_of = 0;
-  int want_part = 0, part = 0, parts = 0;
+  std::uint64_t ballot = 0, value_ballot = 0, value_hash = 0;
+  std::uint64_t requested_hash = 0, part_hash = 0;
+  int requested_part = 0, part = 0, parts = 0;
   std::string bytes;
   bool operator==(const Message&) const = default;
 };
 
-std::string Encode(const Message& word);  // at most 220 bytes
+std::string Encode(const Message& message);  // at most 220 bytes
 std::optional<Message> DecodeMessage(std::string_view bytes);
 
 }  // namespace pearreach::rules
--- a/src/node/rules/recovery.cpp
+++ b/src/node/rules/recovery.cpp
@@ -8,99 +8,103 @@
 namespace pearreach::rules {
 namespace {
 
-constexpr Micros kLongest = 60'000'000'000;  // an age that is told counts for no more
+constexpr Micros kMaxAgeMicros = 60'000'000'000;  // an age that is told counts for no more
 
 }  // namespace
 
 // A voter that lost what it knew takes part again once it knows what it may have had a part in.
-void Agreement::Recover(Micros now) {
+void Consensus::Recover(Micros now) {
   if (!recovering_ || current() == nullptr) return;
   if (!IsVoter(options_.self)) {
     // Others vouch that none after this version was chosen: it cannot have voted on one.
     if (lease_until(now) > now) recovering_ = false;
     return;
   }
-  if (without_.recovery) {
+  if (disabled_guards_.recovery) {
     recovering_ = false;
     return;
   }
   // By then each ballot and lease in which its last process had a part is over.
-  const Micros over =
-      began_ + std::max(options_.After(), static_cast<Micros>(static_cast<double>(options_.ballot) *
-                                                              (1 + 2 * options_.drift)));
-  if (now < over) return;
-  const VotersHeard heard = VotersHeardSince(over);
+  const Micros recovery_end =
+      started_at_ + std::max(options_.MaxLease(),
+                             static_cast<Micros>(static_cast<double>(options_.ballot_timeout) *
+                                                 (1 + 2 * options_.drift)));
+  if (now < recovery_end) return;
+  const VoterSummary summary = SummarizeVoters(recovery_end);
   const int n = static_cast<int>(voters().size());
-  const int enough = n - Majority() + 1;
-  if (heard.sound < enough && heard.answered < n - 1) return;
+  const int required = n - Majority() + 1;
+  if (summary.not_recovering < required && summary.answered < n - 1) return;
   recovering_ = false;
   dirty_ = true;
-  promised_ = std::max(promised_, heard.promised);
-  if (heard.accepted > accepted_) {
-    accepted_ = heard.accepted;
-    accepted_hash_ = heard.accepted_hash;
+  promised_ = std::max(promised_, summary.promised);
+  if (summary.accepted > accepted_) {
+    accepted_ = summary.accepted;
+    accepted_hash_ = summary.accepted_hash;
     accepted_at_ = now;
   }
   // All voters are here and too many of them know nothing: what was chosen last may be forgotten.
   // What they choose from here on is of a later epoch, so that it can be told apart. One that was
   // begun less than a lease ago was begun while this process waited: it is the same beginning.
-  if (heard.sound < enough && !heard.formed) {
-    head_.epoch = (head_.epoch / kEpochStep + 1) * kEpochStep;
-    formed_at_ = now;
+  if (summary.not_recovering < required && !summary.started_epoch) {
+    version_id_.epoch = (version_id_.epoch / kEpochStep + 1) * kEpochStep;
+    epoch_started_at_ = now;
   }
-  history_.back().head = head_;
-  spread_ = 3;
+  history_.back().id = version_id_;
+  broadcast_rounds_ = 3;
 }
 
 // What the other voters of this version answered after a moment, together.
-Agreement::VotersHeard Agreement::VotersHeardSince(Micros since) const {
-  VotersHeard heard;
+Consensus::VoterSummary Consensus::SummarizeVoters(Micros since) const {
+  VoterSummary summary;
   for (const int voter : voters()) {
     if (voter == options_.self || voter >= options_.nodes) continue;
     const Other& o = others_[static_cast<std::size_t>(voter)];
-    if (o.answered_at < since || !(o.answered_head == head_)) continue;
-    ++heard.answered;
-    heard.sound += o.recovering ? 0 : 1;
-    heard.formed = heard.formed || o.formed;
-    heard.promised = std::max(heard.promised, o.promised);
-    if (o.accepted > heard.accepted) {
-      heard.accepted = o.accepted;
-      heard.accepted_hash = o.accepted_hash;
+    if (o.answered_at < since || !(o.answered_version == version_id_)) continue;
+    ++summary.answered;
+    summary.not_recovering += o.recovering ? 0 : 1;
+    summary.started_epoch = summary.started_epoch || o.started_epoch;
+    summary.promised = std::max(summary.promised, o.promised);
+    if (o.accepted > summary.accepted) {
+      summary.accepted = o.accepted;
+      summary.accepted_hash = o.accepted_hash;
     }
   }
-  return heard;
+  return summary;
 }
 
-void Agreement::Learn(Micros now, int from, const Head& head, std::int64_t age_ms,
-                      std::vector<Out>* out) {
-  if (std::pair(head.epoch, head.number) <= std::pair(head_.epoch, head_.number)) {
-    if (head.epoch == head_.epoch && head.number == head_.number && head.hash != head_.hash)
-      ++figures_.forked;
+void Consensus::Learn(Micros now, int from, const VersionId& version, std::int64_t age_ms,
+                      std::vector<Outgoing>* out) {
+  if (std::pair(version.epoch, version.number) <=
+      std::pair(version_id_.epoch, version_id_.number)) {
+    if (version.epoch == version_id_.epoch && version.number == version_id_.number &&
+        version.hash != version_id_.hash)
+      ++counters_.forked;
     return;
   }
   dirty_ = true;
-  formed_at_ = -1;
-  if (head.number == head_.number && head.hash == head_.hash) {
-    if (current() != nullptr) history_.back().head = head;
-    head_ = head;
+  epoch_started_at_ = -1;
+  if (version.number == version_id_.number && version.hash == version_id_.hash) {
+    if (current() != nullptr) history_.back().id = version;
+    version_id_ = version;
     return;
   }
-  const Micros age = std::min<Micros>(age_ms * 1000, kLongest);
-  const Micros until = now + std::max<Micros>(0, options_.After() - age);
-  const Version* before = current();
-  if (before != nullptr) retiring_.push_back({*before, until, lease_until(now)});
-  if (before == nullptr || head.number != head_.number + 1 || head.epoch != head_.epoch)
-    gap_until_ = std::max(gap_until_, until);
-  head_ = head;
-  head_at_ = now - age;
+  const Micros age = std::min<Micros>(age_ms * 1000, kMaxAgeMicros);
+  const Micros others_until = now + std::max<Micros>(0, options_.MaxLease() - age);
+  const Version* previous = current();
+  if (previous != nullptr) retiring_.push_back({*previous, others_until, lease_until(now)});
+  if (previous == nullptr || version.number != version_id_.number + 1 ||
+      version.epoch != version_id_.epoch)
+    unseen_until_ = std::max(unseen_until_, others_until);
+  version_id_ = version;
+  chosen_at_ = now - age;
   accepted_ = accepted_hash_ = 0;
-  refusing_.clear();
-  spread_ = 3;
-  if (DocumentOf(head.hash) != nullptr)
+  rejecting_nodes_.clear();
+  broadcast_rounds_ = 3;
+  if (DocumentOf(version.hash) != nullptr)
     Install(now);
   else
-    RequestDocument(now, from, head.hash, out);
-  if (proposal_) next_ = now;
+    RequestDocument(now, from, version.hash, out);
+  if (proposal_) next_tick_ = now;
 }
 
 }  // namespace pearreach::rules
--- a/src/node/rules/rules.cpp
+++ b/src/node/rules/rules.cpp
@@ -6,81 +6,81 @@
 namespace pearreach::rules {
 namespace {
 
-constexpr std::size_t kKeptHistory = 4;  // versions on the disk
-constexpr Micros kLongAgo = 60'000'000'000;
+constexpr std::size_t kStoredVersions = 4;  // versions on the disk
+constexpr Micros kLongAgoMicros = 60'000'000'000;
 
 }  // namespace
 
-Agreement::Agreement(Options options, std::uint64_t seed, Micros now,
-                     const std::optional<Kept>& kept)
-    : options_(std::move(options)), random_(seed), began_(now) {
+Consensus::Consensus(Options options, std::uint64_t seed, Micros now,
+                     const std::optional<PersistentState>& stored)
+    : options_(std::move(options)), random_(seed), started_at_(now) {
   std::sort(options_.voters.begin(), options_.voters.end());
   others_.resize(static_cast<std::size_t>(options_.nodes));
   Document first;
   first.voters = options_.voters;
   Version v{{}, first, Encode(first)};
-  v.head.hash = HashOf(v.bytes);
-  head_ = v.head;
-  head_at_ = now - kLongAgo;
+  v.id.hash = HashOf(v.bytes);
+  version_id_ = v.id;
+  chosen_at_ = now - kLongAgoMicros;
   last_voters_ = first.voters;
   history_.push_back(std::move(v));
   recovering_ = true;
-  next_ = now;
-  if (!kept) return;
+  next_tick_ = now;
+  if (!stored) return;
   recovering_ = false;
-  promised_ = kept->promised;
-  for (const std::string& bytes : kept->documents)
+  promised_ = stored->promised;
+  for (const std::string& bytes : stored->documents)
     if (const auto document = Decode(bytes))
-      history_.push_back({{kept->epoch, document->number, HashOf(bytes)}, *document, bytes});
-  head_ = history_.back().head;
-  head_.epoch = history_.back().head.epoch = kept->epoch;
+      history_.push_back({{stored->epoch, document->number, HashOf(bytes)}, *document, bytes});
+  version_id_ = history_.back().id;
+  version_id_.epoch = history_.back().id.epoch = stored->epoch;
   last_voters_ = history_.back().document.voters;
-  if (kept->accepted != 0) {
-    accepted_ = kept->accepted;
-    accepted_hash_ = HashOf(kept->accepted_document);
+  if (stored->accepted != 0) {
+    accepted_ = stored->accepted;
+    accepted_hash_ = HashOf(stored->accepted_document);
     accepted_at_ = now;
-    StoreDocument(accepted_hash_, kept->accepted_document);
+    StoreDocument(accepted_hash_, stored->accepted_document);
   }
-  highest_ = std::max(promised_, accepted_);
+  highest_ballot_ = std::max(promised_, accepted_);
   // Others may still act on the one before, whenever this one was chosen.
-  if (head_.number == 0) return;
-  head_at_ = now;
-  gap_until_ = now + options_.After();
+  if (version_id_.number == 0) return;
+  chosen_at_ = now;
+  unseen_until_ = now + options_.MaxLease();
 }
 
-const Version* Agreement::current() const {
-  return history_.back().head == head_ ? &history_.back() : nullptr;
+const Version* Consensus::current() const {
+  return history_.back().id == version_id_ ? &history_.back() : nullptr;
 }
 
-const Version* Agreement::Find(std::uint64_t number) const {
+const Version* Consensus::Find(std::uint64_t number) const {
   for (auto it = history_.rbegin(); it != history_.rend(); ++it)
-    if (it->head.number == number) return &*it;
+    if (it->id.number == number) return &*it;
   return nullptr;
 }
 
-std::vector<int> Agreement::voters() const {
+std::vector<int> Consensus::voters() const {
   const Version* v = current();
   return v != nullptr ? v->document.voters : last_voters_;
 }
 
-bool Agreement::IsVoter(int node) const {
+bool Consensus::IsVoter(int node) const {
   const Version* v = current();
   const std::vector<int>& voters = v != nullptr ? v->document.voters : last_voters_;
   return std::binary_search(voters.begin(), voters.end(), node);
 }
 
-Kept Agreement::TakeKept() {
+PersistentState Consensus::TakeState() {
   dirty_ = false;
-  Kept kept;
-  kept.epoch = head_.epoch;
-  kept.promised = promised_;
-  kept.accepted = accepted_;
+  PersistentState state;
+  state.epoch = version_id_.epoch;
+  state.promised = promised_;
+  state.accepted = accepted_;
   if (accepted_ != 0)
-    if (const std::string* bytes = DocumentOf(accepted_hash_)) kept.accepted_document = *bytes;
+    if (const std::string* bytes = DocumentOf(accepted_hash_)) state.accepted_document = *bytes;
   for (const Version& v : history_)
-    if (v.head.number > 0 && v.head.number + kKeptHistory > history_.back().head.number)
-      kept.documents.push_back(v.bytes);
-  return kept;
+    if (v.id.number > 0 && v.id.number + kStoredVersions > history_.back().id.number)
+      state.documents.push_back(v.bytes);
+  return state;
 }
 
 }  // namespace pearreach::rules
--- a/src/node/rules/stored_state.cpp
+++ b/src/node/rules/stored_state.cpp
@@ -5,31 +5,33 @@
 namespace pearreach::rules {
 namespace {
 
-constexpr int kMaxStored = 32;  // that are read
+constexpr int kMaxStoredDocuments = 32;  // that are read
 
 }  // namespace
 
-std::string EncodeKept(const Kept& kept) {
-  wire::Kept k;
-  k.set_epoch(kept.epoch);
-  k.set_promised(kept.promised);
-  k.set_accepted(kept.accepted);
-  k.set_accepted_document(kept.accepted_document);
-  for (const std::string& document : kept.documents) k.add_document(document);
-  return k.SerializeAsString();
+std::string EncodeState(const PersistentState& state) {
+  wire::Kept stored;
+  stored.set_epoch(state.epoch);
+  stored.set_promised(state.promised);
+  stored.set_accepted(state.accepted);
+  stored.set_accepted_document(state.accepted_document);
+  for (const std::string& document : state.documents) stored.add_document(document);
+  return stored.SerializeAsString();
 }
 
-std::optional<Kept> DecodeKept(std::string_view bytes) {
-  wire::Kept k;
-  if (!k.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) ||
-      k.document_size() > kMaxStored || (k.accepted() != 0 && !Decode(k.accepted_document())))
+std::optional<PersistentState> DecodeState(std::string_view bytes) {
+  wire::Kept stored;
+  if (!stored.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) ||
+      stored.document_size() > kMaxStoredDocuments ||
+      (stored.accepted() != 0 && !Decode(stored.accepted_document())))
     return std::nullopt;
-  Kept kept{k.epoch(), k.promised(), k.accepted(), k.accepted_document(), {}};
-  for (const std::string& document : k.document()) {
+  PersistentState state{
+      stored.epoch(), stored.promised(), stored.accepted(), stored.accepted_document(), {}};
+  for (const std::string& document : stored.document()) {
     if (!Decode(document)) return std::nullopt;
-    kept.documents.push_back(document);
+    state.documents.push_back(document);
   }
-  return kept;
+  return state;
 }
 
 }  // namespace pearreach::rules
--- a/tests/contracts/node_bytes_test.cpp
+++ b/tests/contracts/node_bytes_test.cpp
@@ -104,12 +104,12 @@
   const std::string bytes = writer.Take(), golden = Golden("datagram.bin", bytes);
   ExpectBytes(bytes, golden);
 
-  peer_transport::Dropped why{};
+  peer_transport::DropReason why{};
   const auto read = peer_transport::Read(golden, &why);
   ASSERT_TRUE(read) << peer_transport::NameOf(why);
   EXPECT_EQ(read->from, 0x0102);
   EXPECT_EQ(read->process, 0x0a0b0c0d0e0fu);
-  EXPECT_EQ(read->number, 0x11121314u);
+  EXPECT_EQ(read->sequence, 0x11121314u);
   ASSERT_EQ(read->sections.size(), 5u);
   for (std::size_t i = 0; i < 5; ++i) {
     EXPECT_EQ(read->sections[i].topic, i + 1);
@@ -198,23 +198,23 @@
 
 rules::Message RulesSample() {
   rules::Message word;
-  word.head = {11, 13, 0x1122334455667788};
+  word.version = {11, 13, 0x1122334455667788};
   word.age_ms = 17;
   word.schema = 19;
-  word.refuses = word.clean = word.recovering = word.formed = true;
-  word.ask = 23;
-  word.answer = 29;
+  word.cannot_read = word.vouches = word.recovering = word.started_epoch = true;
+  word.query = 23;
+  word.reply_to = 29;
   word.promised = 31;
   word.accepted = 37;
   word.accepted_hash = 0x99aabbccddeeff00;
-  word.have = std::string("\x05\0\xfa", 3);
+  word.holders = std::string("\x05\0\xfa", 3);
   word.step = rules::Step::kAccepted;
   word.ballot = 41;
   word.value_ballot = 43;
-  word.value = 47;
-  word.want = 53;
-  word.part_of = 59;
-  word.want_part = 61;
+  word.value_hash = 47;
+  word.requested_hash = 53;
+  word.part_hash = 59;
+  word.requested_part = 61;
   word.part = 67;
   word.parts = 71;
   word.bytes = "a part of a document";
@@ -231,8 +231,9 @@
 
 // Each of these is true alone, for truth has one form only.
 TEST(NodeBytes, FlagsInASectionOfRules) {
-  bool rules::Message::*const flags[] = {&rules::Message::refuses, &rules::Message::clean,
-                                         &rules::Message::recovering, &rules::Message::formed};
+  bool rules::Message::*const flags[] = {&rules::Message::cannot_read, &rules::Message::vouches,
+                                         &rules::Message::recovering,
+                                         &rules::Message::started_epoch};
   std::string bytes;
   for (const auto flag : flags) {
     rules::Message word;
@@ -260,13 +261,13 @@
   std::string Run() {
     for (membership::Micros now = 1000; now < 8'000'000; now += 50'000) {
       for (int n = 0; n < kNodes; ++n) {
-        std::vector<membership::Out> out;
+        std::vector<membership::Outgoing> out;
         if (Silent(n, now) || nodes_[Index(n)].next() > now) continue;
         nodes_[Index(n)].Tick(now, &out);
         Deliver(now, n, out);
       }
     }
-    std::vector<membership::Out> out;
+    std::vector<membership::Outgoing> out;
     nodes_[1].Leave(8'000'000, &out);
     Deliver(8'000'000, 1, out);
     return words_;
@@ -281,15 +282,15 @@
  private:
   static std::size_t Index(int n) { return static_cast<std::size_t>(n); }
   static bool Silent(int n, membership::Micros now) { return n == 2 && now > 2'500'000; }
-  void Deliver(membership::Micros now, int from, const std::vector<membership::Out>& out) {
-    for (const membership::Out& word : out) {
+  void Deliver(membership::Micros now, int from, const std::vector<membership::Outgoing>& out) {
+    for (const membership::Outgoing& word : out) {
       words_ += static_cast<char>(from);
       words_ += static_cast<char>(word.to);
       words_ += static_cast<char>(word.section.size());
       words_ += word.section;
       if (Silent(word.to, now)) continue;
-      std::vector<membership::Out> answers;
-      nodes_[Index(word.to)].Hear(now, from, ProcessOf(from), false, word.section, &answers);
+      std::vector<membership::Outgoing> answers;
+      nodes_[Index(word.to)].Receive(now, from, ProcessOf(from), false, word.section, &answers);
       Deliver(now, word.to, answers);
     }
   }
@@ -302,24 +303,24 @@
   MembersPlay play;
   const std::string bytes = play.Run(), golden = Golden("members.bin", bytes);
   ExpectBytes(bytes, golden);
-  EXPECT_GT(play.node(0).counts().asks, 0u);
+  EXPECT_GT(play.node(0).counts().ping_requests, 0u);
 
   // A fourth that hears the golden words alone believes what they say.
   membership::Members hearer({.self = 2, .nodes = MembersPlay::kNodes}, 9, 1000,
                              MembersPlay::ProcessOf(2) + 50);
-  std::vector<membership::Out> out;
+  std::vector<membership::Outgoing> out;
   for (std::size_t at = 0; at + 3 <= golden.size();) {
     const int from = golden[at];
     const auto size = static_cast<unsigned char>(golden[at + 2]);
     const std::string_view section = std::string_view(golden).substr(at + 3, size);
-    if (from != 2) hearer.Hear(1000, from, MembersPlay::ProcessOf(from), false, section, &out);
+    if (from != 2) hearer.Receive(1000, from, MembersPlay::ProcessOf(from), false, section, &out);
     at += 3u + size;
   }
   EXPECT_EQ(hearer.counts().malformed, 0u);
   EXPECT_EQ(hearer.entry(0).process, MembersPlay::ProcessOf(0));
   EXPECT_EQ(hearer.entry(0).status, membership::Status::kAlive);
   EXPECT_EQ(hearer.entry(1).status, membership::Status::kLeft);
-  EXPECT_EQ(hearer.says(0), play.node(1).says(0));
+  EXPECT_EQ(hearer.reported_reachability(0), play.node(1).reported_reachability(0));
 }
 
 // ---------------------------------------------------------------- rules on the disk
@@ -327,18 +328,18 @@
 rules::Document DocumentSample(std::uint64_t number) {
   rules::Document document;
   document.number = number;
-  document.before = 0x0102030405060708;
-  document.by = 4;
-  document.at_ms = kEpochMs + 5;
+  document.previous_hash = 0x0102030405060708;
+  document.proposer = 4;
+  document.proposed_at_ms = kEpochMs + 5;
   document.forced = true;
   document.voters = {1, 2, 6};
   document.rules.shares = {{"acme", 12.5}, {"zeta", 0.25}};
-  document.rules.others = 3.5;
-  document.rules.repeats = 7.75;
+  document.rules.default_share = 3.5;
+  document.rules.retries_per_s = 7.75;
   document.rules.attempts = 8;
-  document.rules.nodes = 9;
+  document.rules.budget_parts = 9;
   document.rules.bans = {"s-1", "s-2"};
-  document.rules.leaves = {{"east", true}, {"west", false}};
+  document.rules.zone_left = {{"east", true}, {"west", false}};
   return document;
 }
 
@@ -359,7 +360,7 @@
   const std::string shown = rules::WriteXml(document);
   EXPECT_EQ(shown, Golden("rules_shown.xml", shown));
   document.rules.attempts.reset();
-  document.rules.others.reset();
+  document.rules.default_share.reset();
   const std::string text = rules::WriteXml(document), golden = Golden("rules_read.xml", text);
   EXPECT_EQ(text, golden);
   const rules::Document read = rules::ReadXml(golden, "golden", {}, 9);
@@ -367,7 +368,7 @@
   EXPECT_EQ(read.voters, document.voters);
 }
 
-rules::Kept KeptSample() {
+rules::PersistentState KeptSample() {
   return {21,
           22,
           23,
@@ -376,10 +377,10 @@
 }
 
 TEST(NodeBytes, StoredStateOfRules) {
-  const std::string bytes = rules::EncodeKept(KeptSample()),
+  const std::string bytes = rules::EncodeState(KeptSample()),
                     golden = Golden("rules_kept.bin", bytes);
   ExpectBytes(bytes, golden);
-  EXPECT_EQ(rules::DecodeKept(golden), KeptSample());
+  EXPECT_EQ(rules::DecodeState(golden), KeptSample());
 }
 
 TEST(NodeBytes, FileOfRules) {
--- a/tests/node/membership/members_test.cpp
+++ b/tests/node/membership/members_test.cpp
@@ -24,7 +24,7 @@
 
 RC_GTEST_PROP(MembersMerge, IsATotalOrderSoThatOrderAndNumberOfWordsChangeNothing, ()) {
   const Entry a = AnyEntry(), b = AnyEntry(), c = AnyEntry();
-  const auto merge = [](const Entry& x, const Entry& y) { return Later(y, x) ? y : x; };
+  const auto merge = [](const Entry& x, const Entry& y) { return Supersedes(y, x) ? y : x; };
   RC_ASSERT(merge(a, b) == merge(b, a));
   RC_ASSERT(merge(a, merge(b, c)) == merge(merge(a, b), c));
   RC_ASSERT(merge(a, a) == a);
@@ -56,8 +56,8 @@
         Options{.self = n, .nodes = kNodes}, 7 + lives, now,
         kEpoch + 1000 + static_cast<std::uint64_t>(now / 1000) + lives);
   }
-  void Take(int from, std::vector<Out> out) {
-    for (Out& o : out)
+  void Take(int from, std::vector<Outgoing> out) {
+    for (Outgoing& o : out)
       words.push_back(
           {from, o.to, machines[static_cast<std::size_t>(from)]->process(), std::move(o.section)});
   }
@@ -71,7 +71,7 @@
   for (int i = 0; i < steps; ++i) {
     const int n = *rc::gen::inRange(0, Net::kNodes);
     Members& m = *net.machines[static_cast<std::size_t>(n)];
-    std::vector<Out> out;
+    std::vector<Outgoing> out;
     switch (*rc::gen::inRange(0, 8)) {
       case 0:
         net.machines[static_cast<std::size_t>(n)] = net.Make(n);
@@ -92,7 +92,7 @@
         if (net.words.empty()) break;
         const auto at = *rc::gen::inRange<std::size_t>(0, net.words.size());
         const Net::Word word = net.words[at];  // it stays, and may come again
-        net.machines[static_cast<std::size_t>(word.to)]->Hear(
+        net.machines[static_cast<std::size_t>(word.to)]->Receive(
             net.now, word.from, word.process, *rc::gen::arbitrary<bool>(), word.section, &out);
         net.Take(word.to, std::move(out));
       }
@@ -111,11 +111,11 @@
 
 TEST(Members, WhatCannotBeReadChangesNothing) {
   Members m({.self = 0, .nodes = 3}, 1, 0, kEpoch + 5);
-  std::vector<Out> out;
+  std::vector<Outgoing> out;
   for (const std::string& bad :
        {std::string("\xff\xff"), std::string("\x42\x03\x01"), std::string("\x42\x01\x01")})
-    m.Hear(10, 1, kEpoch + 9, false, bad, &out);
-  m.Hear(10, 7, kEpoch + 9, false, "", &out);
+    m.Receive(10, 1, kEpoch + 9, false, bad, &out);
+  m.Receive(10, 7, kEpoch + 9, false, "", &out);
   EXPECT_EQ(m.entry(1).process, 0u);
   EXPECT_EQ(m.counts().malformed, 4u);
 }
@@ -125,23 +125,24 @@
 TEST(Members, AClockThatWentBackIsOvercome) {
   Members old({.self = 1, .nodes = 2}, 1, 0, kEpoch + 1000),
       other({.self = 0, .nodes = 2}, 2, 0, kEpoch + 1);
-  std::vector<Out> out;
+  std::vector<Outgoing> out;
   const auto run = [&](Members* m, int number, Micros until) {
     for (Micros now = m->next(); now < until; now = m->next()) {
-      std::vector<Out> said;
+      std::vector<Outgoing> said;
       m->Tick(now, &said);
       Members* to = m == &other ? nullptr : &other;
-      for (const Out& o : said)
-        if (to != nullptr) to->Hear(now, number, m->process(), false, o.section, &out);
+      for (const Outgoing& o : said)
+        if (to != nullptr) to->Receive(now, number, m->process(), false, o.section, &out);
     }
   };
   run(&old, 1, 2'000'000);
   ASSERT_EQ(other.entry(1).process, kEpoch + 1000);
   Members late({.self = 1, .nodes = 2}, 3, 2'000'000, kEpoch + 10);
-  other.Refused(1);
-  std::vector<Out> said;
+  other.NoteReplacedSender(1);
+  std::vector<Outgoing> said;
   while (said.empty()) other.Tick(std::max<Micros>(other.next(), 2'000'000), &said);
-  for (const Out& o : said) late.Hear(2'100'000, 0, other.process(), false, o.section, &out);
+  for (const Outgoing& o : said)
+    late.Receive(2'100'000, 0, other.process(), false, o.section, &out);
   EXPECT_GT(late.process(), kEpoch + 1000);
 }
 
--- a/tests/node/peer_transport/peers_test.cpp
+++ b/tests/node/peer_transport/peers_test.cpp
@@ -16,43 +16,45 @@
 namespace pearreach::peer_transport {
 namespace {
 
-std::string Word(int from, std::uint64_t process, std::uint32_t number,
-                 std::string_view section = "hello") {
+std::string MakeDatagram(int from, std::uint64_t process, std::uint32_t number,
+                         std::string_view section = "hello") {
   Writer w(from, process, number);
   EXPECT_TRUE(w.Add(Topic::kModule, section));
   return w.Take();
 }
 
-std::string Why(Gate* gate, const std::string& bytes, int source) {
-  Dropped why{};
+std::string RejectionOf(DatagramFilter* gate, const std::string& bytes, int source) {
+  DropReason why{};
   return gate->Admit(bytes, source, &why) ? "" : NameOf(why);
 }
 
 TEST(Datagram, SaysWhyItIsNotBelieved) {
-  Gate gate(0, 3);
-  const std::string good = Word(1, 1000, 1);
-  EXPECT_EQ(Why(&gate, good.substr(0, 19), 1), "peer_words_short");
-  EXPECT_EQ(Why(&gate, good + std::string(256, 'x'), 1), "peer_words_long");
+  DatagramFilter gate(0, 3);
+  const std::string good = MakeDatagram(1, 1000, 1);
+  EXPECT_EQ(RejectionOf(&gate, good.substr(0, 19), 1), "peer_words_short");
+  EXPECT_EQ(RejectionOf(&gate, good + std::string(256, 'x'), 1), "peer_words_long");
   std::string other = good;
   other[1] = 2;
-  EXPECT_EQ(Why(&gate, other, 1), "peer_words_other_version");
-  EXPECT_EQ(Why(&gate, "GET / HTTP/1.1\r\nHost: a\r\n\r\n", 1), "peer_words_foreign");
-  EXPECT_EQ(Why(&gate, good, -1), "peer_words_unknown_sender");
-  EXPECT_EQ(Why(&gate, good, 2), "peer_words_unknown_sender") << "another's address";
-  EXPECT_EQ(Why(&gate, Word(0, 1000, 1), 0), "peer_words_unknown_sender") << "its own";
-  EXPECT_EQ(Why(&gate, good, 1), "");
-  EXPECT_EQ(Why(&gate, good, 1), "peer_words_old") << "twice";
-  EXPECT_EQ(Why(&gate, Word(1, 2000, 1), 1), "") << "a later process counts anew";
-  EXPECT_EQ(Why(&gate, Word(1, 1000, 9), 1), "peer_words_replaced");
-  gate.Known(2, 5000);
-  EXPECT_EQ(Why(&gate, Word(2, 4999, 1), 2), "peer_words_replaced") << "as others have told";
+  EXPECT_EQ(RejectionOf(&gate, other, 1), "peer_words_other_version");
+  EXPECT_EQ(RejectionOf(&gate, "GET / HTTP/1.1\r\nHost: a\r\n\r\n", 1), "peer_words_foreign");
+  EXPECT_EQ(RejectionOf(&gate, good, -1), "peer_words_unknown_sender");
+  EXPECT_EQ(RejectionOf(&gate, good, 2), "peer_words_unknown_sender") << "another's address";
+  EXPECT_EQ(RejectionOf(&gate, MakeDatagram(0, 1000, 1), 0), "peer_words_unknown_sender")
+      << "its own";
+  EXPECT_EQ(RejectionOf(&gate, good, 1), "");
+  EXPECT_EQ(RejectionOf(&gate, good, 1), "peer_words_old") << "twice";
+  EXPECT_EQ(RejectionOf(&gate, MakeDatagram(1, 2000, 1), 1), "") << "a later process counts anew";
+  EXPECT_EQ(RejectionOf(&gate, MakeDatagram(1, 1000, 9), 1), "peer_words_replaced");
+  gate.ObserveProcess(2, 5000);
+  EXPECT_EQ(RejectionOf(&gate, MakeDatagram(2, 4999, 1), 2), "peer_words_replaced")
+      << "as others have told";
 }
 
 TEST(Datagram, OutOfOrderIsReadOnceAndNotTakenForNew) {
-  Gate gate(0, 2);
-  Dropped why{};
-  ASSERT_TRUE(gate.Admit(Word(1, 1, 70), 1, &why));
-  const std::string late = Word(1, 1, 69), old = Word(1, 1, 6);
+  DatagramFilter gate(0, 2);
+  DropReason why{};
+  ASSERT_TRUE(gate.Admit(MakeDatagram(1, 1, 70), 1, &why));
+  const std::string late = MakeDatagram(1, 1, 69), old = MakeDatagram(1, 1, 6);
   const auto word = gate.Admit(late, 1, &why);
   ASSERT_TRUE(word);
   EXPECT_TRUE(word->late);
@@ -61,10 +63,10 @@
 }
 
 RC_GTEST_PROP(DatagramProperties, NoDamageIsBelieved, ()) {
-  std::string bytes = Word(1, 77, 5, "some bytes of a section");
+  std::string bytes = MakeDatagram(1, 77, 5, "some bytes of a section");
   const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
   bytes[at] = static_cast<char>(bytes[at] ^ *rc::gen::inRange(1, 256));
-  Dropped why{};
+  DropReason why{};
   RC_ASSERT(!Read(bytes, &why));
 }
 
@@ -72,16 +74,16 @@
   Writer w(1, 5, 1);
   ASSERT_TRUE(w.Add(static_cast<Topic>(200), "of a later version"));
   ASSERT_TRUE(w.Add(Topic::kModule, "known"));
-  Dropped why{};
+  DropReason why{};
   const std::string bytes = w.Take();
   const auto d = Read(bytes, &why);
   ASSERT_TRUE(d);
   ASSERT_EQ(d->sections.size(), 2u);
   EXPECT_EQ(d->sections[1].bytes, "known");
   Writer full(1, 5, 1);
-  EXPECT_FALSE(full.Add(Topic::kModule, std::string(kMaxBytes - kHeadBytes - 1, 'x')));
-  EXPECT_TRUE(full.Add(Topic::kModule, std::string(kMaxBytes - kHeadBytes - 2, 'x')));
-  EXPECT_EQ(full.Take().size(), kMaxBytes);
+  EXPECT_FALSE(full.Add(Topic::kModule, std::string(kMaxDatagramBytes - kHeaderBytes - 1, 'x')));
+  EXPECT_TRUE(full.Add(Topic::kModule, std::string(kMaxDatagramBytes - kHeaderBytes - 2, 'x')));
+  EXPECT_EQ(full.Take().size(), kMaxDatagramBytes);
 }
 
 TEST(Budget, WhatMattersLessWaitsFirst) {
@@ -96,14 +98,14 @@
 
 // ---------------------------------------------------------------- on sockets
 
-std::string FreeUdp() {
-  Peers probe(
+std::string FreeUdpAddress() {
+  PeerTransport probe(
       {"127.0.0.1:0", {"127.0.0.1:1", "127.0.0.1:2"}, "", 0}, [] { return 1; }, [](int) {});
   EXPECT_EQ(probe.Open(), "");
   return "127.0.0.1:" + std::to_string(probe.port());
 }
 
-FleetSettings Settings(const std::vector<std::string>& nodes, int self) {
+FleetSettings SettingsOf(const std::vector<std::string>& nodes, int self) {
   FleetSettings s;
   s.listen = nodes[static_cast<std::size_t>(self)];
   s.nodes = nodes;
@@ -114,8 +116,8 @@
 }
 
 TEST(Fleet, NodesHearOfEachOtherAndCarryTheModulesWords) {
-  const std::vector<std::string> nodes = {FreeUdp(), FreeUdp(), FreeUdp()};
-  Fleet a(Settings(nodes, 0)), b(Settings(nodes, 1)), c(Settings(nodes, 2));
+  const std::vector<std::string> nodes = {FreeUdpAddress(), FreeUdpAddress(), FreeUdpAddress()};
+  Fleet a(SettingsOf(nodes, 0)), b(SettingsOf(nodes, 1)), c(SettingsOf(nodes, 2));
   std::vector<std::pair<int, std::string>> told;
   b.OnTold([&](int from, std::string bytes) { told.push_back({from, std::move(bytes)}); });
   for (Fleet* f : {&a, &b, &c}) f->Start();
@@ -130,8 +132,8 @@
 
 // Of two processes with one node's address one speaks, and the other only when it is free.
 TEST(Fleet, TheSecondProcessOfANodeWaitsForItsAddress) {
-  const std::vector<std::string> nodes = {FreeUdp(), FreeUdp()};
-  Fleet first(Settings(nodes, 0)), second(Settings(nodes, 0)), other(Settings(nodes, 1));
+  const std::vector<std::string> nodes = {FreeUdpAddress(), FreeUdpAddress()};
+  Fleet first(SettingsOf(nodes, 0)), second(SettingsOf(nodes, 0)), other(SettingsOf(nodes, 1));
   first.Start();
   second.Start();
   other.Start();
@@ -145,7 +147,7 @@
       lab::RunUntil([&] { return other.members()->entry(0).process > before; }, 20 * kSecond));
 }
 
-std::string TextOf(const std::string& path) {
+std::string ToString(const std::string& path) {
   std::ifstream in(path);
   return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
 }
@@ -154,7 +156,7 @@
 // node says in one line why it cannot have words, and serves.
 TEST(Node, WordsForTheModuleAreInTheCaptureAndReplay) {
   lab::Folder folder;
-  const std::vector<std::string> nodes = {FreeUdp(), FreeUdp()};
+  const std::vector<std::string> nodes = {FreeUdpAddress(), FreeUdpAddress()};
   const std::string address = lab::FreeAddress(), list = lab::FreeAddress();
   const auto config = [&](const std::string& peers) {
     return R"({"name":"n0","listen":")" + address + R"(","discovery":")" + list +
@@ -172,8 +174,8 @@
         lab::NodeProcess::Own{config(R"("peer_listen":")" + nodes[0] + R"(","peers":[")" +
                                      nodes[0] + "\",\"" + nodes[1] + "\"],")},
         file, address);
-    ASSERT_TRUE(node.Ready(20 * kSecond)) << TextOf(folder.path() + "/n0.log");
-    Fleet other(Settings(nodes, 1));
+    ASSERT_TRUE(node.Ready(20 * kSecond)) << ToString(folder.path() + "/n0.log");
+    Fleet other(SettingsOf(nodes, 1));
     other.Start();
     ASSERT_TRUE(
         lab::RunUntil([&] { return other.members()->view(Now()).alive == 1; }, 20 * kSecond));
@@ -181,35 +183,35 @@
     lab::RunUntil([] { return false; }, 300 * kMs);
     EXPECT_TRUE(node.Stop());
   }
-  EXPECT_NE(TextOf(folder.path() + "/n0.log").find("peer_words_for_the_module=20"),
+  EXPECT_NE(ToString(folder.path() + "/n0.log").find("peer_words_for_the_module=20"),
             std::string::npos);
   const std::string replay =
       std::string(PEARREACH_PROGRAM) + " replay " + folder.path() + "/c/*.prcap";
   EXPECT_EQ(std::system((replay + " >" + folder.path() + "/out").c_str()), 0)
-      << TextOf(folder.path() + "/out");
+      << ToString(folder.path() + "/out");
   lab::NodeProcess without(PEARREACH_PROGRAM, "n1", folder.path(),
                            lab::NodeProcess::Own{config("")}, file, address);
   EXPECT_TRUE(without.Ready(20 * kSecond));
-  EXPECT_NE(TextOf(folder.path() + "/n1.log")
+  EXPECT_NE(ToString(folder.path() + "/n1.log")
                 .find("peers_off (1): peers: the configuration has no peer_listen"),
             std::string::npos);
 }
 
 // A storm of words is read in bounded parts: what else the loop has to do gets its turn.
 TEST(Peers, AStormOfWordsStarvesNobody) {
-  const std::vector<std::string> nodes = {FreeUdp(), FreeUdp()};
+  const std::vector<std::string> nodes = {FreeUdpAddress(), FreeUdpAddress()};
   int heard = 0, turns = 0, most = 0, in_turn = 0;
-  Peers receiver(
+  PeerTransport receiver(
       {nodes[0], nodes, "", 0}, [] { return 1; }, [](int) {});
   receiver.Register(Topic::kModule, {0, nullptr, [&](int, std::uint64_t, bool, std::string_view) {
                                        ++heard;
                                        most = std::max(most, ++in_turn);
                                      }});
   ASSERT_EQ(receiver.Open(), "");
-  Peers sender(
+  PeerTransport sender(
       {nodes[1], nodes, "", 1, 1e9}, [] { return 1; }, [](int) {});
   ASSERT_EQ(sender.Open(), "");
-  for (int i = 0; i < 200; ++i) sender.Say(0, Topic::kModule, "storm");
+  for (int i = 0; i < 200; ++i) sender.Send(0, Topic::kModule, "storm");
   while (heard < 200 && ++turns < 1000) {
     in_turn = 0;
     g_main_context_iteration(nullptr, FALSE);
--- a/tests/node/rules/rules_test.cpp
+++ b/tests/node/rules/rules_test.cpp
@@ -26,7 +26,7 @@
 using lab::RulesPlan;
 using lab::RulesResult;
 using lab::RunRules;
-using rules::Agreement;
+using rules::Consensus;
 using rules::Document;
 using rules::Micros;
 using rules::Rules;
@@ -37,14 +37,14 @@
     Rules r;
     for (const char* account : {"a", "b", "c"})
       if (*rc::gen::arbitrary<bool>()) r.shares[account] = rate();
-    if (*rc::gen::arbitrary<bool>()) r.others = rate();
-    if (*rc::gen::arbitrary<bool>()) r.repeats = rate();
+    if (*rc::gen::arbitrary<bool>()) r.default_share = rate();
+    if (*rc::gen::arbitrary<bool>()) r.retries_per_s = rate();
     if (*rc::gen::arbitrary<bool>()) r.attempts = *rc::gen::inRange(1, 4);
-    if (*rc::gen::arbitrary<bool>()) r.nodes = *rc::gen::inRange(1, 4);
+    if (*rc::gen::arbitrary<bool>()) r.budget_parts = *rc::gen::inRange(1, 4);
     for (const char* worker : {"s-1", "s-2"})
       if (*rc::gen::arbitrary<bool>()) r.bans.insert(worker);
     for (const char* zone : {"z0", "z1"})
-      if (*rc::gen::arbitrary<bool>()) r.leaves[zone] = *rc::gen::arbitrary<bool>();
+      if (*rc::gen::arbitrary<bool>()) r.zone_left[zone] = *rc::gen::arbitrary<bool>();
     return r;
   });
 }
@@ -54,29 +54,29 @@
   RC_ASSERT(StricterOf(a, b) == StricterOf(b, a));
   RC_ASSERT(StricterOf(a, StricterOf(b, c)) == StricterOf(StricterOf(a, b), c));
   RC_ASSERT(StricterOf(a, a) == a);
-  RC_ASSERT(Obeys(StricterOf(a, b), a));
-  RC_ASSERT(Obeys(StricterOf(a, b), b));
+  RC_ASSERT(Satisfies(StricterOf(a, b), a));
+  RC_ASSERT(Satisfies(StricterOf(a, b), b));
   // And it is the loosest that does: what obeys both obeys it.
-  const bool both = Obeys(c, a) && Obeys(c, b);
-  RC_ASSERT(both == Obeys(c, StricterOf(a, b)));
+  const bool both = Satisfies(c, a) && Satisfies(c, b);
+  RC_ASSERT(both == Satisfies(c, StricterOf(a, b)));
 }
 
 RC_GTEST_PROP(RulesCompare, TheFloorObeysWhatItDoesNotKnow, ()) {
   const Rules known = *AnyRules();
   Rules any = *AnyRules();
   const Rules floor = FloorOf(known);
-  RC_ASSERT(Obeys(floor, known));
+  RC_ASSERT(Satisfies(floor, known));
   // Bans, zones left and numbers of nodes it cannot guess.
   any.bans.clear();
-  any.leaves.clear();
-  any.nodes.reset();
-  RC_ASSERT(Obeys(floor, any));
+  any.zone_left.clear();
+  any.budget_parts.reset();
+  RC_ASSERT(Satisfies(floor, any));
 }
 
 RC_GTEST_PROP(RulesForms, CanonicalIsOneFormAndXmlSaysTheSame, ()) {
   Document d;
   d.rules = *AnyRules();
-  d.rules.others.reset();
+  d.rules.default_share.reset();
   d.rules.attempts.reset();  // not in files yet
   d.voters = {0, 2};
   d.number = *rc::gen::inRange(0, 1000);
@@ -125,10 +125,10 @@
 
 RC_GTEST_PROP(RulesWords, SurviveAndReadNoNonsense, (const std::string& noise)) {
   rules::Message w;
-  w.head = {*rc::gen::inRange<std::uint64_t>(0, 1000), 7, 9};
-  w.ask = *rc::gen::arbitrary<std::uint32_t>();
-  w.have = std::string(38, '\xff');
-  w.part_of = 3;
+  w.version = {*rc::gen::inRange<std::uint64_t>(0, 1000), 7, 9};
+  w.query = *rc::gen::arbitrary<std::uint32_t>();
+  w.holders = std::string(38, '\xff');
+  w.part_hash = 3;
   w.part = 1;
   w.parts = 2;
   w.bytes = std::string(rules::kPartBytes, 'x');
@@ -151,7 +151,7 @@
   p.plan.length = 60'000'000;
   p.options.voters = nodes >= 5 ? std::vector<int>{0, 1, 2, 3, 4} : std::vector<int>{0, 1, 2};
   p.options.lease = 1'500'000;
-  p.options.every = 200'000;
+  p.options.round_interval = 200'000;
   p.ahead = 200'000;
   p.drift = 0.01;
   return p;
@@ -168,7 +168,7 @@
 }
 void Holds(const RulesPlan& p, const RulesResult& r) {
   rules::Options o = p.options;
-  EXPECT_LE(r.longest, o.within()) << Told(r);
+  EXPECT_LE(r.longest, o.MaxContradiction()) << Told(r);
   EXPECT_EQ(r.longest, 0) << Told(r);  // with all guards nobody acts on one of two alone
   EXPECT_EQ(r.forks, 0) << Told(r);
   EXPECT_TRUE(r.agreed) << Told(r);
@@ -357,7 +357,7 @@
 };
 Found Try(RulesPlan p) {
   const RulesResult r = RunRules(p);
-  return {r.longest > p.options.within(), r.longest > 0, r.forks > 0};
+  return {r.longest > p.options.MaxContradiction(), r.longest > 0, r.forks > 0};
 }
 TEST(RulesGuards, WithoutLeasesANodeActsOnOldRulesForEver) {
   RulesPlan p = Drawn(1, 9, false);
@@ -384,7 +384,7 @@
   RulesPlan p = Fleet(1, 4);
   p.options.voters = {0, 1, 2};
   p.options.lease = 1'500'000;
-  p.options.every = 200'000;
+  p.options.round_interval = 200'000;
   p.ahead = 0;
   p.drift = 0;
   p.way_least = p.way_most = 10'000;
@@ -394,7 +394,7 @@
 }
 RulesPlan::Call Proposes(int node, Micros at, double share) {
   return {at,
-          [share](Agreement* machine, Micros now) {
+          [share](Consensus* machine, Micros now) {
             Document d;
             d.voters = {0, 1, 2};
             d.rules.shares["a"] = share;
@@ -500,11 +500,11 @@
   std::map<std::string, std::string> files_, synced_;
   std::string open_;
 };
-rules::Kept KeptOf(std::uint64_t ballot) {
+rules::PersistentState KeptOf(std::uint64_t ballot) {
   Document d;
   d.voters = {0, 1, 2};
   d.number = 4;
-  rules::Kept k;
+  rules::PersistentState k;
   k.epoch = 1024;
   k.promised = ballot;
   k.documents = {Encode(d)};
@@ -556,7 +556,7 @@
   RulesSettings settings;
   settings.options.nodes = 2;
   settings.options.voters = {0};
-  settings.options.every = 1'000;
+  settings.options.round_interval = 1'000;
   settings.keep = "/nonexistent-folder/rules";
   int said = 0;
   RulesPart part(
@@ -564,7 +564,7 @@
       [] {});
   part.Begin();
   EXPECT_GT(said, 0);
-  const auto chosen = [&] { return part.machine().head().number == 1; };
+  const auto chosen = [&] { return part.machine().version_id().number == 1; };
   ASSERT_EQ(part.Propose("<rules><ban worker='s-1'/></rules>", "").status, 202);
   while (!chosen()) g_main_context_iteration(nullptr, TRUE);
   const int before = said;
@@ -654,28 +654,28 @@
                    Of(What::kKill, 9'000'000, 40'000'000, "n2")};
   p.plan.length = 48'000'000;
   const auto force = [](std::string* why, bool* done) {
-    return [why, done](Agreement* m, Micros now) { *done = m->Force(now, {0, 3}, 77, why); };
+    return [why, done](Consensus* m, Micros now) { *done = m->Force(now, {0, 3}, 77, why); };
   };
   bool early = true;
   p.calls = {Proposes(0, 8'000'000, 5),
              {8'500'000, force(&too_soon, &early), 0},
              {13'000'000,
-              [&](Agreement* m, Micros now) {
+              [&](Consensus* m, Micros now) {
                 Document d;
                 d.voters = {0, 3};
                 std::string why;
                 EXPECT_EQ(m->Propose(now, d, std::nullopt, 0, &refused), 0u);
-                EXPECT_EQ(m->acting(now).basis, Agreement::Basis::kFloor);
-                EXPECT_EQ(m->acting(now).rules.shares.at("a"), 0);
+                EXPECT_EQ(m->effective_rules(now).basis, Consensus::Basis::kFloor);
+                EXPECT_EQ(m->effective_rules(now).rules.shares.at("a"), 0);
               },
               0},
              {14'000'000, force(&forced, &done), 0},
              {20'000'000,
-              [&](Agreement* m, Micros now) {
-                EXPECT_EQ(m->acting(now).basis, Agreement::Basis::kVersion);
+              [&](Consensus* m, Micros now) {
+                EXPECT_EQ(m->effective_rules(now).basis, Consensus::Basis::kVersion);
                 EXPECT_TRUE(m->current()->document.forced);
                 EXPECT_EQ(m->current()->document.rules.shares.at("a"), 5);
-                EXPECT_EQ(m->current()->document.before, m->Find(1)->head.hash);
+                EXPECT_EQ(m->current()->document.previous_hash, m->Find(1)->id.hash);
               },
               3}};
   const RulesResult r = RunRules(p);
@@ -704,7 +704,7 @@
   p.old_node = 3;
   p.calls = {Proposes(0, 8'000'000, 5),
              {12'000'000,
-              [&](Agreement* m, Micros now) {
+              [&](Consensus* m, Micros now) {
                 Document d = m->current()->document;
                 EXPECT_EQ(m->Propose(now, d, 0, 0, &late), 0u);
                 EXPECT_EQ(m->Propose(now, d, 1, 0, &same), 0u);
@@ -727,52 +727,52 @@
   rules::Options o;
   o.nodes = 2;
   o.voters = {1};
-  Agreement m(o, 1, 1'000'000, std::nullopt);
+  Consensus m(o, 1, 1'000'000, std::nullopt);
   Document d;
   d.voters = {1};
   d.number = 1;
   d.schema = rules::kSchema + 1;
   const std::string bytes = Encode(d);
   rules::Message w;
-  w.head = {1024, 1, rules::HashOf(bytes)};
-  std::vector<Agreement::Out> out;
-  m.Hear(2'000'000, 1, rules::Encode(w), &out);
-  w.part_of = w.head.hash;
+  w.version = {1024, 1, rules::HashOf(bytes)};
+  std::vector<Consensus::Outgoing> out;
+  m.Receive(2'000'000, 1, rules::Encode(w), &out);
+  w.part_hash = w.version.hash;
   w.parts = 1;
   w.bytes = bytes;
-  m.Hear(2'000'000, 1, rules::Encode(w), &out);
+  m.Receive(2'000'000, 1, rules::Encode(w), &out);
   EXPECT_EQ(m.current(), nullptr);
-  EXPECT_EQ(m.acting(2'000'000).basis, Agreement::Basis::kFloor);
+  EXPECT_EQ(m.effective_rules(2'000'000).basis, Consensus::Basis::kFloor);
   out.clear();
   m.Tick(3'000'000, {1}, &out);
   ASSERT_FALSE(out.empty());
-  EXPECT_TRUE(rules::DecodeMessage(out.front().section)->refuses);
-  EXPECT_TRUE(m.ready(1'000'000 + o.ready_within));  // it serves on
+  EXPECT_TRUE(rules::DecodeMessage(out.front().section)->cannot_read);
+  EXPECT_TRUE(m.ready(1'000'000 + o.ready_timeout));  // it serves on
 }
 
 RC_GTEST_PROP(RulesWords, NoiseDoesNoHarm, ()) {
   rules::Options o;
   o.nodes = 4;
   o.voters = {0, 1, 2};
-  Agreement m(o, 1, 0, std::nullopt);
+  Consensus m(o, 1, 0, std::nullopt);
   for (int i = 0; i < 30; ++i) {
     rules::Message w;
-    w.head = {*rc::gen::inRange<std::uint64_t>(0, 3), *rc::gen::inRange<std::uint64_t>(0, 3),
-              *rc::gen::inRange<std::uint64_t>(0, 3)};
-    w.answer = *rc::gen::inRange<std::uint32_t>(0, 4);
-    w.clean = *rc::gen::arbitrary<bool>();
+    w.version = {*rc::gen::inRange<std::uint64_t>(0, 3), *rc::gen::inRange<std::uint64_t>(0, 3),
+                 *rc::gen::inRange<std::uint64_t>(0, 3)};
+    w.reply_to = *rc::gen::inRange<std::uint32_t>(0, 4);
+    w.vouches = *rc::gen::arbitrary<bool>();
     w.step = static_cast<rules::Step>(*rc::gen::inRange(0, 6));
     w.ballot = *rc::gen::inRange<std::uint64_t>(0, 1 << 22);
-    w.value = *rc::gen::inRange<std::uint64_t>(0, 3);
-    w.part_of = *rc::gen::inRange<std::uint64_t>(0, 3);
+    w.value_hash = *rc::gen::inRange<std::uint64_t>(0, 3);
+    w.part_hash = *rc::gen::inRange<std::uint64_t>(0, 3);
     w.parts = *rc::gen::inRange(1, 4);
     w.part = *rc::gen::inRange(0, w.parts);
-    w.want = *rc::gen::inRange<std::uint64_t>(0, 3);
-    std::vector<Agreement::Out> out;
+    w.requested_hash = *rc::gen::inRange<std::uint64_t>(0, 3);
+    std::vector<Consensus::Outgoing> out;
     const Micros now = i * 300'000;
-    m.Hear(now, *rc::gen::inRange(-1, 6), rules::Encode(w), &out);
+    m.Receive(now, *rc::gen::inRange(-1, 6), rules::Encode(w), &out);
     if (i % 3 == 0) m.Tick(now, {1, 2, 3}, &out);
-    m.acting(now);
+    m.effective_rules(now);
   }
   RC_SUCCEED();
 }
