--- a/src/dispatch/policy/knowledge.cpp
+++ b/src/dispatch/policy/knowledge.cpp
@@ -26,7 +26,8 @@
   k.workers.reserve(s.workers_.size());
   for (std::size_t id = 0; id < s.workers_.size(); ++id) {
     const Worker& w = s.workers_[id];
-    // About a worker that never responded nothing is known but that it is silent or has died.
+    // Nothing has been learned about a worker that never responded, unless it is silent or has
+    // died.
     if (!w.listed || (w.last_response == 0 && !w.silent && w.died_at == 0)) continue;
     k.workers.push_back({static_cast<WorkerId>(id), w.slowness, w.failures, w.silent, w.died_at,
                          w.cold_sends.parts()});
--- a/src/dispatch/policy/records.h
+++ b/src/dispatch/policy/records.h
@@ -97,7 +97,7 @@
 // cache miss.
 struct Worker {
   Micros blocked_until = 0;    // after a failed connection: no send before this, unless it responds
-  Micros next_trial = 0;       // a silent worker gets no trial or probe before this
+  Micros next_trial = 0;       // no trial or probe of a silent worker before this
   Micros full_until = 0;       // at most slots_when_full until then; 0: not found full
   double slots_when_full = 0;  // this node's slots there when it was found full
   double busy = 0;             // slots of this node's attempts in flight
@@ -144,7 +144,7 @@
   }
 };
 
-// What RetryRules permits for a request at the moment.
+// The actions that RetryRules currently permits for a request.
 struct Permit {
   bool send = false;
   bool refuse = false;
--- a/src/dispatch/policy/worker_choice.h
+++ b/src/dispatch/policy/worker_choice.h
@@ -141,9 +141,9 @@
            PoolOf(w).slots_seen + wait;
   }
 
-  // Whether this node's share of the worker's slots has a free one, and the worker as a whole by
-  // its last report. Most of the load on the share is this node's own. The worker is probed from
-  // time to time to learn its number of slots.
+  // Whether a slot is free both in this node's share of the worker and, by its last report, in the
+  // whole worker. Most of the load on the share is this node's own. The worker is probed from time
+  // to time to learn its number of slots.
   bool HasFreeAssignedSlots(Worker& w, const Request& r) {
     if (w.own_share <= 0) return false;
     if (s_.may_probe && now_ > w.probed_at + kAssignedProbeInterval) {
@@ -183,8 +183,8 @@
     }
   }
 
-  // Whether this node's share of all slots is below one, so that its own jobs in flight tell little
-  // about the load of the workers.
+  // Whether this node's share of all slots is below one, so that its own jobs in flight show little
+  // of the load of the workers.
   bool OwnLoadIsSparse() const {
     double slots = 0;
     for (const Pool& p : pools_) slots += static_cast<double>(p.members.size()) * p.slots_seen;
--- a/src/dispatch/policy/worker_health.h
+++ b/src/dispatch/policy/worker_health.h
@@ -14,7 +14,7 @@
 // A later start counts as a refusal; at least connect_timeout.
 constexpr Micros kStartTimeout = 100 * kMs;
 constexpr Micros kAcceptTimeout = 1000 * kMs;  // an attempt not accepted by then will not be
-constexpr double kSilentIntervals = 2.5;       // progress intervals without a report until silent
+constexpr double kSilentIntervals = 2.5;  // a worker is silent after this many without a report
 constexpr Micros kSilentDefault = 5000 * kMs;  // the same time without progress reports
 // First wait for a trial or probe of an excluded worker.
 constexpr Micros kTrialBackoffMin = 250 * kMs;
--- a/src/dispatch/settings/settings_reader.cpp
+++ b/src/dispatch/settings/settings_reader.cpp
@@ -166,7 +166,7 @@
   s.overload_multiple = conf.Num<double>("Contract.FallMultiple", 1);
   s.overload_time = conf.Ms("Contract.FallMs");
   site.x0_is_free_slots = conf.Get("FamilyInfo.ReportX0") == "free_slots";
-  if (const std::string wrong = ValidateSettings(s); !wrong.empty()) throw Malformed(wrong);
+  if (const std::string error = ValidateSettings(s); !error.empty()) throw Malformed(error);
   return site;
 }
 
--- a/src/dispatch/simulator/wire.cpp
+++ b/src/dispatch/simulator/wire.cpp
@@ -49,6 +49,7 @@
 
 // ---------------------------------------------------------------- instances
 
+// One entry of a worker list as the protocol sends it.
 struct Row {
   std::string executor, zone, kind;
   int cell = 0;
@@ -62,6 +63,7 @@
   std::size_t operator()(Text text) const { return std::hash<Text>()(text); }
 };
 
+// One simulated node: its Dispatcher and the names of its workers.
 struct Instance {
   Instance(Site read, std::uint64_t seed, Micros now)
       : site(std::move(read)), dispatcher(site.settings, seed, now) {}
@@ -133,6 +135,7 @@
   for (const std::uint64_t unit : {100u, 10u, 1u}) out += static_cast<char>('0' + us / unit % 10);
 }
 
+// Writes the actions of one instance.
 class Writer {
  public:
   Writer(std::string& out, std::uint64_t node, const Instance& instance)
@@ -207,15 +210,16 @@
   const Instance& instance_;
 };
 
-// ---------------------------------------------------------------- the reader of batches
+// ---------------------------------------------------------------- the processing of batches
 
-class Host {
+// Parses the input line by line, collects the events of a batch and runs the instances at its end.
+class BatchProcessor {
  public:
-  explicit Host(WireObserver* watcher) : watcher_(watcher) {}
+  explicit BatchProcessor(WireObserver* observer) : observer_(observer) {}
 
   // Processes one line. Returns true if it completed a batch, whose reply is then in `reply`.
-  bool Take(Text line, std::string* reply) {
-    if (rows_left_ > 0) return TakeRow(line), false;
+  bool ProcessLine(Text line, std::string* reply) {
+    if (rows_left_ > 0) return ParseRow(line), false;
     Fields f(line);
     const Text verb = f.Next();
     if (verb == "begin_batch") {
@@ -229,7 +233,7 @@
     }
     if (!in_batch_) throw Malformed("expected begin_batch, got " + Quote(verb));
     if (verb == "eof_batch") return Reply(reply), true;
-    if (verb == "list") return TakeList(f), false;
+    if (verb == "list") return StartList(f), false;
     const auto node = ParseNumber<std::uint64_t>(f.Required("node"), "node");
     if (verb == "start") return Start(node, f), false;
     const auto it = instances_.find(node);
@@ -237,11 +241,11 @@
       throw Malformed("instance " + std::to_string(node) + " not started");
     if (verb == "kill") {
       instances_.erase(it);
-      std::erase(touched_, node);
+      std::erase(instances_with_events_, node);
       return false;
     }
     Instance& instance = *it->second;
-    if (instance.events.empty()) touched_.push_back(node);
+    if (instance.events.empty()) instances_with_events_.push_back(node);
     instance.events.push_back(Parse(verb, f, instance));
     return false;
   }
@@ -249,21 +253,21 @@
   bool Idle() const { return !in_batch_; }
 
  private:
-  void TakeList(Fields& f) {
-    list_ = &lists_[Slot(f.Required("list number"))];
+  void StartList(Fields& f) {
+    list_ = &lists_[ListIndex(f.Required("list number"))];
     rows_left_ = ParseNumber<std::size_t>(f.Required("number of entries"), "number of entries");
     list_->clear();
   }
 
-  std::size_t Slot(Text text) const {
-    const auto slot = ParseNumber<std::size_t>(text, "list number");
-    if (slot >= lists_.size())
+  std::size_t ListIndex(Text text) const {
+    const auto index = ParseNumber<std::size_t>(text, "list number");
+    if (index >= lists_.size())
       throw Malformed("bad list number " + Quote(text) + ": expected less than " +
                       std::to_string(lists_.size()));
-    return slot;
+    return index;
   }
 
-  void TakeRow(Text line) {
+  void ParseRow(Text line) {
     Fields f(line);
     if (const Text verb = f.Next(); verb != "row")
       throw Malformed("expected row, got " + Quote(verb) + ": " + std::to_string(rows_left_) +
@@ -294,7 +298,7 @@
       throw Malformed("instance " + std::to_string(node) + " started twice");
     const Conf conf = ReadPairs(f.Rest());
     instances_[node] = std::make_unique<Instance>(ReadSite(conf), seed, now_);
-    if (watcher_ != nullptr) watcher_->OnStart(node, seed, now_, conf.values());
+    if (observer_ != nullptr) observer_->OnStart(node, seed, now_, conf.values());
   }
 
   Event Parse(Text verb, Fields& f, Instance& instance) {
@@ -340,7 +344,7 @@
       throw Malformed("unknown form of list " + Quote(form) + ": expected D, F, C or X");
     if (list.form == WorkerList::Form::kFailed) return list;
     f.Optional();
-    for (const Row& row : lists_[Slot(f.Required("list number"))]) {
+    for (const Row& row : lists_[ListIndex(f.Required("list number"))]) {
       WorkerEntry e;
       e.worker = instance.IdOf(row.executor);
       e.identity = HashName(row.executor);
@@ -411,23 +415,23 @@
 
   void Reply(std::string* reply) {
     reply->clear();
-    for (const std::uint64_t node : touched_) {
+    for (const std::uint64_t node : instances_with_events_) {
       Instance& instance = *instances_.at(node);
       actions_.clear();
       instance.dispatcher.Handle(now_, instance.events, &actions_);
-      if (watcher_ != nullptr)
-        watcher_->OnTurn(node, batch_, now_, instance.events, actions_, instance.names);
+      if (observer_ != nullptr)
+        observer_->OnTurn(node, batch_, now_, instance.events, actions_, instance.names);
       instance.events.clear();
       Writer writer(*reply, node, instance);
       for (const Action& action : actions_) std::visit(writer, action);
     }
-    touched_.clear();
+    instances_with_events_.clear();
     *reply += "end\n";
     ++batch_;
     in_batch_ = false;
   }
 
-  WireObserver* watcher_;
+  WireObserver* observer_;
   std::size_t batch_ = 0;
   Micros now_ = std::numeric_limits<Micros>::min();
   bool in_batch_ = false;
@@ -435,26 +439,27 @@
   std::vector<Row>* list_ = nullptr;
   std::size_t rows_left_ = 0;
   std::unordered_map<std::uint64_t, std::unique_ptr<Instance>> instances_;  // never iterated
-  std::vector<std::uint64_t> touched_;  // instances with events, in the order of their first event
+  std::vector<std::uint64_t>
+      instances_with_events_;  // instances with events, in the order of their first event
   std::vector<Action> actions_;
 };
 
 }  // namespace
 
-int ServeWire(std::istream& in, std::ostream& out, std::ostream& err, WireObserver* watcher) {
-  Host host(watcher);
+int ServeWire(std::istream& in, std::ostream& out, std::ostream& err, WireObserver* observer) {
+  BatchProcessor processor(observer);
   std::string line, reply;
   std::size_t number = 0;
   try {
     while (std::getline(in, line)) {
       ++number;
-      if (!host.Take(line, &reply)) continue;
+      if (!processor.ProcessLine(line, &reply)) continue;
       out << reply << std::flush;
       if (!out) throw Malformed("cannot write to standard output");
     }
-    if (!host.Idle()) throw Malformed("the input ends inside a batch: expected eof_batch");
-  } catch (const Malformed& wrong) {
-    err << "pearreach-simulator-adapter: line " << number << ": " << wrong.what() << '\n';
+    if (!processor.Idle()) throw Malformed("the input ends inside a batch: expected eof_batch");
+  } catch (const Malformed& error) {
+    err << "pearreach-simulator-adapter: line " << number << ": " << error.what() << '\n';
     return 1;
   }
   return 0;
--- a/src/dispatch/simulator/wire.h
+++ b/src/dispatch/simulator/wire.h
@@ -27,7 +27,7 @@
 // Processes `in` to its end and returns 0. Returns 1 at the first malformed line: it is reported in
 // one line on `err`, and no part of its batch is written to `out`.
 int ServeWire(std::istream& in, std::ostream& out, std::ostream& err,
-              WireObserver* watcher = nullptr);
+              WireObserver* observer = nullptr);
 
 }  // namespace pearreach::dispatch
 
--- a/tests/dispatch/policy/checkpoint_test.cpp
+++ b/tests/dispatch/policy/checkpoint_test.cpp
@@ -25,9 +25,9 @@
 
 // Converts steps into legal events: attempts that are in flight, ids that exist, an increasing
 // clock.
-class Player {
+class EventGenerator {
  public:
-  explicit Player(const Settings& settings) : s_(settings) {}
+  explicit EventGenerator(const Settings& settings) : s_(settings) {}
 
   std::vector<Event> EventsOf(const Step& step) {
     now += step.wait;
@@ -47,8 +47,8 @@
       if (step.b % 11 == 3) {  // sent before the Dispatcher was created
         events.push_back(AttemptAdopted{e.request, step.a % 8, now - kSecond, step.a % 2 == 0,
                                         static_cast<AttemptAdopted::State>(step.b % 3)});
-        if (step.b % 3 == 0) out_[{e.request, tries_[e.request]}] = step.a % 8;
-        ++tries_[e.request];
+        if (step.b % 3 == 0) out_[{e.request, attempts_[e.request]}] = step.a % 8;
+        ++attempts_[e.request];
       }
     } else if (step.kind < 8 && !out_.empty()) {
       auto it = std::next(out_.begin(), step.a % out_.size());
@@ -112,7 +112,7 @@
   void Take(const std::vector<Action>& actions) {
     for (const Action& a : actions)
       if (const auto* send = std::get_if<Send>(&a))
-        out_[{send->request, tries_[send->request]++}] = send->worker;
+        out_[{send->request, attempts_[send->request]++}] = send->worker;
   }
 
   Micros now = 0;
@@ -121,7 +121,7 @@
   const Settings& s_;
   RequestId last_ = 0;
   std::map<RequestId, Micros> due_;
-  std::map<RequestId, int> tries_;
+  std::map<RequestId, int> attempts_;
   std::map<std::pair<RequestId, int>, WorkerId> out_;
 };
 
@@ -171,20 +171,20 @@
     const std::size_t cut = *rc::gen::inRange<std::size_t>(0, steps.size() + 1);
     Dispatcher first(settings, 7, 0);
     std::optional<Dispatcher> second;
-    Player player(settings);
+    EventGenerator generator(settings);
     for (std::size_t i = 0; i < steps.size(); ++i) {
       if (i == cut) {
         second.emplace(settings, 999, 0);  // another seed: the state contains its own random state
         RC_ASSERT(Checkpoint::Load(Checkpoint::Save(first), &*second) == "");
       }
-      const std::vector<Event> events = player.EventsOf(steps[i]);
+      const std::vector<Event> events = generator.EventsOf(steps[i]);
       std::vector<Action> a, b;
-      first.Handle(player.now, events, &a);
+      first.Handle(generator.now, events, &a);
       if (second) {
-        second->Handle(player.now, events, &b);
+        second->Handle(generator.now, events, &b);
         RC_ASSERT(a == b);
       }
-      player.Take(a);
+      generator.Take(a);
     }
     if (second) RC_ASSERT(Checkpoint::Save(first) == Checkpoint::Save(*second));
   });
@@ -195,11 +195,11 @@
     const Settings settings = TwoKinds(true, false);
     const auto steps = *rc::gen::resize(200, rc::gen::arbitrary<std::vector<Step>>());
     Dispatcher first(settings, 7, 0);
-    Player player(settings);
+    EventGenerator generator(settings);
     for (const Step& step : steps) {
       std::vector<Action> actions;
-      first.Handle(player.now, player.EventsOf(step), &actions);
-      player.Take(actions);
+      first.Handle(generator.now, generator.EventsOf(step), &actions);
+      generator.Take(actions);
     }
     std::string bytes = Checkpoint::Save(first);
     const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
@@ -208,8 +208,8 @@
     if (!Checkpoint::Load(bytes, &second).empty()) return;
     for (int i = 0; i < 20; ++i) {
       std::vector<Action> actions;
-      const std::vector<Event> events = player.EventsOf({i % 12, 17u * i, 31u * i, 40 * kMs});
-      second.Handle(player.now, events, &actions);
+      const std::vector<Event> events = generator.EventsOf({i % 12, 17u * i, 31u * i, 40 * kMs});
+      second.Handle(generator.now, events, &actions);
     }
   });
 }
@@ -233,7 +233,7 @@
 }
 
 TEST(Observer, SeesTheChoiceAndChangesNone) {
-  struct Watch : Observer {
+  struct RecordingObserver : Observer {
     void OnChoice(const Choice& choice) override {
       if (choice.chosen) chosen.push_back(*choice.chosen);
       sampled += choice.sampled.size();
--- a/tests/dispatch/policy/driver.h
+++ b/tests/dispatch/policy/driver.h
@@ -110,7 +110,7 @@
     e.due = now + left;
     return e;
   }
-  void Ask(RequestId id, int cls = 0, Micros left = 10 * kSecond) {
+  void Submit(RequestId id, int cls = 0, Micros left = 10 * kSecond) {
     Give({Request(id, cls, left)});
   }
   void Begin(RequestId id) { Give({AttemptStarted{id, attempts[id] - 1, last_worker[id]}}); }
@@ -128,7 +128,7 @@
   }
   // Submits, starts and completes one job.
   void Serve(RequestId id, Micros length = 100 * kMs) {
-    Ask(id);
+    Submit(id);
     Begin(id);
     Run(length);
     End(id, Outcome::kGood);
@@ -136,10 +136,10 @@
 
   // Serves `n` jobs with ids from `first` that arrive at once, as many in parallel as the limit
   // permits.
-  void ServeTogether(RequestId first, int n, Micros length = 30 * kMs) {
+  void ServeInParallel(RequestId first, int n, Micros length = 30 * kMs) {
     std::vector<RequestId> open;
     for (int i = 0; i < n; ++i) open.push_back(first + static_cast<RequestId>(i));
-    for (const RequestId id : open) Ask(id);
+    for (const RequestId id : open) Submit(id);
     for (int round = 0; round < 1000 && !open.empty(); ++round) {
       std::vector<RequestId> out;
       for (const RequestId id : open)
--- a/tests/dispatch/policy/knowledge_test.cpp
+++ b/tests/dispatch/policy/knowledge_test.cpp
@@ -7,9 +7,9 @@
 namespace pearreach::dispatch::testing {
 namespace {
 
-PoolKnowledge APool(double limit) { return {0, limit, limit, 8, 100'000, 100'000, 0}; }
+PoolKnowledge PoolWithLimit(double limit) { return {0, limit, limit, 8, 100'000, 100'000, 0}; }
 
-WorkerKnowledge Of(WorkerId id) {
+WorkerKnowledge KnowledgeOf(WorkerId id) {
   WorkerKnowledge w;
   w.worker = id;
   return w;
@@ -20,7 +20,7 @@
   d.now = 10 * kSecond;
   d.Workers(8);
   EXPECT_EQ(d.dispatcher.PoolLimit(0), 0) << "an unknown limit starts at zero";
-  d.Give({Knowledge{{APool(20)}, {}, {}, {}}});
+  d.Give({Knowledge{{PoolWithLimit(20)}, {}, {}, {}}});
   EXPECT_EQ(d.dispatcher.PoolLimit(0), 20);
   std::vector<Event> all;
   for (RequestId id = 1; id <= 8; ++id) all.push_back(d.Request(id, 1));
@@ -29,7 +29,7 @@
   for (RequestId id = 1; id <= 4; ++id) d.End(id, Outcome::kFull);
   const double cut = d.dispatcher.PoolLimit(0);
   EXPECT_LT(cut, 10);
-  d.Give({Knowledge{{APool(20)}, {}, {}, {}}});
+  d.Give({Knowledge{{PoolWithLimit(20)}, {}, {}, {}}});
   EXPECT_EQ(d.dispatcher.PoolLimit(0), cut) << "own refusals take precedence";
 }
 
@@ -37,13 +37,13 @@
   Driver d(BaseSettings());
   d.now = 10 * kSecond;
   d.Workers(1);
-  WorkerKnowledge sick = Of(0);
-  sick.failures = 0.9;
-  sick.slowness = 2;
-  d.Give({Knowledge{{APool(8)}, {sick}, {{0, 100'000}}, {}}});
-  d.Ask(1);
+  WorkerKnowledge failing = KnowledgeOf(0);
+  failing.failures = 0.9;
+  failing.slowness = 2;
+  d.Give({Knowledge{{PoolWithLimit(8)}, {failing}, {{0, 100'000}}, {}}});
+  d.Submit(1);
   d.Begin(1);
-  d.Ask(2);
+  d.Submit(2);
   EXPECT_EQ(d.all_sends.size(), 1u) << "a failing worker gets one trial at a time";
   d.Run(100 * kMs);
   d.End(1, Outcome::kGood);
@@ -56,7 +56,7 @@
   EXPECT_GT(d.dispatcher.Learned(d.now).workers.at(0).slowness, 1.6)
       << "later jobs have the usual weight";
   // Knowledge that arrives after the first response is ignored.
-  d.Give({Knowledge{{}, {sick}, {}, {}}});
+  d.Give({Knowledge{{}, {failing}, {}, {}}});
   EXPECT_LT(d.dispatcher.Learned(d.now).workers.at(0).failures, 0.3);
 }
 
@@ -64,9 +64,9 @@
   Driver d(BaseSettings());
   d.now = 10 * kSecond;
   d.Workers(2);
-  WorkerKnowledge silent = Of(0);
+  WorkerKnowledge silent = KnowledgeOf(0);
   silent.silent = true;
-  d.Give({Knowledge{{APool(8)}, {silent, Of(1)}, {}, {}}});
+  d.Give({Knowledge{{PoolWithLimit(8)}, {silent, KnowledgeOf(1)}, {}, {}}});
   std::vector<Event> all;
   for (RequestId id = 1; id <= 6; ++id) all.push_back(d.Request(id, 1));
   d.Give(all);
@@ -84,15 +84,15 @@
 // Rule 4 (a cold worker is not overloaded) across a restart of the node: the work that the old
 // process sent in the window counts for the new process too.
 TEST(Recalled, SpentColdPressureIsSpent) {
-  for (const bool told : {false, true}) {
+  for (const bool restored : {false, true}) {
     Driver d(BaseSettings());
     d.now = 10 * kSecond;
     d.List({Driver::Entry(0, Health::kInService, d.now)});
-    WorkerKnowledge w = Of(0);
-    if (told) w.cold_sends = {{d.now - 200 * kMs, 8e6}};
-    d.Give({Knowledge{{APool(8)}, {w}, {{0, 100'000}}, {}}});
-    d.Ask(1);
-    EXPECT_EQ(d.all_sends.size(), told ? 0u : 1u);
+    WorkerKnowledge w = KnowledgeOf(0);
+    if (restored) w.cold_sends = {{d.now - 200 * kMs, 8e6}};
+    d.Give({Knowledge{{PoolWithLimit(8)}, {w}, {{0, 100'000}}, {}}});
+    d.Submit(1);
+    EXPECT_EQ(d.all_sends.size(), restored ? 0u : 1u);
     d.Run(1500 * kMs);
     EXPECT_EQ(d.all_sends.size(), 1u) << "sent once the window has passed";
   }
@@ -104,11 +104,11 @@
   Driver d(BaseSettings());
   d.now = 10 * kSecond;
   d.Workers(1);
-  WorkerKnowledge w = Of(0);
+  WorkerKnowledge w = KnowledgeOf(0);
   w.died_at = d.now - kSecond;
   w.cold_sends = {{d.now, 1e9}};
-  d.Give({Knowledge{{APool(8)}, {w}, {}, {}}});
-  d.Ask(1);
+  d.Give({Knowledge{{PoolWithLimit(8)}, {w}, {}, {}}});
+  d.Submit(1);
   EXPECT_TRUE(d.all_sends.empty());
   // The list reports a new process, so the evidence against the old one no longer applies.
   d.List({Driver::Entry(0, Health::kInService, 1)});
@@ -131,7 +131,7 @@
 TEST(Recalled, WhatIsTaughtIsWhatWasLearned) {
   Driver first(BaseSettings()), second(BaseSettings());
   first.Workers(4);
-  first.ServeTogether(1, 40);
+  first.ServeInParallel(1, 40);
   const Knowledge learned = first.dispatcher.Learned(first.now);
   ASSERT_EQ(learned.workers.size(), 4u);
   ASSERT_GT(learned.pools.at(0).limit, 2);
@@ -148,11 +148,11 @@
   Driver d(BaseSettings());
   d.now = 10 * kSecond;
   d.Workers(2);
-  PoolKnowledge none = APool(8);
+  PoolKnowledge none = PoolWithLimit(8);
   none.pool = 7;
-  PoolKnowledge minus = APool(8);
+  PoolKnowledge minus = PoolWithLimit(8);
   minus.pool = -1;
-  d.Give({Knowledge{{none, minus}, {Of(99)}, {{-1, 5}, {88, 5}}, {{3, 1}}}});
+  d.Give({Knowledge{{none, minus}, {KnowledgeOf(99)}, {{-1, 5}, {88, 5}}, {{3, 1}}}});
   EXPECT_EQ(d.dispatcher.PoolLimit(0), 0);
   EXPECT_EQ(d.dispatcher.KnownWorkers(), 2u);
 }
--- a/tests/dispatch/policy/policy_test.cpp
+++ b/tests/dispatch/policy/policy_test.cpp
@@ -24,7 +24,7 @@
   Driver d(BaseSettings());
   d.Workers(1);
   d.now = 10 * kSecond;
-  d.Ask(1);
+  d.Submit(1);
   d.End(1, Outcome::kFull);  // a refusal just now: slow growth
   d.Run(150 * kMs);          // the backoff of the full worker passes
   ASSERT_EQ(d.all_sends.size(), 2u);
@@ -48,7 +48,7 @@
   EXPECT_GE(d.dispatcher.PoolLimit(0), 3);
 }
 
-void Refuse3(Driver& d, Outcome outcome) {
+void EndThreeOfEightWith(Driver& d, Outcome outcome) {
   d.Workers(8);
   std::vector<Event> all;
   for (RequestId id = 1; id <= 8; ++id) all.push_back(d.Request(id, 1));
@@ -70,7 +70,7 @@
   Settings s = BaseSettings();
   s.balancers = 4;  // the floor is this node's part of one slot a worker
   Driver d(s);
-  Refuse3(d, Outcome::kFull);
+  EndThreeOfEightWith(d, Outcome::kFull);
 }
 
 // Regression: a day of sequential jobs raised the limit to thousands while nine slots were in use,
@@ -80,7 +80,7 @@
   d.Workers(4);
   for (RequestId id = 1; id <= 500; ++id) d.Serve(id);
   EXPECT_LE(d.dispatcher.PoolLimit(0), 4);
-  d.ServeTogether(1000, 40);
+  d.ServeInParallel(1000, 40);
   const double limit = d.dispatcher.PoolLimit(0);
   EXPECT_GT(limit, 10) << "the limit keeps growing where it binds";
   for (RequestId id = 2000; id < 2500; ++id) d.Serve(id);
@@ -104,7 +104,7 @@
     for (Micros at = 0; at < 3 * kSecond; at += kMs) {
       while (open.size() < 40) {
         open[++id] = {-1, -1};
-        d.Ask(id);
+        d.Submit(id);
       }
       int unreported = 0;
       std::vector<RequestId> done;
@@ -141,10 +141,10 @@
   d.Workers(10);
   LoadReport load;
   load.free_slots = 4;
-  d.ServeTogether(1, 60);
+  d.ServeInParallel(1, 60);
   d.Give({ProbeEnded{0, true, load}});
   EXPECT_GT(d.dispatcher.PoolLimit(0), 20);
-  for (RequestId id = 101; id <= 120; ++id) d.Ask(id, 1);
+  for (RequestId id = 101; id <= 120; ++id) d.Submit(id, 1);
   for (RequestId id = 101; id <= 120; ++id)
     if (d.attempts[id] > 0) d.End(id, Outcome::kFull, 0);
   EXPECT_LT(d.dispatcher.PoolLimit(0), 5);
@@ -154,7 +154,7 @@
   Settings s = BaseSettings();
   s.balancers = 4;  // the floor is this node's part of one slot a worker
   Driver d(s);
-  Refuse3(d, Outcome::kTimeout);
+  EndThreeOfEightWith(d, Outcome::kTimeout);
 }
 
 // ---------------------------------------------------------------- the choice of a worker
@@ -172,7 +172,7 @@
   d.List(entries);
   std::set<WorkerId> used;
   for (RequestId id = 1; id <= 2; ++id) {
-    d.Ask(id, 2);
+    d.Submit(id, 2);
     d.Run(50 * kMs);
     d.Begin(id);
     used.insert(d.last_worker[id]);
@@ -198,13 +198,13 @@
 TEST(Silent, AHungWorkerLeavesTheSampleAndThePoolsCount) {
   Driver d(BaseSettings());
   d.Workers(2);
-  d.Ask(1, 1);
+  d.Submit(1, 1);
   d.Begin(1);
   const WorkerId hung = d.last_worker[1];
   d.Run(4 * kSecond);
   EXPECT_EQ(d.dispatcher.PoolBusy(0), 0);  // the slot without progress is not counted
   for (RequestId id = 2; id < 12; ++id) {
-    d.Ask(id, 1);
+    d.Submit(id, 1);
     if (d.last_worker[id] != hung) {
       d.Begin(id);
       d.Run(50 * kMs);
@@ -233,7 +233,7 @@
 // Occupies the only worker with one running job, so that the next job must wait.
 void Occupy(Driver& d, RequestId id) {
   d.Workers(1);
-  d.Ask(id, 1, 100 * kSecond);
+  d.Submit(id, 1, 100 * kSecond);
   d.Begin(id);
 }
 
@@ -242,9 +242,9 @@
   for (ClassSettings& c : s.classes) c.latency_target = 5 * kSecond;
   Driver d(s);
   d.List({});
-  d.Ask(1);
+  d.Submit(1);
   d.Run(10 * kMs);
-  d.Ask(2);
+  d.Submit(2);
   d.Workers(1);
   ASSERT_EQ(d.sends.size(), 1u);
   EXPECT_EQ(d.sends[0].request, 2u);
@@ -253,10 +253,10 @@
 TEST(Order, AJobThatCanNoLongerBeInTimeLetsTheOthersPass) {
   Driver d(BaseSettings());
   d.List({});
-  d.Ask(1);
-  d.Ask(2);
+  d.Submit(1);
+  d.Submit(2);
   d.Run(1400 * kMs);  // target 500 ms + 2 x 500 ms of work, minus the work: both are late
-  d.Ask(3);
+  d.Submit(3);
   d.Workers(1);
   ASSERT_EQ(d.sends.size(), 1u);
   EXPECT_EQ(d.sends[0].request, 3u);
@@ -265,10 +265,10 @@
 TEST(Order, AJobThatTurnsLateKeepsItsPlaceBehindNewerOnes) {
   Driver d(BaseSettings());
   d.Workers(1);
-  d.Ask(1, 1);  // not started
-  d.Ask(2, 1);
+  d.Submit(1, 1);  // not started
+  d.Submit(2, 1);
   d.Run(700 * kMs);
-  d.Ask(3, 1);
+  d.Submit(3, 1);
   d.Run(700 * kMs);  // 2 is late by now, 3 is not
   d.Begin(1);
   d.End(1, Outcome::kGood);
@@ -290,7 +290,7 @@
 TEST(Full, AWorkerThatRefusedRestsWhileOthersAreThere) {
   Driver d(BaseSettings());
   d.Workers(1);
-  d.Ask(1);
+  d.Submit(1);
   d.End(1, Outcome::kFull);
   EXPECT_TRUE(d.sends.empty());  // not sent back to the worker at once
   d.Run(30 * kMs);
@@ -303,7 +303,7 @@
   Driver d(BaseSettings());
   Occupy(d, 1);
   d.Run(100 * kMs);
-  for (RequestId id = 2; id < 5; ++id) d.Ask(id);
+  for (RequestId id = 2; id < 5; ++id) d.Submit(id);
   d.Run(100 * kMs);
   ASSERT_EQ(d.all_sends.size(), 2u);
   d.End(d.all_sends[1].request, Outcome::kFull);
@@ -316,7 +316,7 @@
   s.balancers = 20;
   Driver d(s);
   d.Workers(1);
-  d.Ask(1);
+  d.Submit(1);
   d.End(1, Outcome::kFull);
   d.Run(700 * kMs);
   EXPECT_EQ(d.all_sends.size(), 1u);
@@ -388,9 +388,9 @@
  protected:
   Preferred() : d(BaseSettings()) {
     d.Workers(8);
-    d.ServeTogether(100, 40);  // raises the limit so that it does not bind
+    d.ServeInParallel(100, 40);  // raises the limit so that it does not bind
   }
-  WorkerId Ask(RequestId id, std::vector<WorkerId> preferred) {
+  WorkerId Submit(RequestId id, std::vector<WorkerId> preferred) {
     RequestArrived e = d.Request(id);
     e.preferred = std::move(preferred);
     d.Give({e});
@@ -401,29 +401,29 @@
 };
 
 TEST_F(Preferred, TheFirstWithAFreeSlotTakesTheJob) {
-  EXPECT_EQ(Ask(1, {5, 2}), 5u);
-  EXPECT_EQ(Ask(2, {5, 2}), 2u);  // the first worker has one slot, which is in use
-  const WorkerId other = Ask(3, {5, 2});
+  EXPECT_EQ(Submit(1, {5, 2}), 5u);
+  EXPECT_EQ(Submit(2, {5, 2}), 2u);  // the first worker has one slot, which is in use
+  const WorkerId other = Submit(3, {5, 2});
   EXPECT_LT(other, 8u);  // neither has a free slot: any worker
   EXPECT_NE(other, 5u);
   EXPECT_NE(other, 2u);
   d.Begin(1);
   d.End(1, Outcome::kGood);
-  EXPECT_EQ(Ask(4, {5, 2}), 5u);
+  EXPECT_EQ(Submit(4, {5, 2}), 5u);
 }
 
 TEST_F(Preferred, OnesThatMayNotBeUsedArePassedOver) {
-  EXPECT_LT(Ask(1, {99}), 8u);  // not in the list
+  EXPECT_LT(Submit(1, {99}), 8u);  // not in the list
   std::vector<WorkerEntry> draining = {Driver::Entry(5, Health::kDraining)};
   d.List(draining, WorkerList::Form::kChanges);
-  EXPECT_EQ(Ask(2, {5, 6}), 6u);
+  EXPECT_EQ(Submit(2, {5, 6}), 6u);
   d.Begin(2);
   d.End(2, Outcome::kNoConnection);  // the worker is blocked for a while
-  EXPECT_NE(Ask(3, {6}), 6u);
+  EXPECT_NE(Submit(3, {6}), 6u);
 }
 
 TEST_F(Preferred, ARepeatTriesItAgainOnlyOnceItHasRoom) {
-  EXPECT_EQ(Ask(1, {5}), 5u);
+  EXPECT_EQ(Submit(1, {5}), 5u);
   d.End(1, Outcome::kFull);
   ASSERT_EQ(d.attempts[1], 2);
   EXPECT_NE(d.last_worker[1], 5u);
@@ -437,7 +437,7 @@
     for (ClassSettings& c : s.classes) c.latency_target = 5 * kSecond;
     return s;
   }
-  void AskKeyed(RequestId id) {
+  void SubmitKeyed(RequestId id) {
     RequestArrived r = d.Request(id);
     r.key = 7;
     d.Give({r});
@@ -455,7 +455,7 @@
 // key from its own jobs.
 TEST_F(Asking, WhatTheProbedTellOfOthersCounts) {
   d.Workers(20);
-  AskKeyed(1);
+  SubmitKeyed(1);
   EXPECT_EQ(d.attempts[1], 0);
   const std::vector<WorkerId> asked = d.probed;
   ASSERT_EQ(asked.size(), 4u);
@@ -468,7 +468,7 @@
 // work, so that all nodes scatter all keys over all workers.
 TEST_F(Asking, APlaceOfTheKeyIsLeftForAFullWorkersJobsOnly) {
   d.Workers(20);
-  AskKeyed(1);
+  SubmitKeyed(1);
   std::vector<WorkerId> asked = d.probed;
   ASSERT_EQ(asked.size(), 4u);
   for (std::size_t i = 0; i < 4; ++i) Answer(asked[i], i < 2 ? 5 : 0);
@@ -476,7 +476,7 @@
   d.Begin(1);
   d.End(1, Outcome::kGood);
   d.Run(kSecond);
-  AskKeyed(2);
+  SubmitKeyed(2);
   asked = d.probed;
   ASSERT_EQ(asked.size(), 4u);
   for (std::size_t i = 0; i < 4; ++i) Answer(asked[i], i < 2 ? 20 : 0);
@@ -485,7 +485,7 @@
 
 TEST_F(Asking, NoAnswerHoldsAJobForAMomentOnly) {
   d.Workers(20);
-  AskKeyed(1);
+  SubmitKeyed(1);
   EXPECT_EQ(d.attempts[1], 0);
   d.Run(100 * kMs);
   EXPECT_EQ(d.attempts[1], 1);
@@ -524,7 +524,7 @@
   load.free_slots = 2;
   d.Give({ProbeEnded{home, true, load}});
   for (RequestId id = 2; id <= 4; ++id) {
-    d.Ask(id);
+    d.Submit(id);
     d.Run(kSecond);
     d.Begin(id);
   }
@@ -554,7 +554,7 @@
   // Serves a job whose worker then reports `free` free slots. Returns whether the worker is in the
   // node's own zone.
   bool Serve(RequestId id, double free) {
-    d.Ask(id);
+    d.Submit(id);
     d.Begin(id);
     d.Run(10 * kMs);
     AttemptEnded e{id, 0, d.last_worker[id], Outcome::kGood, 50 * kMs, true, {}};
@@ -576,7 +576,7 @@
   while (id < 10) Serve(++id, 8);
   for (int batch = 0; batch < 12; ++batch) {  // until the limit permits twelve jobs
     const RequestId first = id + 1;
-    for (int i = 0; i < 24; ++i) d.Ask(++id);
+    for (int i = 0; i < 24; ++i) d.Submit(++id);
     std::set<RequestId> done;
     while (done.size() < 24) {
       std::vector<RequestId> out;
@@ -592,7 +592,7 @@
   const auto stay = [&] {
     int own = 0;
     for (const RequestId last = id + 12; id < last;) {
-      d.Ask(++id);
+      d.Submit(++id);
       d.Begin(id);
       own += d.last_worker[id] % 3 == 1 ? 1 : 0;
     }
@@ -638,9 +638,9 @@
     s.balancers = balancers;
     Driver d(s);
     d.Workers(1);
-    d.Ask(1, 1);
+    d.Submit(1, 1);
     d.Begin(1);
-    d.Ask(2, 1);
+    d.Submit(2, 1);
     d.Run(60 * kMs);
     raised[balancers > 1] = d.dispatcher.PoolLimit(0);
   }
@@ -650,7 +650,7 @@
 
 // Regression: each choice and each check examined every worker; with 474 workers the node
 // needed 2.4 times its CPU budget per request.
-std::uint64_t LooksOfTwoHundredJobs(int workers) {
+std::uint64_t WorkersExaminedFor200Jobs(int workers) {
   Settings s = BaseSettings();
   s.balancers = workers + workers / 4;
   s.connect_price = 0.05;
@@ -663,7 +663,7 @@
 }
 
 TEST(Looks, AJobCostsTheSameHoweverManyWorkers) {
-  const std::uint64_t few = LooksOfTwoHundredJobs(50), many = LooksOfTwoHundredJobs(5000);
+  const std::uint64_t few = WorkersExaminedFor200Jobs(50), many = WorkersExaminedFor200Jobs(5000);
   EXPECT_GE(many, 200u);
   EXPECT_LE(many, few + few / 10);
   EXPECT_LE(many, 200u * 6);
@@ -674,11 +674,11 @@
   d.Workers(300);
   RequestId id = 0;
   while (id < 300) {
-    d.Ask(++id);
+    d.Submit(++id);
     d.Run(200 * kMs);  // no job starts, so none of the 300 workers is sampled again
   }
   ASSERT_EQ(d.all_sends.size(), 300u);
-  d.Ask(++id);
+  d.Submit(++id);
   const std::uint64_t before = d.dispatcher.WorkersExamined();
   d.Run(400 * kMs);
   EXPECT_EQ(d.dispatcher.WorkersExamined(), before);
@@ -752,7 +752,7 @@
   // The jobs stay in flight, so all other workers are busier than the returned one.
   int to_it = 0;
   for (const RequestId last = id + 6; id < last; ++id) {
-    d.Ask(id);
+    d.Submit(id);
     to_it += d.attempts[id] > 0 && d.last_worker[id] == 0;
   }
   EXPECT_GE(to_it, 1);
@@ -763,17 +763,17 @@
 TEST(Errors, AWorkerThatFailsEverythingAtOnceDrawsFewJobs) {
   Driver d(BaseSettings());
   d.Workers(4);
-  int to_bad = 0;
+  int sent_to_failing = 0;
   for (RequestId id = 1; id <= 100; ++id) {
-    d.Ask(id, 1);
+    d.Submit(id, 1);
     const bool bad = d.last_worker[id] == d.last_worker[1];  // the worker of the first job
-    to_bad += bad ? 1 : 0;
+    sent_to_failing += bad ? 1 : 0;
     d.Begin(id);
     d.Run(bad ? kMs : 50 * kMs);
     d.End(id, bad ? Outcome::kError : Outcome::kGood);
   }
-  EXPECT_GE(to_bad, 1);
-  EXPECT_LE(to_bad, 8);
+  EXPECT_GE(sent_to_failing, 1);
+  EXPECT_LE(sent_to_failing, 8);
 }
 
 // Regression: a worker that failed two of three jobs got its full share again after each completed
@@ -783,12 +783,12 @@
   d.Workers(4);
   RequestId id = 0;
   // Sends 50 batches of 8 simultaneous jobs. Returns how many went to worker 2.
-  const auto to_bad = [&](int fails_of_three) {
+  const auto sent_to_failing = [&](int fails_of_three) {
     int count = 0;
     for (int batch = 0; batch < 50; ++batch) {
       const RequestId first = id + 1;
       while (id < first + 7) {
-        d.Ask(++id, 1);
+        d.Submit(++id, 1);
         d.Begin(id);
         const bool bad = d.attempts[id] > 0 && d.last_worker[id] == 2;
         if (bad && ++count % 3 < fails_of_three) d.End(id, Outcome::kError);
@@ -799,12 +799,12 @@
     return count;
   };
   while (id < 60) d.Serve(++id);  // raises the limit to eight jobs
-  EXPECT_GE(to_bad(0), 80);
-  const int tried = to_bad(2);
+  EXPECT_GE(sent_to_failing(0), 80);
+  const int tried = sent_to_failing(2);
   EXPECT_GE(tried, 1);
   EXPECT_LE(tried, 12);
   d.Run(5 * kSecond);
-  EXPECT_GE(to_bad(0), 80) << "the worker has recovered and gets its share again";
+  EXPECT_GE(sent_to_failing(0), 80) << "the worker has recovered and gets its share again";
 }
 
 TEST(Kind, AJobGoesToNoKindTooSlowForIt) {
@@ -845,7 +845,7 @@
     std::vector<RequestId> pair = {id, id + 1};
     id += 2;
     for (const RequestId r : pair) {
-      d.Ask(r);
+      d.Submit(r);
       d.Run(30 * kMs);
       if (d.attempts[r] == 0) continue;
       d.Begin(r);
@@ -866,9 +866,9 @@
   s.classes[1].value = 100;
   Driver d(s);
   d.List({});
-  d.Ask(1, 1);
+  d.Submit(1, 1);
   d.Run(1600 * kMs);  // misses its target for lack of a worker
-  d.Ask(2, 0);
+  d.Submit(2, 0);
   d.Workers(2);
   d.Begin(1);
   d.Run(100 * kMs);
@@ -877,7 +877,7 @@
   d.End(1, Outcome::kGood);
   d.Run(70 * kSecond);  // the price decays even with few arrivals
   d.End(2, Outcome::kTimeout);
-  d.Ask(3, 0);
+  d.Submit(3, 0);
   d.Run(100 * kMs);
   EXPECT_EQ(d.attempts[3], 1);
 }
@@ -897,12 +897,12 @@
       d.Serve(++id, 10 * kMs);
       d.Run(gap);
     }
-    for (int i = 0; i < 10; ++i) d.Ask(++id, 1);
+    for (int i = 0; i < 10; ++i) d.Submit(++id, 1);
     d.Run(3 * kSecond);  // the queued jobs miss their target
     for (RequestId out = 1; out <= id; ++out)
       if (d.attempts[out] > 0) d.End(out, Outcome::kGood);
     for (Micros passed = 0; passed < 8 * kSecond; passed += gap) {
-      d.Ask(++id, 0);
+      d.Submit(++id, 0);
       d.Run(gap);
       for (RequestId out = 1; out <= id; ++out)
         if (d.attempts[out] > 0) d.End(out, Outcome::kGood);
@@ -919,7 +919,7 @@
   EXPECT_EQ(d.dispatcher.PoolBusy(0), 1);
   d.List({Driver::Entry(3)});
   EXPECT_EQ(d.dispatcher.PoolBusy(0), 0);
-  d.Ask(2);
+  d.Submit(2);
   EXPECT_EQ(d.sends.size(), 1u);
 }
 
@@ -928,7 +928,7 @@
   d.Workers(4);
   RequestId id = 1;
   for (int i = 0; i < 20; ++i) {  // every worker refuses, then none connects
-    d.Ask(id, 0);
+    d.Submit(id, 0);
     d.Run(20 * kMs);
     if (d.attempts[id] > 0) d.End(id, i < 10 ? Outcome::kFull : Outcome::kNoConnection);
     d.Run(80 * kMs);
@@ -940,7 +940,7 @@
   d.Run(4 * kSecond);
   int in_a_row = 0;
   for (int i = 0; i < 30; ++i, ++id) {
-    d.Ask(id, 1);
+    d.Submit(id, 1);
     d.Run(50 * kMs);
     if (d.attempts[id] != 1) continue;
     d.Begin(id);
@@ -956,7 +956,7 @@
   RequestId id = 1;
   for (int i = 0; i < 3000; ++i, ++id) {
     if (i % 100 == 0) d.Workers(2 + i / 100 % 3);
-    d.Ask(id, i % 3);
+    d.Submit(id, i % 3);
     d.Run(5 * kMs);
     if (d.attempts[id] == 0) continue;
     d.Begin(id);
@@ -975,10 +975,10 @@
   Driver d(s);
   Occupy(d, 1);
   d.Run(100 * kMs);
-  d.Ask(2, 1);
+  d.Submit(2, 1);
   d.Run(700 * kMs);  // sent, and started late
   d.Begin(2);        // it runs now, but the worker was full with one job less
-  d.Ask(3, 1);
+  d.Submit(3, 1);
   d.Run(50 * kMs);
   EXPECT_EQ(d.attempts[3], 0);
   d.End(1, Outcome::kGood);
@@ -1003,9 +1003,9 @@
 };
 
 TEST_F(NeverTaken, AJobThatMayRunAgainGoesOutAgainSoonAndOtherwiseEndsInASecond) {
-  d->Ask(100, 2);
-  d->Ask(101, 1);
-  d->Ask(102, 0);
+  d->Submit(100, 2);
+  d->Submit(101, 1);
+  d->Submit(102, 0);
   Take(102);
   const auto cancels = [&](RequestId id, int steps) {
     int count = 0;
@@ -1027,17 +1027,17 @@
 
 TEST_F(NeverTaken, AWorkerHeardSinceTakesOtherJobsAnyOtherGetsTrials) {
   d->Workers(1);
-  d->Ask(99, 1);
+  d->Submit(99, 1);
   Take(99);
   d->Begin(99);
-  d->Ask(100, 1);  // the connection of this attempt is silent
+  d->Submit(100, 1);  // the connection of this attempt is silent
   d->Run(20 * kMs);
   d->Progress(99);
   d->Run(400 * kMs);
-  d->Ask(101, 1);
+  d->Submit(101, 1);
   EXPECT_EQ(d->attempts[101], 1);
   d->Run(400 * kMs);  // this attempt is not accepted either, and the worker has not responded since
-  d->Ask(102, 1);
+  d->Submit(102, 1);
   EXPECT_EQ(d->attempts[102], 0);
   d->Progress(99);
   EXPECT_EQ(d->attempts[102], 1);
@@ -1082,11 +1082,11 @@
     d.Workers(1);
     RequestId id = 1;
     for (int i = 0; i < 20; ++i, id += 2) {  // class 1 is served, class 0 fails
-      d.Ask(id, 1);
+      d.Submit(id, 1);
       d.Begin(id);
       d.Run(5 * kMs);
       d.End(id, Outcome::kGood);
-      d.Ask(id + 1, 0);
+      d.Submit(id + 1, 0);
       d.Give({RequestAbandoned{id + 1}});
       d.End(id + 1, Outcome::kCancelled);
     }
@@ -1117,7 +1117,7 @@
 
 // ---------------------------------------------------------------- health verdicts of several nodes
 
-HealthVerdict Out(WorkerId worker, Micros at, bool trial = false) {
+HealthVerdict Ejected(WorkerId worker, Micros at, bool trial = false) {
   return {worker, true, trial, false, at, {1, 2}};
 }
 
@@ -1125,7 +1125,7 @@
   Driver d(BaseSettings());
   d.Workers(2);
   d.now = 10 * kSecond;
-  d.Give({Out(0, d.now)});
+  d.Give({Ejected(0, d.now)});
   d.Serve(1);
   for (RequestId id = 2; id <= 20; ++id) d.Serve(id);
   for (const Send& s : d.all_sends) EXPECT_EQ(s.worker, 1u);
@@ -1133,7 +1133,7 @@
   back.worker = 0;
   back.observed_at = d.now;
   d.Give({back});
-  d.ServeTogether(100, 40);
+  d.ServeInParallel(100, 40);
   EXPECT_TRUE(std::any_of(d.all_sends.begin(), d.all_sends.end(),
                           [](const Send& s) { return s.worker == 0; }));
 }
@@ -1142,15 +1142,15 @@
   Driver d(BaseSettings());
   d.Workers(1);
   d.now = 10 * kSecond;
-  d.Give({Out(0, d.now)});
-  d.Ask(1, 1);  // once
-  d.Ask(2, 0);  // may be repeated
+  d.Give({Ejected(0, d.now)});
+  d.Submit(1, 1);  // once
+  d.Submit(2, 0);  // may be repeated
   d.Run(kSecond);
   EXPECT_TRUE(d.all_sends.empty());
-  d.Give({Out(0, d.now, true)});
+  d.Give({Ejected(0, d.now, true)});
   ASSERT_EQ(d.all_sends.size(), 1u);
   EXPECT_EQ(d.all_sends[0].request, 2u);
-  d.Ask(3, 0);
+  d.Submit(3, 0);
   d.Run(2 * kSecond);
   EXPECT_EQ(d.all_sends.size(), 1u) << "one trial job only; another node makes the next trial";
   d.Begin(2);  // the worker responds
@@ -1165,7 +1165,7 @@
   d.Workers(1);
   d.now = 10 * kSecond;
   d.Serve(1);
-  d.Give({Out(0, d.now - kSecond)});
+  d.Give({Ejected(0, d.now - kSecond)});
   d.Serve(2);
   EXPECT_EQ(d.all_sends.size(), 2u);
 }
@@ -1220,8 +1220,8 @@
   ended.worker = 44;
   d.Give({AttemptStarted{9, 0, 0}, AttemptProgress{9, 3, 55, 0.5}, ended, RequestAbandoned{9},
           ProbeEnded{99, true, {}}, HealthVerdict{98, true, true, true, 1, {}}, d.Request(1, 77)});
-  d.Ask(1);
-  d.Ask(1);  // a repeated id
+  d.Submit(1);
+  d.Submit(1);  // a repeated id
   EXPECT_EQ(d.all_sends.size(), 1u);
   EXPECT_EQ(d.dispatcher.OpenRequests(), 1u);
 }
--- a/tests/dispatch/policy/property_test.cpp
+++ b/tests/dispatch/policy/property_test.cpp
@@ -15,18 +15,18 @@
 
 constexpr Micros kMs = 1000;
 
-struct BookedAttempt {
+struct TrackedAttempt {
   WorkerId worker;
   Micros sent;
-  bool out = true;
+  bool in_flight = true;
   bool may_have_run = true;
 };
 
-struct BookedRequest {
+struct TrackedRequest {
   int cls;
   Micros due;
-  int finals = 0;
-  std::vector<BookedAttempt> attempts;
+  int final_answers = 0;
+  std::vector<TrackedAttempt> attempts;
 };
 
 class World {
@@ -40,20 +40,20 @@
     for (int i = 0; i < steps; ++i) {
       now_ += Draw(1, 20) * kMs;
       if (Chance(0.5)) Arrive();
-      if (Chance(0.03)) Churn();
-      Notes();
+      if (Chance(0.03)) ChangeRandomWorker();
+      ReportStarts();
       Outcomes();
       Step();
       CheckDeadlines();
     }
-    for (int i = 0; i < 4000 && Open(); ++i) {  // until all requests have ended
+    for (int i = 0; i < 4000 && HasOpenRequests(); ++i) {  // until all requests have ended
       now_ += 10 * kMs;
       Outcomes();
       Step();
       CheckDeadlines();
     }
     for (const auto& [id, r] : requests_)
-      EXPECT_EQ(r.finals, 1) << "final answers of request " << id;
+      EXPECT_EQ(r.final_answers, 1) << "final answers of request " << id;
     EXPECT_EQ(dispatcher_.OpenRequests(), 0u);
     EXPECT_GT(served_, steps / 20);
   }
@@ -79,7 +79,7 @@
     health_[w] = health;
   }
 
-  void Churn() {
+  void ChangeRandomWorker() {
     const WorkerId w = static_cast<WorkerId>(Draw(0, 8));
     switch (Draw(0, 3)) {
       case 0:
@@ -103,18 +103,18 @@
     events_.push_back(r);
   }
 
-  void Notes() {
+  void ReportStarts() {
     for (auto& [id, r] : requests_)
       for (std::size_t i = 0; i < r.attempts.size(); ++i)
-        if (r.attempts[i].out && Chance(0.1))
+        if (r.attempts[i].in_flight && Chance(0.1))
           events_.push_back(AttemptStarted{id, static_cast<int>(i), r.attempts[i].worker});
   }
 
   void Outcomes() {
     for (auto& [id, r] : requests_)
       for (std::size_t i = 0; i < r.attempts.size(); ++i) {
-        BookedAttempt& a = r.attempts[i];
-        if (!a.out) continue;
+        TrackedAttempt& a = r.attempts[i];
+        if (!a.in_flight) continue;
         const bool overdue = now_ >= r.due;
         if (!overdue && !Chance(0.05)) continue;
         AttemptEnded e;
@@ -123,14 +123,14 @@
         e.worker = a.worker;
         e.outcome = overdue ? Outcome::kTimeout : static_cast<Outcome>(Draw(0, 7));
         if (Chance(0.5) && !overdue) e.outcome = Outcome::kGood;
-        a.out = false;
+        a.in_flight = false;
         a.may_have_run = e.outcome != Outcome::kFull && e.outcome != Outcome::kNoConnection &&
                          e.outcome != Outcome::kNotSent;
-        if (e.outcome == Outcome::kGood && r.finals == 0) {
-          ++r.finals;
+        if (e.outcome == Outcome::kGood && r.final_answers == 0) {
+          ++r.final_answers;
           ++served_;
         }
-        e.settled = r.finals > 0;
+        e.settled = r.final_answers > 0;
         events_.push_back(e);
       }
   }
@@ -144,24 +144,24 @@
       trace += std::to_string(a.index()) + ",";
       if (const auto* send = std::get_if<Send>(&a)) CheckSend(*send);
       if (const auto* refuse = std::get_if<Refuse>(&a)) CheckRefuse(refuse->request);
-      if (const auto* fail = std::get_if<Fail>(&a)) Final(fail->request);
+      if (const auto* fail = std::get_if<Fail>(&a)) RecordFinal(fail->request);
     }
   }
 
   void CheckSend(const Send& s) {
     trace += std::to_string(s.worker) + ";";
-    BookedRequest& r = requests_.at(s.request);
+    TrackedRequest& r = requests_.at(s.request);
     const ClassSettings& c = settings_.classes[static_cast<std::size_t>(r.cls)];
-    EXPECT_EQ(r.finals, 0) << "sent after its final answer";
+    EXPECT_EQ(r.final_answers, 0) << "sent after its final answer";
     EXPECT_LT(now_, r.due);
     EXPECT_EQ(health_.at(s.worker), Health::kInService) << "sent to a draining worker";
     EXPECT_LT(r.attempts.size(), static_cast<std::size_t>(settings_.max_attempts));
     if (c.kind >= 0) {
       EXPECT_EQ(static_cast<int>(s.worker % 2), c.kind);
     }
-    for (const BookedAttempt& a : r.attempts) {
+    for (const TrackedAttempt& a : r.attempts) {
       if (!settings_.may_duplicate) {
-        EXPECT_FALSE(a.out) << "two attempts in flight";
+        EXPECT_FALSE(a.in_flight) << "two attempts in flight";
       }
       if (!a.may_have_run) continue;
       EXPECT_NE(c.effect, Effect::kOnce) << "may have run twice";
@@ -175,35 +175,35 @@
   }
 
   void CheckRefuse(RequestId id) {
-    const BookedRequest& r = requests_.at(id);
+    const TrackedRequest& r = requests_.at(id);
     const ClassSettings& c = settings_.classes[static_cast<std::size_t>(r.cls)];
-    for (const BookedAttempt& a : r.attempts) {
+    for (const TrackedAttempt& a : r.attempts) {
       if (!a.may_have_run) continue;
       EXPECT_NE(c.effect, Effect::kOnce) << "refused although it may have run";
       if (c.effect == Effect::kByKey) {
         EXPECT_EQ(c.key_scope, KeyScope::kAll);
       }
     }
-    Final(id);
+    RecordFinal(id);
   }
 
-  void Final(RequestId id) {
-    EXPECT_EQ(requests_.at(id).finals, 0) << "answered twice";
-    ++requests_.at(id).finals;
+  void RecordFinal(RequestId id) {
+    EXPECT_EQ(requests_.at(id).final_answers, 0) << "answered twice";
+    ++requests_.at(id).final_answers;
   }
 
   void CheckDeadlines() {
     for (const auto& [id, r] : requests_)
       if (now_ >= r.due + 20 * kMs) {
-        EXPECT_EQ(r.finals, 1) << "no final answer by the deadline: request " << id;
+        EXPECT_EQ(r.final_answers, 1) << "no final answer by the deadline: request " << id;
       }
   }
 
-  bool Open() const {
+  bool HasOpenRequests() const {
     return std::any_of(requests_.begin(), requests_.end(), [](const auto& p) {
       const auto& as = p.second.attempts;
-      return p.second.finals == 0 ||
-             std::any_of(as.begin(), as.end(), [](const BookedAttempt& a) { return a.out; });
+      return p.second.final_answers == 0 ||
+             std::any_of(as.begin(), as.end(), [](const TrackedAttempt& a) { return a.in_flight; });
     });
   }
 
@@ -214,7 +214,7 @@
   RequestId last_id_ = 0;
   int served_ = 0;
   std::vector<Event> events_;
-  std::map<RequestId, BookedRequest> requests_;
+  std::map<RequestId, TrackedRequest> requests_;
   std::map<WorkerId, Health> health_;
 };
 
--- a/tests/dispatch/policy/rules_test.cpp
+++ b/tests/dispatch/policy/rules_test.cpp
@@ -10,7 +10,7 @@
   for (const Outcome o : {Outcome::kFull, Outcome::kNoConnection, Outcome::kNotSent}) {
     Driver d(BaseSettings());
     d.Workers(2);
-    d.Ask(1, 1);
+    d.Submit(1, 1);
     ASSERT_EQ(d.sends.size(), 1u);
     d.End(1, o);
     d.Run(2 * kSecond);
@@ -20,7 +20,7 @@
        {Outcome::kTimeout, Outcome::kReset, Outcome::kCancelled, Outcome::kError}) {
     Driver d(BaseSettings());
     d.Workers(2);
-    d.Ask(1, 1);
+    d.Submit(1, 1);
     d.End(1, o);
     EXPECT_EQ(d.failed, std::vector<RequestId>{1}) << static_cast<int>(o);
     d.Run(20 * kSecond);
@@ -32,7 +32,7 @@
 TEST(Once, IsNeverDoubledWhileOut) {
   Driver d(BaseSettings());
   d.Workers(3);
-  d.Ask(1, 1);
+  d.Submit(1, 1);
   d.Begin(1);
   d.Run(9 * kSecond);  // its worker becomes silent
   EXPECT_EQ(d.all_sends.size(), 1u);
@@ -42,7 +42,7 @@
 TEST(ByKey, GoesAgainInsideTheWindowOnly) {
   Driver d(BaseSettings());
   d.Workers(2);
-  d.Ask(1, 2);
+  d.Submit(1, 2);
   d.Run(1 * kSecond);
   d.End(1, Outcome::kReset);
   d.Run(1 * kSecond);
@@ -50,7 +50,7 @@
 
   Driver late(BaseSettings());
   late.Workers(2);
-  late.Ask(1, 2);
+  late.Submit(1, 2);
   late.Begin(1);
   for (int i = 0; i < 12; ++i) {  // progress keeps its worker from becoming silent
     late.Run(500 * kMs);
@@ -76,7 +76,7 @@
       entries.push_back(e);
     }
     d.List(entries);
-    d.Ask(1, 2);
+    d.Submit(1, 2);
     const WorkerId first = d.last_worker[1];
     d.End(1, Outcome::kError);
     d.Run(4 * kSecond);
@@ -96,7 +96,7 @@
   Settings s = BaseSettings();
   Driver d(s);
   d.Workers(3);
-  d.Ask(1, 0);
+  d.Submit(1, 0);
   for (int i = 0; i < 10 && d.all_refused.empty(); ++i) {
     d.End(1, Outcome::kError);
     d.Run(100 * kMs);
@@ -110,7 +110,7 @@
   s.may_duplicate = false;
   Driver d(s);
   d.Workers(3);
-  d.Ask(1, 0);
+  d.Submit(1, 0);
   d.Begin(1);
   d.Run(4 * kSecond);  // silent: no second attempt while the first is in flight
   EXPECT_EQ(d.all_sends.size(), 1u);
@@ -121,7 +121,7 @@
 TEST(Answer, HeldWithNothingSentIsRefusedBeforeTheDeadline) {
   Driver d(BaseSettings());
   d.List({});
-  d.Ask(1, 1, 300 * kMs);
+  d.Submit(1, 1, 300 * kMs);
   d.Run(299 * kMs);
   EXPECT_EQ(d.all_refused, std::vector<RequestId>{1});
 }
@@ -129,7 +129,7 @@
 TEST(Answer, OutAtTheDeadlineFailsOnItsTimeout) {
   Driver d(BaseSettings());
   d.Workers(1);
-  d.Ask(1, 1, 300 * kMs);
+  d.Submit(1, 1, 300 * kMs);
   d.Run(300 * kMs);
   EXPECT_TRUE(d.all_failed.empty());
   d.End(1, Outcome::kTimeout);
@@ -140,7 +140,7 @@
 TEST(Answer, NothingFollowsIt) {
   Driver d(BaseSettings());
   d.Workers(3);
-  d.Ask(1, 0);
+  d.Submit(1, 0);
   d.End(1, Outcome::kGood);
   d.End(1, Outcome::kReset, 0);                         // a late, duplicate outcome
   d.Give({RequestAbandoned{1}, RequestAbandoned{77}});  // ended and unknown ids
@@ -152,7 +152,7 @@
 TEST(Answer, LapsedEndsWithoutAnAnswer) {
   Driver d(BaseSettings());
   d.Workers(1);
-  d.Ask(1, 0);
+  d.Submit(1, 0);
   d.Give({RequestAbandoned{1}});
   EXPECT_EQ(d.cancelled.size(), 1u);
   d.End(1, Outcome::kCancelled);
@@ -167,7 +167,7 @@
   d.Give({WorkerList{WorkerList::Form::kChanges, {Driver::Entry(0, Health::kDraining)}},
           d.Request(1)});
   d.List({Driver::Entry(1, Health::kGone)}, WorkerList::Form::kChanges);
-  for (RequestId id = 2; id < 6; ++id) d.Ask(id);
+  for (RequestId id = 2; id < 6; ++id) d.Submit(id);
   d.Run(2 * kSecond);
   ASSERT_EQ(d.all_sends.size(), 1u);
   EXPECT_EQ(d.all_sends[0].worker, 1u);
@@ -180,7 +180,7 @@
   d.Workers(3);
   d.List({Driver::Entry(2)});
   EXPECT_EQ(d.dispatcher.KnownWorkers(), 1u);
-  d.Ask(1);
+  d.Submit(1);
   EXPECT_EQ(d.last_worker[1], 2u);
 }
 
@@ -227,10 +227,10 @@
   Driver d(BaseSettings());
   d.now = 10 * kSecond;
   d.Workers(1);
-  d.ServeTogether(10, 20);
+  d.ServeInParallel(10, 20);
   const auto dead = [&] { return d.dispatcher.Learned(d.now).workers.at(0).died_at != 0; };
   for (RequestId id = 1; id <= 2; ++id) {
-    d.Ask(id, 1);
+    d.Submit(id, 1);
     d.Begin(id);
   }
   d.Run(50 * kMs);
@@ -239,14 +239,14 @@
   d.Run(50 * kMs);
   d.Progress(1);
   EXPECT_FALSE(dead()) << "the other job still runs";
-  d.Ask(3, 1);
+  d.Submit(3, 1);
   d.Begin(3);
   d.Run(50 * kMs);
   d.End(1, Outcome::kReset);
   EXPECT_TRUE(dead());
   d.End(3, Outcome::kReset);
   d.Run(500 * kMs);
-  d.Ask(4, 1);
+  d.Submit(4, 1);
   d.Begin(4);
   EXPECT_TRUE(dead()) << "a job of the new process does not show that the old one lives";
 }
@@ -257,7 +257,7 @@
   Driver d(s);
   d.now = 100 * kSecond;
   d.List({Driver::Entry(0, Health::kInService, d.now)});
-  d.Ask(1, 0, 30 * kSecond);
+  d.Submit(1, 0, 30 * kSecond);
   EXPECT_TRUE(d.sends.empty());
   d.Run(8 * kSecond + 50 * kMs);
   EXPECT_EQ(d.all_sends.size(), 1u);
--- a/tests/dispatch/simulator/wire_test.cpp
+++ b/tests/dispatch/simulator/wire_test.cpp
@@ -151,7 +151,7 @@
 
 struct BadLine {
   const char* text;
-  const char* says;
+  const char* expected;
 };
 
 class Malformed : public ::testing::TestWithParam<BadLine> {};
@@ -162,7 +162,7 @@
             GetParam().text + "\neof_batch\n");
   EXPECT_NE(s.code, 0);
   EXPECT_TRUE(Has(s.err, "line 10: ")) << s.err;
-  EXPECT_TRUE(Has(s.err, GetParam().says)) << s.err;
+  EXPECT_TRUE(Has(s.err, GetParam().expected)) << s.err;
   EXPECT_EQ(std::count(s.err.begin(), s.err.end(), '\n'), 1);
   EXPECT_FALSE(Has(s.out, "00000000000000aa"));
 }
