--- a/src/tier/proxy/active_request.cpp
+++ b/src/tier/proxy/active_request.cpp
@@ -11,21 +11,22 @@
 
 using dispatch::Outcome;
 
-constexpr Micros kUnbounded = 3600 * kSecond;  // for a request without a due time
+constexpr Micros kNoDeadline = 3600 * kSecond;  // for requests without a deadline
 constexpr Micros kDefaultRetryAfter = 200 * kMs;
-constexpr Micros kProgressWhilePaused = kSecond;
-constexpr Micros kRetryBudgetCheckPeriod =
-    50 * kMs;  // between looks whether the budget allows a retry
+constexpr Micros kPausedProgressPeriod = kSecond;
+// Period at which an overdue attempt checks whether the retry budget allows a retry.
+constexpr Micros kRetryBudgetCheckPeriod = 50 * kMs;
 
-// Shared parts that are read anew for less time than the search for their worker may cost are not
-// worth it.
+// Shorter shared prefixes are ignored: processing them again takes less time than waiting for the
+// worker that has them cached may cost.
 constexpr double kMinSharedTokens = 1000;
-constexpr std::size_t kPreferredWorkers =
-    2;  // workers that are tried first for the shared parts of a prompt
-constexpr double kMaxPreferredFill = 1.0;  // of its slots in use; a worker above it is no home
+// Number of workers that are preferred for a shared prompt prefix.
+constexpr std::size_t kMaxPreferredWorkers = 2;
+// A worker whose fraction of slots in use is above this is not preferred.
+constexpr double kMaxPreferredUtilization = 1.0;
 
-constexpr double kLargeRequestFraction =
-    0.5;  // a request of this share of a worker's memory may not fit
+// A request that needs more than this fraction of a worker's token capacity may not fit.
+constexpr double kLargeRequestFraction = 0.5;
 
 Micros FromMs(double ms) { return static_cast<Micros>(ms * static_cast<double>(kMs)); }
 
@@ -40,7 +41,7 @@
       timers_(timers),
       pool_(pool),
       host_(host),
-      has_due_(spec_.deadline != 0),
+      has_deadline_(spec_.deadline != 0),
       admission_(id, &spec_, timers, pool, host,
                  [this] {
                    const auto self = shared_from_this();
@@ -48,23 +49,23 @@
                  }),
       retries_(spec_.attempts, spec_.idempotent, spec_.resumable),
       last_event_id_(spec_.last_event_id) {
-  if (!has_due_) spec_.deadline = Now() + kUnbounded;
+  if (!has_deadline_) spec_.deadline = Now() + kNoDeadline;
 }
 
 ActiveRequest::~ActiveRequest() { Cancel(); }
 
 void ActiveRequest::Start() {
-  due_timer_ = timers_->After(TimeLeft(), [this] {
-    due_timer_ = 0;
+  deadline_timer_ = timers_->After(TimeLeft(), [this] {
+    deadline_timer_ = 0;
     const auto self = shared_from_this();
-    OnDue();
+    OnDeadline();
   });
   RequestPlacement();
 }
 
 void ActiveRequest::Cancel() {
   if (std::exchange(ended_, true)) return;
-  timers_->Cancel(&due_timer_);
+  timers_->Cancel(&deadline_timer_);
   timers_->Cancel(&queue_timer_);
   AbandonAttempt(Outcome::kCancelled);
   admission_.Withdraw();
@@ -75,7 +76,7 @@
 void ActiveRequest::RequestPlacement() {
   const auto verdict = admission_.Admit(retries_.sends() > 0);
   if (verdict == RequestAdmission::Verdict::kWaiting) return;
-  if (verdict == RequestAdmission::Verdict::kNoCapacity) return EndWithoutAnswer();
+  if (verdict == RequestAdmission::Verdict::kNoCapacity) return EndWithoutResponse();
   Placement placement;
   placement.traffic_class.rank = spec_.rank;
   placement.traffic_class.target = spec_.bulk ? 0 : FromMs(spec_.target_ms);
@@ -83,7 +84,7 @@
   placement.traffic_class.bulk = spec_.bulk;
   const Micros now = Now();
   const Micros placement_deadline = admission_.PlacementDeadline(now, retries_.runs() > 0);
-  placement.due = spec_.deadline;
+  placement.deadline = spec_.deadline;
   placement.preferred = PreferredWorkers();
   placed_ = false;
   placement_ = pool_->dispatcher.Enqueue(placement, this);
@@ -91,28 +92,29 @@
   queue_timer_ = timers_->After(placement_deadline - now, [this] {
     queue_timer_ = 0;
     const auto self = shared_from_this();
-    OnQueuedTooLong();
+    OnQueueTimeout();
   });
 }
 
-// The workers that are likely to keep the shared parts of its prompt, as far as these are worth it
-// and the workers are not loaded.
+// Returns the workers that are likely to have the prompt's shared prefix cached, best first,
+// without overloaded workers. Empty if the prefix is too short to matter or the policy disables
+// this.
 std::vector<dispatch::WorkerId> ActiveRequest::PreferredWorkers() const {
   std::vector<dispatch::WorkerId> preferred;
   const bool is_cacheable = spec_.prefix_key != 0 && spec_.shared_tokens >= kMinSharedTokens;
   if (!is_cacheable || !host_->policy().prefix_homes) return preferred;
   const Micros now = Now();
-  preferred = pool_->workers.PreferredWorkersOf(spec_.prefix_key, kPreferredWorkers);
+  preferred = pool_->workers.PreferredWorkersOf(spec_.prefix_key, kMaxPreferredWorkers);
   std::erase_if(preferred, [&](dispatch::WorkerId id) {
-    return pool_->workers.Fill(id, now) > kMaxPreferredFill;
+    return pool_->workers.Utilization(id, now) > kMaxPreferredUtilization;
   });
-  const auto unread = [&](dispatch::WorkerId id) {
+  const auto prefill_tokens = [&](dispatch::WorkerId id) {
     const ServiceWorker& worker = *pool_->workers.Find(id);
-    const bool first = id == preferred.front();
-    const bool prefix_cache = first || worker.prefix_cache.Has(spec_.prefix_key);
-    return worker.prefill_tokens + (prefix_cache ? 0 : spec_.shared_tokens);
+    const bool is_first = id == preferred.front();
+    const bool is_cached = is_first || worker.prefix_cache.Has(spec_.prefix_key);
+    return worker.prefill_tokens + (is_cached ? 0 : spec_.shared_tokens);
   };
-  if (preferred.size() > 1 && unread(preferred[1]) < unread(preferred[0]))
+  if (preferred.size() > 1 && prefill_tokens(preferred[1]) < prefill_tokens(preferred[0]))
     std::swap(preferred[0], preferred[1]);
   return preferred;
 }
@@ -128,25 +130,26 @@
   worker->prefill_tokens += prefill_tokens_;
 }
 
-// Its first event has come, or none will.
+// Called when the first event has arrived or the attempt has ended.
 void ActiveRequest::EndPrefill() {
   if (!std::exchange(in_prefill_, false)) return;
   pool_->workers.Find(worker_)->prefill_tokens -= prefill_tokens_;
 }
 
-// The request itself gives up: at the module only what has missed its target makes slots dear.
-void ActiveRequest::OnQueuedTooLong() {
+// The request withdraws by itself instead of letting its deadline pass in the dispatcher: there,
+// only requests that have missed their latency target raise the price of slots.
+void ActiveRequest::OnQueueTimeout() {
   if (placement_ == 0 || placed_) return;
   retry_after_ = pool_->dispatcher.RetryAfter();
   pool_->dispatcher.Withdraw(std::exchange(placement_, 0));
-  EndWithoutAnswer();
+  EndWithoutResponse();
 }
 
 void ActiveRequest::OnRefused(PlacementId, Micros retry_after) {
   const auto self = shared_from_this();
   placement_ = 0;
   retry_after_ = retry_after;
-  EndWithoutAnswer();
+  EndWithoutResponse();
 }
 
 void ActiveRequest::OnPlaced(PlacementId, dispatch::WorkerId worker) {
@@ -155,12 +158,13 @@
   timers_->Cancel(&queue_timer_);
   worker_ = worker;
   const ServiceWorker& chosen = *pool_->workers.Find(worker);
-  // Guards drains: the list that the decision rests on may be older than the registry's update.
+  // Guards against sending to a draining worker: the dispatcher's list of workers may be older than
+  // the worker table.
   const bool ready = chosen.present && host_->IsReady(chosen.record.worker_id);
   if (ready && TimeLeft() > kMinTimeLeft) return Send(worker);
   EndPlacement(Outcome::kMoot);
   if (!ready) host_->RefreshWorkers();
-  if (!retries_.OnWorkerGone() || TimeLeft() <= kMinTimeLeft) return EndWithoutAnswer();
+  if (!retries_.OnWorkerGone() || TimeLeft() <= kMinTimeLeft) return EndWithoutResponse();
   RequestPlacement();
 }
 
@@ -168,14 +172,14 @@
 
 void ActiveRequest::Send(dispatch::WorkerId worker) {
   ServiceWorker& chosen = *pool_->workers.Find(worker);
-  sent_ = Now();
+  sent_at_ = Now();
   last_event_at_ = 0;
   load_.reset();
   paused_ = false;
   events_.Clear();
   SendDetails details;
   details.worker_id = chosen.record.worker_id;
-  details.left = has_due_ ? spec_.deadline - sent_ : 0;
+  details.time_left = has_deadline_ ? spec_.deadline - sent_at_ : 0;
   details.last_event_id = last_event_id_;
   AttemptRequest request;
   request.head = WriteWorkerHead(spec_, details, body_->size());
@@ -192,11 +196,11 @@
   AttemptListener* const listener = this;
   attempt_ = std::make_shared<Attempt>(timers_, chosen.connections, std::move(request), listener);
   if (retries_.MayLeaveWorker()) ArmTimeout(ResponseTimeLimit());
-  const auto attempt = attempt_;  // it may end, and another begin, inside the call
+  const auto attempt = attempt_;  // the attempt may end and a new one may start inside the call
   attempt->Start();
 }
 
-// Ends what is under way, whatever it is; the sink is not notified.
+// Ends the current attempt or placement; the sink is not called.
 void ActiveRequest::AbandonAttempt(Outcome outcome) {
   timers_->Cancel(&timeout_timer_);
   if (attempt_ != nullptr) attempt_->Cancel();
@@ -205,7 +209,7 @@
   pool_->dispatcher.Withdraw(std::exchange(placement_, 0));
 }
 
-// The placement's outcome is known.
+// Reports the outcome of the placement and releases everything that belongs to it.
 void ActiveRequest::EndPlacement(Outcome outcome) {
   admission_.LeaveGate();
   timers_->Cancel(&timeout_timer_);
@@ -215,7 +219,7 @@
     --pool_->workers.Find(worker_)->in_flight;
   }
   if (load_) pool_->workers.RecordLoad(worker_, *load_);
-  const Micros latency = sent_ == 0 ? 0 : Now() - sent_;
+  const Micros latency = sent_at_ == 0 ? 0 : Now() - sent_at_;
   if (outcome == Outcome::kGood && !spec_.streamed) pool_->response_timeout.RecordLatency(latency);
   pool_->dispatcher.OnEnded(std::exchange(placement_, 0), outcome, latency, load_);
   load_.reset();
@@ -232,11 +236,11 @@
       EndPlacement(Outcome::kReset);
       return RetryAfterRun();
     case AttemptEnd::kAnswered:
-      return OnAnswer(std::move(result));
+      return OnResponse(std::move(result));
   }
 }
 
-void ActiveRequest::OnAnswer(AttemptResult result) {
+void ActiveRequest::OnResponse(AttemptResult result) {
   ResponseHead& head = result.head;
   worker_status_ = head.status;
   if (result.forwarded) return OnStreamComplete();
@@ -251,16 +255,18 @@
   EndPlacement(head.status == 504 ? Outcome::kTimeout : failed ? Outcome::kError : Outcome::kGood);
   const bool stop = spec_.stop_on_500 && head.status == 500;
   if (failed && !stop && retries_.MayRetryAfterRun(TimeLeft())) return RequestPlacement();
-  // These would guarantee what the worker has not guaranteed.
+  // These statuses would tell the client that the request has not run, which the worker did not
+  // guarantee.
   const bool would_guarantee_not_run =
       head.status == 503 || head.status == 429 || head.status == 408;
   const bool cannot_forward =
       retries_.head_forwarded() || would_guarantee_not_run || (success && failed);
-  if (cannot_forward) return EndWithoutAnswer();
+  if (cannot_forward) return EndWithoutResponse();
   ForwardResponse(std::move(head), result.body);
 }
 
-// What such a response shows of the worker: only a plain 503 that it is full.
+// Outcome for the dispatcher after a response that guarantees that the request has not run. A 503
+// or 429 means that the worker is full, unless the request is overdue or too large for it.
 Outcome ActiveRequest::NotRunOutcome(const ResponseHead& head) {
   if (head.status == 421) {
     const bool other_version =
@@ -268,7 +274,7 @@
                     [](const http::Header& h) { return http::SameName(h.name, "Expect-Version"); });
     if (!other_version) {
       pool_->dispatcher.OnWorkers(pool_->workers.DropWorker(worker_));
-      host_->RefreshWorkers();  // which sees to it that the worker is tried again in time
+      host_->RefreshWorkers();  // schedules the time at which the worker is tried again
     }
     return Outcome::kMoot;
   }
@@ -284,15 +290,15 @@
 
 void ActiveRequest::RetryAfterNotRun() {
   if (retries_.MayRetryAfterNotRun(TimeLeft())) return RequestPlacement();
-  EndWithoutAnswer();
+  EndWithoutResponse();
 }
 
 void ActiveRequest::RetryAfterRun() {
   if (retries_.MayRetryAfterRun(TimeLeft())) return RequestPlacement();
-  EndWithoutAnswer();
+  EndWithoutResponse();
 }
 
-void ActiveRequest::EndWithoutAnswer() {
+void ActiveRequest::EndWithoutResponse() {
   RequestResult result;
   result.worker_status = worker_status_;
   if (retries_.head_forwarded()) {
@@ -306,12 +312,12 @@
   End(result);
 }
 
-void ActiveRequest::OnDue() {
-  const bool out = attempt_ != nullptr && attempt_->written();
-  const bool unanswered = out && !attempt_->response_begun();
-  if (out) retries_.OnMayHaveRun();
-  AbandonAttempt(unanswered ? Outcome::kTimeout : Outcome::kCancelled);
-  EndWithoutAnswer();
+void ActiveRequest::OnDeadline() {
+  const bool in_flight = attempt_ != nullptr && attempt_->written();
+  const bool no_response = in_flight && !attempt_->response_begun();
+  if (in_flight) retries_.OnMayHaveRun();
+  AbandonAttempt(no_response ? Outcome::kTimeout : Outcome::kCancelled);
+  EndWithoutResponse();
 }
 
 void ActiveRequest::End(RequestResult result) {
@@ -327,7 +333,7 @@
 Micros ActiveRequest::ResponseTimeLimit() const {
   if (spec_.streamed) return NextEventTimeout(spec_, last_event_at_ != 0);
   const bool learned = host_->policy().learn_silence;
-  return PlainResponseTimeout(spec_, spec_.deadline - sent_,
+  return PlainResponseTimeout(spec_, spec_.deadline - sent_at_,
                               learned ? &pool_->response_timeout : nullptr);
 }
 
@@ -340,24 +346,26 @@
   });
 }
 
-// Leaves an unresponsive worker only where another may be asked, with time for it.
+// Abandons an unresponsive worker only if another one may be tried and there is time for it.
 void ActiveRequest::OnTimeout() {
   const Micros now = Now();
-  // This node does not read: the worker is responsive, and other requests may go there.
+  // Reading is paused by this node, so the worker is not unresponsive and other requests may go to
+  // it.
   if (paused_) {
     ReportProgress();
-    return ArmTimeout(kProgressWhilePaused);
+    return ArmTimeout(kPausedProgressPeriod);
   }
-  const Micros timed_out_at = std::max(sent_, last_event_at_) + ResponseTimeLimit();
+  const Micros timed_out_at = std::max(sent_at_, last_event_at_) + ResponseTimeLimit();
   if (now < timed_out_at) return ArmTimeout(timed_out_at - now);
   const bool learned = !spec_.streamed && host_->policy().learn_silence;
-  // Another worker takes about as long as this one has been given.
-  const Micros needed = learned ? ResponseTimeLimit() : FromMs(spec_.target_ms);
-  if (now + needed >= spec_.deadline) return;
+  // Another worker is assumed to take about as long as the time given to this one.
+  const Micros next_attempt_time = learned ? ResponseTimeLimit() : FromMs(spec_.target_ms);
+  if (now + next_attempt_time >= spec_.deadline) return;
   if (attempt_ == nullptr || (!spec_.streamed && attempt_->response_begun())) return;
   if (learned && !pool_->response_timeout.TakeRetry()) return ArmTimeout(kRetryBudgetCheckPeriod);
   if (attempt_->written()) retries_.OnMayHaveRun();
-  // No response so soon says nothing of the slots of all workers, but of this one.
+  // A learned timeout is short: it is a sign about this worker only, not about the slots of all
+  // workers.
   AbandonAttempt(learned ? Outcome::kError : Outcome::kTimeout);
   RetryAfterRun();
 }
--- a/src/tier/proxy/active_request.h
+++ b/src/tier/proxy/active_request.h
@@ -1,7 +1,7 @@
-// A request under way: asks for a worker, sends, and relays the response. What is decided on the
-// way stands in classes of their own: when it may ask and how long it waits (RequestAdmission),
-// whether it may be sent again (RetryState), and how long a worker may take (attempt_timeout.h). It
-// ends as kNotRun only if no attempt may have run.
+// A request in progress: obtains a worker, sends the request and relays the response. The decisions
+// are made by separate classes: RequestAdmission decides when it may ask for a worker and how long
+// it waits, RetryState whether it may be sent again, and attempt_timeout.h how long a worker may
+// take. The request ends with kNotRun only if no attempt can have run. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_PROXY_ACTIVE_REQUEST_H_
 #define PEARREACH_SRC_TIER_PROXY_ACTIVE_REQUEST_H_
 
@@ -21,24 +21,26 @@
 
 namespace pearreach::proxy {
 
-// What a request needs of its runner.
+// The services of the runner that a request uses.
 class ActiveRequestHost {
  public:
   virtual ~ActiveRequestHost() = default;
-  // By the registry's newest update the worker may be sent to.
+  // Whether the newest worker table lists this worker as ready.
   virtual bool IsReady(const std::string& worker_id) const = 0;
-  // A worker was chosen by an older update than that: the newest must be applied at once.
+  // Applies the newest worker table at once, since a worker was chosen from an older one.
   virtual void RefreshWorkers() = 0;
-  // Connections that this node may have to each worker of the service.
+  // Maximum number of connections from this node to each worker of the service.
   virtual std::size_t ConnectionLimit(const std::string& service) const = 0;
-  // Tokens that one worker of the service holds; 0: not known.
+  // Token capacity of one worker of the service. 0: unknown.
   virtual double WorkerTokens(const std::string& service) const = 0;
-  // Items of this service that would not harm live requests, beside those that wait.
+  // Number of further batch items of this service, in addition to the queued ones, that can run
+  // without delaying live requests.
   virtual int BulkCapacity(const std::string& service) const = 0;
   virtual const settings::PolicyOptions& policy() const = 0;
-  // Until when all nodes wait for workers to call after a start of them all; 0: they don't.
+  // Time until which requests wait for workers to register after a restart of all nodes. 0: no such
+  // wait.
   virtual Micros WarmUpDeadline(Micros now) const = 0;
-  // The request has ended: its runner forgets it.
+  // Removes a request that has ended from the runner.
   virtual void Forget(std::uint64_t request) = 0;
 };
 
@@ -51,9 +53,9 @@
   ~ActiveRequest() override;
 
   void Start();
-  // Workers are left at once; the sink receives nothing more.
+  // Closes the connection to the worker at once; the sink is not called any more.
   void Cancel();
-  // The sink has capacity again for what the worker sends.
+  // Continues reading the worker's response after the sink has drained its backlog.
   void Resume();
 
  private:
@@ -64,14 +66,14 @@
   void OnAttemptEnd(AttemptResult result) override;
 
   void RequestPlacement();
-  void OnQueuedTooLong();
+  void OnQueueTimeout();
   std::vector<dispatch::WorkerId> PreferredWorkers() const;
   void RecordPrefill(ServiceWorker* worker);
   void EndPrefill();
   void Send(dispatch::WorkerId worker);
   void AbandonAttempt(dispatch::Outcome outcome);
   void EndPlacement(dispatch::Outcome outcome);
-  void OnAnswer(AttemptResult result);
+  void OnResponse(AttemptResult result);
   void OnStreamComplete();
   dispatch::Outcome NotRunOutcome(const ResponseHead& head);
   Micros TimeLeft() const { return spec_.deadline - Now(); }
@@ -85,41 +87,41 @@
   void PauseReading();
   void ReportProgress();
   void ArmTimeout(Micros after);
-  Micros ResponseTimeLimit() const;  // from the send, or from a stream's last event
+  Micros ResponseTimeLimit() const;  // microseconds from the send or the stream's last event
   void OnTimeout();
-  void OnDue();
-  void EndWithoutAnswer();
+  void OnDeadline();
+  void EndWithoutResponse();
   void End(RequestResult result);
 
   const std::uint64_t id_;
-  RequestSpec spec_;  // without its body
+  RequestSpec spec_;  // the body is moved to body_
   const std::shared_ptr<const std::string> body_;
   std::shared_ptr<RequestSink> sink_;
   Timers* timers_;
   ServicePool* pool_;
   ActiveRequestHost* host_;
 
-  const bool has_due_;
+  const bool has_deadline_;
   RequestAdmission admission_;
   RetryState retries_;
-  Timers::Id due_timer_ = 0, queue_timer_ = 0, timeout_timer_ = 0;
-  PlacementId placement_ = 0;  // 0: none is open
-  bool placed_ = false;        // the placement has its worker
+  Timers::Id deadline_timer_ = 0, queue_timer_ = 0, timeout_timer_ = 0;
+  PlacementId placement_ = 0;  // 0: no open placement
+  bool placed_ = false;        // the placement has been assigned a worker
   dispatch::WorkerId worker_ = 0;
   std::shared_ptr<Attempt> attempt_;
-  std::optional<WorkerLoad> load_;  // reported in the attempt's response
-  bool in_prefill_ = false;         // no event of the attempt has come
-  double prefill_tokens_ = 0;       // tokens of its prompt that the worker has yet to read
-  Micros sent_ = 0;
-  Micros last_event_at_ = 0;      // the last event of the attempt; 0: none
-  Micros progress_reported_ = 0;  // to the decision module
+  std::optional<WorkerLoad> load_;  // from the attempt's response
+  bool in_prefill_ = false;         // no event of this attempt has arrived yet
+  double prefill_tokens_ = 0;       // prompt tokens that the worker still has to process
+  Micros sent_at_ = 0;
+  Micros last_event_at_ = 0;         // time of the attempt's last event; 0: none yet
+  Micros progress_reported_at_ = 0;  // when progress was last reported to the dispatcher
   Micros retry_after_ = 0;
   int worker_status_ = 0;
 
   EventSplitter events_;
   std::uint64_t last_event_id_ = 0;
-  std::optional<ResponseHead> head_;  // of the stream's first worker, until it is passed on
-  bool paused_ = false;  // the worker is held up, as the sink's receiver takes too little
+  std::optional<ResponseHead> head_;  // head of the stream, until it is forwarded
+  bool paused_ = false;               // reading is paused because the sink's backlog is too large
   bool ended_ = false;
 };
 
--- a/src/tier/proxy/active_request_response.cpp
+++ b/src/tier/proxy/active_request_response.cpp
@@ -1,4 +1,4 @@
-// The part of a request under way that passes responses on to its sink.
+// The part of ActiveRequest that forwards responses to the sink.
 #include <utility>
 
 #include "tier/proxy/active_request.h"
@@ -9,8 +9,9 @@
 
 using dispatch::Outcome;
 
-constexpr Micros kProgressEvery = 2 * kSecond;  // the decision module learns of a stream this often
-// Bytes that a client may leave untaken before its worker is held up, beside those of one read.
+// Period at which progress of a stream is reported to the dispatcher.
+constexpr Micros kProgressReportPeriod = 2 * kSecond;
+// Client backlog in bytes above which reading from the worker is paused. One read may exceed it.
 constexpr std::size_t kMaxBacklog = 64 << 10;
 
 }  // namespace
@@ -18,7 +19,7 @@
 void ActiveRequest::ForwardResponse(ResponseHead head, const std::string& body) {
   const auto self = shared_from_this();
   const std::shared_ptr<RequestSink> sink = sink_;
-  sink->OnHead(head.status, EndToEnd(std::move(head.headers)));
+  sink->OnHead(head.status, EndToEndHeaders(std::move(head.headers)));
   if (!ended_ && !body.empty()) sink->OnBody(body);
   RequestResult result;
   result.end = RequestEnd::kComplete;
@@ -26,9 +27,10 @@
   End(result);
 }
 
-// A stream's head waits for its first event: until then another worker may still give both.
+// The head of a stream is forwarded with its first event: until then a retry on another worker can
+// still provide both.
 void ActiveRequest::OnStreamHead(const ResponseHead& head) {
-  // At the first event, so it is as fresh as it can be: reported to the module at once.
+  // The load was measured just now, at the start of the stream, so the dispatcher gets it at once.
   if (const auto load = ReadWorkerLoad(head)) {
     pool_->workers.RecordLoad(worker_, *load);
     if (host_->policy().told_load) pool_->dispatcher.OnLoadReport(worker_, *load);
@@ -40,7 +42,7 @@
 void ActiveRequest::ForwardHead() {
   if (retries_.head_forwarded()) return;
   retries_.OnHeadForwarded();
-  sink_->OnHead(head_->status, EndToEnd(std::move(head_->headers)));
+  sink_->OnHead(head_->status, EndToEndHeaders(std::move(head_->headers)));
   head_.reset();
 }
 
@@ -57,7 +59,7 @@
   if (!ended_ && sink_->backlog() > kMaxBacklog) PauseReading();
 }
 
-// Holds up this worker's response alone: the worker and its other requests go on.
+// Pauses only this response. The worker and its other requests are not affected.
 void ActiveRequest::PauseReading() {
   if (attempt_ == nullptr || std::exchange(paused_, true)) return;
   attempt_->PauseReading();
@@ -75,38 +77,39 @@
 }
 
 void ActiveRequest::ReportProgress() {
-  progress_reported_ = Now();
+  progress_reported_at_ = Now();
   if (placement_ != 0) pool_->dispatcher.OnProgress(placement_);
 }
 
-// Whole events, none twice and without gaps, those that came together in one piece. False: the
-// worker's events do not follow what was passed on.
+// Forwards complete events without duplicates or gaps; adjacent events go out as one piece. False:
+// there is a gap between the worker's events and the last forwarded one.
 bool ActiveRequest::ForwardEvents() {
-  std::string_view together;
+  std::string_view adjacent;
   StreamEvent event;
-  bool follows = true;
+  bool in_sequence = true;
   while (events_.Next(&event)) {
     const bool counts_as_progress = event.id.has_value() || !spec_.resumable;
     if (counts_as_progress) last_event_at_ = Now();
     if (event.id && spec_.resumable) {
       if (*event.id <= last_event_id_) continue;
-      follows = last_event_id_ == 0 || *event.id == last_event_id_ + 1;
-      if (!follows) break;
+      in_sequence = last_event_id_ == 0 || *event.id == last_event_id_ + 1;
+      if (!in_sequence) break;
     }
     if (event.id) last_event_id_ = *event.id;
-    const bool joins = !together.empty() && together.data() + together.size() == event.bytes.data();
-    if (!joins) ForwardBytes(together);
-    together = joins ? std::string_view(together.data(), together.size() + event.bytes.size())
-                     : event.bytes;
+    const bool is_adjacent =
+        !adjacent.empty() && adjacent.data() + adjacent.size() == event.bytes.data();
+    if (!is_adjacent) ForwardBytes(adjacent);
+    adjacent = is_adjacent ? std::string_view(adjacent.data(), adjacent.size() + event.bytes.size())
+                           : event.bytes;
   }
-  if (last_event_at_ != 0) admission_.LeaveGate();  // its prompt has been read
+  if (last_event_at_ != 0) admission_.LeaveGate();  // the prompt has been processed
   if (last_event_at_ != 0) EndPrefill();
   if (last_event_at_ != 0 && placement_ != 0) {
     pool_->dispatcher.OnResponseBegun(placement_);
-    if (last_event_at_ - progress_reported_ >= kProgressEvery) ReportProgress();
+    if (last_event_at_ - progress_reported_at_ >= kProgressReportPeriod) ReportProgress();
   }
-  ForwardBytes(together);
-  return follows;
+  ForwardBytes(adjacent);
+  return in_sequence;
 }
 
 void ActiveRequest::BreakStream() {
@@ -120,7 +123,7 @@
   EndPlacement(Outcome::kGood);
   const std::shared_ptr<RequestSink> sink = sink_;
   ForwardHead();
-  // A last event without its empty line is part of the worker's whole body all the same.
+  // The body is complete, so an unterminated last event is forwarded as well.
   if (!ended_) ForwardBytes(events_.Rest());
   RequestResult result;
   result.end = RequestEnd::kComplete;
--- a/src/tier/proxy/attempt.cpp
+++ b/src/tier/proxy/attempt.cpp
@@ -7,12 +7,13 @@
 namespace pearreach::proxy {
 namespace {
 
-constexpr Micros kConnectTimeout = 300 * kMs;  // of a connection that gives no sign
-constexpr int kMaxSurplus = 4;                 // answers of earlier requests on one connection
-constexpr std::size_t kMaxBuffered = 32 << 20;
-constexpr std::size_t kBodyChunkBytes = 64
-                                        << 10;  // a worker that reads slowly leaves no more untaken
-// A worker counts a connection as idle earlier than this node does.
+constexpr Micros kConnectTimeout = 300 * kMs;  // limit for establishing a connection
+// responses to earlier requests that are skipped on one connection
+constexpr int kMaxSurplusResponses = 4;
+constexpr std::size_t kMaxBufferedBytes = 32 << 20;
+// Upper bound of the body bytes that are buffered for a worker that reads slowly.
+constexpr std::size_t kBodyChunkBytes = 64 << 10;
+// A worker's idle timer starts earlier than the one of this node.
 constexpr Micros kKeepAliveMargin = 500 * kMs;
 
 bool IsEventStream(const ResponseHead& head) {
@@ -24,17 +25,17 @@
   return http::SameName(name, "text/event-stream");
 }
 
-// How long the worker keeps the connection, a margin taken off.
-Micros KeepFor(const ResponseHead& head) {
+// Time for which the connection can be reused: the worker's keep-alive timeout minus a margin.
+Micros KeepAliveTime(const ResponseHead& head) {
   if (!head.keep_alive) return 0;
   const std::string* keep_alive = head.Find("Keep-Alive");
   const std::size_t at = keep_alive == nullptr ? std::string::npos : keep_alive->find("timeout=");
-  if (at == std::string::npos) return kKeepIdle;
+  if (at == std::string::npos) return kMaxIdleTime;
   const char* begin = keep_alive->data() + at + std::string_view("timeout=").size();
   Micros seconds = 0;
   const auto read = std::from_chars(begin, keep_alive->data() + keep_alive->size(), seconds);
-  if (read.ec != std::errc()) return kKeepIdle;
-  return std::clamp<Micros>(seconds, 0, kKeepIdle / kSecond + 1) * kSecond - kKeepAliveMargin;
+  if (read.ec != std::errc()) return kMaxIdleTime;
+  return std::clamp<Micros>(seconds, 0, kMaxIdleTime / kSecond + 1) * kSecond - kKeepAliveMargin;
 }
 
 }  // namespace
@@ -58,7 +59,7 @@
 
 void Attempt::Connect(Freshness freshness) {
   connection_ =
-      connections_->Take(this, {request_.attempt_id, freshness, request_.connection_limit});
+      connections_->Acquire(this, {request_.attempt_id, freshness, request_.connection_limit});
   if (connection_ == nullptr) {
     result_.connections_used_up = true;
     return Fail();
@@ -82,7 +83,7 @@
   body_sent_ = 0;
   std::string first = request_.head;
   first.append(NextChunk());
-  connection_->NoteRequest(request_.attempt_id);
+  connection_->RecordRequest(request_.attempt_id);
   if (connection_->stream().Write(first)) {
     written_ = true;
     if (!SendBody()) Fail();
@@ -91,7 +92,8 @@
   written_ = connection_->stream().unsent() < first.size();
   const bool was_idle = connection_->used_before();
   if (written_ || !was_idle) return Fail();
-  // The worker had closed it: nothing went out, so another connection may be tried.
+  // The worker had closed the idle connection and nothing was written, so another connection is
+  // safe.
   connections_->CloseIdle();
   DropConnection();
   Connect(Freshness::kPreferNew);
@@ -109,8 +111,7 @@
   return request_.body == nullptr || body_sent_ == request_.body->size();
 }
 
-// Gives the connection as much of the body as the worker takes at once, and one piece more. False:
-// the connection has broken.
+// Writes chunks of the body until the connection has to buffer. False: the connection failed.
 bool Attempt::SendBody() {
   while (!IsCompletelySent() && connection_->stream().unsent() == 0)
     if (!connection_->stream().Write(NextChunk())) return false;
@@ -142,39 +143,39 @@
     if (status == ResponseReader::Status::kMore || status == ResponseReader::Status::kStopped)
       return;
     if (status == ResponseReader::Status::kBad) return Fail();
-    if (!skipping_) return EndAnswer(bytes);
-    skipping_ = false;
-    if (++surplus_ > kMaxSurplus) return Fail();
+    if (!skipping_surplus_) return FinishResponse(bytes);
+    skipping_surplus_ = false;
+    if (++surplus_count_ > kMaxSurplusResponses) return Fail();
     reader_.Start(request_.bodiless);
     if (bytes.empty()) return;
   }
 }
 
-void Attempt::OnConnectionClosed(bool in_order) {
+void Attempt::OnConnectionClosed(bool orderly) {
   const auto self = shared_from_this();
-  if (written_ && !skipping_ && reader_.End(in_order) == ResponseReader::Status::kDone)
-    return EndAnswer({});
+  if (written_ && !skipping_surplus_ && reader_.End(orderly) == ResponseReader::Status::kDone)
+    return FinishResponse({});
   Fail();
 }
 
 bool Attempt::OnResponseHead(ResponseHead head) {
   const std::string* id = head.Find("X-Attempt-Id");
-  skipping_ = id == nullptr || *id != request_.attempt_id;
-  if (skipping_) return true;
-  const bool good = head.status / 100 == 2 && head.Find("X-Seal") != nullptr;
-  result_.forwarded = request_.streamed && good && IsEventStream(head);
+  skipping_surplus_ = id == nullptr || *id != request_.attempt_id;
+  if (skipping_surplus_) return true;
+  const bool is_sealed_success = head.status / 100 == 2 && head.Find("X-Seal") != nullptr;
+  result_.forwarded = request_.streamed && is_sealed_success && IsEventStream(head);
   result_.head = std::move(head);
   if (result_.forwarded) listener_->OnStreamHead(result_.head);
   return listener_ != nullptr;
 }
 
 bool Attempt::OnResponseBody(std::string_view bytes) {
-  if (skipping_) return true;
+  if (skipping_surplus_) return true;
   if (result_.forwarded) {
     listener_->OnStreamBytes(bytes);
     return listener_ != nullptr;
   }
-  if (result_.body.size() + bytes.size() > kMaxBuffered) {
+  if (result_.body.size() + bytes.size() > kMaxBufferedBytes) {
     Fail();
     return false;
   }
@@ -182,12 +183,13 @@
   return true;
 }
 
-// The answer is whole. A connection that has more bytes, or had a surplus answer, is not trusted.
-void Attempt::EndAnswer(std::string_view rest) {
-  // A request that the worker has not read whole would run into the next one.
-  const bool trusted = rest.empty() && surplus_ == 0 && connection_->stream().open() &&
+// Ends the attempt with a complete response. The connection is not reused if it has unread bytes or
+// carried a surplus response.
+void Attempt::FinishResponse(std::string_view rest) {
+  // The rest of an incompletely sent request would be parsed as part of the next request.
+  const bool trusted = rest.empty() && surplus_count_ == 0 && connection_->stream().open() &&
                        IsCompletelySent() && connection_->stream().unsent() == 0;
-  const Micros keep_for = trusted ? KeepFor(result_.head) : 0;
+  const Micros keep_for = trusted ? KeepAliveTime(result_.head) : 0;
   connection_->stream().ResumeReading();
   connections_->Release(std::exchange(connection_, nullptr), keep_for);
   result_.end = AttemptEnd::kAnswered;
--- a/src/tier/proxy/attempt.h
+++ b/src/tier/proxy/attempt.h
@@ -1,5 +1,6 @@
-// One send of a request to one worker, up to its outcome: the connection, the answer's framing, and
-// whose answer it is. It decides nothing about what follows.
+// One attempt: a request sent to one worker, up to its outcome. Obtains a connection, writes the
+// request, parses the response and matches it to the request by X-Attempt-Id. Retry decisions are
+// made by the owner. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_PROXY_ATTEMPT_H_
 #define PEARREACH_SRC_TIER_PROXY_ATTEMPT_H_
 
@@ -15,36 +16,37 @@
 namespace pearreach::proxy {
 
 enum class AttemptEnd {
-  kAnswered,      // a whole answer to this very request
-  kNoConnection,  // none came up, or none may be had: nothing was written
-  kLost,          // cut, or no answer in the protocol, after something was written
+  kAnswered,      // a complete response that carries this request's attempt id
+  kNoConnection,  // no connection was established or available; nothing was written
+  kLost,          // connection lost or invalid response after bytes were written
 };
 
 struct AttemptResult {
   AttemptEnd end = AttemptEnd::kLost;
-  bool connections_used_up = false;  // kNoConnection: this node's part of them is in use
+  bool connections_used_up = false;  // kNoConnection: the connection limit is reached
   ResponseHead head;                 // kAnswered
-  std::string body;                  // kAnswered, what was not passed on as it came
-  bool forwarded = false;            // the body went to OnStreamBytes
+  std::string body;  // kAnswered: the part of the body that was not forwarded while it arrived
+  bool forwarded = false;  // the body was forwarded through OnStreamBytes
 };
 
-// The owner of an attempt; it may cancel or drop it from inside any call.
+// Owner of an attempt. It may cancel or destroy the attempt from inside any callback.
 class AttemptListener {
  public:
   virtual ~AttemptListener() = default;
-  // A 2xx with its stamp and a text/event-stream begins.
+  // A text/event-stream with status 2xx and an X-Seal header begins.
   virtual void OnStreamHead(const ResponseHead& head) = 0;
   virtual void OnStreamBytes(std::string_view bytes) = 0;
   virtual void OnAttemptEnd(AttemptResult result) = 0;
 };
 
 struct AttemptRequest {
-  std::string head;                         // as the worker gets it
-  std::shared_ptr<const std::string> body;  // follows the head, in pieces; null: none
-  std::string attempt_id;                   // what its answer must repeat
-  bool bodiless = false;                    // HEAD
-  bool streamed = false;                    // a stream of events is passed on as it comes
-  bool idempotent = false;  // if not, no connection that was idle for long, where that can be had
+  std::string head;                         // complete head as sent to the worker
+  std::shared_ptr<const std::string> body;  // sent after the head, in chunks; null: no body
+  std::string attempt_id;                   // the X-Attempt-Id that the response must carry
+  bool bodiless = false;                    // response has no body (method HEAD)
+  bool streamed = false;                    // forward an event stream while it arrives
+  // Otherwise a connection that was idle for long is avoided if another one is available.
+  bool idempotent = false;
   std::size_t connection_limit = 1;
 };
 
@@ -59,21 +61,21 @@
   void Start();
   // Closes the connection to the worker at once; the listener is not called any more.
   void Cancel();
-  // While paused, nothing is read of the worker's answer, and the worker is held up.
+  // While paused, the response is not read, so that flow control stops the worker.
   void PauseReading();
   void ResumeReading();
-  // Bytes of the request that its connection holds and the worker has not taken.
+  // Bytes of the request that are buffered and not yet accepted by the worker's socket.
   std::size_t unsent() const;
-  // Something of the request may have reached the worker.
+  // Whether any part of the request may have reached the worker.
   bool written() const { return written_; }
-  // Something of the worker's answer has come.
+  // Whether any part of a response has arrived.
   bool response_begun() const { return response_begun_; }
 
  private:
   void OnConnected() override;
   void OnConnectionData(std::string_view bytes) override;
   void OnConnectionDrained() override;
-  void OnConnectionClosed(bool in_order) override;
+  void OnConnectionClosed(bool orderly) override;
   bool OnResponseHead(ResponseHead head) override;
   bool OnResponseBody(std::string_view bytes) override;
 
@@ -82,7 +84,7 @@
   bool SendBody();
   std::string_view NextChunk();
   bool IsCompletelySent() const;
-  void EndAnswer(std::string_view rest);
+  void FinishResponse(std::string_view rest);
   void Fail();
   void End(AttemptResult result);
   void DropConnection();
@@ -90,15 +92,15 @@
   Timers* timers_;
   std::shared_ptr<WorkerConnections> connections_;
   AttemptRequest request_;
-  AttemptListener* listener_;  // null: it has ended
+  AttemptListener* listener_;  // null: the attempt has ended
   std::shared_ptr<WorkerConnection> connection_;
   ResponseReader reader_;
   Timers::Id connect_timer_ = 0;
   AttemptResult result_;
   bool written_ = false, response_begun_ = false;
-  bool skipping_ = false;  // the answer in hand is a surplus one
-  int surplus_ = 0;
-  std::size_t body_sent_ = 0;  // bytes of the body that were given to the connection
+  bool skipping_surplus_ = false;  // the response being read belongs to an earlier request
+  int surplus_count_ = 0;
+  std::size_t body_sent_ = 0;  // bytes of the body passed to the connection
 };
 
 }  // namespace pearreach::proxy
--- a/src/tier/proxy/attempt_timeout.cpp
+++ b/src/tier/proxy/attempt_timeout.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr Micros kMinStreamTimeout = kSecond;
-constexpr double kStreamTimeoutGaps = 4;  // clients leave after eight at the soonest
+constexpr double kStreamTimeoutGaps = 4;  // clients give up after eight gaps at the earliest
 constexpr double kFirstEventTimeoutTargets = 2;
 constexpr Micros kMinPlainTimeout = 1500 * kMs;
 constexpr double kPlainTimeoutTargets = 5;
@@ -17,7 +17,7 @@
 
 Micros PlainResponseTimeout(const RequestSpec& spec, Micros time_left,
                             const ResponseTimeout* learned) {
-  if (learned != nullptr) return learned->Limit(FromMs(spec.target_ms), time_left);
+  if (learned != nullptr) return learned->Timeout(FromMs(spec.target_ms), time_left);
   return std::max(kMinPlainTimeout, FromMs(kPlainTimeoutTargets * spec.target_ms));
 }
 
--- a/src/tier/proxy/attempt_timeout.h
+++ b/src/tier/proxy/attempt_timeout.h
@@ -1,4 +1,5 @@
-// How long a worker may take to respond before another one is asked. Pure.
+// Response timeouts of attempts: how long a worker may take to respond before another worker is
+// tried. Pure functions.
 #ifndef PEARREACH_SRC_TIER_PROXY_ATTEMPT_TIMEOUT_H_
 #define PEARREACH_SRC_TIER_PROXY_ATTEMPT_TIMEOUT_H_
 
@@ -8,11 +9,12 @@
 
 namespace pearreach::proxy {
 
-// Of a plain request, in microseconds from its send. `time_left`: at that moment. `learned`: what
-// the service's responses have taken lately; null: a multiple of the latency target.
+// Timeout of a non-streamed request, in microseconds from its send. `time_left`: time to the
+// deadline at the send. `learned`: recent response times of the service; null: the timeout is a
+// multiple of the latency target.
 Micros PlainResponseTimeout(const RequestSpec& spec, Micros time_left,
                             const ResponseTimeout* learned);
-// Of a stream, in microseconds from its send or from its last event.
+// Timeout of a streamed request, in microseconds from its send or from its last event.
 Micros NextEventTimeout(const RequestSpec& spec, bool has_events);
 
 }  // namespace pearreach::proxy
--- a/src/tier/proxy/bulk_gate.cpp
+++ b/src/tier/proxy/bulk_gate.cpp
@@ -4,13 +4,13 @@
 
 namespace pearreach::proxy {
 
-void BulkGate::SetAllowance(int allowance) {
-  allowance_ = std::max(allowance, 1);
+void BulkGate::SetLimit(int limit) {
+  limit_ = std::max(limit, 1);
   Admit();
 }
 
-bool BulkGate::Enter(std::uint64_t request, std::function<void()> admitted) {
-  if (in_use_ < allowance_ && waiting_.empty()) {
+bool BulkGate::Acquire(std::uint64_t request, std::function<void()> admitted) {
+  if (in_use_ < limit_ && waiting_.empty()) {
     ++in_use_;
     return true;
   }
@@ -28,7 +28,7 @@
 }
 
 void BulkGate::Admit() {
-  while (in_use_ < allowance_ && !waiting_.empty()) {
+  while (in_use_ < limit_ && !waiting_.empty()) {
     const std::function<void()> admitted = std::move(waiting_.front().second);
     waiting_.pop_front();
     ++in_use_;
--- a/src/tier/proxy/bulk_gate.h
+++ b/src/tier/proxy/bulk_gate.h
@@ -1,6 +1,6 @@
-// Paces items of batch jobs of one service at this node: only so many may be at workers with their
-// prompts unread, since reading a prompt delays every other request of its worker. What waits is
-// taken in the order in which it came.
+// Limits how many batch items of one service this node has at workers with unprocessed prompts,
+// since processing a prompt delays all other requests of that worker. Items over the limit wait in
+// FIFO order. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_PROXY_BULK_GATE_H_
 #define PEARREACH_SRC_TIER_PROXY_BULK_GATE_H_
 
@@ -14,19 +14,20 @@
 
 class BulkGate {
  public:
-  // At least one item may always pass.
-  void SetAllowance(int allowance);
-  int allowance() const { return allowance_; }
-  // True: `request` holds a place now. False: `admitted` is called once it does.
-  bool Enter(std::uint64_t request, std::function<void()> admitted);
-  void Release();                        // the holder of a place gives it up
-  void Withdraw(std::uint64_t request);  // one that waits does so no more
+  // A limit below 1 counts as 1.
+  void SetLimit(int limit);
+  int limit() const { return limit_; }
+  // True: `request` has acquired a slot. False: it is queued, and `admitted` is called when it gets
+  // a slot.
+  bool Acquire(std::uint64_t request, std::function<void()> admitted);
+  void Release();                        // returns an acquired slot
+  void Withdraw(std::uint64_t request);  // removes a queued request
   std::size_t waiting() const { return waiting_.size(); }
 
  private:
   void Admit();
 
-  int allowance_ = 1;
+  int limit_ = 1;
   int in_use_ = 0;
   std::deque<std::pair<std::uint64_t, std::function<void()>>> waiting_;
 };
--- a/src/tier/proxy/event_splitter.h
+++ b/src/tier/proxy/event_splitter.h
@@ -1,4 +1,4 @@
-// Cuts a text/event-stream into whole events and reads their ids. It changes no byte.
+// Splits a text/event-stream into complete events and parses their ids. The bytes are not changed.
 #ifndef PEARREACH_SRC_TIER_PROXY_EVENT_SPLITTER_H_
 #define PEARREACH_SRC_TIER_PROXY_EVENT_SPLITTER_H_
 
@@ -11,18 +11,18 @@
 namespace pearreach::proxy {
 
 struct StreamEvent {
-  std::string_view bytes;           // with the empty line that ends it
-  std::optional<std::uint64_t> id;  // none: it names no number
+  std::string_view bytes;           // including the terminating empty line
+  std::optional<std::uint64_t> id;  // empty: the event has no numeric id
 };
 
 class EventSplitter {
  public:
-  // Adds bytes; views of earlier events end here.
+  // Appends bytes. Invalidates the views of earlier events.
   void Append(std::string_view bytes);
-  // The next whole event; false: none yet. Views hold until Append or Clear, and those of events
-  // that follow each other join without a gap.
+  // Returns the next complete event, or false if there is none yet. Views are valid until Append or
+  // Clear; consecutive events are adjacent in memory.
   bool Next(StreamEvent* event);
-  // What has come of an event that is not whole.
+  // The bytes of the incomplete event at the end.
   std::string_view Rest() const { return std::string_view(buffer_).substr(begin_); }
   void Clear();
 
@@ -30,8 +30,8 @@
   void ReadLine(std::string_view line);
 
   std::string buffer_;
-  std::size_t begin_ = 0;  // of the event in hand
-  std::size_t line_ = 0;   // of the line in hand
+  std::size_t begin_ = 0;  // start of the current event
+  std::size_t line_ = 0;   // start of the current line
   std::size_t scanned_ = 0;
   std::optional<std::uint64_t> id_;
 };
--- a/src/tier/proxy/fleet_warm_up.cpp
+++ b/src/tier/proxy/fleet_warm_up.cpp
@@ -8,23 +8,23 @@
 
 }  // namespace
 
-FleetWarmUp::FleetWarmUp(const control::ControlClient* control, std::string node_name, Micros began,
-                         Micros learn_time)
+FleetWarmUp::FleetWarmUp(const control::ControlClient* control, std::string node_name,
+                         Micros started_at, Micros discovery_time)
     : control_(control),
       node_name_(std::move(node_name)),
-      until_(began + learn_time),
-      learn_time_(learn_time) {}
+      deadline_(started_at + discovery_time),
+      discovery_time_(discovery_time) {}
 
 Micros FleetWarmUp::WarmUpDeadline(Micros now) const {
-  return now < until_ && !HasOlderNode() ? until_ : 0;
+  return now < deadline_ && !HasOlderNode() ? deadline_ : 0;
 }
 
-// Incarnations are the starts of processes, in milliseconds of the time of day.
+// An incarnation is the start time of the process in Unix milliseconds.
 bool FleetWarmUp::HasOlderNode() const {
   const auto& members = control_->members();
   const auto self = members.find(node_name_);
   if (self == members.end()) return false;
-  const auto margin = static_cast<std::uint64_t>(learn_time_ / kMs);
+  const auto margin = static_cast<std::uint64_t>(discovery_time_ / kMs);
   for (const auto& [name, member] : members) {
     const bool live =
         member.status == MemberStatus::kAlive || member.status == MemberStatus::kSuspect;
--- a/src/tier/proxy/fleet_warm_up.h
+++ b/src/tier/proxy/fleet_warm_up.h
@@ -1,5 +1,6 @@
-// Tells whether all edge nodes have just started, so that none of them knows all workers yet: these
-// call again within a heartbeat period. Where an older node is alive, it knows them.
+// Detects that all edge nodes have just started, so that none of them has discovered all workers
+// yet; workers register again with their next heartbeat. A live node that started earlier already
+// has the full list of workers, in which case there is nothing to wait for.
 #ifndef PEARREACH_SRC_TIER_PROXY_FLEET_WARM_UP_H_
 #define PEARREACH_SRC_TIER_PROXY_FLEET_WARM_UP_H_
 
@@ -13,11 +14,11 @@
 
 class FleetWarmUp {
  public:
-  // `learn_time`: from this process's start, `began`, until all workers have called; 0: not
-  // awaited.
-  FleetWarmUp(const control::ControlClient* control, std::string node_name, Micros began,
-              Micros learn_time);
-  // Until when requests had better wait for workers than be refused; 0: no longer.
+  // `started_at`: start of this process. `discovery_time`: time from then until all workers have
+  // sent a heartbeat; 0: requests do not wait for it.
+  FleetWarmUp(const control::ControlClient* control, std::string node_name, Micros started_at,
+              Micros discovery_time);
+  // Time until which requests should wait for workers instead of being refused. 0: no wait.
   Micros WarmUpDeadline(Micros now) const;
 
  private:
@@ -25,8 +26,8 @@
 
   const control::ControlClient* control_;
   const std::string node_name_;
-  const Micros until_;
-  const Micros learn_time_;
+  const Micros deadline_;
+  const Micros discovery_time_;
 };
 
 }  // namespace pearreach::proxy
--- a/src/tier/proxy/pool_dispatcher.cpp
+++ b/src/tier/proxy/pool_dispatcher.cpp
@@ -11,17 +11,21 @@
 namespace {
 
 constexpr char kModule[] = "proxy";
-constexpr double kRankFalls = 0.5;    // worth of a rank beside the next more urgent one
-constexpr double kBulkValue = 0.001;  // less than that of any live rank
-constexpr double kLateValue = 0.4;    // share of the worth of an answer after its objective
+constexpr double kValuePerRank = 0.5;  // value relative to the next more urgent rank
+constexpr double kBulkValue = 0.001;   // lower than the value of any rank of live requests
+constexpr double kLateValue = 0.4;  // fraction of the value of a response after its latency target
 constexpr Micros kBulkTarget = 2 * kSecond;
-constexpr double kConnectPrice = 0.01;              // open connections are preferred
-constexpr Micros kNoProgressTimeout = 2 * kSecond;  // streams under way are told of this often
-constexpr Micros kRetryFirst = 100 * kMs;  // a refused client comes back after this, and more for
-constexpr Micros kRetryEach = 5 * kMs;     // each job that waits here
-constexpr Micros kRetryLast = kSecond;
-constexpr std::size_t kMaxClasses = 64;     // then those that no job uses now are dropped
-constexpr Micros kOutFor = 3600 * kSecond;  // an attempt under way is not ended by the module
+// open connections are preferred
+constexpr double kConnectCost = 0.01;
+// streams report their progress at least this often
+constexpr Micros kNoProgressTimeout = 2 * kSecond;
+// Retry-After of a refusal: the base plus a delay for each queued live request, up to the maximum.
+constexpr Micros kRetryAfterBase = 100 * kMs;
+constexpr Micros kRetryAfterPerQueued = 5 * kMs;
+constexpr Micros kMaxRetryAfter = kSecond;
+constexpr std::size_t kMaxClasses = 64;  // above this, unused classes are removed
+// Keeps the dispatcher from ending an attempt that is in flight.
+constexpr Micros kInFlightDeadlineExtension = 3600 * kSecond;
 
 dispatch::LoadReport ReportOf(const WorkerLoad& load) {
   dispatch::LoadReport report;
@@ -37,46 +41,46 @@
     : timers_(timers), workers_(workers), service_(std::move(service)), seed_(seed) {}
 
 PoolDispatcher::~PoolDispatcher() {
-  timers_->Cancel(&turn_);
-  timers_->Cancel(&timer_);
+  timers_->Cancel(&run_timer_);
+  timers_->Cancel(&decision_timer_);
 }
 
-void PoolDispatcher::SetFleetPosition(FleetPosition share) {
-  if (share == position_) return;
-  position_ = share;
-  rebuild_ = true;
-  ArmTurn();
+void PoolDispatcher::SetFleetPosition(FleetPosition position) {
+  if (position == position_) return;
+  position_ = position;
+  rebuild_needed_ = true;
+  ScheduleRun();
 }
 
 void PoolDispatcher::OnWorkers(std::vector<dispatch::WorkerEntry> changes) {
-  if (changes.empty() || rebuild_) return;  // a new module is told of all
+  if (changes.empty() || rebuild_needed_) return;  // Rebuild adds all workers
   dispatch::WorkerList list;
   list.entries = std::move(changes);
   Post(std::move(list));
-  TeachSlots();
+  ReportLargestCapacity();
 }
 
 // ---------------------------------------------------------------- placements
 
 PlacementId PoolDispatcher::Enqueue(const Placement& placement, PlacementClient* client) {
-  const PlacementId id = ++last_;
-  Open& open = open_[id];
+  const PlacementId id = ++last_id_;
+  OpenPlacement& open = open_[id];
   open.placement = placement;
   open.client = client;
-  open.number = ClassNumber(placement.traffic_class);
+  open.class_index = ClassIndex(placement.traffic_class);
   ++(placement.traffic_class.bulk ? queued_bulk_ : queued_live_);
-  if (rebuild_)
-    ArmTurn();
+  if (rebuild_needed_)
+    ScheduleRun();
   else
     PostArrival(id, open);
   return id;
 }
 
-void PoolDispatcher::PostArrival(PlacementId id, const Open& open) {
+void PoolDispatcher::PostArrival(PlacementId id, const OpenPlacement& open) {
   dispatch::RequestArrived arrived;
   arrived.request = id;
-  arrived.cls = open.number;
-  arrived.due = open.placement.due;
+  arrived.cls = open.class_index;
+  arrived.due = open.placement.deadline;
   arrived.preferred = open.placement.preferred;
   Post(std::move(arrived));
 }
@@ -84,14 +88,14 @@
 void PoolDispatcher::Withdraw(PlacementId id) {
   const auto found = open_.find(id);
   if (found == open_.end()) return;
-  if (!rebuild_) Post(dispatch::RequestLapsed{id});
+  if (!rebuild_needed_) Post(dispatch::RequestLapsed{id});
   RemoveQueued(found->second);
   open_.erase(found);
 }
 
 void PoolDispatcher::OnResponseBegun(PlacementId id) {
   const auto found = open_.find(id);
-  if (found == open_.end() || std::exchange(found->second.began, true)) return;
+  if (found == open_.end() || std::exchange(found->second.response_begun, true)) return;
   Post(dispatch::StreamBegan{id, 0, found->second.worker});
 }
 
@@ -101,12 +105,13 @@
   Post(dispatch::AttemptProgress{id, 0, found->second.worker, 0});
 }
 
-// The module weighs what a worker told of others' jobs only as a probe's word.
+// Posted as a probe result, because the dispatcher counts the load from requests of other nodes
+// only in probe results.
 void PoolDispatcher::OnLoadReport(dispatch::WorkerId worker, const WorkerLoad& load) {
   Post(dispatch::ProbeEnded{worker, true, ReportOf(load)});
 }
 
-// A placement is over with its one attempt; the job places itself anew if it goes on.
+// A placement covers one attempt; a retry enqueues a new placement.
 void PoolDispatcher::OnEnded(PlacementId id, dispatch::Outcome outcome, Micros latency,
                              const std::optional<WorkerLoad>& load) {
   const auto found = open_.find(id);
@@ -118,45 +123,45 @@
   ended.latency = latency;
   ended.settled = true;
   if (load) ended.load = ReportOf(*load);
-  if (!rebuild_) {
+  if (!rebuild_needed_) {
     Post(ended);
     if (load) OnLoadReport(ended.worker, *load);
   }
   open_.erase(found);
 }
 
-void PoolDispatcher::RemoveQueued(const Open& open) {
-  if (!open.out) --(open.placement.traffic_class.bulk ? queued_bulk_ : queued_live_);
+void PoolDispatcher::RemoveQueued(const OpenPlacement& open) {
+  if (!open.placed) --(open.placement.traffic_class.bulk ? queued_bulk_ : queued_live_);
 }
 
-// ---------------------------------------------------------------- turns
+// ---------------------------------------------------------------- event handling
 
 void PoolDispatcher::Post(dispatch::Event event) {
-  if (rebuild_) return;  // all is told anew
+  if (rebuild_needed_) return;  // Rebuild posts the whole state
   events_.push_back(std::move(event));
-  ArmTurn();
+  ScheduleRun();
 }
 
-void PoolDispatcher::ArmTurn() {
-  if (turn_ != 0) return;
-  turn_ = timers_->After(0, [this] {
-    turn_ = 0;
-    Turn();
+void PoolDispatcher::ScheduleRun() {
+  if (run_timer_ != 0) return;
+  run_timer_ = timers_->After(0, [this] {
+    run_timer_ = 0;
+    Run();
   });
 }
 
 void PoolDispatcher::SetTimer(Micros at) {
-  timers_->Cancel(&timer_);
-  timer_ = timers_->After(at - Now(), [this] {
-    timer_ = 0;
-    Turn();
+  timers_->Cancel(&decision_timer_);
+  decision_timer_ = timers_->After(at - Now(), [this] {
+    decision_timer_ = 0;
+    Run();
   });
 }
 
-void PoolDispatcher::Turn() {
+void PoolDispatcher::Run() {
   const Micros now = Now();
-  timers_->Cancel(&turn_);
-  if (rebuild_) Rebuild(now);
+  timers_->Cancel(&run_timer_);
+  if (rebuild_needed_) Rebuild(now);
   const std::vector<dispatch::Event> events = std::exchange(events_, {});
   actions_.clear();
   dispatcher_->Handle(now, events, &actions_);
@@ -164,39 +169,39 @@
   for (const dispatch::Action& action : actions) Apply(action);
 }
 
-// A new module takes over: it is told of all workers, what the old one has learned, what waits and
-// what is out.
+// Creates a new dispatcher and passes it all workers, the old one's learned state, and the queued
+// and in-flight placements.
 void PoolDispatcher::Rebuild(Micros now) {
   events_.clear();
-  rebuild_ = false;
-  dispatch::Knowledge learned = Learned(now);
+  rebuild_needed_ = false;
+  dispatch::Knowledge learned = LearnedKnowledge(now);
   if (classes_.size() > kMaxClasses) {
     DropUnusedClasses();
-    learned.classes.clear();  // their numbers are others now
+    learned.classes.clear();  // the class indices have changed
   }
-  timers_->Cancel(&timer_);
+  timers_->Cancel(&decision_timer_);
   dispatcher_.emplace(MakeSettings(), seed_, now);
   dispatch::WorkerList list;
   list.form = dispatch::WorkerList::Form::kComplete;
-  list.entries = workers_->Everything();
+  list.entries = workers_->AllEntries();
   events_.emplace_back(std::move(list));
   if (!learned.pools.empty()) events_.emplace_back(std::move(learned));
-  reported_slots_ = 0;
-  TeachSlots();
+  reported_capacity_ = 0;
+  ReportLargestCapacity();
   for (auto& [id, open] : open_) {
     PostArrival(id, open);
-    if (!open.out) continue;
+    if (!open.placed) continue;
     std::get<dispatch::RequestArrived>(events_.back()).due =
-        std::max(now, open.placement.due) + kOutFor;
-    events_.emplace_back(dispatch::AttemptAdopted{id, open.worker, open.sent, true,
+        std::max(now, open.placement.deadline) + kInFlightDeadlineExtension;
+    events_.emplace_back(dispatch::AttemptAdopted{id, open.worker, open.placed_at, true,
                                                   dispatch::AttemptAdopted::Was::kOut});
-    if (open.began) events_.emplace_back(dispatch::StreamBegan{id, 0, open.worker});
+    if (open.response_begun) events_.emplace_back(dispatch::StreamBegan{id, 0, open.worker});
   }
 }
 
-// What outlives a module's replacement here. The first module starts from a limit of zero; a later
-// one takes on the limit as it stands, which jobs served and backlog have raised and refusals cut.
-dispatch::Knowledge PoolDispatcher::Learned(Micros now) const {
+// State that a new dispatcher takes over. The first dispatcher starts with a limit of zero; later
+// ones start with the current limit, which served requests and backlog raise and refusals reduce.
+dispatch::Knowledge PoolDispatcher::LearnedKnowledge(Micros now) const {
   dispatch::Knowledge learned;
   if (!dispatcher_) return learned;
   learned = dispatcher_->Learned(now);
@@ -204,12 +209,13 @@
   return learned;
 }
 
-// The module counts slots by what workers tell; the registry knows them before any has answered.
-void PoolDispatcher::TeachSlots() {
-  if (!workers_->largest() || workers_->largest_capacity() <= reported_slots_) return;
-  reported_slots_ = workers_->largest_capacity();
+// The dispatcher learns slot counts from load reports. The registry knows the capacities before any
+// worker has responded, so the largest one is reported as a probe result.
+void PoolDispatcher::ReportLargestCapacity() {
+  if (!workers_->largest() || workers_->largest_capacity() <= reported_capacity_) return;
+  reported_capacity_ = workers_->largest_capacity();
   dispatch::ProbeEnded load_report{*workers_->largest(), true, {}};
-  load_report.load.free_slots = reported_slots_;
+  load_report.load.free_slots = reported_capacity_;
   events_.emplace_back(load_report);
 }
 
@@ -225,30 +231,30 @@
   } else if (const auto* line = std::get_if<dispatch::LogLine>(&action)) {
     LogDecision(*line);
   }
-  // The settings allow no probe, subscription or cancel.
+  // Other actions (probe, subscription, cancel) are disabled by the settings.
 }
 
 void PoolDispatcher::Place(const dispatch::Send& send) {
   const auto found = open_.find(send.request);
-  if (found == open_.end() || found->second.out) return;
-  Open& open = found->second;
+  if (found == open_.end() || found->second.placed) return;
+  OpenPlacement& open = found->second;
   RemoveQueued(open);
-  open.out = true;
+  open.placed = true;
   open.worker = send.worker;
-  open.sent = Now();
+  open.placed_at = Now();
   open.client->OnPlaced(send.request, send.worker);
 }
 
 void PoolDispatcher::Refuse(const dispatch::Refuse& refuse) {
   const auto found = open_.find(refuse.request);
-  if (found == open_.end() || found->second.out) return;
+  if (found == open_.end() || found->second.placed) return;
   PlacementClient* client = found->second.client;
   RemoveQueued(found->second);
   open_.erase(found);
   client->OnRefused(refuse.request, refuse.retry_after > 0 ? refuse.retry_after : RetryAfter());
 }
 
-bool PoolDispatcher::limit_grows() const {
+bool PoolDispatcher::IsLimitGrowing() const {
   if (limit_cut_ || !dispatcher_) return !limit_cut_;
   return dispatcher_->PoolLimit(0) < workers_->ready_slots() / position_.nodes;
 }
@@ -274,20 +280,20 @@
 
 // ---------------------------------------------------------------- settings
 
-int PoolDispatcher::ClassNumber(const TrafficClass& traffic_class) {
+int PoolDispatcher::ClassIndex(const TrafficClass& traffic_class) {
   const auto found = std::find(classes_.begin(), classes_.end(), traffic_class);
   if (found != classes_.end()) return static_cast<int>(found - classes_.begin());
   classes_.push_back(traffic_class);
-  rebuild_ = true;
-  ArmTurn();
+  rebuild_needed_ = true;
+  ScheduleRun();
   return static_cast<int>(classes_.size()) - 1;
 }
 
-// Configurations come and go, and each may bring classes of its own.
+// New configurations may add classes, so unused ones are removed.
 void PoolDispatcher::DropUnusedClasses() {
   classes_.clear();
-  for (auto& [id, open] : open_) open.number = ClassNumber(open.placement.traffic_class);
-  rebuild_ = false;  // this is the new module's making
+  for (auto& [id, open] : open_) open.class_index = ClassIndex(open.placement.traffic_class);
+  rebuild_needed_ = false;  // ClassIndex has set it, and the rebuild is already running
 }
 
 dispatch::Settings PoolDispatcher::MakeSettings() const {
@@ -296,12 +302,12 @@
   settings.self = std::clamp(position_.self, 0, settings.balancers - 1);
   for (const TrafficClass& traffic_class : classes_) {
     dispatch::ClassSettings cls;
-    // Each placement is sent once; the job repeats.
+    // Each placement is sent once; retries are decided by ActiveRequest.
     cls.effect = dispatch::Effect::kRepeatable;
     cls.aim = traffic_class.bulk ? kBulkTarget : std::max<Micros>(traffic_class.target, kMs);
-    // A stream's objective is its first event, while its work is all of it.
+    // A stream's latency target applies to its first event, while its work covers all events.
     cls.aim_stretch = traffic_class.streamed || traffic_class.bulk ? 1 : 0;
-    cls.worth = traffic_class.bulk ? kBulkValue : std::pow(kRankFalls, traffic_class.rank);
+    cls.worth = traffic_class.bulk ? kBulkValue : std::pow(kValuePerRank, traffic_class.rank);
     cls.late_value = traffic_class.bulk ? 1 : kLateValue;
     cls.kind = 0;
     settings.classes.push_back(cls);
@@ -311,16 +317,17 @@
   settings.weighted_workers = true;
   settings.retry_after = true;
   settings.progress_every = kNoProgressTimeout;
-  settings.connect_price = kConnectPrice;
-  settings.connection_idle = kKeepIdle;
+  settings.connect_price = kConnectCost;
+  settings.connection_idle = kMaxIdleTime;
   return settings;
 }
 
 Micros PoolDispatcher::RetryAfter() {
-  const Micros wait = std::min(kRetryFirst + kRetryEach * queued_live_, kRetryLast);
+  const Micros wait =
+      std::min(kRetryAfterBase + kRetryAfterPerQueued * queued_live_, kMaxRetryAfter);
   seed_ = seed_ * 6364136223846793005u + 1442695040888963407u;
   const Micros spread = static_cast<Micros>((seed_ >> 33) % static_cast<std::uint64_t>(wait));
-  return wait * 3 / 4 + spread / 2;  // from three quarters to five quarters of it
+  return wait * 3 / 4 + spread / 2;  // jitter: 0.75 to 1.25 times `wait`
 }
 
 }  // namespace pearreach::proxy
--- a/src/tier/proxy/pool_dispatcher.h
+++ b/src/tier/proxy/pool_dispatcher.h
@@ -1,6 +1,7 @@
-// Admission for one service: feeds a dispatch::Dispatcher with placements (a job that wants one
-// worker, once), carries its decisions to their clients, and replaces it by one with other settings
-// without losing what it holds. Events of one turn of the loop go in together.
+// Admission for one service: passes placements (requests of a worker for one attempt) to a
+// dispatch::Dispatcher, reports its decisions to the clients, and replaces the dispatcher without
+// losing state when the settings change. All events of one event loop iteration are handled
+// together. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_PROXY_POOL_DISPATCHER_H_
 #define PEARREACH_SRC_TIER_PROXY_POOL_DISPATCHER_H_
 
@@ -18,31 +19,32 @@
 
 using PlacementId = dispatch::RequestId;
 
-// What jobs have in common that compete alike.
+// Properties that placements of one dispatcher class have in common.
 struct TrafficClass {
   int rank = 0;
-  Micros target = 0;  // objective for the first byte
+  Micros target = 0;  // latency target for the first byte, in microseconds
   bool streamed = false, bulk = false;
   bool operator==(const TrafficClass&) const = default;
 };
 
 struct Placement {
   TrafficClass traffic_class;
-  Micros due = 0;  // a worker must be found by then
-  // Workers that it profits from, the best one first: the first one with a free slot takes it.
+  Micros deadline = 0;  // a worker must be assigned by then
+  // Preferred workers, best first: the first one with a free slot is chosen.
   std::vector<dispatch::WorkerId> preferred;
 };
 
 class PlacementClient {
  public:
   virtual ~PlacementClient() = default;
-  // It is to be sent to this worker now; its outcome is owed (Ended).
+  // A worker was assigned and the request is to be sent now. The client must report the outcome
+  // with OnEnded.
   virtual void OnPlaced(PlacementId placement, dispatch::WorkerId worker) = 0;
-  // No worker was found for it; the placement is over.
+  // No worker is available; the placement has ended.
   virtual void OnRefused(PlacementId placement, Micros retry_after) = 0;
 };
 
-// This node among those that share the workers.
+// Number of nodes that share the workers, and the index of this node among them.
 struct FleetPosition {
   int nodes = 1, self = 0;
   bool operator==(const FleetPosition&) const = default;
@@ -55,53 +57,54 @@
   PoolDispatcher(const PoolDispatcher&) = delete;
   PoolDispatcher& operator=(const PoolDispatcher&) = delete;
 
-  void SetFleetPosition(FleetPosition share);
+  void SetFleetPosition(FleetPosition position);
   void OnWorkers(std::vector<dispatch::WorkerEntry> changes);
 
-  // The client hears from a later turn, never from inside the call.
+  // The client is called from a later event loop iteration, never from inside Enqueue.
   PlacementId Enqueue(const Placement& placement, PlacementClient* client);
-  // It is wanted no more; only before OnPlaced.
+  // Cancels a placement; allowed only before OnPlaced.
   void Withdraw(PlacementId id);
-  // The answer has begun; Progress: it goes on.
+  // OnResponseBegun: the response has begun. OnProgress: more of it has arrived.
   void OnResponseBegun(PlacementId id);
   void OnProgress(PlacementId id);
-  // A worker has told its load just now.
+  // A worker has just reported its load.
   void OnLoadReport(dispatch::WorkerId worker, const WorkerLoad& load);
   void OnEnded(PlacementId id, dispatch::Outcome outcome, Micros latency,
                const std::optional<WorkerLoad>& load);
 
   int queued_live() const { return queued_live_; }
   int queued_bulk() const { return queued_bulk_; }
-  // The limit has not come to this node's part of the slots, and no worker was found full yet.
-  bool limit_grows() const;
-  // When a client that is refused now should come again.
+  // Whether the concurrency limit is still below this node's share of the slots and no worker has
+  // been full yet.
+  bool IsLimitGrowing() const;
+  // Time after which a client that is refused now should retry, with jitter.
   Micros RetryAfter();
-  const FleetPosition& share() const { return position_; }
+  const FleetPosition& fleet_position() const { return position_; }
 
  private:
-  struct Open {
+  struct OpenPlacement {
     Placement placement;
     PlacementClient* client = nullptr;
-    int number = 0;  // of its class in the settings
-    bool out = false, began = false;
+    int class_index = 0;  // index into classes_ and into the settings' classes
+    bool placed = false, response_begun = false;
     dispatch::WorkerId worker = 0;
-    Micros sent = 0;
+    Micros placed_at = 0;
   };
 
   void Post(dispatch::Event event);
-  void ArmTurn();
+  void ScheduleRun();
   void SetTimer(Micros at);
-  void Turn();
+  void Run();
   void Rebuild(Micros now);
-  void PostArrival(PlacementId id, const Open& open);
+  void PostArrival(PlacementId id, const OpenPlacement& open);
   void Apply(const dispatch::Action& action);
   void Place(const dispatch::Send& send);
   void Refuse(const dispatch::Refuse& refuse);
   void LogDecision(const dispatch::LogLine& line);
-  void RemoveQueued(const Open& open);
-  dispatch::Knowledge Learned(Micros now) const;
-  void TeachSlots();
-  int ClassNumber(const TrafficClass& traffic_class);
+  void RemoveQueued(const OpenPlacement& open);
+  dispatch::Knowledge LearnedKnowledge(Micros now) const;
+  void ReportLargestCapacity();
+  int ClassIndex(const TrafficClass& traffic_class);
   void DropUnusedClasses();
   dispatch::Settings MakeSettings() const;
 
@@ -112,15 +115,16 @@
   FleetPosition position_;
   std::optional<dispatch::Dispatcher> dispatcher_;
   std::vector<TrafficClass> classes_;
-  std::unordered_map<PlacementId, Open> open_;
+  std::unordered_map<PlacementId, OpenPlacement> open_;
   std::vector<dispatch::Event> events_;
   std::vector<dispatch::Action> actions_;
-  PlacementId last_ = 0;
+  PlacementId last_id_ = 0;
   int queued_live_ = 0, queued_bulk_ = 0;
-  bool rebuild_ = true;        // the settings have changed
-  bool limit_cut_ = false;     // workers were found full: the limit is learned
-  double reported_slots_ = 0;  // largest worker that the module was told of
-  Timers::Id turn_ = 0, timer_ = 0;
+  // the settings have changed; the dispatcher is replaced in the next run
+  bool rebuild_needed_ = true;
+  bool limit_cut_ = false;        // the dispatcher has reduced its limit because workers were full
+  double reported_capacity_ = 0;  // largest worker capacity reported to the dispatcher
+  Timers::Id run_timer_ = 0, decision_timer_ = 0;
 };
 
 }  // namespace pearreach::proxy
--- a/src/tier/proxy/prefix_cache_estimate.h
+++ b/src/tier/proxy/prefix_cache_estimate.h
@@ -1,5 +1,5 @@
-// An estimate of which prompt prefixes a worker keeps, by what this node sent there: the most
-// recently used ones, as many as fit the worker's memory.
+// Estimates which prompt prefixes a worker has cached, from the requests that this node sent to it:
+// the most recently used ones that fit into the worker's memory (LRU).
 #ifndef PEARREACH_SRC_TIER_PROXY_PREFIX_CACHE_ESTIMATE_H_
 #define PEARREACH_SRC_TIER_PROXY_PREFIX_CACHE_ESTIMATE_H_
 
@@ -12,12 +12,12 @@
 
 class PrefixCacheEstimate {
  public:
-  // Bounds the estimate where the worker's memory is not known, too.
+  // Upper bound that also applies when the worker's memory size is unknown.
   static constexpr std::size_t kMaxPrefixes = 512;
 
   bool Has(std::uint64_t key) const { return by_key_.contains(key); }
-  // A request with this prefix, and with `own_tokens` besides, goes there. `room`: tokens that the
-  // worker holds in all; 0: not known.
+  // Records that a request with this prefix was sent to the worker. `own_tokens`: prompt tokens
+  // that follow the prefix. `worker_tokens`: token capacity of the worker; 0: unknown.
   void Use(std::uint64_t key, double shared_tokens, double own_tokens, double worker_tokens);
   std::size_t size() const { return by_key_.size(); }
 
@@ -27,7 +27,7 @@
     double tokens = 0;
   };
 
-  std::list<Prefix> recent_;  // the last one used is the first
+  std::list<Prefix> recent_;  // most recently used first
   std::unordered_map<std::uint64_t, std::list<Prefix>::iterator> by_key_;
   double tokens_ = 0;
 };
--- a/src/tier/proxy/request.h
+++ b/src/tier/proxy/request.h
@@ -1,5 +1,5 @@
-// A request that must run on a worker of a service: a live one of a client, or an item of a batch
-// job. Both pass the same admission (dispatch::Dispatcher, one a service).
+// A request to be run on a worker of a service: a live client request or an item of a batch job.
+// Both kinds pass the same admission (one dispatch::Dispatcher per service).
 #ifndef PEARREACH_SRC_TIER_PROXY_REQUEST_H_
 #define PEARREACH_SRC_TIER_PROXY_REQUEST_H_
 
@@ -16,69 +16,72 @@
 namespace pearreach::proxy {
 
 struct RequestSpec {
-  std::string service;                // the route's target, already picked from a split
-  std::string method, target;         // as the worker gets them
-  std::vector<http::Header> headers;  // end-to-end ones, X-Attempt-Id and Host among them
+  std::string service;                // target of the route, after the traffic split
+  std::string method, target;         // as sent to the worker
+  std::vector<http::Header> headers;  // end-to-end headers, including X-Attempt-Id and Host
   std::string body;
   std::string attempt_id;  // X-Attempt-Id
   // On the clock of Now(): the client's deadline or the end of the route's limit, the earlier of
   // the two. 0: no deadline.
   Micros deadline = 0;
-  double target_ms = 0;             // latency target for the first byte
-  double gap_target_ms = 0;         // streamed: longest pause between events that keeps it in time
-  int rank = 0;                     // 0 is the most urgent
-  int attempts = 1;                 // most workers that it may be sent to
-  bool idempotent = false;          // may run more than once
-  bool streamed = false;            // text/event-stream with rising ids
-  bool resumable = false;           // streamed and may go on at another worker with Last-Event-Id
-  bool bulk = false;                // an item of a batch job: yields to live requests
-  bool stop_on_500 = false;         // a 500 of a worker ends the request: no further worker gets it
-  std::uint64_t last_event_id = 0;  // of the request; 0: from the start
-  std::uint64_t prefix_key = 0;     // of the shared parts of its prompt (PromptShape); 0: none
-  double shared_tokens = 0;         // of these parts
-  double own_tokens = 0;            // of its prompt, shared with nobody
-  double total_tokens = 0;          // prompt tokens plus the maximum of output tokens
+  double target_ms = 0;      // latency target for the first byte
+  double gap_target_ms = 0;  // streamed: latency target between two events
+  int rank = 0;              // 0 is the most urgent
+  int attempts = 1;          // maximum number of workers on which it may run
+  bool idempotent = false;   // safe to run more than once
+  bool streamed = false;     // response is a text/event-stream with increasing ids
+  // Streamed, and another worker can resume the stream with Last-Event-Id.
+  bool resumable = false;
+  bool bulk = false;                // item of a batch job; has lower priority than live requests
+  bool stop_on_500 = false;         // a response with status 500 is final and not retried
+  std::uint64_t last_event_id = 0;  // Last-Event-Id of the request; 0: from the start
+  std::uint64_t prefix_key = 0;     // key of the shared prompt prefix (PromptShape); 0: none
+  double shared_tokens = 0;         // prompt tokens in the shared prefix
+  double own_tokens = 0;            // prompt tokens outside the shared prefix
+  double total_tokens = 0;          // prompt tokens plus maximum output tokens
 };
 
 enum class RequestEnd {
-  kComplete,  // the whole answer was passed on
-  kNotRun,    // a promise: it has not run and never will; come back after `retry_after`
-  kFailed,    // no promise: a worker failed, or may have run it
-  kTimeout,   // the time is over, no promise
-  kBroken,    // the answer had begun and cannot be completed
+  kComplete,  // the complete response was forwarded
+  kNotRun,    // guaranteed not to have run; retry after `retry_after`
+  kFailed,    // a worker failed; the request may have run
+  kTimeout,   // deadline exceeded; the request may have run
+  kBroken,    // the response was partly forwarded and cannot be completed
 };
 
 struct RequestResult {
   RequestEnd end = RequestEnd::kFailed;
   Micros retry_after = 0;
-  int worker_status = 0;  // last status that a worker gave, 0: none
+  int worker_status = 0;  // status of the last worker response; 0: none
 };
 
-// OnHead once at most, then OnBody any number of times, then OnEnd exactly once. For a streamed one
-// OnBody carries whole events, none twice, without gaps, whichever workers they came from.
+// Receives the response: OnHead at most once, then OnBody any number of times, then OnEnd exactly
+// once. For a streamed request, OnBody delivers complete events without duplicates or gaps,
+// whichever workers they came from.
 class RequestSink {
  public:
   virtual ~RequestSink() = default;
   virtual void OnHead(int status, const std::vector<http::Header>& headers) = 0;
   virtual void OnBody(std::string_view bytes) = 0;
   virtual void OnEnd(const RequestResult& result) = 0;
-  // Bytes that the receiver has not taken. Once there are many, the worker's connection is read no
-  // further until RequestRunner::Resume.
+  // Bytes that the client has not received yet. Above a limit, the worker's connection is not read
+  // until RequestRunner::Resume.
   virtual std::size_t backlog() const { return 0; }
 };
 
 class RequestRunner {
  public:
   virtual ~RequestRunner() = default;
-  // Accepts the request; the sink is told its end unless Cancel comes first.
+  // Starts the request and returns its id. The sink receives OnEnd unless the request is cancelled
+  // first.
   virtual std::uint64_t Submit(RequestSpec spec, std::shared_ptr<RequestSink> sink) = 0;
-  // The client is gone or the batch job was ended: closes connections to workers at once; the sink
-  // is not called any more.
+  // Cancels a request because its client disconnected or its batch job was cancelled. Closes the
+  // connection to the worker at once; the sink is not called any more.
   virtual void Cancel(std::uint64_t request) = 0;
-  // The receiver of the response has taken all that was pending: reading from the worker goes on.
+  // Continues reading the worker's response after the client has received the backlog.
   virtual void Resume(std::uint64_t) {}
-  // How many more items of this service this node would run now without harm to live ones;
-  // 0 where workers are unknown or filled.
+  // Number of further batch items of this service that this node can run now without delaying live
+  // requests. 0 if no workers are known or all are busy.
   virtual int BulkCapacity(const std::string& service) const = 0;
 };
 
--- a/src/tier/proxy/request_admission.cpp
+++ b/src/tier/proxy/request_admission.cpp
@@ -8,16 +8,19 @@
 namespace pearreach::proxy {
 namespace {
 
-constexpr Micros kBulkCheckPeriod = 25 * kMs;  // between two looks for capacity for an item
-constexpr Micros kBulkQueueTime = 400 * kMs;   // an item goes back then: another node may have room
-// A request that has not been offered to a worker by this fraction of its latency target is better
-// refused: its client may go elsewhere. While the limit still grows from its start, the wait for it
-// is short, and it pays to hold on longer.
+// Period at which a waiting batch item checks for capacity.
+constexpr Micros kBulkCheckPeriod = 25 * kMs;
+// After this a batch item is returned, since another node may have capacity.
+constexpr Micros kBulkQueueTime = 400 * kMs;
+// A live request that gets no worker within this fraction of its latency target is refused, so that
+// its client has time to try another node. While the concurrency limit is still growing after a
+// start, capacity becomes available soon, so the request waits longer.
 constexpr double kQueueTargetFraction = 0.25;
 constexpr double kGrowingQueueTargetFraction = 0.5;
 constexpr Micros kQueueMargin = 5 * kMs;
 constexpr Micros kMinQueueTime = 20 * kMs;
-constexpr Micros kRetryQueueTime = kSecond;  // one that may have run can't be refused: it may wait
+// a request that may have run cannot be refused, so it waits longer
+constexpr Micros kRetryQueueTime = kSecond;
 
 }  // namespace
 
@@ -30,12 +33,12 @@
       pool_(pool),
       host_(host),
       admitted_(std::move(admitted)),
-      started_(Now()) {}
+      started_at_(Now()) {}
 
 RequestAdmission::Verdict RequestAdmission::Admit(bool was_sent) {
   if (!spec_->bulk || in_gate_) return Verdict::kAdmitted;
   if (!was_sent && !HasBulkCapacity()) {
-    if (Now() >= started_ + kBulkQueueTime) return Verdict::kNoCapacity;
+    if (Now() >= started_at_ + kBulkQueueTime) return Verdict::kNoCapacity;
     AwaitBulkCapacity();
     return Verdict::kWaiting;
   }
@@ -61,7 +64,7 @@
 }
 
 bool RequestAdmission::EnterGate() {
-  in_gate_ = pool_->bulk_gate.Enter(request_, [this] {
+  in_gate_ = pool_->bulk_gate.Acquire(request_, [this] {
     in_gate_ = true;
     const auto admitted = admitted_;  // the request may end inside
     admitted();
@@ -83,13 +86,14 @@
   if (spec_->bulk) return std::min(spec_->deadline, now + kBulkQueueTime);
   if (may_have_run) return std::min(spec_->deadline, now + kRetryQueueTime);
   const double fraction =
-      pool_->dispatcher.limit_grows() ? kGrowingQueueTargetFraction : kQueueTargetFraction;
+      pool_->dispatcher.IsLimitGrowing() ? kGrowingQueueTargetFraction : kQueueTargetFraction;
   const auto target = static_cast<Micros>(fraction * spec_->target_ms * static_cast<double>(kMs));
-  const Micros hold = std::max(target - kQueueMargin, kMinQueueTime);
-  // After a start of all nodes no other one knows more workers than this one: waiting serves the
-  // client better than a refusal, which would be its last.
-  const Micros learned = host_->WarmUpDeadline(now);
-  return std::min(spec_->deadline, std::max({started_ + hold, now + kMinQueueTime, learned}));
+  const Micros queue_time = std::max(target - kQueueMargin, kMinQueueTime);
+  // After a restart of all nodes no other node has discovered more workers than this one, so
+  // waiting is better for the client than a refusal.
+  const Micros warm_up_deadline = host_->WarmUpDeadline(now);
+  return std::min(spec_->deadline,
+                  std::max({started_at_ + queue_time, now + kMinQueueTime, warm_up_deadline}));
 }
 
 }  // namespace pearreach::proxy
--- a/src/tier/proxy/request_admission.h
+++ b/src/tier/proxy/request_admission.h
@@ -1,6 +1,7 @@
-// When a request may ask for a placement, and how long it waits for one: an item of a batch job
-// waits for this node's part of the slots and for the gate that paces unread prompts; a live
-// request waits for a part of its latency target. Owned by ActiveRequest. Loop thread only.
+// Admission of one request: decides when it may ask for a placement and how long it waits for one.
+// A batch item waits until this node's share of the slots has room and the bulk gate admits it; a
+// live request waits for a fraction of its latency target. Owned by ActiveRequest. Loop thread
+// only.
 #ifndef PEARREACH_SRC_TIER_PROXY_REQUEST_ADMISSION_H_
 #define PEARREACH_SRC_TIER_PROXY_REQUEST_ADMISSION_H_
 
@@ -19,24 +20,24 @@
  public:
   enum class Verdict {
     kAdmitted,
-    kWaiting,    // `admitted` is called when it should be tried again
-    kNoCapacity  // it has waited long enough: another node may have capacity
+    kWaiting,    // `admitted` is called when the request should try again
+    kNoCapacity  // the wait has timed out; another node may have capacity
   };
 
-  // All pointers must outlive this. `admitted` may end the request.
+  // All pointers must outlive this object. `admitted` may end the request.
   RequestAdmission(std::uint64_t request, const RequestSpec* spec, Timers* timers,
                    ServicePool* pool, ActiveRequestHost* host, std::function<void()> admitted);
   ~RequestAdmission() { Withdraw(); }
   RequestAdmission(const RequestAdmission&) = delete;
   RequestAdmission& operator=(const RequestAdmission&) = delete;
 
-  // `was_sent`: the request has been sent before, so that it does not wait for capacity.
+  // `was_sent`: an earlier attempt was sent, so the request does not wait for capacity again.
   Verdict Admit(bool was_sent);
-  // The prompt has been read, or the placement has ended: the next item may pass the gate.
+  // Releases the gate slot once the prompt has been processed or the placement has ended.
   void LeaveGate();
-  // The request ends, wherever it waits.
+  // Removes the request from all queues when it ends.
   void Withdraw();
-  // Until when, in microseconds of Now(), an admitted request waits for a worker.
+  // Time (on the clock of Now()) until which an admitted request waits for a worker.
   Micros PlacementDeadline(Micros now, bool may_have_run) const;
 
  private:
@@ -51,8 +52,8 @@
   ServicePool* const pool_;
   ActiveRequestHost* const host_;
   const std::function<void()> admitted_;
-  const Micros started_;
-  Timers::Id capacity_timer_ = 0;  // set while it waits for capacity
+  const Micros started_at_;
+  Timers::Id capacity_timer_ = 0;  // set while the request waits for capacity
   bool in_gate_ = false;
 };
 
--- a/src/tier/proxy/request_runner.cpp
+++ b/src/tier/proxy/request_runner.cpp
@@ -12,18 +12,21 @@
 namespace pearreach::proxy {
 namespace {
 
-// Changes of the worker table within this go together: at least so long, and longer for many
-// workers. A drain does not wait for it: each send looks at the newest table.
+// Changes of the worker table within this delay are applied together. The delay grows with the
+// number of workers. A drain does not depend on it, since each send checks the newest table.
 constexpr Micros kRefreshDelay = 5 * kMs;
-constexpr Micros kRefreshDelayEach = 10;         // a worker
-constexpr Micros kPositionPeriod = 200 * kMs;    // this node's share is looked at no more often
-constexpr std::size_t kMinConnections = 2;       // to each worker, however many nodes there are
-constexpr std::size_t kDefaultConnections = 16;  // of a service that names no limit
-constexpr double kMaxFill = 0.9;  // of all slots, by what workers told; beyond it items wait
-// Items whose prompts are unread, a worker and all nodes together; and those held ready behind.
-constexpr double kUnreadBulk = 1;
-constexpr int kBulkAhead = 4;
-constexpr int kUnpacedBulk = 1 << 16;  // more than a node runs
+constexpr Micros kRefreshDelayPerWorker = 10;  // microseconds
+constexpr Micros kPositionPeriod = 200 * kMs;  // period of updates of this node's share
+// lower bound for each worker, regardless of the number of nodes
+constexpr std::size_t kMinConnectionLimit = 2;
+constexpr std::size_t kDefaultConnectionLimit = 16;  // for services without max_conns
+// fraction of all slots by load reports; above it items wait
+constexpr double kMaxUtilization = 0.9;
+// Batch items with unprocessed prompts, for each worker over all nodes, and the number of queued
+// items for each of them.
+constexpr double kUnreadPromptsPerWorker = 1;
+constexpr int kQueuedItemsPerGateSlot = 4;
+constexpr int kUnlimitedBulk = 1 << 16;  // more than a node can run
 
 class Runner final : public RequestRunner, private ActiveRequestHost {
  public:
@@ -34,7 +37,7 @@
   std::uint64_t Submit(RequestSpec spec, std::shared_ptr<RequestSink> sink) override;
   void Cancel(std::uint64_t request) override;
   void Resume(std::uint64_t request) override;
-  int BulkCapacity(const std::string& service) const override;  // of ActiveRequestHost, too
+  int BulkCapacity(const std::string& service) const override;  // also implements ActiveRequestHost
 
  private:
   bool IsReady(const std::string& worker_id) const override;
@@ -42,7 +45,7 @@
   std::size_t ConnectionLimit(const std::string& service) const override;
   double WorkerTokens(const std::string& service) const override;
   Micros WarmUpDeadline(Micros now) const override {
-    return options_.policy.wait_for_workers ? fleet_start_.WarmUpDeadline(now) : 0;
+    return options_.policy.wait_for_workers ? fleet_warm_up_.WarmUpDeadline(now) : 0;
   }
   const settings::PolicyOptions& policy() const override { return options_.policy; }
   void Forget(std::uint64_t request) override { requests_.erase(request); }
@@ -50,23 +53,23 @@
   ServicePool& Pool(const std::string& service);
   void Refresh();
   void ArmRefresh(Micros delay);
-  void UpdateNodeShare();
-  void PaceBulk(ServicePool* pool);
+  void UpdateFleetPosition();
+  void UpdateBulkLimit(ServicePool* pool);
   const routing::Service* FindService(const std::string& service) const;
 
   Timers* timers_;
   registry::WorkerSource* source_;
   control::ControlClient* control_;
   RunnerOptions options_;
-  const FleetWarmUp fleet_start_;
+  const FleetWarmUp fleet_warm_up_;
   std::shared_ptr<const registry::WorkerTable> table_;
-  FleetPosition share_;
-  Micros position_seen_ = 0;  // when it was looked at last; 0: never
+  FleetPosition fleet_position_;
+  Micros position_checked_at_ = 0;  // time of the last update; 0: never
   const Micros started_ = Now();
-  Timers::Id refresh_ = 0, warm_ = 0;
+  Timers::Id refresh_timer_ = 0, warm_up_timer_ = 0;
   std::unordered_map<std::string, std::unique_ptr<ServicePool>> pools_;
   std::unordered_map<std::uint64_t, std::shared_ptr<ActiveRequest>> requests_;
-  std::uint64_t last_job_ = 0;
+  std::uint64_t last_request_id_ = 0;
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
@@ -76,27 +79,27 @@
       source_(workers),
       control_(control),
       options_(std::move(options)),
-      fleet_start_(control, options_.node_name, Now(), options_.worker_discovery_time),
+      fleet_warm_up_(control, options_.node_name, Now(), options_.worker_discovery_time),
       table_(workers->Workers()) {
   const std::weak_ptr<bool> alive = alive_;
   source_->OnChange([this, alive] {
     if (alive.expired()) return;
     table_ = source_->Workers();
     const auto workers = static_cast<Micros>(table_->size());
-    ArmRefresh(std::max(kRefreshDelay, workers * kRefreshDelayEach));
+    ArmRefresh(std::max(kRefreshDelay, workers * kRefreshDelayPerWorker));
   });
 }
 
 Runner::~Runner() {
-  timers_->Cancel(&refresh_);
-  timers_->Cancel(&warm_);
+  timers_->Cancel(&refresh_timer_);
+  timers_->Cancel(&warm_up_timer_);
   for (const auto& [id, request] : std::exchange(requests_, {})) request->Cancel();
 }
 
 std::uint64_t Runner::Submit(RequestSpec spec, std::shared_ptr<RequestSink> sink) {
-  UpdateNodeShare();
+  UpdateFleetPosition();
   ServicePool& pool = Pool(spec.service);
-  const std::uint64_t id = ++last_job_;
+  const std::uint64_t id = ++last_request_id_;
   ActiveRequestHost* const host = this;
   const auto request =
       std::make_shared<ActiveRequest>(id, std::move(spec), std::move(sink), timers_, &pool, host);
@@ -118,12 +121,13 @@
   if (found != requests_.end()) std::shared_ptr(found->second)->Resume();
 }
 
-// What this node's part of the slots leaves below the fill. Each node keeps to its own part, whose
-// use it knows at once: what workers tell of all nodes' requests comes too late for a burst.
+// Room that this node's share of the slots leaves below the target utilization. Each node stays
+// within its own share, whose use it knows exactly: load reports, which cover the requests of all
+// nodes, arrive too late for a burst.
 int Runner::BulkCapacity(const std::string& service) const {
   const auto found = pools_.find(service);
   if (found == pools_.end()) {
-    // Nothing has run yet: one request makes the service known here.
+    // No pool exists yet: one request creates it.
     bool any = false;
     table_->ForEach([&](const registry::WorkerRecord& record) {
       any = any || (record.service == service && record.phase == registry::WorkerPhase::kReady);
@@ -135,16 +139,17 @@
   bool has_fresh_report = false;
   const double taken = pool.workers.SlotsTaken(Now(), &has_fresh_report);
   const double slots = pool.workers.ready_slots();
-  if (slots < 1 || (has_fresh_report && taken > kMaxFill * slots)) return 0;
-  const double usable = options_.policy.bulk_fill * slots / share_.nodes;
-  const int held = pool.dispatcher.queued_bulk() + pool.bulk_waiting +
-                   static_cast<int>(pool.bulk_gate.waiting());
-  const int out = pool.workers.InFlight();
-  const int ahead = kBulkAhead * pool.bulk_gate.allowance() - held;
-  const bool idle = out + held == 0;
-  // Guards a start: a node that does not know the others yet takes all slots for its own part.
+  if (slots < 1 || (has_fresh_report && taken > kMaxUtilization * slots)) return 0;
+  const double usable = options_.policy.bulk_fill * slots / fleet_position_.nodes;
+  const int waiting = pool.dispatcher.queued_bulk() + pool.bulk_waiting +
+                      static_cast<int>(pool.bulk_gate.waiting());
+  const int in_flight = pool.workers.InFlight();
+  const int ahead = kQueuedItemsPerGateSlot * pool.bulk_gate.limit() - waiting;
+  const bool idle = in_flight + waiting == 0;
+  // After a start, a node that has not discovered the other nodes would take all slots as its own
+  // share.
   if (Now() < started_ + options_.membership_settle_time) return idle ? 1 : 0;
-  const int capacity = std::min(static_cast<int>(std::floor(usable)) - out - held, ahead);
+  const int capacity = std::min(static_cast<int>(std::floor(usable)) - in_flight - waiting, ahead);
   return std::max(capacity, idle ? 1 : 0);
 }
 
@@ -160,9 +165,9 @@
 
 std::size_t Runner::ConnectionLimit(const std::string& service) const {
   const routing::Service* found = FindService(service);
-  if (found == nullptr || found->max_conns <= 0) return kDefaultConnections;
-  const auto part = static_cast<std::size_t>(found->max_conns / share_.nodes);
-  return std::max(part, kMinConnections);
+  if (found == nullptr || found->max_conns <= 0) return kDefaultConnectionLimit;
+  const auto node_share = static_cast<std::size_t>(found->max_conns / fleet_position_.nodes);
+  return std::max(node_share, kMinConnectionLimit);
 }
 
 double Runner::WorkerTokens(const std::string& service) const {
@@ -175,68 +180,71 @@
   if (pool != nullptr) return *pool;
   pool =
       std::make_unique<ServicePool>(timers_, service, options_.zone, options_.seed + pools_.size());
-  pool->dispatcher.SetFleetPosition(share_);
+  pool->dispatcher.SetFleetPosition(fleet_position_);
   Refresh();
   return *pool;
 }
 
 void Runner::Refresh() {
-  timers_->Cancel(&refresh_);
+  timers_->Cancel(&refresh_timer_);
   for (auto& [name, pool] : pools_) pool->workers.BeginUpdate();
   table_->ForEach([this](const registry::WorkerRecord& record) {
     const auto pool = pools_.find(record.service);
     if (pool != pools_.end()) pool->second->workers.Update(record);
   });
-  Micros next_warm = 0;
+  Micros next_refresh_at = 0;
   for (auto& [name, pool] : pools_) {
     pool->dispatcher.OnWorkers(pool->workers.EndUpdate());
-    PaceBulk(pool.get());
-    const Micros warm = pool->workers.next_warm();
-    if (warm != 0 && (next_warm == 0 || warm < next_warm)) next_warm = warm;
+    UpdateBulkLimit(pool.get());
+    const Micros refresh_at = pool->workers.next_refresh_at();
+    if (refresh_at != 0 && (next_refresh_at == 0 || refresh_at < next_refresh_at))
+      next_refresh_at = refresh_at;
   }
-  timers_->Cancel(&warm_);
-  if (next_warm == 0) return;
-  warm_ = timers_->After(next_warm - Now(), [this] {
-    warm_ = 0;
+  timers_->Cancel(&warm_up_timer_);
+  if (next_refresh_at == 0) return;
+  warm_up_timer_ = timers_->After(next_refresh_at - Now(), [this] {
+    warm_up_timer_ = 0;
     Refresh();
   });
 }
 
 void Runner::ArmRefresh(Micros delay) {
-  if (refresh_ != 0 || pools_.empty()) return;
-  refresh_ = timers_->After(delay, [this] {
-    refresh_ = 0;
+  if (refresh_timer_ != 0 || pools_.empty()) return;
+  refresh_timer_ = timers_->After(delay, [this] {
+    refresh_timer_ = 0;
     Refresh();
   });
 }
 
-// How many nodes share the workers, and which of them this one is, in an order common to all.
-void Runner::UpdateNodeShare() {
+// Updates the number of nodes that share the workers and this node's index among them, in an order
+// that is the same at all nodes.
+void Runner::UpdateFleetPosition() {
   const Micros now = Now();
-  if (position_seen_ != 0 && now - position_seen_ < kPositionPeriod) return;
-  position_seen_ = now;
-  FleetPosition share{0, 0};
+  if (position_checked_at_ != 0 && now - position_checked_at_ < kPositionPeriod) return;
+  position_checked_at_ = now;
+  FleetPosition position{0, 0};
   for (const auto& [name, member] : control_->members()) {
     const bool live = member.status == coordination::MemberStatus::kAlive ||
                       member.status == coordination::MemberStatus::kSuspect;
     if (!live || !member.info.Is(coordination::MemberInfo::kServesEdge)) continue;
-    if (name == options_.node_name) share.self = share.nodes;
-    ++share.nodes;
+    if (name == options_.node_name) position.self = position.nodes;
+    ++position.nodes;
   }
-  share.nodes = std::max(share.nodes, 1);
-  if (share == share_) return;
-  share_ = share;
+  position.nodes = std::max(position.nodes, 1);
+  if (position == fleet_position_) return;
+  fleet_position_ = position;
   for (auto& [name, pool] : pools_) {
-    pool->dispatcher.SetFleetPosition(share);
-    PaceBulk(pool.get());
+    pool->dispatcher.SetFleetPosition(position);
+    UpdateBulkLimit(pool.get());
   }
 }
 
-void Runner::PaceBulk(ServicePool* pool) {
-  const double part = kUnreadBulk * pool->workers.ready_count() / share_.nodes;
-  const bool paced = options_.policy.pace_unread_bulk;
-  if (!paced) return pool->bulk_gate.SetAllowance(kUnpacedBulk);
-  pool->bulk_gate.SetAllowance(static_cast<int>(std::lround(part)));
+void Runner::UpdateBulkLimit(ServicePool* pool) {
+  const double node_share =
+      kUnreadPromptsPerWorker * pool->workers.ready_count() / fleet_position_.nodes;
+  const bool is_paced = options_.policy.pace_unread_bulk;
+  if (!is_paced) return pool->bulk_gate.SetLimit(kUnlimitedBulk);
+  pool->bulk_gate.SetLimit(static_cast<int>(std::lround(node_share)));
 }
 
 }  // namespace
--- a/src/tier/proxy/request_runner.h
+++ b/src/tier/proxy/request_runner.h
@@ -1,4 +1,5 @@
-// Runs all requests of this node: one admission a service, workers from the registry.
+// Runs all requests of this node: one dispatcher per service, with workers from the registry. Loop
+// thread only.
 #ifndef PEARREACH_SRC_TIER_PROXY_REQUEST_RUNNER_H_
 #define PEARREACH_SRC_TIER_PROXY_REQUEST_RUNNER_H_
 
@@ -15,9 +16,9 @@
 namespace pearreach::proxy {
 
 struct RunnerOptions {
-  std::string node_name;   // as membership names this node
-  std::string zone;        // its zone
-  std::uint64_t seed = 1;  // of the decision module's choices
+  std::string node_name;   // name of this node in the membership
+  std::string zone;        // zone of this node
+  std::uint64_t seed = 1;  // seed of the dispatchers' random choices
   // For this long after its start a node may not have discovered the other nodes, so it runs batch
   // items one at a time.
   Micros membership_settle_time = kSecond;
@@ -26,7 +27,8 @@
   settings::PolicyOptions policy{};
 };
 
-// All must outlive the runner; listeners that it adds end with it.
+// All arguments must outlive the runner. The listeners that it registers do nothing after its
+// destruction.
 std::unique_ptr<RequestRunner> MakeRequestRunner(Timers* timers, registry::WorkerSource* workers,
                                                  control::ControlClient* control,
                                                  RunnerOptions options);
--- a/src/tier/proxy/response_reader.cpp
+++ b/src/tier/proxy/response_reader.cpp
@@ -8,7 +8,7 @@
 namespace pearreach::proxy {
 namespace {
 
-constexpr std::size_t kMaxHead = 64 << 10;  // all lines of a head, or of trailers
+constexpr std::size_t kMaxHeadBytes = 64 << 10;  // all lines of a head or of the trailers
 constexpr std::size_t kMaxHeaders = 200;
 constexpr std::size_t kStatusLineBytes = 12;  // "HTTP/1.1 200"
 constexpr int kFirstFinalStatus = 200;
@@ -39,8 +39,8 @@
   return value;
 }
 
-// Whether a comma-separated list holds a word, in any case.
-bool Holds(std::string_view list, std::string_view word) {
+// Whether a comma-separated list contains a word, ignoring case.
+bool ListContains(std::string_view list, std::string_view word) {
   for (;;) {
     const std::size_t comma = list.find(',');
     if (http::SameName(Trim(list.substr(0, comma)), word)) return true;
@@ -79,9 +79,9 @@
   }
 }
 
-ResponseReader::Status ResponseReader::End(bool in_order) {
+ResponseReader::Status ResponseReader::End(bool orderly) {
   if (stage_ == Stage::kStopped) return Status::kStopped;
-  if (stage_ == Stage::kToClose && in_order) stage_ = Stage::kDone;
+  if (stage_ == Stage::kBodyUntilClose && orderly) stage_ = Stage::kDone;
   return stage_ == Stage::kDone ? Status::kDone : Status::kBad;
 }
 
@@ -99,16 +99,16 @@
       return;
     case Stage::kChunkEnd:
       if (!TakeLine(bytes, &line)) return;
-      if (!line.empty()) return Bad();
+      if (!line.empty()) return Fail();
       stage_ = Stage::kChunkSize;
       return;
     case Stage::kTrailer:
       if (TakeLine(bytes, &line) && line.empty()) stage_ = Stage::kDone;
       return;
-    case Stage::kSized:
+    case Stage::kSizedBody:
     case Stage::kChunk:
-    case Stage::kToClose:
-      return Pass(bytes);
+    case Stage::kBodyUntilClose:
+      return ReadBody(bytes);
     case Stage::kDone:
     case Stage::kBad:
     case Stage::kStopped:
@@ -116,15 +116,15 @@
   }
 }
 
-// One line without its end. False: it is not whole yet, or is bad.
+// Reads one line without its CRLF. False: the line is incomplete or invalid.
 bool ResponseReader::TakeLine(std::string_view* bytes, std::string_view* line) {
   const std::size_t end = bytes->find('\n');
   const std::size_t taken = end == std::string_view::npos ? bytes->size() : end + 1;
   const std::string_view piece = bytes->substr(0, taken);
   bytes->remove_prefix(taken);
   head_bytes_ += taken;
-  if (head_bytes_ > kMaxHead) {
-    Bad();
+  if (head_bytes_ > kMaxHeadBytes) {
+    Fail();
     return false;
   }
   if (end == std::string_view::npos) {
@@ -140,7 +140,7 @@
     *line = line_;
   }
   if (!line->ends_with("\r\n")) {
-    Bad();
+    Fail();
     return false;
   }
   line->remove_suffix(2);
@@ -148,12 +148,12 @@
 }
 
 void ResponseReader::ReadStatusLine(std::string_view line) {
-  const bool framed = line.size() >= kStatusLineBytes && line.starts_with("HTTP/1.") &&
-                      (line[7] == '0' || line[7] == '1') && line[8] == ' ' &&
-                      (line.size() == kStatusLineBytes || line[kStatusLineBytes] == ' ');
-  if (!framed) return Bad();
+  const bool well_formed = line.size() >= kStatusLineBytes && line.starts_with("HTTP/1.") &&
+                           (line[7] == '0' || line[7] == '1') && line[8] == ' ' &&
+                           (line.size() == kStatusLineBytes || line[kStatusLineBytes] == ' ');
+  if (!well_formed) return Fail();
   const auto status = ReadNumber(line.substr(9, 3), 10);
-  if (!status || *status < 100 || *status > 599) return Bad();
+  if (!status || *status < 100 || *status > 599) return Fail();
   minor_version_ = line[7] - '0';
   head_ = {};
   head_.status = static_cast<int>(*status);
@@ -164,72 +164,73 @@
 void ResponseReader::ReadHeaderLine(std::string_view line) {
   if (line.empty()) return EndHead();
   const std::size_t colon = line.find(':');
-  if (colon == std::string_view::npos || colon == 0) return Bad();
+  if (colon == std::string_view::npos || colon == 0) return Fail();
   const std::string_view name = line.substr(0, colon);
   const std::string_view value = Trim(line.substr(colon + 1));
-  // A folded line fails here too: its length could be read in two ways.
-  if (!std::all_of(name.begin(), name.end(), IsTokenByte)) return Bad();
-  if (!std::all_of(value.begin(), value.end(), IsValueByte)) return Bad();
-  if (head_.headers.size() == kMaxHeaders) return Bad();
+  // Folded lines are rejected here as well: their framing is ambiguous.
+  if (!std::all_of(name.begin(), name.end(), IsTokenByte)) return Fail();
+  if (!std::all_of(value.begin(), value.end(), IsValueByte)) return Fail();
+  if (head_.headers.size() == kMaxHeaders) return Fail();
   head_.headers.push_back({std::string(name), std::string(value)});
 }
 
 void ResponseReader::EndHead() {
   head_bytes_ = 0;
-  if (head_.status == kSwitchingProtocols) return Bad();
-  if (head_.status < kFirstFinalStatus) {  // an interim answer
+  if (head_.status == kSwitchingProtocols) return Fail();
+  if (head_.status < kFirstFinalStatus) {  // an informational (1xx) response
     stage_ = Stage::kStatusLine;
     return;
   }
   const std::string* length = nullptr;
-  const std::string* coding = nullptr;
+  const std::string* transfer_encoding = nullptr;
   for (const http::Header& header : head_.headers) {
     if (http::SameName(header.name, "Content-Length")) {
-      if (length != nullptr && *length != header.value) return Bad();
+      if (length != nullptr && *length != header.value) return Fail();
       length = &header.value;
     } else if (http::SameName(header.name, "Transfer-Encoding")) {
-      if (coding != nullptr) return Bad();
-      coding = &header.value;
+      if (transfer_encoding != nullptr) return Fail();
+      transfer_encoding = &header.value;
     } else if (http::SameName(header.name, "Connection")) {
-      if (Holds(header.value, "close")) head_.keep_alive = false;
-      if (minor_version_ == 0 && Holds(header.value, "keep-alive")) head_.keep_alive = true;
+      if (ListContains(header.value, "close")) head_.keep_alive = false;
+      if (minor_version_ == 0 && ListContains(header.value, "keep-alive")) head_.keep_alive = true;
     }
   }
-  const bool bare = bodiless_ || head_.status == 204 || head_.status == 304;
+  const bool has_no_body = bodiless_ || head_.status == 204 || head_.status == 304;
   Stage next = Stage::kDone;
-  left_ = 0;
-  if (coding != nullptr) {
-    if (length != nullptr || minor_version_ == 0 || !http::SameName(*coding, "chunked"))
-      return Bad();
+  remaining_ = 0;
+  if (transfer_encoding != nullptr) {
+    if (length != nullptr || minor_version_ == 0 || !http::SameName(*transfer_encoding, "chunked"))
+      return Fail();
     next = Stage::kChunkSize;
   } else if (length != nullptr) {
     const auto size = ReadNumber(*length, 10);
-    if (!size) return Bad();
-    left_ = *size;
-    next = left_ == 0 ? Stage::kDone : Stage::kSized;
-  } else if (!bare) {
-    next = Stage::kToClose;
+    if (!size) return Fail();
+    remaining_ = *size;
+    next = remaining_ == 0 ? Stage::kDone : Stage::kSizedBody;
+  } else if (!has_no_body) {
+    next = Stage::kBodyUntilClose;
     head_.keep_alive = false;
   }
-  stage_ = bare ? Stage::kDone : next;
+  stage_ = has_no_body ? Stage::kDone : next;
   if (!sink_->OnResponseHead(std::move(head_))) stage_ = Stage::kStopped;
 }
 
 void ResponseReader::ReadChunkSize(std::string_view line) {
   head_bytes_ = 0;
   const auto size = ReadNumber(Trim(line.substr(0, line.find(';'))), 16);
-  if (!size) return Bad();
-  left_ = *size;
-  stage_ = left_ == 0 ? Stage::kTrailer : Stage::kChunk;
+  if (!size) return Fail();
+  remaining_ = *size;
+  stage_ = remaining_ == 0 ? Stage::kTrailer : Stage::kChunk;
 }
 
-void ResponseReader::Pass(std::string_view* bytes) {
-  const bool bounded = stage_ != Stage::kToClose;
-  const std::size_t taken = bounded ? std::min(left_, bytes->size()) : bytes->size();
+void ResponseReader::ReadBody(std::string_view* bytes) {
+  const bool bounded = stage_ != Stage::kBodyUntilClose;
+  const std::size_t taken = bounded ? std::min(remaining_, bytes->size()) : bytes->size();
   const std::string_view piece = bytes->substr(0, taken);
   bytes->remove_prefix(taken);
-  if (bounded) left_ -= taken;
-  if (bounded && left_ == 0) stage_ = stage_ == Stage::kSized ? Stage::kDone : Stage::kChunkEnd;
+  if (bounded) remaining_ -= taken;
+  if (bounded && remaining_ == 0)
+    stage_ = stage_ == Stage::kSizedBody ? Stage::kDone : Stage::kChunkEnd;
   if (!sink_->OnResponseBody(piece)) stage_ = Stage::kStopped;
 }
 
--- a/src/tier/proxy/response_reader.h
+++ b/src/tier/proxy/response_reader.h
@@ -1,6 +1,6 @@
-// Reads the answers on one connection piece by piece: heads whole, bodies as they come. It owns the
-// bytes of a line that is not whole yet and nothing else. Strict: whatever could be read in two
-// ways, or is no HTTP/1.1 answer, is bad.
+// Incremental parser for the HTTP/1.1 responses on one connection: delivers heads complete and
+// bodies as they arrive, and buffers only the current incomplete line. Strict: ambiguous framing
+// and anything that is not a valid HTTP/1.1 response is an error.
 #ifndef PEARREACH_SRC_TIER_PROXY_RESPONSE_READER_H_
 #define PEARREACH_SRC_TIER_PROXY_RESPONSE_READER_H_
 
@@ -18,10 +18,11 @@
   std::vector<http::Header> headers;
   bool keep_alive = true;
 
-  const std::string* Find(std::string_view name) const;  // the first one's value, or null
+  // value of the first header of this name, or null
+  const std::string* Find(std::string_view name) const;
 };
 
-// Hears what a reader has read. False: the reader stops there.
+// Receives parsed heads and body bytes. Returning false stops the reader.
 class ResponseSink {
  public:
   virtual ~ResponseSink() = default;
@@ -35,24 +36,24 @@
 
   explicit ResponseReader(ResponseSink* sink) : sink_(sink) {}
 
-  // The next answer begins; `bodiless`: it answers a HEAD.
+  // Prepares for the next response. `bodiless`: it is the response to a HEAD request.
   void Start(bool bodiless);
-  // Reads on and takes what it has read off the front of `bytes`. After kDone the rest belongs to
-  // no answer yet.
+  // Parses `bytes` and removes the parsed part from its front. After kDone, the remaining bytes
+  // belong to no response yet.
   Status Feed(std::string_view* bytes);
-  // The connection has ended; `in_order`: by the peer's will, not by a reset.
-  Status End(bool in_order);
+  // The connection was closed. `orderly`: by the peer with a FIN, not by a reset.
+  Status End(bool orderly);
 
  private:
   enum class Stage {
     kStatusLine,
     kHeaderLine,
-    kSized,
+    kSizedBody,
     kChunkSize,
     kChunk,
     kChunkEnd,
     kTrailer,
-    kToClose,
+    kBodyUntilClose,
     kDone,
     kBad,
     kStopped
@@ -64,16 +65,16 @@
   void ReadHeaderLine(std::string_view line);
   void ReadChunkSize(std::string_view line);
   void EndHead();
-  void Pass(std::string_view* bytes);
-  void Bad() { stage_ = Stage::kBad; }
+  void ReadBody(std::string_view* bytes);
+  void Fail() { stage_ = Stage::kBad; }
 
   ResponseSink* sink_;
   Stage stage_ = Stage::kDone;
   bool bodiless_ = false;
-  std::string partial_;  // of a line, from earlier pieces
-  std::string line_;     // the whole line, where it came in pieces
+  std::string partial_;  // start of a line whose end has not arrived
+  std::string line_;     // a complete line assembled from several reads
   std::size_t head_bytes_ = 0;
-  std::size_t left_ = 0;  // of the body or chunk
+  std::size_t remaining_ = 0;  // bytes left in the body or chunk
   ResponseHead head_;
   int minor_version_ = 1;
 };
--- a/src/tier/proxy/response_timeout.h
+++ b/src/tier/proxy/response_timeout.h
@@ -1,6 +1,6 @@
-// When a plain request whose worker is silent goes to another one: after a time that follows from
-// the answers of its service that this node has seen, and only while repeats stay a small part of
-// all sends, so that a service that slows down as a whole is not given more to do. Pure.
+// Response timeout of non-streamed requests, learned from the recent response times of the service
+// at this node. A retry budget limits timeout retries to a small fraction of all sends, so that a
+// service that is slow as a whole does not get additional load.
 #ifndef PEARREACH_SRC_TIER_PROXY_RESPONSE_TIMEOUT_H_
 #define PEARREACH_SRC_TIER_PROXY_RESPONSE_TIMEOUT_H_
 
@@ -13,24 +13,24 @@
 
 class ResponseTimeout {
  public:
-  // An answer came so long after its send.
+  // Records the time from a send to its response.
   void RecordLatency(Micros latency);
-  // A request was sent, its first time.
+  // Records the first send of a request, which adds to the retry budget.
   void RecordSend();
-  // How long a request with this objective may wait for an answer, of `left` that it has. Half of
-  // `left` at most: another worker needs time as well.
-  Micros Limit(Micros target, Micros left) const;
-  // Whether one more request may be repeated for its worker's silence; takes it off the budget.
+  // Timeout for a request with this latency target and `time_left` until its deadline. At most half
+  // of `time_left`, because another worker needs time as well.
+  Micros Timeout(Micros target, Micros time_left) const;
+  // Takes one timeout retry from the budget; false if the budget is used up.
   bool TakeRetry();
 
  private:
-  static constexpr std::size_t kAnswers = 128;
+  static constexpr std::size_t kMaxSamples = 128;
 
-  Micros Slowest() const;  // of nearly all answers
+  Micros SlowestTypicalLatency() const;  // ignoring kIgnoredOutliers
 
-  std::array<Micros, kAnswers> answers_{};  // the latest
+  std::array<Micros, kMaxSamples> latencies_{};  // ring buffer of the latest response times
   std::size_t count_ = 0;
-  double budget_ = 1;
+  double retry_budget_ = 1;
 };
 
 }  // namespace pearreach::proxy
--- a/src/tier/proxy/service_pool.h
+++ b/src/tier/proxy/service_pool.h
@@ -1,4 +1,4 @@
-// One service at this node: its workers and the admission to them.
+// One service at this node: its workers, their dispatcher and the limits on its requests.
 #ifndef PEARREACH_SRC_TIER_PROXY_SERVICE_POOL_H_
 #define PEARREACH_SRC_TIER_PROXY_SERVICE_POOL_H_
 
@@ -19,8 +19,8 @@
   ServiceWorkers workers;
   PoolDispatcher dispatcher;
   BulkGate bulk_gate;
-  ResponseTimeout response_timeout;  // of plain requests
-  int bulk_waiting = 0;  // items that wait for this node's part of the slots to have room
+  ResponseTimeout response_timeout;  // non-streamed requests
+  int bulk_waiting = 0;  // batch items that wait for room in this node's share of the slots
 };
 
 }  // namespace pearreach::proxy
--- a/src/tier/proxy/service_workers.cpp
+++ b/src/tier/proxy/service_workers.cpp
@@ -9,31 +9,32 @@
 namespace pearreach::proxy {
 namespace {
 
-constexpr double kColdWeight = 0.5;  // of a worker that warms up, beside a warm one
-constexpr Micros kDroppedFor = 2 * kSecond;
-constexpr Micros kLoadMemory = kSecond;  // what a worker told of its load fades over this
+constexpr double kWarmUpWeight = 0.5;  // weight of a worker in warm-up relative to a warm one
+constexpr Micros kDropPeriod = 2 * kSecond;
+// the weight of a load report decays to 0 over this time
+constexpr Micros kLoadReportLifetime = kSecond;
 constexpr std::uint64_t kHashStart = 0xcbf29ce484222325u, kHashPrime = 0x100000001b3u;  // FNV-1a
 
-// The same at every node, whatever its library.
+// Not std::hash: the value must be the same at every node, independent of the standard library.
 std::uint64_t HashOf(std::string_view text) {
   std::uint64_t hash = kHashStart;
   for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * kHashPrime;
   return hash;
 }
 
-// Spreads a hash over all its bits.
-std::uint64_t Scatter(std::uint64_t hash) {
+// Finalizer of MurmurHash3: distributes the entropy over all bits.
+std::uint64_t MixBits(std::uint64_t hash) {
   hash = (hash ^ (hash >> 33)) * 0xff51afd7ed558ccdu;
   hash = (hash ^ (hash >> 33)) * 0xc4ceb9fe1a85ec53u;
   return hash ^ (hash >> 33);
 }
 
-bool Same(const dispatch::WorkerEntry& a, const dispatch::WorkerEntry& b) {
+bool HasSameState(const dispatch::WorkerEntry& a, const dispatch::WorkerEntry& b) {
   return a.identity == b.identity && a.zone == b.zone && a.health == b.health &&
          a.weight == b.weight;
 }
 
-// Most updates of a record say only that its worker was heard again.
+// Most updates of a record change only the sequence number of its heartbeat.
 bool SameExceptLastSeen(const registry::WorkerRecord& a, const registry::WorkerRecord& b) {
   return a.phase == b.phase && a.capacity == b.capacity && a.warm_at == b.warm_at &&
          a.worker_id == b.worker_id && a.address == b.address && a.zone == b.zone;
@@ -60,14 +61,14 @@
   zones_.emplace(std::move(own_zone), 0);
 }
 
-int ServiceWorkers::Zone(const std::string& zone) {
+int ServiceWorkers::ZoneNumber(const std::string& zone) {
   return zones_.try_emplace(zone, static_cast<int>(zones_.size())).first->second;
 }
 
 void ServiceWorkers::BeginUpdate() { ++update_; }
 
 void ServiceWorkers::Update(const registry::WorkerRecord& record) {
-  const dispatch::WorkerId number = Number(record);
+  const dispatch::WorkerId number = AssignNumber(record);
   ServiceWorker& worker = workers_[number];
   const bool moved = worker.connections == nullptr || worker.record.address != record.address;
   if (moved) worker.connections = std::make_shared<WorkerConnections>(timers_, record.address);
@@ -78,23 +79,23 @@
     worker.record.call_seq = record.call_seq;
   } else {
     worker.record = record;
-    Zone(record.zone);
+    ZoneNumber(record.zone);
   }
   worker.present = worker.dropped_at == 0;
 }
 
-dispatch::WorkerId ServiceWorkers::Number(const registry::WorkerRecord& record) {
+dispatch::WorkerId ServiceWorkers::AssignNumber(const registry::WorkerRecord& record) {
   const auto [known, fresh] = by_id_.try_emplace(record.worker_id);
   known->second.update = update_;
   if (!fresh) return known->second.number;
-  if (free_.empty()) {
-    free_.push_back(static_cast<dispatch::WorkerId>(workers_.size()));
+  if (free_numbers_.empty()) {
+    free_numbers_.push_back(static_cast<dispatch::WorkerId>(workers_.size()));
     workers_.emplace_back();
     reported_.emplace_back();
     reported_.back().health = dispatch::Health::kGone;
   }
-  known->second.number = free_.back();
-  free_.pop_back();
+  known->second.number = free_numbers_.back();
+  free_numbers_.pop_back();
   workers_[known->second.number] = ServiceWorker();
   return known->second.number;
 }
@@ -108,21 +109,21 @@
     const bool gone = known->second.update != update_;
     if (gone) worker.present = false;
     const dispatch::WorkerEntry entry = Entry(number, now);
-    if (!Same(entry, reported_[number])) {
+    if (!HasSameState(entry, reported_[number])) {
       reported_[number] = entry;
       changes.push_back(entry);
       if (entry.health != dispatch::Health::kInService) worker.connections->CloseIdle();
     }
-    // A number is used again only when nothing is out under it.
-    const bool forget = gone && worker.in_flight == 0;
-    if (forget) free_.push_back(number);
-    known = forget ? by_id_.erase(known) : std::next(known);
+    // A number is reused only when no attempt with it is in flight.
+    const bool release_number = gone && worker.in_flight == 0;
+    if (release_number) free_numbers_.push_back(number);
+    known = release_number ? by_id_.erase(known) : std::next(known);
   }
-  Count(now);
+  UpdateTotals(now);
   return changes;
 }
 
-std::vector<dispatch::WorkerEntry> ServiceWorkers::Everything() const {
+std::vector<dispatch::WorkerEntry> ServiceWorkers::AllEntries() const {
   std::vector<dispatch::WorkerEntry> all;
   for (const auto& [id, known] : by_id_)
     if (reported_[known.number].health != dispatch::Health::kGone)
@@ -140,15 +141,15 @@
   worker.present = false;
   worker.connections->CloseIdle();
   const Micros now = Now();
-  worker.dropped_until = now + kDroppedFor;
+  worker.dropped_until = now + kDropPeriod;
   reported_[id] = Entry(id, now);
-  Count(now);
+  UpdateTotals(now);
   return {reported_[id]};
 }
 
 void ServiceWorkers::RecordLoad(dispatch::WorkerId id, const WorkerLoad& load) {
   workers_[id].load = load;
-  workers_[id].load_at = Now();
+  workers_[id].load_reported_at = Now();
 }
 
 dispatch::WorkerEntry ServiceWorkers::Entry(dispatch::WorkerId id, Micros now) const {
@@ -162,26 +163,26 @@
                      ? dispatch::Health::kGone
                  : record.phase == registry::WorkerPhase::kDraining ? dispatch::Health::kDraining
                                                                     : dispatch::Health::kInService;
-  entry.weight = std::max(record.capacity, 1) * (record.warm_at > now ? kColdWeight : 1.0);
+  entry.weight = std::max(record.capacity, 1) * (record.warm_at > now ? kWarmUpWeight : 1.0);
   return entry;
 }
 
-void ServiceWorkers::Count(Micros now) {
+void ServiceWorkers::UpdateTotals(Micros now) {
   ready_slots_ = largest_capacity_ = 0;
   ready_count_ = 0;
   largest_.reset();
-  next_warm_ = 0;
-  const auto look_at = [this](Micros at) {
-    if (next_warm_ == 0 || at < next_warm_) next_warm_ = at;
+  next_refresh_at_ = 0;
+  const auto refresh_at = [this](Micros at) {
+    if (next_refresh_at_ == 0 || at < next_refresh_at_) next_refresh_at_ = at;
   };
   for (const auto& [id, known] : by_id_) {
     const ServiceWorker& worker = workers_[known.number];
-    if (worker.dropped_at != 0 && worker.dropped_until > now) look_at(worker.dropped_until);
+    if (worker.dropped_at != 0 && worker.dropped_until > now) refresh_at(worker.dropped_until);
     if (reported_[known.number].health != dispatch::Health::kInService) continue;
     const registry::WorkerRecord& record = worker.record;
     ready_slots_ += record.capacity;
     ++ready_count_;
-    if (record.warm_at > now) look_at(record.warm_at);
+    if (record.warm_at > now) refresh_at(record.warm_at);
     if (record.capacity <= largest_capacity_) continue;
     largest_capacity_ = record.capacity;
     largest_ = known.number;
@@ -193,7 +194,7 @@
   *has_fresh_report = false;
   for (const auto& [id, known] : by_id_) {
     if (reported_[known.number].health != dispatch::Health::kInService) continue;
-    taken += Taken(workers_[known.number], now, has_fresh_report);
+    taken += EstimateSlotsTaken(workers_[known.number], now, has_fresh_report);
   }
   return taken;
 }
@@ -204,19 +205,19 @@
   return out;
 }
 
-double ServiceWorkers::Taken(const ServiceWorker& worker, Micros now,
-                             bool* has_fresh_report) const {
-  const Micros age = now - worker.load_at;
-  const bool fresh = worker.load_at != 0 && age < kLoadMemory;
-  const double fade = fresh ? 1 - static_cast<double>(age) / kLoadMemory : 0;
+double ServiceWorkers::EstimateSlotsTaken(const ServiceWorker& worker, Micros now,
+                                          bool* has_fresh_report) const {
+  const Micros age = now - worker.load_reported_at;
+  const bool fresh = worker.load_reported_at != 0 && age < kLoadReportLifetime;
+  const double decay = fresh ? 1 - static_cast<double>(age) / kLoadReportLifetime : 0;
   *has_fresh_report = *has_fresh_report || fresh;
-  return std::max<double>(worker.in_flight, fade * (worker.load.running + worker.load.waiting));
+  return std::max<double>(worker.in_flight, decay * (worker.load.running + worker.load.waiting));
 }
 
-double ServiceWorkers::Fill(dispatch::WorkerId id, Micros now) const {
+double ServiceWorkers::Utilization(dispatch::WorkerId id, Micros now) const {
   bool has_fresh_report = false;
   const ServiceWorker& worker = workers_[id];
-  return Taken(worker, now, &has_fresh_report) / std::max(worker.record.capacity, 1);
+  return EstimateSlotsTaken(worker, now, &has_fresh_report) / std::max(worker.record.capacity, 1);
 }
 
 std::vector<dispatch::WorkerId> ServiceWorkers::PreferredWorkersOf(std::uint64_t prefix_key,
@@ -226,7 +227,7 @@
   for (const auto& [id, known] : by_id_) {
     const dispatch::WorkerEntry& entry = reported_[known.number];
     if (entry.health == dispatch::Health::kInService)
-      order.emplace_back(Scatter(entry.identity ^ Scatter(prefix_key)), known.number);
+      order.emplace_back(MixBits(entry.identity ^ MixBits(prefix_key)), known.number);
   }
   max_count = std::min(max_count, order.size());
   std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(max_count),
--- a/src/tier/proxy/service_workers.h
+++ b/src/tier/proxy/service_workers.h
@@ -1,5 +1,5 @@
-// The workers of one service as this node uses them: small numbers for the decision module, their
-// connections, what is out at them and what they told of their load.
+// The workers of one service as used by this node: their numbers in the dispatcher, connections,
+// requests in flight and reported load. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_PROXY_SERVICE_WORKERS_H_
 #define PEARREACH_SRC_TIER_PROXY_SERVICE_WORKERS_H_
 
@@ -20,7 +20,7 @@
 
 namespace pearreach::proxy {
 
-// What X-Worker-Load says.
+// The three values of X-Worker-Load.
 struct WorkerLoad {
   double running = 0, waiting = 0, slots = 0;
 };
@@ -29,29 +29,31 @@
 struct ServiceWorker {
   registry::WorkerRecord record;
   std::shared_ptr<WorkerConnections> connections;
-  int in_flight = 0;             // attempts of this node
-  bool present = false;          // in the table, and not dropped
-  std::uint64_t dropped_at = 0;  // call_seq at which it was found to be another; 0: it was not
-  Micros dropped_until = 0;      // then it is tried again, if the table has it still
+  int in_flight = 0;     // attempts of this node in flight
+  bool present = false;  // listed in the worker table and not dropped
+  // The record's call_seq when a different worker responded at its address; 0: not dropped.
+  std::uint64_t dropped_at = 0;
+  Micros dropped_until = 0;  // the worker is tried again then if it is still listed
   WorkerLoad load;
-  Micros load_at = 0;                // 0: it never told
-  PrefixCacheEstimate prefix_cache;  // of what this node sent there
-  double prefill_tokens = 0;         // of prompts sent there that no event has answered yet
+  Micros load_reported_at = 0;       // 0: no load reported yet
+  PrefixCacheEstimate prefix_cache;  // from the requests that this node sent
+  double prefill_tokens = 0;         // of prompts without a first response event yet
 };
 
 class ServiceWorkers {
  public:
   ServiceWorkers(Timers* timers, std::string own_zone);
 
-  // Between these, one call a worker of the service in the table; EndUpdate gives what has changed.
+  // An update consists of BeginUpdate, one Update for each worker of the service in the worker
+  // table, and EndUpdate, which returns the changed entries.
   void BeginUpdate();
   void Update(const registry::WorkerRecord& record);
   std::vector<dispatch::WorkerEntry> EndUpdate();
-  std::vector<dispatch::WorkerEntry> Everything() const;
+  std::vector<dispatch::WorkerEntry> AllEntries() const;
 
   ServiceWorker* Find(dispatch::WorkerId id);
-  // Another worker answered at its address: nothing more goes there for a while, or until it is
-  // heard of anew.
+  // Takes a worker out of service because a different worker responded at its address, until a
+  // pause is over or it sends a new heartbeat.
   std::vector<dispatch::WorkerEntry> DropWorker(dispatch::WorkerId id);
   void RecordLoad(dispatch::WorkerId id, const WorkerLoad& load);
 
@@ -60,42 +62,44 @@
   int ready_count() const { return ready_count_; }
   double largest_capacity() const { return largest_capacity_; }
   std::optional<dispatch::WorkerId> largest() const { return largest_; }
-  // When the next worker that warms up is warm, or one that was dropped is tried again; 0: none.
-  Micros next_warm() const { return next_warm_; }
-  // The workers in service that are the first ones of a prompt prefix, the same at every node: the
-  // order is by a hash of prefix and worker, so that it changes little with the workers.
+  // Time at which the next worker ends its warm-up or a dropped worker is tried again; 0: none.
+  Micros next_refresh_at() const { return next_refresh_at_; }
+  // The preferred workers for a prompt prefix, the same at every node. The order is by a hash of
+  // prefix and worker (rendezvous hashing), so it changes little when workers are added or removed.
   std::vector<dispatch::WorkerId> PreferredWorkersOf(std::uint64_t prefix_key,
                                                      std::size_t max_count) const;
-  // Share of its slots in use, by what this node has out there and what the worker told last.
-  double Fill(dispatch::WorkerId id, Micros now) const;
-  // Attempts of this node under way.
+  // Fraction of the worker's slots in use, estimated from this node's requests and the last load
+  // report.
+  double Utilization(dispatch::WorkerId id, Micros now) const;
+  // Attempts of this node in flight at all workers of the service.
   int InFlight() const;
-  // Slots taken at ready workers as far as is known; `told`: some load report is fresh.
+  // Estimated number of slots in use at ready workers. `has_fresh_report`: set to whether any load
+  // report is recent.
   double SlotsTaken(Micros now, bool* has_fresh_report) const;
 
  private:
-  struct Known {
+  struct NumberedWorker {
     dispatch::WorkerId number = 0;
     std::uint64_t update = 0;
   };
 
-  dispatch::WorkerId Number(const registry::WorkerRecord& record);
+  dispatch::WorkerId AssignNumber(const registry::WorkerRecord& record);
   dispatch::WorkerEntry Entry(dispatch::WorkerId id, Micros now) const;
-  void Count(Micros now);
-  double Taken(const ServiceWorker& worker, Micros now, bool* has_fresh_report) const;
-  int Zone(const std::string& zone);
+  void UpdateTotals(Micros now);
+  double EstimateSlotsTaken(const ServiceWorker& worker, Micros now, bool* has_fresh_report) const;
+  int ZoneNumber(const std::string& zone);
 
   Timers* timers_;
-  std::map<std::string, int> zones_;  // the own one is 0
+  std::map<std::string, int> zones_;  // this node's zone is 0
   std::vector<ServiceWorker> workers_;
-  std::vector<dispatch::WorkerEntry> reported_;  // what the decision module was told last
-  std::vector<dispatch::WorkerId> free_;
-  std::unordered_map<std::string, Known> by_id_;
+  std::vector<dispatch::WorkerEntry> reported_;  // last state reported to the dispatcher
+  std::vector<dispatch::WorkerId> free_numbers_;
+  std::unordered_map<std::string, NumberedWorker> by_id_;
   std::uint64_t update_ = 0;
   double ready_slots_ = 0, largest_capacity_ = 0;
   int ready_count_ = 0;
   std::optional<dispatch::WorkerId> largest_;
-  Micros next_warm_ = 0;
+  Micros next_refresh_at_ = 0;
 };
 
 }  // namespace pearreach::proxy
--- a/src/tier/proxy/worker_connections.cpp
+++ b/src/tier/proxy/worker_connections.cpp
@@ -6,10 +6,11 @@
 namespace pearreach::proxy {
 namespace {
 
-// A connection that was idle for longer may be closed by the worker just as a request goes out.
-constexpr Micros kStaleAfter = kSecond;
-// Ids that a connection remembers; a copy of an earlier answer has long come by then.
-constexpr std::size_t kMaxCarried = 32;
+// A worker may close a connection that has been idle for longer at the same time as a request is
+// sent.
+constexpr Micros kStaleIdleTime = kSecond;
+// Number of ids that a connection remembers; a duplicate of an older response no longer arrives.
+constexpr std::size_t kMaxCarriedIds = 32;
 
 }  // namespace
 
@@ -37,14 +38,15 @@
   if (stream_ != nullptr) stream_->Close();
 }
 
-void WorkerConnection::NoteRequest(const std::string& attempt_id) {
-  carried_.push_back(std::hash<std::string>()(attempt_id));
-  if (carried_.size() > kMaxCarried) carried_.pop_front();
+void WorkerConnection::RecordRequest(const std::string& attempt_id) {
+  carried_id_hashes_.push_back(std::hash<std::string>()(attempt_id));
+  if (carried_id_hashes_.size() > kMaxCarriedIds) carried_id_hashes_.pop_front();
 }
 
-bool WorkerConnection::Carried(const std::string& attempt_id) const {
+bool WorkerConnection::HasCarried(const std::string& attempt_id) const {
   const std::size_t wanted = std::hash<std::string>()(attempt_id);
-  return std::find(carried_.begin(), carried_.end(), wanted) != carried_.end();
+  return std::find(carried_id_hashes_.begin(), carried_id_hashes_.end(), wanted) !=
+         carried_id_hashes_.end();
 }
 
 void WorkerConnection::OnConnected() {
@@ -54,8 +56,8 @@
 
 void WorkerConnection::OnData(std::string_view bytes) {
   if (user_ != nullptr) return user_->OnConnectionData(bytes);
-  stream_->Close();  // bytes that nobody asked for
-  if (ended_while_idle_) ended_while_idle_(this);
+  stream_->Close();  // unsolicited bytes
+  if (closed_while_idle_) closed_while_idle_(this);
 }
 
 void WorkerConnection::OnDrained() {
@@ -64,7 +66,7 @@
 
 void WorkerConnection::OnClosed() {
   if (user_ != nullptr) return user_->OnConnectionClosed(stream_->ended_in_order());
-  if (ended_while_idle_) ended_while_idle_(this);
+  if (closed_while_idle_) closed_while_idle_(this);
 }
 
 WorkerConnections::WorkerConnections(Timers* timers, std::string address)
@@ -72,35 +74,38 @@
 
 WorkerConnections::~WorkerConnections() {
   CloseIdle();
-  timers_->Cancel(&sweep_);
+  timers_->Cancel(&sweep_timer_);
 }
 
-std::shared_ptr<WorkerConnection> WorkerConnections::Take(ConnectionUser* user,
-                                                          const ConnectionWish& wish) {
-  std::shared_ptr<WorkerConnection> connection = TakeIdle(wish);
+std::shared_ptr<WorkerConnection> WorkerConnections::Acquire(
+    ConnectionUser* user, const ConnectionRequirements& requirements) {
+  std::shared_ptr<WorkerConnection> connection = AcquireIdle(requirements);
   if (connection == nullptr) {
-    if (!HasCapacity(wish)) return nullptr;
+    if (!HasCapacity(requirements)) return nullptr;
     connection = std::make_shared<WorkerConnection>();
     if (!connection->Open(address_)) return nullptr;
-    ++opened_;
+    ++opened_count_;
   }
   connection->user_ = user;
   ++in_use_;
   return connection;
 }
 
-// The latest idle one that the worker has left alone and that suits the wish. Those that the worker
-// has not left alone are closed on the way; the others where there is no room without them.
-std::shared_ptr<WorkerConnection> WorkerConnections::TakeIdle(const ConnectionWish& wish) {
+// Returns the most recently used idle connection that is still open, has no unread bytes and meets
+// the requirements. Connections that are closed or have unread bytes are closed on the way, and
+// unsuitable ones if the limit leaves no room for a new connection.
+std::shared_ptr<WorkerConnection> WorkerConnections::AcquireIdle(
+    const ConnectionRequirements& requirements) {
   const Micros now = Now();
   for (std::size_t i = idle_.size(); i-- > 0;) {
     std::shared_ptr<WorkerConnection> connection = idle_[i];
-    const bool carried = connection->Carried(wish.attempt_id);
-    if (carried && HasCapacity(wish)) continue;
-    const bool stale = now - connection->idle_since_ > kStaleAfter;
-    if (stale && wish.freshness == Freshness::kPreferNew && HasCapacity(wish)) return nullptr;
+    const bool carried = connection->HasCarried(requirements.attempt_id);
+    if (carried && HasCapacity(requirements)) continue;
+    const bool stale = now - connection->idle_since_ > kStaleIdleTime;
+    if (stale && requirements.freshness == Freshness::kPreferNew && HasCapacity(requirements))
+      return nullptr;
     idle_.erase(idle_.begin() + static_cast<std::ptrdiff_t>(i));
-    const bool good = now < connection->expires_ && connection->stream_->Quiet();
+    const bool good = now < connection->expires_at_ && connection->stream_->Quiet();
     if (good && !carried) return connection;
     connection->Close();
   }
@@ -115,8 +120,8 @@
   connection->user_ = nullptr;
   connection->used_before_ = true;
   connection->idle_since_ = now;
-  connection->expires_ = now + std::min(keep_for, kKeepIdle);
-  connection->ended_while_idle_ = [this](WorkerConnection* ended) { Forget(ended); };
+  connection->expires_at_ = now + std::min(keep_for, kMaxIdleTime);
+  connection->closed_while_idle_ = [this](WorkerConnection* ended) { RemoveIdle(ended); };
   idle_.push_back(connection);
   ArmSweep();
 }
@@ -130,25 +135,25 @@
   for (const auto& connection : std::exchange(idle_, {})) connection->Close();
 }
 
-void WorkerConnections::Forget(WorkerConnection* idle) {
+void WorkerConnections::RemoveIdle(WorkerConnection* idle) {
   std::erase_if(idle_, [idle](const auto& connection) { return connection.get() == idle; });
 }
 
 void WorkerConnections::Sweep() {
   const Micros now = Now();
   for (const auto& connection : idle_)
-    if (connection->expires_ <= now) connection->Close();
-  std::erase_if(idle_, [now](const auto& connection) { return connection->expires_ <= now; });
+    if (connection->expires_at_ <= now) connection->Close();
+  std::erase_if(idle_, [now](const auto& connection) { return connection->expires_at_ <= now; });
   ArmSweep();
 }
 
 void WorkerConnections::ArmSweep() {
-  if (sweep_ != 0 || idle_.empty()) return;
+  if (sweep_timer_ != 0 || idle_.empty()) return;
   const auto first = std::min_element(idle_.begin(), idle_.end(), [](const auto& a, const auto& b) {
-    return a->expires_ < b->expires_;
+    return a->expires_at_ < b->expires_at_;
   });
-  sweep_ = timers_->After((*first)->expires_ - Now(), [this] {
-    sweep_ = 0;
+  sweep_timer_ = timers_->After((*first)->expires_at_ - Now(), [this] {
+    sweep_timer_ = 0;
     Sweep();
   });
 }
--- a/src/tier/proxy/worker_request.cpp
+++ b/src/tier/proxy/worker_request.cpp
@@ -7,21 +7,21 @@
 namespace pearreach::proxy {
 namespace {
 
-constexpr std::size_t kHeadEstimate = 512;
+constexpr std::size_t kTypicalHeadBytes = 512;
 
-// Headers of a request that are this node's to write, or concern one connection only.
-constexpr std::array<std::string_view, 11> kNotFromJob = {
+// Request headers that this node writes itself or that are hop-by-hop.
+constexpr std::array<std::string_view, 11> kOmittedRequestHeaders = {
     "Connection",      "Content-Length", "Transfer-Encoding", "X-Deadline-Ms", "Expect",
     "X-Target-Worker", "Last-Event-Id",  "Keep-Alive",        "Upgrade",       "TE",
     "Proxy-Connection"};
-constexpr std::array<std::string_view, 8> kNotFromWorker = {
+constexpr std::array<std::string_view, 8> kOmittedResponseHeaders = {
     "Connection", "Content-Length",   "Transfer-Encoding", "Keep-Alive",
     "Upgrade",    "Proxy-Connection", "Trailer",           "X-Worker-Load"};
 
 template <std::size_t kCount>
-bool IsIn(const std::array<std::string_view, kCount>& names, std::string_view name) {
-  return std::any_of(names.begin(), names.end(), [name](std::string_view one) {
-    return one.size() == name.size() && http::SameName(one, name);
+bool Contains(const std::array<std::string_view, kCount>& names, std::string_view name) {
+  return std::any_of(names.begin(), names.end(), [name](std::string_view listed) {
+    return listed.size() == name.size() && http::SameName(listed, name);
   });
 }
 
@@ -40,21 +40,22 @@
 std::string WriteWorkerHead(const RequestSpec& request, const SendDetails& send,
                             std::size_t body_size) {
   std::string out;
-  out.reserve(kHeadEstimate + request.target.size());
+  out.reserve(kTypicalHeadBytes + request.target.size());
   out.append(request.method).append(" ").append(request.target).append(" HTTP/1.1\r\n");
   for (const http::Header& header : request.headers)
-    if (!IsIn(kNotFromJob, header.name)) AddHeader(&out, header.name, header.value);
+    if (!Contains(kOmittedRequestHeaders, header.name)) AddHeader(&out, header.name, header.value);
   if (send.last_event_id > 0) AddHeader(&out, "Last-Event-Id", send.last_event_id);
-  if (send.left > 0)
+  if (send.time_left > 0)
     AddHeader(&out, "X-Deadline-Ms",
-              static_cast<std::uint64_t>(std::max<Micros>(send.left / kMs, 1)));
+              static_cast<std::uint64_t>(std::max<Micros>(send.time_left / kMs, 1)));
   AddHeader(&out, "X-Target-Worker", send.worker_id);
   AddHeader(&out, "Content-Length", body_size);
   return out.append("\r\n");
 }
 
-std::vector<http::Header> EndToEnd(std::vector<http::Header> headers) {
-  std::erase_if(headers, [](const http::Header& h) { return IsIn(kNotFromWorker, h.name); });
+std::vector<http::Header> EndToEndHeaders(std::vector<http::Header> headers) {
+  std::erase_if(headers,
+                [](const http::Header& h) { return Contains(kOmittedResponseHeaders, h.name); });
   return headers;
 }
 
--- a/src/tier/proxy/worker_request.h
+++ b/src/tier/proxy/worker_request.h
@@ -1,4 +1,4 @@
-// What goes to a worker for a request, and which of its headers go back.
+// Writes the head of a request to a worker and filters the headers of its response.
 #ifndef PEARREACH_SRC_TIER_PROXY_WORKER_REQUEST_H_
 #define PEARREACH_SRC_TIER_PROXY_WORKER_REQUEST_H_
 
@@ -12,18 +12,18 @@
 
 namespace pearreach::proxy {
 
-// What one send adds to a request.
+// Values that differ between the attempts of a request.
 struct SendDetails {
-  std::string_view worker_id;       // the only worker that may run it
-  Micros left = 0;                  // until the client gives up; 0: says nothing
-  std::uint64_t last_event_id = 0;  // the stream goes on after this event; 0: from its start
+  std::string_view worker_id;       // X-Target-Worker: the only worker that may run the request
+  Micros time_left = 0;             // X-Deadline-Ms: time to the deadline; 0: header is omitted
+  std::uint64_t last_event_id = 0;  // stream resumes after this event; 0: from the start
 };
 
-// The head of the request, up to the empty line that ends it; `body_size` bytes follow it.
+// Returns the head of the request including the final empty line; `body_size` bytes follow it.
 std::string WriteWorkerHead(const RequestSpec& request, const SendDetails& send,
                             std::size_t body_size);
-// The headers of an answer that concern more than one connection.
-std::vector<http::Header> EndToEnd(std::vector<http::Header> headers);
+// Returns the headers of a response without hop-by-hop and internal ones.
+std::vector<http::Header> EndToEndHeaders(std::vector<http::Header> headers);
 
 }  // namespace pearreach::proxy
 
--- a/tests/tier/proxy/bulk_gate_test.cpp
+++ b/tests/tier/proxy/bulk_gate_test.cpp
@@ -17,11 +17,11 @@
 
  public:
   void OnlyTheAllowancePassesAndTheRestInOrder() {
-    gate_.SetAllowance(2);
-    CPPUNIT_ASSERT(Enter(1));
-    CPPUNIT_ASSERT(Enter(2));
-    CPPUNIT_ASSERT(!Enter(3));
-    CPPUNIT_ASSERT(!Enter(4));
+    gate_.SetLimit(2);
+    CPPUNIT_ASSERT(Acquire(1));
+    CPPUNIT_ASSERT(Acquire(2));
+    CPPUNIT_ASSERT(!Acquire(3));
+    CPPUNIT_ASSERT(!Acquire(4));
     gate_.Release();
     CPPUNIT_ASSERT((admitted_ == std::vector<std::uint64_t>{3}));
     gate_.Release();
@@ -30,26 +30,26 @@
   }
 
   void OneThatWithdrawsIsPassedOver() {
-    CPPUNIT_ASSERT(Enter(1));
-    CPPUNIT_ASSERT(!Enter(2));
-    CPPUNIT_ASSERT(!Enter(3));
+    CPPUNIT_ASSERT(Acquire(1));
+    CPPUNIT_ASSERT(!Acquire(2));
+    CPPUNIT_ASSERT(!Acquire(3));
     gate_.Withdraw(2);
     gate_.Release();
     CPPUNIT_ASSERT((admitted_ == std::vector<std::uint64_t>{3}));
   }
 
   void ALargerAllowanceAdmitsAtOnceAndOneAlwaysPasses() {
-    gate_.SetAllowance(0);
-    CPPUNIT_ASSERT(Enter(1));
-    CPPUNIT_ASSERT(!Enter(2));
-    CPPUNIT_ASSERT(!Enter(3));
-    gate_.SetAllowance(3);
+    gate_.SetLimit(0);
+    CPPUNIT_ASSERT(Acquire(1));
+    CPPUNIT_ASSERT(!Acquire(2));
+    CPPUNIT_ASSERT(!Acquire(3));
+    gate_.SetLimit(3);
     CPPUNIT_ASSERT((admitted_ == std::vector<std::uint64_t>{2, 3}));
   }
 
  private:
-  bool Enter(std::uint64_t job) {
-    return gate_.Enter(job, [this, job] { admitted_.push_back(job); });
+  bool Acquire(std::uint64_t job) {
+    return gate_.Acquire(job, [this, job] { admitted_.push_back(job); });
   }
 
   BulkGate gate_;
--- a/tests/tier/proxy/pool_dispatcher_test.cpp
+++ b/tests/tier/proxy/pool_dispatcher_test.cpp
@@ -43,7 +43,7 @@
     Placement placement;
     placement.traffic_class.target = 200 * kMs;
     placement.traffic_class.streamed = true;
-    placement.due = Now() + 5 * kSecond;
+    placement.deadline = Now() + 5 * kSecond;
     placement.preferred = std::move(preferred);
     return dispatcher.Enqueue(placement, &client);
   }
@@ -91,7 +91,7 @@
     Pool pool(4);
     for (int i = 0; i < 8; ++i) pool.Enqueue();
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, pool.PlacedAtOnce());
-    CPPUNIT_ASSERT(pool.dispatcher.limit_grows());
+    CPPUNIT_ASSERT(pool.dispatcher.IsLimitGrowing());
   }
 
   void BacklogRaisesTheLimit() {
--- a/tests/tier/proxy/response_timeout_test.cpp
+++ b/tests/tier/proxy/response_timeout_test.cpp
@@ -24,7 +24,7 @@
     const struct {
       const char* what;
       ResponseTimeout watch;
-      Micros target, left, limit;
+      Micros target, time_left, limit;
     } kCases[] = {
         {"nothing known", ResponseTimeout(), 120, 10'000, 1500},
         {"nothing known, long objective", ResponseTimeout(), 400, 10'000, 2000},
@@ -33,20 +33,20 @@
         {"one slow answer is none", After(100, 60 * kMs, 1, 900 * kMs), 120, 1000, 90},
         {"two slow answers count", After(100, 20 * kMs, 2, 200 * kMs), 120, 1000, 300},
         {"fast service, half the objective", After(100, 10 * kMs), 120, 1000, 60},
-        {"half of the time that is left", After(100, 400 * kMs), 120, 1000, 500},
+        {"half of the time that is time_left", After(100, 400 * kMs), 120, 1000, 500},
     };
     for (const auto& c : kCases)
       CPPUNIT_ASSERT_EQUAL_MESSAGE(c.what, c.limit * kMs,
-                                   c.watch.Limit(c.target * kMs, c.left * kMs));
+                                   c.watch.Timeout(c.target * kMs, c.time_left * kMs));
   }
 
   void FollowsTheLatestAnswers() {
     ResponseTimeout watch = After(200, 20 * kMs);
-    CPPUNIT_ASSERT_EQUAL(Micros{60 * kMs}, watch.Limit(120 * kMs, 10 * kSecond));
+    CPPUNIT_ASSERT_EQUAL(Micros{60 * kMs}, watch.Timeout(120 * kMs, 10 * kSecond));
     for (int i = 0; i < 10; ++i) watch.RecordLatency(200 * kMs);
-    CPPUNIT_ASSERT_EQUAL(Micros{300 * kMs}, watch.Limit(120 * kMs, 10 * kSecond));
+    CPPUNIT_ASSERT_EQUAL(Micros{300 * kMs}, watch.Timeout(120 * kMs, 10 * kSecond));
     for (int i = 0; i < 128; ++i) watch.RecordLatency(20 * kMs);
-    CPPUNIT_ASSERT_EQUAL(Micros{60 * kMs}, watch.Limit(120 * kMs, 10 * kSecond));
+    CPPUNIT_ASSERT_EQUAL(Micros{60 * kMs}, watch.Timeout(120 * kMs, 10 * kSecond));
   }
 
   void RepeatsStayASmallPartOfTheSends() {
