--- a/src/tier/gateway/authentication.cpp
+++ b/src/tier/gateway/authentication.cpp
@@ -13,11 +13,11 @@
 
 }  // namespace
 
-std::string_view ApiKeyOf(const http::Message& request) {
+std::string_view ExtractApiKey(const http::Message& request) {
   const std::string* credentials = nullptr;
   for (const http::Header& header : request.headers) {
     if (!http::SameName(header.name, kAuthorizationHeader)) continue;
-    if (credentials != nullptr) return {};  // which of them holds would be a guess
+    if (credentials != nullptr) return {};  // with two headers it is ambiguous which one applies
     credentials = &header.value;
   }
   if (credentials == nullptr) return {};
@@ -31,8 +31,8 @@
 Sender Authenticate(const routing::RouteTable& routes, const routing::Route* route,
                     const http::Message& request) {
   if (!routes.has_tenants()) return {};
-  const routing::Tenant* tenant = routes.FindTenantByKey(ApiKeyOf(request));
-  // A public route asks for no key, but credentials that are sent must be a key that is known.
+  const routing::Tenant* tenant = routes.FindTenantByKey(ExtractApiKey(request));
+  // A public route requires no key, but credentials that are sent must be valid.
   const bool is_public = route != nullptr && route->is_public;
   const bool requires_key = !is_public || request.Find(kAuthorizationHeader) != nullptr;
   return {.tenants_configured = true,
--- a/src/tier/gateway/authentication.h
+++ b/src/tier/gateway/authentication.h
@@ -1,5 +1,5 @@
-// Who sends a request: the tenant that has its API key, by one configuration. Keys are secrets:
-// they go neither to workers nor into the log.
+// Authentication of client requests: maps the API key of a request to a tenant of the
+// configuration. Keys are secrets: they are neither forwarded to workers nor logged.
 #ifndef PEARREACH_SRC_TIER_GATEWAY_AUTHENTICATION_H_
 #define PEARREACH_SRC_TIER_GATEWAY_AUTHENTICATION_H_
 
@@ -26,15 +26,16 @@
   const routing::Tenant* tenant = nullptr;
 };
 
-// The KEY of `Authorization: Token KEY`; empty: none, or more than one such header. The name of the
-// scheme may be in any case.
-std::string_view ApiKeyOf(const http::Message& request);
+// Returns the KEY of `Authorization: Token KEY`, or an empty view if there is no such header or
+// more than one. The scheme is case-insensitive.
+std::string_view ExtractApiKey(const http::Message& request);
 
-// `route`: null for calls on batch jobs, which no route names. The tenant points into `routes`.
+// Looks up the sender of a request. `route`: null for batch job calls, which have no route. The
+// tenant points into `routes`.
 Sender Authenticate(const routing::RouteTable& routes, const routing::Route* route,
                     const http::Message& request);
 
-// Whether a header is one that only the system may send to workers once there are tenants.
+// Whether this header is reserved for the gateway when tenants are configured.
 bool IsAuthenticationHeader(std::string_view name);
 
 }  // namespace pearreach::gateway
--- a/src/tier/gateway/gateway.cpp
+++ b/src/tier/gateway/gateway.cpp
@@ -22,36 +22,37 @@
 
 std::string_view PathOf(std::string_view target) { return target.substr(0, target.find('?')); }
 
-// "/lots/ID" with one whole segment behind the prefix.
-bool NamesOne(std::string_view path, std::string_view prefix) {
+// Whether `path` is `prefix` plus exactly one segment, as in "/lots/ID".
+bool HasSingleSegmentAfter(std::string_view path, std::string_view prefix) {
   return path.size() > prefix.size() && path.substr(0, prefix.size()) == prefix &&
          path.find('/', prefix.size()) == std::string_view::npos;
 }
 
-// How long a request may wait for its quota: a refusal within a quarter of the latency target
-// leaves its client time for another node.
-constexpr double kQuotaTargetFraction = 0.25;
-constexpr Micros kMinQuotaTime = 50 * kMs;
+// A request waits for quota for at most a quarter of its latency target, so that after a refusal
+// the client has time to try another node.
+constexpr double kQuotaWaitFraction = 0.25;
+constexpr Micros kMinQuotaWait = 50 * kMs;
 
-Micros QuotaTime(const routing::Route& route) {
+Micros MaxQuotaWait(const routing::Route& route) {
   const auto target = static_cast<Micros>(route.target_ms * static_cast<double>(kMs));
-  const auto part = static_cast<Micros>(kQuotaTargetFraction * static_cast<double>(target));
-  return std::max(part, kMinQuotaTime);
+  const auto wait = static_cast<Micros>(kQuotaWaitFraction * static_cast<double>(target));
+  return std::max(wait, kMinQuotaWait);
 }
 
 }  // namespace
 
 bool IsBatchJobCall(std::string_view method, std::string_view target) {
   const std::string_view path = PathOf(target);
-  if (method == "GET") return NamesOne(path, "/lots/") || NamesOne(path, "/items/");
-  return method == "DELETE" && NamesOne(path, "/lots/");
+  if (method == "GET")
+    return HasSingleSegmentAfter(path, "/lots/") || HasSingleSegmentAfter(path, "/items/");
+  return method == "DELETE" && HasSingleSegmentAfter(path, "/lots/");
 }
 
 Gateway::Gateway(control::ControlClient* control, proxy::RequestRunner* runner, Timers* timers,
-                 bool waits)
+                 bool hold_until_configured)
     : control_(control),
       context_{runner, timers, std::make_shared<Outcomes>()},
-      waits_(waits),
+      hold_until_configured_(hold_until_configured),
       start_queue_(timers, [this](const std::shared_ptr<http_server::Exchange>& exchange) {
         ++context_.outcomes->no_configuration;
         Refuse(exchange.get(), kUnavailable);
@@ -66,10 +67,10 @@
 
 void Gateway::OnControlChange() {
   withdrawn_keys_.Update(control_->Current()->routes);
-  ServeStartQueue();
+  ReleaseStartQueue();
 }
 
-void Gateway::ServeStartQueue() {
+void Gateway::ReleaseStartQueue() {
   if (start_queue_.size() == 0 || control_->Current()->routes == nullptr) return;
   start_queue_.Release(
       [this](std::shared_ptr<http_server::Exchange> exchange) { Dispatch(std::move(exchange)); });
@@ -85,7 +86,7 @@
 }
 
 void Gateway::HoldUntilConfigured(const std::shared_ptr<http_server::Exchange>& exchange) {
-  if (waits_ && !draining_ && start_queue_.Hold(exchange)) return;
+  if (hold_until_configured_ && !draining_ && start_queue_.Hold(exchange)) return;
   ++context_.outcomes->no_configuration;
   Refuse(exchange.get(), kUnavailable);
 }
@@ -133,15 +134,15 @@
   }
   const bool limited = routed.sender.tenant != nullptr && routed.sender.tenant->IsLimited();
   if (limited && limiter_ != nullptr) return AcquireQuota(std::move(routed));
-  Run(routed);
+  StartRequest(routed);
 }
 
 void Gateway::AcquireQuota(Routed routed) {
   const std::shared_ptr<http_server::Exchange> exchange = routed.exchange;
   const routing::Tenant& tenant = *routed.sender.tenant;
-  // One that was held at the start has had its time: it gets as much as any allocator needs.
+  // A request from the start queue may already be past that time: it gets the minimum wait.
   const Micros deadline =
-      std::max(exchange->arrived() + QuotaTime(*routed.route), Now() + kMinQuotaTime);
+      std::max(exchange->arrived() + MaxQuotaWait(*routed.route), Now() + kMinQuotaWait);
   const quota::AcquisitionId acquisition = limiter_->Acquire(
       tenant, deadline, [this, routed = std::move(routed)](const quota::Decision& decision) {
         OnQuotaDecision(routed, decision);
@@ -159,15 +160,15 @@
     ++context_.outcomes->draining;
     return Refuse(exchange, kUnavailable);
   }
-  if (decision.verdict == quota::Verdict::kGranted) return Run(routed);
-  const bool over = decision.verdict == quota::Verdict::kOverLimit;
-  ++(over ? context_.outcomes->over_limit : context_.outcomes->no_quota);
+  if (decision.verdict == quota::Verdict::kGranted) return StartRequest(routed);
+  const bool over_limit = decision.verdict == quota::Verdict::kOverLimit;
+  ++(over_limit ? context_.outcomes->over_limit : context_.outcomes->no_quota);
   const std::string id(AttemptIdOf(exchange->request()));
-  exchange->Respond(over ? kTooManyRequests : kUnavailable, RetryHeaders(id, decision.retry_after),
-                    "");
+  exchange->Respond(over_limit ? kTooManyRequests : kUnavailable,
+                    RetryHeaders(id, decision.retry_after), "");
 }
 
-void Gateway::Run(const Routed& routed) {
+void Gateway::StartRequest(const Routed& routed) {
   http_server::Exchange& client = *routed.exchange;
   proxy::RequestSpec spec =
       BuildRequestSpec(*routed.route, routed.sender, &client.mutable_request(), client.arrived());
@@ -187,7 +188,7 @@
 
 void Gateway::RefuseUnauthorized(http_server::Exchange* exchange) {
   Outcomes& outcomes = *context_.outcomes;
-  const std::string_view api_key = ApiKeyOf(exchange->request());
+  const std::string_view api_key = ExtractApiKey(exchange->request());
   ++outcomes.unauthorized;
   if (api_key.empty()) {
     ++outcomes.no_key;
@@ -199,7 +200,8 @@
 
 void Gateway::Refuse(http_server::Exchange* exchange, int status) {
   const std::string id(AttemptIdOf(exchange->request()));
-  exchange->Respond(status, status == kUnavailable ? RetryHeaders(id, 0) : OwnHeaders(id), "");
+  exchange->Respond(status, status == kUnavailable ? RetryHeaders(id, 0) : LocalReplyHeaders(id),
+                    "");
 }
 
 }  // namespace pearreach::gateway
--- a/src/tier/gateway/gateway.h
+++ b/src/tier/gateway/gateway.h
@@ -1,5 +1,6 @@
-// What a client's request is and who answers it: the calls on batch jobs, a bulk route, a live
-// request, or the gateway itself where there is no route, key, quota or configuration.
+// Entry point for client requests: passes each one to the batch job handler, the bulk handler or
+// the request runner, or rejects it because of a missing route, key, quota or configuration. Loop
+// thread only.
 #ifndef PEARREACH_SRC_TIER_GATEWAY_GATEWAY_H_
 #define PEARREACH_SRC_TIER_GATEWAY_GATEWAY_H_
 
@@ -21,21 +22,21 @@
 
 namespace pearreach::gateway {
 
-// Whether a request is a call on a batch job: GET /lots/ID, DELETE /lots/ID or GET /items/ID.
+// Whether the request is a batch job call: GET /lots/ID, DELETE /lots/ID or GET /items/ID.
 bool IsBatchJobCall(std::string_view method, std::string_view target);
 
 class Gateway {
  public:
-  // The route and the sender's tenant stand for the time of the call only.
+  // The route and the sender's tenant are valid during the call only.
   using BulkHandler = std::function<void(std::shared_ptr<http_server::Exchange>,
                                          const routing::Route&, const Sender&)>;
   using BatchJobHandler =
       std::function<void(std::shared_ptr<http_server::Exchange>, const Sender&)>;
 
-  // All three must outlive the gateway and its requests. `waits`: requests that come before the
-  // first configuration are held for it; else they get 503.
+  // The pointers must outlive the gateway and its requests. `hold_until_configured`: requests that
+  // arrive before the first configuration are queued until it is there; otherwise they get a 503.
   Gateway(control::ControlClient* control, proxy::RequestRunner* runner, Timers* timers,
-          bool waits = true);
+          bool hold_until_configured = true);
   ~Gateway();
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
@@ -43,21 +44,23 @@
   void Handle(std::shared_ptr<http_server::Exchange> exchange);
   void SetBulkHandler(BulkHandler handler) { bulk_handler_ = std::move(handler); }
   void SetBatchJobHandler(BatchJobHandler handler) { batch_job_handler_ = std::move(handler); }
-  // Null: tenants are not limited. `limiter` must outlive the gateway and its requests.
+  // Sets the rate limiter of tenants; null: no limits. `limiter` must outlive the gateway and its
+  // requests.
   void SetLimiter(quota::RequestLimiter* limiter) { limiter_ = limiter; }
-  // While draining, new requests that would need a worker get 503: for the end of a drain, when
-  // what begins now could not be finished. Requests under way go on.
+  // While draining, new requests that need a worker get a 503. Used at the end of a drain, when new
+  // requests could not be completed. Requests in progress continue.
   void SetDraining(bool draining);
 
   const Outcomes& outcomes() const { return *context_.outcomes; }
 
  private:
   void OnControlChange();
-  void ServeStartQueue();
-  // A configuration is known.
+  void ReleaseStartQueue();
+  // Handles a request when a configuration is available.
   void Dispatch(std::shared_ptr<http_server::Exchange> exchange);
   void HoldUntilConfigured(const std::shared_ptr<http_server::Exchange>& exchange);
-  // A request with a route, whose routes and sender stay valid while it waits for its quota.
+  // A request and its route. Keeps the routes and the sender's tenant valid while the request waits
+  // for quota.
   struct Routed {
     std::shared_ptr<http_server::Exchange> exchange;
     std::shared_ptr<const routing::RouteTable> routes;
@@ -67,10 +70,10 @@
   void HandleRouted(Routed routed);
   void AcquireQuota(Routed routed);
   void OnQuotaDecision(const Routed& routed, const quota::Decision& decision);
-  void Run(const Routed& routed);
+  void StartRequest(const Routed& routed);
   void Refuse(http_server::Exchange* exchange, int status);
-  // Refuses a request whose sender may not be served now: with 503 where the configuration may be
-  // outdated, else with 401. False: it may go on.
+  // Rejects a request whose sender may not be served now: with 503 if the configuration may be
+  // outdated, otherwise with 401. False: the sender may be served.
   bool RefuseSender(const Sender& sender, http_server::Exchange* exchange);
   void RefuseUnauthorized(http_server::Exchange* exchange);
 
@@ -80,10 +83,11 @@
   BatchJobHandler batch_job_handler_;
   quota::RequestLimiter* limiter_ = nullptr;
   WithdrawnKeys withdrawn_keys_;
-  const bool waits_;
+  const bool hold_until_configured_;
   StartQueue start_queue_;
   bool draining_ = false;
-  const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // for the control's listener
+  // lets the control listener detect destruction
+  const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 }  // namespace pearreach::gateway
--- a/src/tier/gateway/header_filter.cpp
+++ b/src/tier/gateway/header_filter.cpp
@@ -33,17 +33,17 @@
   }
 }
 
-bool IsProxys(std::string_view name) {
+bool IsProxyHeader(std::string_view name) {
   return name.size() > kProxyPrefix.size() &&
          SameName(name.substr(0, kProxyPrefix.size()), kProxyPrefix);
 }
 
-bool IsSetAnew(std::string_view name) {
+bool IsSetPerAttempt(std::string_view name) {
   return SameName(name, "X-Deadline-Ms") || SameName(name, "X-Target-Worker");
 }
 
-// What no sender may take off the message by naming it in Connection.
-bool IsKeptAlways(std::string_view name) {
+// Headers that are forwarded even if Connection names them.
+bool IsProtected(std::string_view name) {
   return SameName(name, "Host") || SameName(name, "X-Attempt-Id") || SameName(name, "X-Seal");
 }
 
@@ -53,26 +53,26 @@
   return text;
 }
 
-void AddNames(std::string_view list, std::vector<std::string_view>* names) {
+void AddUnprotectedNames(std::string_view list, std::vector<std::string_view>* names) {
   for (;;) {
     const std::size_t comma = list.find(',');
     const std::string_view name = Trim(list.substr(0, comma));
-    if (!name.empty() && !IsKeptAlways(name)) names->push_back(name);
+    if (!name.empty() && !IsProtected(name)) names->push_back(name);
     if (comma == std::string_view::npos) return;
     list.remove_prefix(comma + 1);
   }
 }
 
-// The names that the Connection headers hold; they point into `headers`.
-std::vector<std::string_view> NamedByConnection(const std::vector<Header>& headers) {
+// Header names that are listed in the Connection headers. The views point into `headers`.
+std::vector<std::string_view> NamesInConnection(const std::vector<Header>& headers) {
   std::vector<std::string_view> names;
   for (const Header& header : headers)
-    if (SameName(header.name, "Connection")) AddNames(header.value, &names);
+    if (SameName(header.name, "Connection")) AddUnprotectedNames(header.value, &names);
   return names;
 }
 
-bool Travels(std::string_view name, const std::vector<std::string_view>& named) {
-  if (IsHopByHop(name) || IsProxys(name)) return false;
+bool IsEndToEnd(std::string_view name, const std::vector<std::string_view>& named) {
+  if (IsHopByHop(name) || IsProxyHeader(name)) return false;
   return std::none_of(named.begin(), named.end(),
                       [&](std::string_view other) { return SameName(name, other); });
 }
@@ -80,26 +80,26 @@
 }  // namespace
 
 std::vector<Header> RequestHeaders(std::vector<Header>* headers, Authentication authentication) {
-  const bool by_system = authentication == Authentication::kBySystem;
-  const std::vector<std::string_view> named = NamedByConnection(*headers);
-  std::vector<Header> kept;
-  kept.reserve(headers->size());
+  const bool by_gateway = authentication == Authentication::kByGateway;
+  const std::vector<std::string_view> named = NamesInConnection(*headers);
+  std::vector<Header> forwarded;
+  forwarded.reserve(headers->size());
   for (Header& header : *headers) {
-    // A Connection header stays where it is: `named` points into it.
-    if (!Travels(header.name, named) || IsSetAnew(header.name)) continue;
-    if (by_system && IsAuthenticationHeader(header.name)) continue;
-    kept.push_back(std::move(header));
+    // Connection headers are not moved: `named` points into them.
+    if (!IsEndToEnd(header.name, named) || IsSetPerAttempt(header.name)) continue;
+    if (by_gateway && IsAuthenticationHeader(header.name)) continue;
+    forwarded.push_back(std::move(header));
   }
-  return kept;
+  return forwarded;
 }
 
-std::vector<Header> AnswerHeaders(const std::vector<Header>& headers) {
-  const std::vector<std::string_view> named = NamedByConnection(headers);
-  std::vector<Header> kept;
-  kept.reserve(headers.size());
+std::vector<Header> ResponseHeaders(const std::vector<Header>& headers) {
+  const std::vector<std::string_view> named = NamesInConnection(headers);
+  std::vector<Header> forwarded;
+  forwarded.reserve(headers.size());
   for (const Header& header : headers)
-    if (Travels(header.name, named)) kept.push_back(header);
-  return kept;
+    if (IsEndToEnd(header.name, named)) forwarded.push_back(header);
+  return forwarded;
 }
 
 }  // namespace pearreach::gateway
--- a/src/tier/gateway/header_filter.h
+++ b/src/tier/gateway/header_filter.h
@@ -1,4 +1,4 @@
-// Which headers travel on: those that concern one connection only end here.
+// Filters headers of requests and responses: hop-by-hop headers are not forwarded.
 #ifndef PEARREACH_SRC_TIER_GATEWAY_HEADER_FILTER_H_
 #define PEARREACH_SRC_TIER_GATEWAY_HEADER_FILTER_H_
 
@@ -8,19 +8,20 @@
 
 namespace pearreach::gateway {
 
-// Whether a client's Authorization and X-Tenant travel on.
+// Whether a client's Authorization and X-Tenant headers are forwarded.
 enum class Authentication {
-  kNone,      // the configuration has no tenants: they are headers like others
-  kBySystem,  // the key stays here, and only the system says who the tenant is
+  kNone,       // no tenants are configured: they are forwarded like other headers
+  kByGateway,  // they are removed: the gateway itself sets X-Tenant
 };
 
-// Of a request, for a worker. X-Deadline-Ms and X-Target-Worker are left out too: the runner sets
-// them anew at each try. The headers are moved out of `headers`.
+// Headers of a client request to be forwarded to a worker. X-Deadline-Ms and X-Target-Worker are
+// removed as well, since the runner sets them for each attempt. The headers are moved out of
+// `headers`.
 std::vector<http::Header> RequestHeaders(std::vector<http::Header>* headers,
                                          Authentication authentication);
 
-// Of a worker's answer, for the client.
-std::vector<http::Header> AnswerHeaders(const std::vector<http::Header>& headers);
+// Headers of a worker's response to be forwarded to the client.
+std::vector<http::Header> ResponseHeaders(const std::vector<http::Header>& headers);
 
 }  // namespace pearreach::gateway
 
--- a/src/tier/gateway/live_request.cpp
+++ b/src/tier/gateway/live_request.cpp
@@ -9,8 +9,9 @@
 namespace pearreach::gateway {
 namespace {
 
-// The runner ends a request at its due time and knows best how; this is for one that does not.
-constexpr Micros kRunnerSlack = 20 * kMs;
+// The runner ends a request at its deadline with an accurate result. This grace period covers
+// requests that it fails to end.
+constexpr Micros kRunnerGracePeriod = 20 * kMs;
 
 constexpr int kOk = 200;
 
@@ -22,10 +23,10 @@
 void LiveRequest::Start(proxy::RequestSpec spec) {
   attempt_id_ = spec.attempt_id;
   streamed_ = spec.streamed;
-  const Micros due = spec.deadline;
+  const Micros deadline = spec.deadline;
   const std::weak_ptr<LiveRequest> weak = weak_from_this();
   exchange_->OnClosed([weak] {
-    if (const auto self = weak.lock()) self->OnClientGone();
+    if (const auto self = weak.lock()) self->OnClientDisconnected();
   });
   exchange_->OnDrained([weak] {
     const auto self = weak.lock();
@@ -35,10 +36,11 @@
   if (ended_) return;
   request_id_ = request_id;
   submitted_ = true;
-  timer_ = context_.timers->After(due + kRunnerSlack - Now(), [self = shared_from_this()] {
-    self->timer_ = 0;
-    self->OnTimeOver();
-  });
+  deadline_timer_ =
+      context_.timers->After(deadline + kRunnerGracePeriod - Now(), [self = shared_from_this()] {
+        self->deadline_timer_ = 0;
+        self->OnDeadline();
+      });
 }
 
 void LiveRequest::OnHead(int status, const std::vector<http::Header>& headers) {
@@ -46,9 +48,9 @@
   status_ = status;
   if (streamed_ && status == kOk) {
     streaming_ = true;
-    exchange_->BeginStream(status, AnswerHeaders(headers));
+    exchange_->BeginStream(status, ResponseHeaders(headers));
   } else {
-    headers_ = AnswerHeaders(headers);
+    headers_ = ResponseHeaders(headers);
   }
 }
 
@@ -66,7 +68,7 @@
   if (result.end == proxy::RequestEnd::kComplete && status_ != 0)
     Complete();
   else
-    AnswerFailure(result);
+    RespondFailure(result);
   exchange_.reset();
 }
 
@@ -80,17 +82,18 @@
     exchange_->Finish();
     return;
   }
-  // A worker's own refusal promises something of that worker only.
+  // The status would guarantee to the client that the request has not run, but a worker's refusal
+  // guarantees this for that worker only.
   if (GuaranteesNotRun(status_)) {
     ++context_.outcomes->failed;
-    RespondOwn(kBadGateway, OwnHeaders(attempt_id_));
+    RespondLocally(kBadGateway, LocalReplyHeaders(attempt_id_));
     return;
   }
   ++context_.outcomes->complete;
   exchange_->Respond(status_, std::move(headers_), body_);
 }
 
-void LiveRequest::AnswerFailure(const proxy::RequestResult& result) {
+void LiveRequest::RespondFailure(const proxy::RequestResult& result) {
   if (streaming_) {
     ++context_.outcomes->broken;
     exchange_->Abort();
@@ -99,26 +102,26 @@
   switch (result.end) {
     case proxy::RequestEnd::kNotRun:
       ++context_.outcomes->not_run;
-      RespondOwn(kUnavailable, RetryHeaders(attempt_id_, result.retry_after));
+      RespondLocally(kUnavailable, RetryHeaders(attempt_id_, result.retry_after));
       return;
     case proxy::RequestEnd::kTimeout:
       ++context_.outcomes->timeout;
-      RespondOwn(kGatewayTimeout, OwnHeaders(attempt_id_));
+      RespondLocally(kGatewayTimeout, LocalReplyHeaders(attempt_id_));
       return;
-    case proxy::RequestEnd::kComplete:  // without a head: no answer at all
+    case proxy::RequestEnd::kComplete:  // without a head: there is no response to forward
     case proxy::RequestEnd::kFailed:
     case proxy::RequestEnd::kBroken:
       ++context_.outcomes->failed;
-      RespondOwn(kBadGateway, OwnHeaders(attempt_id_));
+      RespondLocally(kBadGateway, LocalReplyHeaders(attempt_id_));
       return;
   }
 }
 
-void LiveRequest::RespondOwn(int status, std::vector<http::Header> headers) {
+void LiveRequest::RespondLocally(int status, std::vector<http::Header> headers) {
   exchange_->Respond(status, std::move(headers), "");
 }
 
-void LiveRequest::OnClientGone() {
+void LiveRequest::OnClientDisconnected() {
   const auto self = shared_from_this();
   if (!End()) return;
   ++context_.outcomes->client_gone;
@@ -126,20 +129,20 @@
   exchange_.reset();
 }
 
-void LiveRequest::OnTimeOver() {
+void LiveRequest::OnDeadline() {
   const auto self = shared_from_this();
   if (!End()) return;
   context_.runner->Cancel(request_id_);
   proxy::RequestResult result;
   result.end = proxy::RequestEnd::kTimeout;
-  AnswerFailure(result);
+  RespondFailure(result);
   exchange_.reset();
 }
 
 bool LiveRequest::End() {
   if (ended_) return false;
   ended_ = true;
-  context_.timers->Cancel(&timer_);
+  context_.timers->Cancel(&deadline_timer_);
   return true;
 }
 
--- a/src/tier/gateway/live_request.h
+++ b/src/tier/gateway/live_request.h
@@ -1,5 +1,5 @@
-// A client's request while the runner has it: passes the worker's answer on, ends the request
-// when its time is over and cancels it when the client disconnects.
+// A live client request that was submitted to the runner: forwards the worker's response, ends the
+// request at its deadline and cancels it when the client disconnects. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_GATEWAY_LIVE_REQUEST_H_
 #define PEARREACH_SRC_TIER_GATEWAY_LIVE_REQUEST_H_
 
@@ -16,7 +16,7 @@
 
 namespace pearreach::gateway {
 
-// What a live request uses; all must outlive it.
+// Dependencies of live requests. The pointers must outlive the requests.
 struct LiveContext {
   proxy::RequestRunner* runner = nullptr;
   Timers* timers = nullptr;
@@ -36,22 +36,22 @@
   std::size_t backlog() const override;
 
  private:
-  void OnClientGone();
-  void OnTimeOver();
+  void OnClientDisconnected();
+  void OnDeadline();
   void Complete();
-  void AnswerFailure(const proxy::RequestResult& result);
-  void RespondOwn(int status, std::vector<http::Header> headers);
-  bool End();  // false: it has ended before
+  void RespondFailure(const proxy::RequestResult& result);
+  void RespondLocally(int status, std::vector<http::Header> headers);
+  bool End();  // false: the request has already ended
 
   LiveContext context_;
   std::shared_ptr<http_server::Exchange> exchange_;
   std::string attempt_id_;
-  bool streamed_ = false;   // the route's answers are streams
-  bool streaming_ = false;  // the head has gone out
+  bool streamed_ = false;   // the route is streamed
+  bool streaming_ = false;  // the head has been sent to the client
   bool ended_ = false, submitted_ = false;
   std::uint64_t request_id_ = 0;
-  Timers::Id timer_ = 0;
-  int status_ = 0;  // of the worker's head, 0: none yet
+  Timers::Id deadline_timer_ = 0;
+  int status_ = 0;  // status of the worker's response; 0: no head yet
   std::vector<http::Header> headers_;
   std::string body_;
 };
--- a/src/tier/gateway/local_replies.h
+++ b/src/tier/gateway/local_replies.h
@@ -1,4 +1,5 @@
-// The gateway's own answers to requests: never a success, and the id of the request on each.
+// Headers and statuses of responses that the gateway generates itself. They are never a success and
+// carry the request's X-Attempt-Id.
 #ifndef PEARREACH_SRC_TIER_GATEWAY_LOCAL_REPLIES_H_
 #define PEARREACH_SRC_TIER_GATEWAY_LOCAL_REPLIES_H_
 
@@ -19,17 +20,17 @@
 inline constexpr int kUnavailable = 503;
 inline constexpr int kGatewayTimeout = 504;
 
-// Where nothing tells when it would go better.
+// Retry-After if there is no better estimate.
 inline constexpr Micros kDefaultRetryAfter = 250 * kMs;
 
-// X-Attempt-Id, unless the request had none.
-std::vector<http::Header> OwnHeaders(std::string_view attempt_id);
-// For a 401: names the scheme that is wanted.
+// The X-Attempt-Id of the request, if it had one.
+std::vector<http::Header> LocalReplyHeaders(std::string_view attempt_id);
+// Headers of a 401, with the required authentication scheme.
 std::vector<http::Header> ChallengeHeaders(std::string_view attempt_id);
-// With Retry-After in seconds as a fraction; kDefaultRetryAfter where `retry_after` is 0.
+// Adds Retry-After in seconds with two decimals; kDefaultRetryAfter if `retry_after` is 0.
 std::vector<http::Header> RetryHeaders(std::string_view attempt_id, Micros retry_after);
 
-// Whether a status promises that the request has not run and never will.
+// Whether this status guarantees that the request has not run and never will.
 bool GuaranteesNotRun(int status);
 
 }  // namespace pearreach::gateway
--- a/src/tier/gateway/request_builder.cpp
+++ b/src/tier/gateway/request_builder.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::uint64_t kFnvOffset = 14695981039346656037ull;
 constexpr std::uint64_t kFnvPrime = 1099511628211ull;
-constexpr int kFractionBits = 53;  // of a double
+constexpr int kFractionBits = 53;  // significand bits of a double
 
 template <class Value>
 std::optional<Value> ReadNumber(const std::string* text) {
@@ -34,14 +34,14 @@
   return value == nullptr ? std::string_view() : *value;
 }
 
-// A point in [0, 1) that is the same for a try at every node.
-double PointOf(std::string_view attempt_id) {
+// Maps an attempt id to [0, 1), so that every node picks the same target of a split for it.
+double SplitPoint(std::string_view attempt_id) {
   std::uint64_t hash = kFnvOffset;
   for (const char c : attempt_id) {
     hash ^= static_cast<unsigned char>(c);
     hash *= kFnvPrime;
   }
-  // The last bytes of an id must reach the upper bits too.
+  // FNV-1a mixes the last bytes into the upper bits too little.
   hash ^= hash >> 33;
   hash *= 0xff51afd7ed558ccdull;
   hash ^= hash >> 33;
@@ -49,23 +49,24 @@
          static_cast<double>(std::uint64_t{1} << kFractionBits);
 }
 
-// The milliseconds that a request may take: the client's deadline, at most the route's limit.
-double AllowedMs(const routing::Route& route, const http::Message& request) {
+// Time limit of a request in milliseconds: the client's deadline, at most the route's limit.
+double TimeLimitMs(const routing::Route& route, const http::Message& request) {
   const auto deadline = ReadNumber<double>(request.Find("X-Deadline-Ms"));
   if (!deadline.has_value() || !(*deadline >= 0)) return route.limit_ms;
   return std::min(*deadline, route.limit_ms);
 }
 
-int RankOf(const routing::Route& route, const Sender& sender) {
+int EffectiveRank(const routing::Route& route, const Sender& sender) {
   if (sender.tenant == nullptr) return route.rank;
   return sender.tenant->rank.value_or(route.rank);
 }
 
-std::vector<http::Header> HeadersFor(const Sender& sender, std::vector<http::Header>* headers) {
+std::vector<http::Header> WorkerHeaders(const Sender& sender, std::vector<http::Header>* headers) {
   if (!sender.tenants_configured) return RequestHeaders(headers, Authentication::kNone);
-  std::vector<http::Header> kept = RequestHeaders(headers, Authentication::kBySystem);
-  if (sender.tenant != nullptr) kept.push_back({std::string(kTenantHeader), sender.tenant->name});
-  return kept;
+  std::vector<http::Header> forwarded = RequestHeaders(headers, Authentication::kByGateway);
+  if (sender.tenant != nullptr)
+    forwarded.push_back({std::string(kTenantHeader), sender.tenant->name});
+  return forwarded;
 }
 
 }  // namespace
@@ -74,11 +75,11 @@
                                     http::Message* request, Micros arrived) {
   proxy::RequestSpec spec;
   spec.attempt_id = ValueOf(*request, "X-Attempt-Id");
-  spec.service = routing::RouteTable::Pick(route, PointOf(spec.attempt_id)).service;
-  spec.deadline = arrived + static_cast<Micros>(AllowedMs(route, *request) * kMs);
+  spec.service = routing::RouteTable::Pick(route, SplitPoint(spec.attempt_id)).service;
+  spec.deadline = arrived + static_cast<Micros>(TimeLimitMs(route, *request) * kMs);
   spec.target_ms = route.target_ms;
   spec.gap_target_ms = route.gap_target_ms;
-  spec.rank = RankOf(route, sender);
+  spec.rank = EffectiveRank(route, sender);
   spec.attempts = route.attempts;
   spec.idempotent = route.IsIdempotent();
   spec.streamed = route.variant == routing::Variant::kStreamed;
@@ -92,7 +93,7 @@
   spec.total_tokens = proxy::TokenCount(ValueOf(*request, proxy::kTokenCountHeader));
   spec.method = request->method;
   spec.target = std::move(request->target);
-  spec.headers = HeadersFor(sender, &request->headers);
+  spec.headers = WorkerHeaders(sender, &request->headers);
   spec.body = std::move(request->body);
   return spec;
 }
--- a/src/tier/gateway/request_builder.h
+++ b/src/tier/gateway/request_builder.h
@@ -1,4 +1,4 @@
-// From a client's request and its route to the specification by which it runs.
+// Builds the RequestSpec of a live request from a client's request and its route.
 #ifndef PEARREACH_SRC_TIER_GATEWAY_REQUEST_BUILDER_H_
 #define PEARREACH_SRC_TIER_GATEWAY_REQUEST_BUILDER_H_
 
@@ -10,8 +10,8 @@
 
 namespace pearreach::gateway {
 
-// Moves target, headers and body out of `request`, which names an X-Attempt-Id. `sender`: as
-// Authenticate has found it; its tenant's rank takes precedence over the route's.
+// Moves target, headers and body out of `request`, which must have an X-Attempt-Id. `sender`:
+// result of Authenticate; its tenant's rank overrides the route's.
 proxy::RequestSpec BuildRequestSpec(const routing::Route& route, const Sender& sender,
                                     http::Message* request, Micros arrived);
 
--- a/src/tier/gateway/start_queue.cpp
+++ b/src/tier/gateway/start_queue.cpp
@@ -9,11 +9,12 @@
 namespace pearreach::gateway {
 namespace {
 
-// A client that names no deadline is taken to leave after a second of silence.
-constexpr Micros kUnknownPatience = 900 * kMs;
-// Kept of a deadline for a refusal and the way back of it.
-constexpr double kPatienceShare = 0.9;
-// Bodies that wait, in all: a small part of the memory of the smallest machine (160 MB).
+// Clients that send no deadline are assumed to disconnect after one second without a response.
+constexpr Micros kDefaultMaxWait = 900 * kMs;
+// The rest of the deadline is left for a refusal and its way to the client.
+constexpr double kDeadlineFraction = 0.9;
+// Limit for the bodies of all waiting requests: a small part of the memory of the smallest machine
+// (160 MB).
 constexpr std::size_t kMaxBytes = 16 << 20;
 
 std::optional<double> DeadlineMs(const http::Message& request) {
@@ -26,10 +27,10 @@
   return value;
 }
 
-Micros PatienceOf(const http::Message& request) {
+Micros MaxWait(const http::Message& request) {
   const std::optional<double> deadline = DeadlineMs(request);
-  if (!deadline.has_value()) return kUnknownPatience;
-  return static_cast<Micros>(*deadline * kPatienceShare * static_cast<double>(kMs));
+  if (!deadline.has_value()) return kDefaultMaxWait;
+  return static_cast<Micros>(*deadline * kDeadlineFraction * static_cast<double>(kMs));
 }
 
 }  // namespace
@@ -41,28 +42,28 @@
 bool StartQueue::Hold(std::shared_ptr<http_server::Exchange> exchange) {
   const std::size_t bytes = exchange->request().body.size();
   if (bytes_ + bytes > kMaxBytes) return false;
-  const Micros until = exchange->arrived() + PatienceOf(exchange->request());
-  const std::uint64_t number = ++last_;
-  Held& held = held_[number];
+  const Micros wait_deadline = exchange->arrived() + MaxWait(exchange->request());
+  const std::uint64_t number = ++last_number_;
+  HeldRequest& held = held_[number];
   held.exchange = std::move(exchange);
   held.bytes = bytes;
-  held.timer =
-      timers_->After(std::max<Micros>(until - Now(), 0), [this, number] { OnTimeOver(number); });
+  held.timer = timers_->After(std::max<Micros>(wait_deadline - Now(), 0),
+                              [this, number] { OnWaitTimeout(number); });
   bytes_ += bytes;
   return true;
 }
 
-void StartQueue::OnTimeOver(std::uint64_t number) {
+void StartQueue::OnWaitTimeout(std::uint64_t number) {
   const auto found = held_.find(number);
   if (found == held_.end()) return;
-  const Held held = std::move(found->second);
+  const HeldRequest held = std::move(found->second);
   held_.erase(found);
   bytes_ -= held.bytes;
   if (held.exchange->open()) refuse_(held.exchange);
 }
 
 void StartQueue::Release(const Handler& handle) {
-  std::map<std::uint64_t, Held> released = std::exchange(held_, {});
+  std::map<std::uint64_t, HeldRequest> released = std::exchange(held_, {});
   bytes_ = 0;
   for (auto& [number, held] : released) timers_->Cancel(&held.timer);
   for (auto& [number, held] : released)
--- a/src/tier/gateway/start_queue.h
+++ b/src/tier/gateway/start_queue.h
@@ -1,6 +1,6 @@
-// Requests that come before this node knows a configuration: they wait for it, as long as their
-// clients do, instead of being refused. After a start of all nodes a refusal would be the last
-// answer of a client that has used its retry on the outage.
+// Queue of requests that arrive before the first configuration. They wait for it as long as their
+// clients do, instead of being refused: after a restart of all nodes, a client may already have
+// used its retry, so a refusal would be final. Owned by the gateway. Loop thread only.
 #ifndef PEARREACH_SRC_TIER_GATEWAY_START_QUEUE_H_
 #define PEARREACH_SRC_TIER_GATEWAY_START_QUEUE_H_
 
@@ -19,31 +19,32 @@
  public:
   using Handler = std::function<void(std::shared_ptr<http_server::Exchange>)>;
 
-  // `refuse` gets a request whose time is over. Neither is called from inside Hold.
+  // `refuse` is called for a request whose wait has timed out. No handler is called from inside
+  // Hold.
   StartQueue(Timers* timers, Handler refuse) : timers_(timers), refuse_(std::move(refuse)) {}
   ~StartQueue();
   StartQueue(const StartQueue&) = delete;
   StartQueue& operator=(const StartQueue&) = delete;
 
-  // False: there is no room for it.
+  // False: the queue is full.
   bool Hold(std::shared_ptr<http_server::Exchange> exchange);
-  // Hands all that still wait to `handle`, in the order in which they came.
+  // Passes all waiting requests to `handle` in order of arrival.
   void Release(const Handler& handle);
   std::size_t size() const { return held_.size(); }
 
  private:
-  struct Held {
+  struct HeldRequest {
     std::shared_ptr<http_server::Exchange> exchange;
     std::size_t bytes = 0;
     Timers::Id timer = 0;
   };
 
-  void OnTimeOver(std::uint64_t number);
+  void OnWaitTimeout(std::uint64_t number);
 
   Timers* const timers_;
   const Handler refuse_;
-  std::map<std::uint64_t, Held> held_;  // by order of arrival
-  std::uint64_t last_ = 0;
+  std::map<std::uint64_t, HeldRequest> held_;  // by arrival number
+  std::uint64_t last_number_ = 0;
   std::size_t bytes_ = 0;
 };
 
--- a/src/tier/gateway/withdrawn_keys.cpp
+++ b/src/tier/gateway/withdrawn_keys.cpp
@@ -6,7 +6,7 @@
 namespace pearreach::gateway {
 namespace {
 
-constexpr std::size_t kMaxHashes = 4096;  // those withdrawn first give way
+constexpr std::size_t kMaxHashes = 4096;  // oldest withdrawals are removed first
 
 }  // namespace
 
@@ -16,17 +16,17 @@
   if (previous == nullptr) return;
   for (const routing::Tenant& tenant : previous->tenants()) {
     for (const std::string& key : tenant.api_keys) {
-      if (routes_->FindTenantByKey(key) == nullptr) Add(HashOf(key));
+      if (routes_->FindTenantByKey(key) == nullptr) Add(HashKey(key));
     }
   }
 }
 
 void WithdrawnKeys::Add(std::size_t hash) {
   if (!hashes_.insert(hash).second) return;
-  order_.push_back(hash);
-  if (order_.size() <= kMaxHashes) return;
-  hashes_.erase(order_.front());
-  order_.pop_front();
+  withdrawal_order_.push_back(hash);
+  if (withdrawal_order_.size() <= kMaxHashes) return;
+  hashes_.erase(withdrawal_order_.front());
+  withdrawal_order_.pop_front();
 }
 
 }  // namespace pearreach::gateway
--- a/src/tier/gateway/withdrawn_keys.h
+++ b/src/tier/gateway/withdrawn_keys.h
@@ -1,6 +1,6 @@
-// Which API keys were valid by an earlier configuration of this process and are not any more, so
-// that refusals can be counted by cause. Keeps hashes alone, never a key. Owned by the gateway.
-// Loop thread only.
+// API keys that were valid in an earlier configuration of this process and no longer are, so that
+// refusals can be counted by cause. Stores only hashes, never keys. Owned by the gateway. Loop
+// thread only.
 #ifndef PEARREACH_SRC_TIER_GATEWAY_WITHDRAWN_KEYS_H_
 #define PEARREACH_SRC_TIER_GATEWAY_WITHDRAWN_KEYS_H_
 
@@ -16,20 +16,20 @@
 
 class WithdrawnKeys {
  public:
-  // The configuration that is in force from now on; null: none yet.
+  // Sets the configuration in force; null: none yet.
   void Update(std::shared_ptr<const routing::RouteTable> routes);
-  // For counts only: other keys may have the same hash.
-  bool Contains(std::string_view api_key) const { return hashes_.contains(HashOf(api_key)); }
+  // May return true for another key with the same hash, so it is for statistics only.
+  bool Contains(std::string_view api_key) const { return hashes_.contains(HashKey(api_key)); }
 
  private:
-  static std::size_t HashOf(std::string_view api_key) {
+  static std::size_t HashKey(std::string_view api_key) {
     return std::hash<std::string_view>()(api_key);
   }
   void Add(std::size_t hash);
 
   std::shared_ptr<const routing::RouteTable> routes_;
   std::unordered_set<std::size_t> hashes_;
-  std::deque<std::size_t> order_;  // of when they were withdrawn
+  std::deque<std::size_t> withdrawal_order_;  // oldest withdrawal first
 };
 
 }  // namespace pearreach::gateway
--- a/src/tier/routing/configuration.h
+++ b/src/tier/routing/configuration.h
@@ -1,5 +1,5 @@
-// A configuration as it was sent: the JSON text read into structs, before the checks between
-// entries.
+// A parsed configuration, before the checks between its entries. Functions report errors as
+// findings with the path of the field.
 #ifndef PEARREACH_SRC_TIER_ROUTING_CONFIGURATION_H_
 #define PEARREACH_SRC_TIER_ROUTING_CONFIGURATION_H_
 
@@ -18,20 +18,21 @@
   HttpLimits limits;
   std::vector<Route> routes;
   std::vector<Service> services;
-  bool has_tenants = false;  // the field is there, even if the list is empty
+  bool has_tenants = false;  // the field is present, even if the list is empty
   std::vector<Tenant> tenants;
 };
 
-// Reads the text; syntax, repeated keys, missing fields and wrong types become findings.
+// Parses the JSON text. Syntax errors, duplicate fields, missing fields and wrong types become
+// findings.
 Configuration ReadConfiguration(const std::string& json, Findings* findings);
 
-// Checks what concerns several fields or entries; each breach becomes a finding.
+// Checks the rules that involve several fields or entries. Each violation becomes a finding.
 void CheckConfiguration(const Configuration& configuration, Findings* findings);
 
-// A host as routes are looked up by it: in lower case, without a port.
+// Returns the host in the form used for route look-ups: lower case, without a port.
 std::string NormalizeHost(std::string_view host);
 
-// "routes[3]".
+// Returns the path of a list element, for example "routes[3]".
 std::string ElementPath(std::string_view list, std::size_t position);
 
 }  // namespace pearreach::routing
--- a/src/tier/routing/configuration_reader.cpp
+++ b/src/tier/routing/configuration_reader.cpp
@@ -1,4 +1,4 @@
-// From JSON text to a Configuration.
+// Parses the JSON text of a configuration.
 #include <fmt/format.h>
 #include <rapidjson/document.h>
 #include <rapidjson/error/en.h>
@@ -13,9 +13,10 @@
 namespace pearreach::routing {
 namespace {
 
-constexpr int kMaxNesting = 64;  // far beyond any configuration; bounds the recursion below
+// no real configuration is nested as deeply; bounds the recursion below
+constexpr int kMaxNesting = 64;
 
-// Iterative, so that no text can exhaust the stack.
+// The iterative parser cannot exhaust the stack.
 constexpr unsigned kParseFlags = rapidjson::kParseIterativeFlag |
                                  rapidjson::kParseValidateEncodingFlag |
                                  rapidjson::kParseFullPrecisionFlag;
@@ -32,15 +33,16 @@
     {"bulk", Variant::kBulk},
 }};
 
-// A name that is not known is taken as `effectful`, which promises the most: it runs at most once.
-Variant VariantOf(std::string_view name) {
+// An unknown variant is treated as `effectful`, the most restrictive one: its requests run at most
+// once.
+Variant ParseVariant(std::string_view name) {
   for (const VariantName& known : kVariantNames) {
     if (known.name == name) return known.variant;
   }
   return Variant::kEffectful;
 }
 
-std::string_view TextOf(const rapidjson::Value& value) {
+std::string_view StringOf(const rapidjson::Value& value) {
   return {value.GetString(), value.GetStringLength()};
 }
 
@@ -53,10 +55,10 @@
 
 void FindRepeatedKeysInObject(const rapidjson::Value& object, const std::string& path, int depth,
                               Findings* findings) {
-  std::unordered_set<std::string_view> seen;
+  std::unordered_set<std::string_view> names;
   for (const auto& member : object.GetObject()) {
-    const std::string_view name = TextOf(member.name);
-    if (!seen.insert(name).second) findings->Add(ChildPath(path, name), "given more than once");
+    const std::string_view name = StringOf(member.name);
+    if (!names.insert(name).second) findings->Add(ChildPath(path, name), "duplicate field");
     const bool nested = member.value.IsObject() || member.value.IsArray();
     if (nested) FindRepeatedKeys(member.value, ChildPath(path, name), depth + 1, findings);
   }
@@ -80,8 +82,8 @@
   for (rapidjson::SizeType i = 0; i < split.Size(); ++i) {
     const ObjectReader reader(split[i], ElementPath(path, i), findings);
     Target target;
-    reader.ReadText("target", Need::kRequired, &target.service);
-    reader.ReadNumber("share", Need::kRequired, &target.weight);
+    reader.ReadString("target", Presence::kRequired, &target.service);
+    reader.ReadNumber("share", Presence::kRequired, &target.weight);
     targets.push_back(std::move(target));
   }
   return targets;
@@ -90,50 +92,50 @@
 void ReadTargets(const ObjectReader& reader, Findings* findings, Route* route) {
   const bool has_target = reader.Has("target");
   const bool has_split = reader.Has("split");
-  if (has_target && has_split) findings->Add(reader.path(), "both target and split");
-  if (!has_target && !has_split) findings->Add(reader.path(), "neither target nor split");
+  if (has_target && has_split) findings->Add(reader.path(), "has both target and split");
+  if (!has_target && !has_split) findings->Add(reader.path(), "has neither target nor split");
   if (has_split) {
-    const rapidjson::Value* split = reader.ReadArray("split", Need::kRequired);
+    const rapidjson::Value* split = reader.ReadArray("split", Presence::kRequired);
     if (split == nullptr) return;
-    if (split->Empty()) findings->Add(reader.PathOf("split"), "no target");
+    if (split->Empty()) findings->Add(reader.PathOf("split"), "must have at least one target");
     route->targets = ReadSplit(*split, reader.PathOf("split"), findings);
   } else if (has_target) {
     Target target;
-    reader.ReadText("target", Need::kRequired, &target.service);
+    reader.ReadString("target", Presence::kRequired, &target.service);
     route->targets.push_back(std::move(target));
   }
 }
 
 void ReadTimes(const ObjectReader& reader, Route* route) {
   const bool bulk = route->variant == Variant::kBulk;
-  // Items of a batch job stand outside limit_ms, so that such a route may go without.
-  reader.ReadNumber("limit_ms", bulk ? Need::kOptional : Need::kRequired, &route->limit_ms);
-  reader.ReadNumber("target_ms", Need::kOptional, &route->target_ms);
-  reader.ReadNumber("gap_aim_ms", Need::kOptional, &route->gap_target_ms);
-  reader.ReadNumber("due_ms", bulk ? Need::kRequired : Need::kOptional, &route->due_ms);
-  reader.ReadNumber("retain_s", bulk ? Need::kRequired : Need::kOptional, &route->retain_s);
+  // limit_ms does not apply to items of batch jobs, so bulk routes may omit it.
+  reader.ReadNumber("limit_ms", bulk ? Presence::kOptional : Presence::kRequired, &route->limit_ms);
+  reader.ReadNumber("target_ms", Presence::kOptional, &route->target_ms);
+  reader.ReadNumber("gap_aim_ms", Presence::kOptional, &route->gap_target_ms);
+  reader.ReadNumber("due_ms", bulk ? Presence::kRequired : Presence::kOptional, &route->due_ms);
+  reader.ReadNumber("retain_s", bulk ? Presence::kRequired : Presence::kOptional, &route->retain_s);
 }
 
 Route ReadRoute(const rapidjson::Value& value, const std::string& path, Findings* findings) {
   const ObjectReader reader(value, path, findings);
   Route route;
   std::string variant = "effectful";
-  reader.ReadText("name", Need::kRequired, &route.name);
-  reader.ReadText("host", Need::kRequired, &route.host);
-  reader.ReadText("path_prefix", Need::kRequired, &route.path_prefix);
-  reader.ReadText("variant", Need::kOptional, &variant);
-  route.variant = VariantOf(variant);
+  reader.ReadString("name", Presence::kRequired, &route.name);
+  reader.ReadString("host", Presence::kRequired, &route.host);
+  reader.ReadString("path_prefix", Presence::kRequired, &route.path_prefix);
+  reader.ReadString("variant", Presence::kOptional, &variant);
+  route.variant = ParseVariant(variant);
   ReadTimes(reader, &route);
   if (reader.Has("limit_ms") && route.limit_ms <= 0) {
-    findings->Add(reader.PathOf("limit_ms"), "not above 0");
+    findings->Add(reader.PathOf("limit_ms"), "must be greater than 0");
   }
-  reader.ReadNumber("token_cap", Need::kOptional, &route.token_cap);
-  reader.ReadCount("rank", Need::kOptional, &route.rank);
-  reader.ReadCount("tries", Need::kOptional, &route.attempts);
+  reader.ReadNumber("token_cap", Presence::kOptional, &route.token_cap);
+  reader.ReadCount("rank", Presence::kOptional, &route.rank);
+  reader.ReadCount("tries", Presence::kOptional, &route.attempts);
   route.attempts = std::max(route.attempts, 1);
-  reader.ReadFlag("pinned", Need::kOptional, &route.affinity);
-  reader.ReadFlag("resumable", Need::kOptional, &route.resumable);
-  reader.ReadFlag("public", Need::kOptional, &route.is_public);
+  reader.ReadBool("pinned", Presence::kOptional, &route.affinity);
+  reader.ReadBool("resumable", Presence::kOptional, &route.resumable);
+  reader.ReadBool("public", Presence::kOptional, &route.is_public);
   ReadTargets(reader, findings, &route);
   return route;
 }
@@ -141,27 +143,27 @@
 Service ReadService(const rapidjson::Value& value, const std::string& path, Findings* findings) {
   const ObjectReader reader(value, path, findings);
   Service service;
-  reader.ReadText("name", Need::kRequired, &service.name);
-  reader.ReadText("health_path", Need::kOptional, &service.health_path);
-  reader.ReadCount("max_conns", Need::kOptional, &service.max_conns);
-  const rapidjson::Value* engine = reader.ReadObject("engine", Need::kOptional);
+  reader.ReadString("name", Presence::kRequired, &service.name);
+  reader.ReadString("health_path", Presence::kOptional, &service.health_path);
+  reader.ReadCount("max_conns", Presence::kOptional, &service.max_conns);
+  const rapidjson::Value* engine = reader.ReadObject("engine", Presence::kOptional);
   if (engine == nullptr) return service;
   const ObjectReader engine_reader(*engine, reader.PathOf("engine"), findings);
   service.has_engine = true;
-  engine_reader.ReadCount("capacity", Need::kOptional, &service.engine_capacity);
-  engine_reader.ReadNumber("cache_tokens", Need::kOptional, &service.engine_cache_tokens);
+  engine_reader.ReadCount("capacity", Presence::kOptional, &service.engine_capacity);
+  engine_reader.ReadNumber("cache_tokens", Presence::kOptional, &service.engine_cache_tokens);
   return service;
 }
 
 std::vector<std::string> ReadApiKeys(const ObjectReader& reader, Findings* findings) {
   std::vector<std::string> api_keys;
-  const rapidjson::Value* list = reader.ReadArray("api_keys", Need::kRequired);
+  const rapidjson::Value* list = reader.ReadArray("api_keys", Presence::kRequired);
   if (list == nullptr) return api_keys;
   api_keys.reserve(list->Size());
   for (rapidjson::SizeType i = 0; i < list->Size(); ++i) {
     const rapidjson::Value& api_key = (*list)[i];
     if (api_key.IsString()) {
-      api_keys.emplace_back(TextOf(api_key));
+      api_keys.emplace_back(StringOf(api_key));
     } else {
       findings->Add(ElementPath(reader.PathOf("api_keys"), i), "not a string");
     }
@@ -172,36 +174,36 @@
 Tenant ReadTenant(const rapidjson::Value& value, const std::string& path, Findings* findings) {
   const ObjectReader reader(value, path, findings);
   Tenant tenant;
-  reader.ReadText("name", Need::kRequired, &tenant.name);
+  reader.ReadString("name", Presence::kRequired, &tenant.name);
   tenant.api_keys = ReadApiKeys(reader, findings);
   if (reader.Has("rank")) {
     int rank = 0;
-    reader.ReadCount("rank", Need::kOptional, &rank);
+    reader.ReadCount("rank", Presence::kOptional, &rank);
     tenant.rank = rank;
   }
-  reader.ReadNumber("rate_per_s", Need::kOptional, &tenant.rate_per_s);
-  reader.ReadNumber("burst_size", Need::kOptional, &tenant.burst_size);
+  reader.ReadNumber("rate_per_s", Presence::kOptional, &tenant.rate_per_s);
+  reader.ReadNumber("burst_size", Presence::kOptional, &tenant.burst_size);
   return tenant;
 }
 
 HttpLimits ReadLimits(const rapidjson::Value& value, const std::string& path, Findings* findings) {
   const ObjectReader reader(value, path, findings);
   HttpLimits limits;
-  reader.ReadSize("max_header_bytes", Need::kOptional, &limits.max_header_bytes);
-  reader.ReadSize("max_body_bytes", Need::kOptional, &limits.max_body_bytes);
-  reader.ReadNumber("header_wait_ms", Need::kOptional, &limits.header_wait_ms);
-  reader.ReadNumber("idle_ms", Need::kOptional, &limits.idle_ms);
+  reader.ReadSize("max_header_bytes", Presence::kOptional, &limits.max_header_bytes);
+  reader.ReadSize("max_body_bytes", Presence::kOptional, &limits.max_body_bytes);
+  reader.ReadNumber("header_wait_ms", Presence::kOptional, &limits.header_wait_ms);
+  reader.ReadNumber("idle_ms", Presence::kOptional, &limits.idle_ms);
   return limits;
 }
 
-// Reads all elements of a required list by `read`.
+// Reads all elements of a required list with `read`.
 template <class Element>
 std::vector<Element> ReadList(const ObjectReader& reader, std::string_view field,
                               Element (*read)(const rapidjson::Value&, const std::string&,
                                               Findings*),
                               Findings* findings) {
   std::vector<Element> elements;
-  const rapidjson::Value* list = reader.ReadArray(field, Need::kRequired);
+  const rapidjson::Value* list = reader.ReadArray(field, Presence::kRequired);
   if (list == nullptr) return elements;
   elements.reserve(list->Size());
   for (rapidjson::SizeType i = 0; i < list->Size(); ++i) {
@@ -213,9 +215,9 @@
 Configuration ReadRoot(const rapidjson::Value& root, Findings* findings) {
   Configuration configuration;
   const ObjectReader reader(root, "", findings);
-  reader.ReadInteger("version_no", Need::kRequired, &configuration.version);
+  reader.ReadInteger("version_no", Presence::kRequired, &configuration.version);
   if (reader.Has("version_no") && configuration.version <= 0) {
-    findings->Add("version_no", "not a positive whole number");
+    findings->Add("version_no", "must be a positive whole number");
   }
   configuration.services = ReadList<Service>(reader, "services", &ReadService, findings);
   configuration.routes = ReadList<Route>(reader, "routes", &ReadRoute, findings);
@@ -223,7 +225,7 @@
   if (configuration.has_tenants) {
     configuration.tenants = ReadList<Tenant>(reader, "tenants", &ReadTenant, findings);
   }
-  const rapidjson::Value* limits = reader.ReadObject("limits", Need::kOptional);
+  const rapidjson::Value* limits = reader.ReadObject("limits", Presence::kOptional);
   if (limits != nullptr) configuration.limits = ReadLimits(*limits, "limits", findings);
   return configuration;
 }
@@ -235,10 +237,10 @@
 }
 
 Configuration ReadConfiguration(const std::string& json, Findings* findings) {
-  // The parser takes a NUL for the end of the text and would pass over what follows.
+  // The parser stops at a NUL byte and would ignore the rest of the text.
   const std::size_t nul = json.find('\0');
   if (nul != std::string::npos) {
-    findings->Add(fmt::format("byte {}", nul), "a NUL");
+    findings->Add(fmt::format("byte {}", nul), "unexpected NUL byte");
     return {};
   }
   rapidjson::Document document;
--- a/src/tier/routing/object_reader.cpp
+++ b/src/tier/routing/object_reader.cpp
@@ -7,8 +7,8 @@
 namespace pearreach::routing {
 namespace {
 
-constexpr double kMaxExactInteger =
-    9007199254740992.0;  // 2^53: above it a double skips whole numbers
+// 2^53: above it, a double does not represent every whole number.
+constexpr double kMaxExactInteger = 9007199254740992.0;
 
 }  // namespace
 
@@ -32,42 +32,43 @@
   return member == object_->MemberEnd() ? nullptr : &member->value;
 }
 
-const rapidjson::Value* ObjectReader::FindOrReportMissing(std::string_view field, Need need) const {
+const rapidjson::Value* ObjectReader::FindOrReportMissing(std::string_view field,
+                                                          Presence presence) const {
   const rapidjson::Value* value = Find(field);
   const bool missing = value == nullptr && object_ != nullptr;
-  if (missing && need == Need::kRequired) Report(field, "missing");
+  if (missing && presence == Presence::kRequired) Report(field, "missing");
   return value;
 }
 
-void ObjectReader::Report(std::string_view field, std::string_view text) const {
-  findings_->Add(PathOf(field), text);
+void ObjectReader::Report(std::string_view field, std::string_view message) const {
+  findings_->Add(PathOf(field), message);
 }
 
-void ObjectReader::ReadText(std::string_view field, Need need, std::string* out) const {
-  const rapidjson::Value* value = FindOrReportMissing(field, need);
+void ObjectReader::ReadString(std::string_view field, Presence presence, std::string* out) const {
+  const rapidjson::Value* value = FindOrReportMissing(field, presence);
   if (value == nullptr) return;
-  if (!value->IsString()) return Report(field, "not a text");
+  if (!value->IsString()) return Report(field, "not a string");
   out->assign(value->GetString(), value->GetStringLength());
-  if (out->empty() && need == Need::kRequired) Report(field, "empty");
+  if (out->empty() && presence == Presence::kRequired) Report(field, "empty");
 }
 
-void ObjectReader::ReadFlag(std::string_view field, Need need, bool* out) const {
-  const rapidjson::Value* value = FindOrReportMissing(field, need);
+void ObjectReader::ReadBool(std::string_view field, Presence presence, bool* out) const {
+  const rapidjson::Value* value = FindOrReportMissing(field, presence);
   if (value == nullptr) return;
-  if (!value->IsBool()) return Report(field, "neither true nor false");
+  if (!value->IsBool()) return Report(field, "not a boolean");
   *out = value->GetBool();
 }
 
-void ObjectReader::ReadNumber(std::string_view field, Need need, double* out) const {
-  const rapidjson::Value* value = FindOrReportMissing(field, need);
+void ObjectReader::ReadNumber(std::string_view field, Presence presence, double* out) const {
+  const rapidjson::Value* value = FindOrReportMissing(field, presence);
   if (value == nullptr) return;
   if (!value->IsNumber()) return Report(field, "not a number");
   if (value->GetDouble() < 0) return Report(field, "negative");
   *out = value->GetDouble();
 }
 
-void ObjectReader::ReadInteger(std::string_view field, Need need, std::int64_t* out) const {
-  const rapidjson::Value* value = FindOrReportMissing(field, need);
+void ObjectReader::ReadInteger(std::string_view field, Presence presence, std::int64_t* out) const {
+  const rapidjson::Value* value = FindOrReportMissing(field, presence);
   if (value == nullptr) return;
   if (!value->IsNumber()) return Report(field, "not a number");
   if (value->IsInt64()) {
@@ -80,30 +81,30 @@
   *out = static_cast<std::int64_t>(number);
 }
 
-void ObjectReader::ReadCount(std::string_view field, Need need, int* out) const {
+void ObjectReader::ReadCount(std::string_view field, Presence presence, int* out) const {
   std::int64_t integer = *out;
-  ReadInteger(field, need, &integer);
+  ReadInteger(field, presence, &integer);
   if (integer < 0) return Report(field, "negative");
   if (integer > std::numeric_limits<int>::max()) return Report(field, "too large");
   *out = static_cast<int>(integer);
 }
 
-void ObjectReader::ReadSize(std::string_view field, Need need, std::size_t* out) const {
+void ObjectReader::ReadSize(std::string_view field, Presence presence, std::size_t* out) const {
   auto integer = static_cast<std::int64_t>(*out);
-  ReadInteger(field, need, &integer);
+  ReadInteger(field, presence, &integer);
   if (integer < 0) return Report(field, "negative");
   *out = static_cast<std::size_t>(integer);
 }
 
-const rapidjson::Value* ObjectReader::ReadArray(std::string_view field, Need need) const {
-  const rapidjson::Value* value = FindOrReportMissing(field, need);
+const rapidjson::Value* ObjectReader::ReadArray(std::string_view field, Presence presence) const {
+  const rapidjson::Value* value = FindOrReportMissing(field, presence);
   if (value == nullptr || value->IsArray()) return value;
-  Report(field, "not a list");
+  Report(field, "not an array");
   return nullptr;
 }
 
-const rapidjson::Value* ObjectReader::ReadObject(std::string_view field, Need need) const {
-  const rapidjson::Value* value = FindOrReportMissing(field, need);
+const rapidjson::Value* ObjectReader::ReadObject(std::string_view field, Presence presence) const {
+  const rapidjson::Value* value = FindOrReportMissing(field, presence);
   if (value == nullptr || value->IsObject()) return value;
   Report(field, "not an object");
   return nullptr;
--- a/src/tier/routing/object_reader.h
+++ b/src/tier/routing/object_reader.h
@@ -1,4 +1,4 @@
-// Reads the fields of one JSON object by name and type; a field that is missing or of another type
+// Reads the fields of a JSON object by name and type. A missing field or one of another type
 // becomes a finding with its path.
 #ifndef PEARREACH_SRC_TIER_ROUTING_OBJECT_READER_H_
 #define PEARREACH_SRC_TIER_ROUTING_OBJECT_READER_H_
@@ -13,36 +13,39 @@
 
 namespace pearreach::routing {
 
-enum class Need { kOptional, kRequired };
+enum class Presence { kOptional, kRequired };
 
-// Refers to the document and the findings, which outlive it. Not thread-safe.
+// Keeps references to the document and the findings, which must outlive it. Not thread-safe.
 class ObjectReader {
  public:
-  // A value that is no object is a finding; all its fields then count as absent without findings.
+  // A value that is not an object is one finding; all its fields then count as absent without
+  // further findings.
   ObjectReader(const rapidjson::Value& value, std::string path, Findings* findings);
 
   const std::string& path() const { return path_; }
   std::string PathOf(std::string_view field) const;
 
-  // Each leaves `out` as it is where the field is absent or does not fit.
-  void ReadText(std::string_view field, Need need, std::string* out) const;
-  void ReadFlag(std::string_view field, Need need, bool* out) const;
-  void ReadNumber(std::string_view field, Need need, double* out) const;  // not negative
-  void ReadInteger(std::string_view field, Need need, std::int64_t* out) const;
-  void ReadCount(std::string_view field, Need need, int* out) const;  // whole, not negative
-  void ReadSize(std::string_view field, Need need, std::size_t* out) const;
+  // Each function leaves `out` unchanged if the field is absent or invalid.
+  void ReadString(std::string_view field, Presence presence, std::string* out) const;
+  void ReadBool(std::string_view field, Presence presence, bool* out) const;
+  void ReadNumber(std::string_view field, Presence presence,
+                  double* out) const;  // must not be negative
+  void ReadInteger(std::string_view field, Presence presence, std::int64_t* out) const;
+  void ReadCount(std::string_view field, Presence presence,
+                 int* out) const;  // whole number, must not be negative
+  void ReadSize(std::string_view field, Presence presence, std::size_t* out) const;
 
   bool Has(std::string_view field) const { return Find(field) != nullptr; }
-  // Null where it is absent or not an array; a finding as above.
-  const rapidjson::Value* ReadArray(std::string_view field, Need need) const;
-  const rapidjson::Value* ReadObject(std::string_view field, Need need) const;
+  // Null if the field is absent or of another type, with a finding as above.
+  const rapidjson::Value* ReadArray(std::string_view field, Presence presence) const;
+  const rapidjson::Value* ReadObject(std::string_view field, Presence presence) const;
 
  private:
   const rapidjson::Value* Find(std::string_view field) const;
-  const rapidjson::Value* FindOrReportMissing(std::string_view field, Need need) const;
-  void Report(std::string_view field, std::string_view text) const;
+  const rapidjson::Value* FindOrReportMissing(std::string_view field, Presence presence) const;
+  void Report(std::string_view field, std::string_view message) const;
 
-  const rapidjson::Value* object_;  // null: no object was there
+  const rapidjson::Value* object_;  // null: the value is not an object
   std::string path_;
   Findings* findings_;
 };
--- a/src/tier/routing/route_table.cpp
+++ b/src/tier/routing/route_table.cpp
@@ -30,7 +30,7 @@
   return name;
 }
 
-// Turns a configuration that passed its checks into a table.
+// Builds a table from a validated configuration.
 class TableBuilder {
  public:
   static std::shared_ptr<const RouteTable> Build(Configuration configuration) {
@@ -105,7 +105,8 @@
   const auto found = by_host_.find(NormalizeHost(host));
   if (found == by_host_.end()) return nullptr;
   const HostRoutes& routes = found->second;
-  // Prefixes end with a slash: only beginnings of the path that do are looked up, longest first.
+  // Prefixes end with a slash, so only the beginnings of the path that do are looked up, longest
+  // first.
   path = path.substr(0, path.find('?')).substr(0, routes.max_length);
   for (std::size_t slash = path.rfind('/'); slash != std::string_view::npos;
        slash = path.rfind('/')) {
@@ -127,7 +128,7 @@
     left -= target.weight;
     last = &target;
   }
-  return *last;  // rounding: the last that has a share
+  return *last;  // reached through rounding only: the last target with a positive weight
 }
 
 }  // namespace pearreach::routing
--- a/src/tier/routing/route_table.h
+++ b/src/tier/routing/route_table.h
@@ -1,5 +1,5 @@
-// A checked configuration as an immutable snapshot: routes, services and limits, with the look-up
-// of a request's route. A new configuration is a new table.
+// Immutable snapshot of a validated configuration: routes, services, tenants and limits, with the
+// look-up of a request's route. A new configuration creates a new table.
 #ifndef PEARREACH_SRC_TIER_ROUTING_ROUTE_TABLE_H_
 #define PEARREACH_SRC_TIER_ROUTING_ROUTE_TABLE_H_
 
@@ -27,16 +27,16 @@
 struct Route {
   std::string name, host, path_prefix;
   Variant variant = Variant::kEffectful;
-  double limit_ms = 0;                             // after that a request has failed
+  double limit_ms = 0;                             // time limit of a request
   double target_ms = 0;                            // latency target of the response
   double gap_target_ms = 0;                        // latency target between two events of a stream
-  double due_ms = 0, retain_s = 0, token_cap = 0;  // bulk only; token_cap 0: no limit
+  double due_ms = 0, retain_s = 0, token_cap = 0;  // bulk routes only; token_cap 0: no limit
   int rank = 0, attempts = 1;
   bool affinity = false, resumable = false;
-  bool is_public = false;       // needs no key, also where the configuration has tenants
-  std::vector<Target> targets;  // one, or a weighted split; shares sum to more than 0
+  bool is_public = false;       // no key required, even if tenants are configured
+  std::vector<Target> targets;  // one target or a weighted split with a sum of weights above 0
 
-  // Whether a request may be sent to another worker although the first one may have executed it.
+  // Whether a request may be retried on another worker after the first one may have executed it.
   bool IsIdempotent() const {
     return variant == Variant::kIdempotent || variant == Variant::kBulk ||
            (variant == Variant::kStreamed && resumable);
@@ -51,13 +51,13 @@
   double engine_cache_tokens = 0;
 };
 
-// A customer. Its limit holds over all nodes together.
+// A customer. Its rate limit applies to all nodes together.
 struct Tenant {
-  std::string name;                   // what workers get as X-Tenant
-  std::vector<std::string> api_keys;  // secrets: never logged nor passed on
-  std::optional<int> rank;            // takes precedence over the route's
-  double rate_per_s = 0;              // requests a second; 0: no limit
-  double burst_size = 0;              // requests on top
+  std::string name;                   // sent to workers as X-Tenant
+  std::vector<std::string> api_keys;  // secrets: never logged or forwarded
+  std::optional<int> rank;            // overrides the route's rank
+  double rate_per_s = 0;              // requests per second; 0: no limit
+  double burst_size = 0;              // additional requests in a burst
 
   bool IsLimited() const { return rate_per_s > 0; }
 };
@@ -67,37 +67,38 @@
   double header_wait_ms = 3000, idle_ms = 15000;
 };
 
-// Thread-safe, as it does not change after Parse.
+// Thread-safe: immutable after Parse.
 class RouteTable {
  public:
-  // Reads and checks a whole configuration; INVALID_ARGUMENT lists every finding with its place.
-  // Checked: complete, version_no a positive whole number, every route names known services,
-  // no two routes share host and prefix, shares sum to more than 0, limit_ms above 0, prefixes
-  // begin and end with '/', names unique, no key of two tenants. Unknown fields are ignored.
+  // Parses and validates a configuration. INVALID_ARGUMENT lists every finding with its path.
+  // Checks: all required fields are present, version_no is a positive whole number, every route
+  // refers to known services, no two routes share host and prefix, the shares of a split sum to
+  // more than 0, limit_ms is above 0, prefixes begin and end with '/', names are unique, no two
+  // tenants share a key. Unknown fields are ignored.
   static absl::StatusOr<std::shared_ptr<const RouteTable>> Parse(const std::string& json);
 
   std::int64_t version() const { return version_; }
   const HttpLimits& limits() const { return limits_; }
   const std::vector<Route>& routes() const { return routes_; }
   const Service* FindService(std::string_view name) const;
-  // Whether requests need a key, except on public routes: the configuration names tenants, even if
-  // none is left.
+  // Whether requests to non-public routes require a key: the configuration has a list of tenants,
+  // even if it is empty.
   bool has_tenants() const { return has_tenants_; }
   const std::vector<Tenant>& tenants() const { return tenants_; }
   const Tenant* FindTenant(std::string_view name) const;
-  // Null: no tenant has the key.
+  // Returns the tenant with this key, or null.
   const Tenant* FindTenantByKey(std::string_view api_key) const;
-  // The route of that host with the longest prefix that begins the path; null: none. A query is
-  // not part of the path; a port in `host` is passed over; case of the host does not matter.
+  // Returns the route of this host with the longest prefix that matches the path, or null. A query
+  // is not part of the path; the port and the case of `host` are ignored.
   const Route* Match(std::string_view host, std::string_view path) const;
   const Route* FindRoute(std::string_view name) const;
-  // A target by weight: `point` in [0, 1).
+  // Selects a target by weight; `point` is in [0, 1).
   static const Target& Pick(const Route& route, double point);
 
  private:
   friend class TableBuilder;
 
-  // Looks names up by string_view without a copy.
+  // Allows look-ups by string_view without a copy.
   struct NameHash {
     using is_transparent = void;
     std::size_t operator()(std::string_view name) const {
@@ -108,14 +109,14 @@
   using ByName = std::unordered_map<std::string, Value, NameHash, std::equal_to<>>;
 
   struct HostRoutes {
-    std::size_t max_length = 0;     // bytes of the longest prefix
+    std::size_t max_length = 0;     // length of the longest prefix in bytes
     ByName<std::size_t> by_prefix;  // positions in routes_
   };
 
   std::int64_t version_ = 0;
   HttpLimits limits_;
   std::vector<Route> routes_;
-  ByName<HostRoutes> by_host_;  // lower case, without a port
+  ByName<HostRoutes> by_host_;  // keys as from NormalizeHost
   ByName<std::size_t> by_name_;
   ByName<Service> services_;
   bool has_tenants_ = false;
--- a/tests/tier/gateway/request_builder_test.cpp
+++ b/tests/tier/gateway/request_builder_test.cpp
@@ -172,7 +172,7 @@
         {"Content-Length", "9"},
     };
     CPPUNIT_ASSERT_EQUAL(std::string("X-Attempt-Id X-Seal Versions "),
-                         NamesOf(AnswerHeaders(headers)));
+                         NamesOf(ResponseHeaders(headers)));
   }
 };
 
