--- a/src/tier/proxy/active_request.cpp
+++ b/src/tier/proxy/active_request.cpp
@@ -136,8 +136,8 @@
   pool_->workers.Find(worker_)->prefill_tokens -= prefill_tokens_;
 }
 
-// The request withdraws by itself instead of letting its deadline pass in the dispatcher: there,
-// only requests that have missed their latency target raise the price of slots.
+// The dispatcher raises the price of slots only for requests that have missed their latency target.
+// This timeout is shorter, so the request withdraws itself.
 void ActiveRequest::OnQueueTimeout() {
   if (placement_ == 0 || placed_) return;
   retry_after_ = pool_->dispatcher.RetryAfter();
@@ -255,8 +255,8 @@
   EndPlacement(head.status == 504 ? Outcome::kTimeout : failed ? Outcome::kError : Outcome::kGood);
   const bool stop = spec_.stop_on_500 && head.status == 500;
   if (failed && !stop && retries_.MayRetryAfterRun(TimeLeft())) return RequestPlacement();
-  // These statuses would tell the client that the request has not run, which the worker did not
-  // guarantee.
+  // To the client, these statuses guarantee that the request has not run. The worker did not
+  // guarantee this.
   const bool would_guarantee_not_run =
       head.status == 503 || head.status == 429 || head.status == 408;
   const bool cannot_forward =
--- a/src/tier/proxy/worker_connections.cpp
+++ b/src/tier/proxy/worker_connections.cpp
@@ -9,7 +9,7 @@
 // A worker may close a connection that has been idle for longer at the same time as a request is
 // sent.
 constexpr Micros kStaleIdleTime = kSecond;
-// Number of ids that a connection remembers; a duplicate of an older response no longer arrives.
+// Number of ids that a connection remembers. A duplicate of an older response has arrived by then.
 constexpr std::size_t kMaxCarriedIds = 32;
 
 }  // namespace
--- a/tests/tier/gateway/doubles.h
+++ b/tests/tier/gateway/doubles.h
@@ -1,5 +1,5 @@
-// What the gateway's tests put in the place of its neighbours: an exchange that records its answer,
-// a runner whose jobs the test ends, and a control client with a given configuration.
+// Test doubles for the gateway's dependencies: an exchange that records its response, a runner
+// whose requests are ended by the test, and a control client with a fixed configuration.
 #ifndef PEARREACH_TESTS_TIER_GATEWAY_DOUBLES_H_
 #define PEARREACH_TESTS_TIER_GATEWAY_DOUBLES_H_
 
@@ -56,7 +56,7 @@
   void OnDrained(std::function<void()> drained) override { drained_ = std::move(drained); }
   void OnClosed(std::function<void()> closed) override { closed_ = std::move(closed); }
 
-  void Leave() {
+  void Disconnect() {
     gone = true;
     const auto closed = std::exchange(closed_, nullptr);
     if (closed) closed();
@@ -87,12 +87,12 @@
   std::function<void()> closed_, drained_;
 };
 
-class HeldRunner final : public proxy::RequestRunner {
+class ManualRunner final : public proxy::RequestRunner {
  public:
   std::uint64_t Submit(proxy::RequestSpec spec, std::shared_ptr<proxy::RequestSink> sink) override {
     specs.push_back(std::move(spec));
-    if (at_once) {
-      at_once(*sink);
+    if (immediate) {
+      immediate(*sink);
       return 0;
     }
     sinks.emplace(specs.size(), std::move(sink));
@@ -118,7 +118,7 @@
   std::vector<proxy::RequestSpec> specs;
   std::map<std::uint64_t, std::shared_ptr<proxy::RequestSink>> sinks;
   std::vector<std::uint64_t> cancelled, resumed;
-  std::function<void(proxy::RequestSink&)> at_once;
+  std::function<void(proxy::RequestSink&)> immediate;
 };
 
 class FixedControl : public control::ControlClient {
--- a/tests/tier/gateway/gateway_test.cpp
+++ b/tests/tier/gateway/gateway_test.cpp
@@ -54,7 +54,7 @@
   return done();
 }
 
-// The configuration with tenants in it: `extra` is put before its services.
+// Returns the configuration with these tenants, and with a public route "plain".
 std::string WithTenants(const std::string& tenants) {
   std::string json = kConfiguration;
   const std::size_t at = json.find("\"services\"");
@@ -81,14 +81,14 @@
   return values;
 }
 
-// A limiter whose decisions the test makes.
-class HeldLimiter final : public quota::RequestLimiter {
+// A rate limiter whose decisions are made by the test.
+class ManualLimiter final : public quota::RequestLimiter {
  public:
   quota::AcquisitionId Acquire(const routing::Tenant& tenant, Micros deadline, Done done) override {
     tenants.push_back(tenant.name);
     deadlines.push_back(deadline);
-    if (at_once.has_value()) {
-      done(*at_once);
+    if (immediate.has_value()) {
+      done(*immediate);
       return quota::kDecided;
     }
     waiting.emplace(tenants.size(), std::move(done));
@@ -104,7 +104,7 @@
   std::vector<std::string> tenants;
   std::vector<Micros> deadlines;
   std::map<quota::AcquisitionId, Done> waiting;
-  std::optional<quota::Decision> at_once;
+  std::optional<quota::Decision> immediate;
 };
 
 class GatewayTest : public CppUnit::TestFixture {
@@ -143,13 +143,13 @@
   void setUp() override {
     timers_ = std::make_unique<Timers>();
     control_ = std::make_unique<FixedControl>();
-    runner_ = std::make_unique<HeldRunner>();
+    runner_ = std::make_unique<ManualRunner>();
     gateway_ = std::make_unique<Gateway>(control_.get(), runner_.get(), timers_.get());
     gateway_->SetBulkHandler([this](std::shared_ptr<http_server::Exchange>,
                                     const routing::Route& route,
-                                    const Sender&) { handed_ = "bulk " + route.name; });
+                                    const Sender&) { handled_by_ = "bulk " + route.name; });
     gateway_->SetBatchJobHandler(
-        [this](std::shared_ptr<http_server::Exchange>, const Sender&) { handed_ = "lot"; });
+        [this](std::shared_ptr<http_server::Exchange>, const Sender&) { handled_by_ = "lot"; });
     control_->Use(kConfiguration);
   }
   void tearDown() override {
@@ -162,7 +162,7 @@
  private:
   std::shared_ptr<RecordedExchange> Handle(http::Message message) {
     auto exchange = std::make_shared<RecordedExchange>(std::move(message));
-    handed_.clear();
+    handled_by_.clear();
     gateway_->Handle(exchange);
     return exchange;
   }
@@ -191,7 +191,7 @@
     const auto gone = std::make_shared<RecordedExchange>(Request("POST", "/p/x"));
     for (const auto& exchange : {job, lost, gone}) gateway.Handle(exchange);
     CPPUNIT_ASSERT(runner_->specs.empty());
-    gone->Leave();
+    gone->Disconnect();
     later.Use(kConfiguration);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runner_->specs.size());
     CPPUNIT_ASSERT_EQUAL(std::string("s2"), runner_->specs[0].service);
@@ -219,7 +219,7 @@
   void LooksUpInOrder() {
     const struct {
       const char *method, *target, *id;
-      int status;  // 0: handed on
+      int status;  // 0: passed to a handler
       const char* to;
     } kCases[] = {
         {"POST", "/p/x?q=1", "1", 0, "s1"},      {"POST", "/p/once/x", "1", 0, "s2"},
@@ -232,8 +232,8 @@
       const std::size_t before = runner_->specs.size();
       const auto exchange = Handle(Request(c.method, c.target, c.id));
       CPPUNIT_ASSERT_EQUAL_MESSAGE(c.target, c.status, exchange->status);
-      if (runner_->specs.size() > before) handed_ = runner_->specs.back().service;
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(c.target, std::string(c.to), handed_);
+      if (runner_->specs.size() > before) handled_by_ = runner_->specs.back().service;
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(c.target, std::string(c.to), handled_by_);
       CPPUNIT_ASSERT_EQUAL(std::string(), exchange->Header("X-Seal"));
     }
   }
@@ -364,7 +364,7 @@
   }
 
   void EndsInsideSubmit() {
-    runner_->at_once = [](proxy::RequestSink& sink) {
+    runner_->immediate = [](proxy::RequestSink& sink) {
       proxy::RequestResult result;
       result.end = proxy::RequestEnd::kNotRun;
       sink.OnEnd(result);
@@ -372,7 +372,7 @@
     const auto exchange = Handle(Request("POST", "/p/x"));
     CPPUNIT_ASSERT_EQUAL(503, exchange->status);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, timers_->pending());
-    exchange->Leave();
+    exchange->Disconnect();
     CPPUNIT_ASSERT(runner_->cancelled.empty());
   }
 
@@ -381,7 +381,7 @@
       const auto exchange = Handle(Request("POST", target));
       const auto sink = runner_->sink();
       sink->OnHead(200, {});
-      exchange->Leave();
+      exchange->Disconnect();
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{runner_->specs.size()}, runner_->cancelled.back());
       sink->OnBody("late");
       sink->OnEnd({});
@@ -421,14 +421,14 @@
     CPPUNIT_ASSERT_EQUAL(503, Handle(Request("POST", "/lot/x"))->status);
     CPPUNIT_ASSERT_EQUAL(404, Handle(Request("POST", "/nowhere"))->status);
     Handle(Request("GET", "/lots/1"));
-    CPPUNIT_ASSERT_EQUAL(std::string("lot"), handed_);
+    CPPUNIT_ASSERT_EQUAL(std::string("lot"), handled_by_);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runner_->specs.size());
     runner_->sink()->OnHead(200, {});
     runner_->End(proxy::RequestEnd::kComplete);
     CPPUNIT_ASSERT_EQUAL(200, before->status);
   }
 
-  // UNASKED: a worker gets the name of the tenant that has the key, and never the key.
+  // UNASKED: a worker gets the name of the tenant that owns the key, and never the key.
   void SetsTheTenantWhateverTheClientSent() {
     control_->Use(WithTenants(kTenants));
     http::Message forged = WithKey(Request("POST", "/p/once/x"), "k-basis");
@@ -445,7 +445,7 @@
       CPPUNIT_ASSERT_EQUAL(std::size_t{1}, tenants.size());
       CPPUNIT_ASSERT_EQUAL(std::string("basis"), tenants[0]);
       CPPUNIT_ASSERT(ValuesOf(spec.headers, "Authorization").empty());
-      CPPUNIT_ASSERT_EQUAL(0, spec.rank);  // the route's, as the tenant has none
+      CPPUNIT_ASSERT_EQUAL(0, spec.rank);  // rank of the route, since the tenant has none
     }
     Handle(WithKey(Request("POST", "/p/once/x"), "k-acme-2"));
     CPPUNIT_ASSERT_EQUAL(5, runner_->specs.back().rank);
@@ -453,7 +453,7 @@
                          ValuesOf(runner_->specs.back().headers, "X-Tenant").front());
   }
 
-  // ROUTE: a request with a key that no configuration has ever held reaches no worker.
+  // ROUTE: a request with a key that is in no configuration reaches no worker.
   void RefusesUnknownKeys() {
     control_->Use(WithTenants(kTenants));
     std::vector<http::Message> requests;
@@ -476,7 +476,7 @@
     CPPUNIT_ASSERT_EQUAL(404, Handle(Request("POST", "/nowhere/"))->status);
   }
 
-  // CONFIG: keys that are withdrawn, added or passed on count from the next request on.
+  // CONFIG: withdrawn, added and reassigned keys take effect with the next request.
   void FollowsKeysThatMove() {
     const http::Message request = WithKey(Request("POST", "/p/once/x"), "k-acme");
     control_->Use(WithTenants(kTenants));
@@ -494,7 +494,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, runner_->specs.size());
   }
 
-  // UNASKED and ROUTE: what waited for the first configuration is held to it as all others are.
+  // UNASKED and ROUTE: requests that waited for the first configuration are checked like all
+  // others.
   void ChecksKeysOfRequestsHeldAtTheStart() {
     FixedControl later;
     Gateway gateway(&later, runner_.get(), timers_.get());
@@ -538,7 +539,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("basis"),
                          ValuesOf(runner_->specs[1].headers, "X-Tenant").front());
     CPPUNIT_ASSERT(ValuesOf(runner_->specs[1].headers, "Authorization").empty());
-    // ROUTE: nor does a key that nobody has run there.
+    // ROUTE: an unknown key is rejected on a public route as well.
     const http::Message unknown = WithKey(Request("POST", "/p/x"), "k-nobody");
     CPPUNIT_ASSERT_EQUAL(401, Handle(unknown)->status);
     CPPUNIT_ASSERT_EQUAL(401, Handle(WithKey(unknown, "k-nobody"))->status);
@@ -559,9 +560,9 @@
     for (const auto& c : kCases) {
       CPPUNIT_ASSERT_EQUAL(401, Handle(Request(c.method, c.target))->status);
       CPPUNIT_ASSERT_EQUAL(401, Handle(WithKey(Request(c.method, c.target), "k-old"))->status);
-      CPPUNIT_ASSERT_EQUAL(std::string(), handed_);
+      CPPUNIT_ASSERT_EQUAL(std::string(), handled_by_);
       CPPUNIT_ASSERT_EQUAL(0, Handle(WithKey(Request(c.method, c.target), "k-acme"))->status);
-      CPPUNIT_ASSERT_EQUAL(std::string(c.to), handed_);
+      CPPUNIT_ASSERT_EQUAL(std::string(c.to), handled_by_);
     }
   }
 
@@ -576,12 +577,12 @@
         CPPUNIT_ASSERT_EQUAL(std::string("0.25"), exchange->Header("Retry-After"));
       }
       CPPUNIT_ASSERT_EQUAL(503, Handle(WithKey(Request("GET", "/lots/1"), key))->status);
-      CPPUNIT_ASSERT_EQUAL(std::string(), handed_);
+      CPPUNIT_ASSERT_EQUAL(std::string(), handled_by_);
     }
     CPPUNIT_ASSERT_EQUAL(503, Handle(Request("POST", "/p/once/x"))->status);
     CPPUNIT_ASSERT_EQUAL(404, Handle(WithKey(Request("POST", "/nowhere/"), "k-acme"))->status);
     CPPUNIT_ASSERT(runner_->specs.empty());
-    CPPUNIT_ASSERT_EQUAL(0, Handle(Request("POST", "/p/x"))->status);  // public
+    CPPUNIT_ASSERT_EQUAL(0, Handle(Request("POST", "/p/x"))->status);  // public route
     CPPUNIT_ASSERT_EQUAL(503, Handle(WithKey(Request("POST", "/p/x"), "k-acme"))->status);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, gateway_->outcomes().not_confirmed);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, gateway_->outcomes().unauthorized);
@@ -590,7 +591,7 @@
     CPPUNIT_ASSERT_EQUAL(0, Handle(WithKey(Request("POST", "/p/once/x"), "k-acme"))->status);
     CPPUNIT_ASSERT_EQUAL(401, Handle(WithKey(Request("POST", "/p/once/x"), "k-unknown"))->status);
 
-    control_->Use(kConfiguration);  // without tenants, no request needs a key
+    control_->Use(kConfiguration);  // without tenants, no request requires a key
     control_->confirmed = false;
     CPPUNIT_ASSERT_EQUAL(0, Handle(Request("POST", "/p/once/x"))->status);
   }
@@ -623,9 +624,9 @@
                          ValuesOf(runner_->specs[0].headers, "X-Tenant").front());
   }
 
-  // QUOTA: no request of a limited tenant reaches a worker before it is granted.
+  // QUOTA: no request of a rate-limited tenant reaches a worker before it is granted.
   void AcquiresQuotaOfLimitedTenants() {
-    HeldLimiter limiter;
+    ManualLimiter limiter;
     gateway_->SetLimiter(&limiter);
     control_->Use(WithTenants(kTenants));
     const http::Message request = WithKey(Request("POST", "/p/once/x"), "k-acme");
@@ -634,7 +635,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("acme"), limiter.tenants.back());
     const Micros time = limiter.deadlines.back() - granted->arrived();
     CPPUNIT_ASSERT_EQUAL(75 * kMs, time);  // a quarter of the latency target
-    control_->Use(kConfiguration);         // what it was checked by stays valid for it
+    control_->Use(kConfiguration);         // the routes stay valid while the request waits
     limiter.Decide({quota::Verdict::kGranted});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runner_->specs.size());
     control_->Use(WithTenants(kTenants));
@@ -642,7 +643,7 @@
     limiter.Decide({quota::Verdict::kOverLimit, 120 * kMs});
     CPPUNIT_ASSERT_EQUAL(429, over->status);
     CPPUNIT_ASSERT_EQUAL(std::string("0.12"), over->Header("Retry-After"));
-    limiter.at_once = quota::Decision{quota::Verdict::kUnavailable};
+    limiter.immediate = quota::Decision{quota::Verdict::kUnavailable};
     const auto unknown = Handle(request);
     CPPUNIT_ASSERT_EQUAL(503, unknown->status);
     CPPUNIT_ASSERT_EQUAL(std::string("77aa"), unknown->Header("X-Attempt-Id"));
@@ -654,9 +655,9 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, gateway_->outcomes().no_quota);
   }
 
-  // SHORT: a request that waited for the configuration still gets time to wait for its quota.
+  // SHORT: a request that waited for the configuration still has time to wait for its quota.
   void GivesHeldRequestsTimeForTheirQuota() {
-    HeldLimiter limiter;
+    ManualLimiter limiter;
     FixedControl later;
     Gateway gateway(&later, runner_.get(), timers_.get());
     gateway.SetLimiter(&limiter);
@@ -666,19 +667,19 @@
     later.Use(WithTenants(kTenants));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, limiter.deadlines.size());
     CPPUNIT_ASSERT(limiter.deadlines[0] > Now());
-    gateway.SetDraining(true);  // and nothing begins any more, granted or not
+    gateway.SetDraining(true);  // no request starts while draining, granted or not
     limiter.Decide({quota::Verdict::kGranted});
     CPPUNIT_ASSERT_EQUAL(503, exchange->status);
     CPPUNIT_ASSERT(runner_->specs.empty());
   }
 
   void CancelsAcquisitionWhenTheClientLeaves() {
-    HeldLimiter limiter;
+    ManualLimiter limiter;
     gateway_->SetLimiter(&limiter);
     control_->Use(WithTenants(kTenants));
     const auto exchange = Handle(WithKey(Request("POST", "/p/once/x"), "k-acme"));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, limiter.waiting.size());
-    exchange->Leave();
+    exchange->Disconnect();
     CPPUNIT_ASSERT(limiter.waiting.empty());
     CPPUNIT_ASSERT(runner_->specs.empty());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, gateway_->outcomes().client_gone);
@@ -686,9 +687,9 @@
 
   std::unique_ptr<Timers> timers_;
   std::unique_ptr<FixedControl> control_;
-  std::unique_ptr<HeldRunner> runner_;
+  std::unique_ptr<ManualRunner> runner_;
   std::unique_ptr<Gateway> gateway_;
-  std::string handed_;
+  std::string handled_by_;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(GatewayTest);
--- a/tests/tier/gateway/key_history_test.cpp
+++ b/tests/tier/gateway/key_history_test.cpp
@@ -1,7 +1,7 @@
-// Random histories of configurations (keys added, withdrawn and passed on, tenants dropped and
-// back, routes made public, no tenants at all) and of requests on kept connections, through a real
-// HTTP server. A model says of each request which status its client gets and which tenant the
-// worker is told.
+// Random sequences of configuration changes (keys added, withdrawn and reassigned, tenants removed
+// and restored, routes made public, no tenants at all) and of requests on persistent connections,
+// through a real HTTP server. A model predicts the status that the client gets and the tenant that
+// the worker gets for each request.
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 
@@ -34,7 +34,7 @@
 constexpr char kForgedTenant[] = "forged";
 constexpr char kNeverHeld[] = "key-never-held";
 
-// What a history must have come upon at least once over all seeds.
+// Situations that must occur at least once over all seeds.
 enum class Situation {
   kServedByKey,
   kServedByAddedKey,
@@ -99,13 +99,14 @@
 class Tally {
  public:
   void Count(Situation situation) { ++counts_[static_cast<std::size_t>(situation)]; }
-  std::uint64_t Of(std::size_t situation) const { return counts_[situation]; }
+  std::uint64_t CountOf(std::size_t situation) const { return counts_[situation]; }
 
  private:
   std::array<std::uint64_t, kSituations> counts_{};
 };
 
-// A target of requests; all but kBatchJobCall have a route of the same position.
+// Targets of requests. The value is the index of the route, except for kBatchJobCall, which has no
+// route.
 enum class Target { kEffectful, kIdempotent, kStreamed, kSubmission, kBatchJobCall };
 constexpr int kRoutes = 4;
 constexpr std::array<const char*, kRoutes> kRouteNames = {"once", "plain", "events", "lots"};
@@ -113,7 +114,7 @@
 constexpr std::array<const char*, kRoutes> kRouteVariants = {"effectful", "idempotent", "streamed",
                                                              "bulk"};
 
-// The operator's configuration as the model knows it.
+// Model of the configuration.
 struct ModelConfiguration {
   int version = 0;
   bool has_tenants = true;
@@ -159,10 +160,10 @@
 struct ClientRequest {
   Target target = Target::kEffectful;
   Credentials credentials = Credentials::kNone;
-  std::string key;  // which the client means
+  std::string key;  // key that the client intends to send
   Forgery forgery = Forgery::kNone;
 
-  // The key that the request carries; empty: none that can be told.
+  // The key that the gateway can read from the request; empty: none.
   std::string ReadableKey() const {
     const bool readable =
         credentials == Credentials::kKey || credentials == Credentials::kUnusualForm;
@@ -212,10 +213,10 @@
   }
 };
 
-// What the rules ask for a request under a configuration.
+// Expected handling of a request under a configuration.
 struct Expectation {
   bool is_served = false;
-  std::string tenant;  // empty: the worker is told none
+  std::string tenant;  // empty: no X-Tenant header
 };
 
 Expectation Expect(const ModelConfiguration& configuration, const ClientRequest& request) {
@@ -235,7 +236,7 @@
   return values;
 }
 
-// A client's connection, which stays open for many requests.
+// A persistent client connection.
 struct Connection {
   explicit Connection(int port) : client(port) {}
 
@@ -244,8 +245,8 @@
     http::Parser::State state = http::Parser::State::kMore;
     http_server::RunUntil([&] {
       const std::string& got = client.got();
-      parser.Feed(std::string_view(got).substr(taken));
-      taken = got.size();
+      parser.Feed(std::string_view(got).substr(parsed_bytes));
+      parsed_bytes = got.size();
       state = parser.Next();
       return state != http::Parser::State::kMore || client.ended();
     });
@@ -255,9 +256,9 @@
 
   http_server::RawClient client;
   http::Parser parser{http::Parser::Kind::kResponse};
-  std::size_t taken = 0;                // bytes of what came that the parser has
-  std::set<std::string> served;         // keys that this connection was served by
-  std::optional<std::uint64_t> stream;  // the runner's job of a stream that is under way
+  std::size_t parsed_bytes = 0;         // received bytes that were passed to the parser
+  std::set<std::string> served;         // keys that were accepted on this connection
+  std::optional<std::uint64_t> stream;  // request id of a stream in progress
   std::string stream_key;
 };
 
@@ -292,12 +293,12 @@
   }
 
   void Run() {
-    StartUnderRequests();
+    StartWithWaitingRequests();
     for (int step = 0; step < kSteps; ++step) {
-      if (Below(4) == 0) {
+      if (RandomBelow(4) == 0) {
         ChangeConfiguration();
       } else {
-        Step(connections_[Below(kConnections)].get());
+        Step(connections_[RandomBelow(kConnections)].get());
       }
     }
     for (const auto& connection : connections_) {
@@ -306,10 +307,11 @@
   }
 
  private:
-  std::size_t Below(std::size_t bound) { return random_() % bound; }
+  std::size_t RandomBelow(std::size_t bound) { return random_() % bound; }
   template <class Container>
-  auto Any(const Container& container) {
-    return *std::next(container.begin(), static_cast<std::ptrdiff_t>(Below(container.size())));
+  auto RandomElement(const Container& container) {
+    return *std::next(container.begin(),
+                      static_cast<std::ptrdiff_t>(RandomBelow(container.size())));
   }
 
   // ------------------------------------------------------------ configurations
@@ -332,8 +334,8 @@
     }
     model_.tenants.erase(tenant);
   }
-  // With the keys that it had when it was dropped.
-  void ReturnTenant(const std::string& tenant) {
+  // Restores a tenant with the keys that it had when it was removed.
+  void RestoreTenant(const std::string& tenant) {
     model_.tenants.insert(tenant);
     const std::map<std::string, std::string> withdrawn = withdrawn_keys_;
     for (const auto& [key, holder] : withdrawn) {
@@ -343,39 +345,39 @@
       withdrawn_keys_.erase(key);
     }
   }
-  void PassKeyOn(const std::string& key) {
-    const std::string tenant = Any(model_.tenants);
+  void ReassignKey(const std::string& key) {
+    const std::string tenant = RandomElement(model_.tenants);
     if (model_.tenant_of_key.at(key) == tenant) return;
     model_.tenant_of_key[key] = tenant;
     moved_keys_.insert(key);
   }
-  void MoveTenant() {
-    const std::string tenant = fmt::format("tenant-{}", Below(kTenants));
-    if (!model_.tenants.contains(tenant)) return ReturnTenant(tenant);
+  void DropOrRestoreTenant() {
+    const std::string tenant = fmt::format("tenant-{}", RandomBelow(kTenants));
+    if (!model_.tenants.contains(tenant)) return RestoreTenant(tenant);
     if (model_.tenants.size() > 1) DropTenant(tenant);
   }
 
   void ChangeConfiguration() {
     const bool has_keys = !model_.tenant_of_key.empty();
-    switch (Below(8)) {
+    switch (RandomBelow(8)) {
       case 0:
-        model_.is_public[Below(kRoutes)] ^= true;
+        model_.is_public[RandomBelow(kRoutes)] ^= true;
         break;
       case 1:
-        model_.has_tenants = !model_.has_tenants || Below(3) > 0;
+        model_.has_tenants = !model_.has_tenants || RandomBelow(3) > 0;
         break;
       case 2:
       case 3:
-        MoveTenant();
+        DropOrRestoreTenant();
         break;
       case 4:
-        if (has_keys) PassKeyOn(Any(model_.tenant_of_key).first);
+        if (has_keys) ReassignKey(RandomElement(model_.tenant_of_key).first);
         break;
       case 5:
-        if (has_keys) WithdrawKey(Any(model_.tenant_of_key).first);
+        if (has_keys) WithdrawKey(RandomElement(model_.tenant_of_key).first);
         break;
       default:
-        AddKey(Any(model_.tenants));
+        AddKey(RandomElement(model_.tenants));
     }
     Use();
   }
@@ -387,35 +389,36 @@
 
   // ------------------------------------------------------------ requests
 
-  std::string AnyKey() {
-    const std::size_t kind = Below(8);
+  std::string RandomKey() {
+    const std::size_t kind = RandomBelow(8);
     if (kind == 0) return kNeverHeld;
-    if (kind < 3 && !withdrawn_keys_.empty()) return Any(withdrawn_keys_).first;
-    return model_.tenant_of_key.empty() ? kNeverHeld : Any(model_.tenant_of_key).first;
+    if (kind < 3 && !withdrawn_keys_.empty()) return RandomElement(withdrawn_keys_).first;
+    return model_.tenant_of_key.empty() ? kNeverHeld : RandomElement(model_.tenant_of_key).first;
   }
 
-  ClientRequest AnyRequest() {
+  ClientRequest RandomRequest() {
     ClientRequest request;
-    request.target = static_cast<Target>(Below(5));
-    request.credentials = Below(2) == 0 ? Credentials::kKey : static_cast<Credentials>(Below(5));
-    request.key = AnyKey();
-    request.forgery = Below(2) == 0 ? Forgery::kNone : static_cast<Forgery>(Below(5));
+    request.target = static_cast<Target>(RandomBelow(5));
+    request.credentials =
+        RandomBelow(2) == 0 ? Credentials::kKey : static_cast<Credentials>(RandomBelow(5));
+    request.key = RandomKey();
+    request.forgery = RandomBelow(2) == 0 ? Forgery::kNone : static_cast<Forgery>(RandomBelow(5));
     return request;
   }
 
-  // Requests that come before any configuration is known wait for the first one.
-  void StartUnderRequests() {
+  // Requests that arrive before the first configuration wait for it.
+  void StartWithWaitingRequests() {
     std::vector<ClientRequest> requests;
     for (const auto& connection : connections_) {
-      ClientRequest request = AnyRequest();
-      request.target = static_cast<Target>(Below(3));
+      ClientRequest request = RandomRequest();
+      request.target = static_cast<Target>(RandomBelow(3));
       connection->Send(request);
       requests.push_back(request);
     }
     const auto all_held = [this] { return gateway_.outcomes().requests == kConnections; };
     CPPUNIT_ASSERT(http_server::RunUntil(all_held));
     CPPUNIT_ASSERT(runner_.specs.empty());
-    AnswerAtOnce();
+    RespondImmediately();
     Use();
     std::size_t reached = 0;
     for (std::size_t i = 0; i < requests.size(); ++i) {
@@ -432,15 +435,16 @@
 
   void Step(Connection* connection) {
     if (connection->stream.has_value()) {
-      if (Below(3) == 0) FinishStream(connection);
+      if (RandomBelow(3) == 0) FinishStream(connection);
       return;
     }
-    const ClientRequest request = AnyRequest();
+    const ClientRequest request = RandomRequest();
     const Expectation expected = Expect(model_, request);
-    const bool hold = request.target == Target::kStreamed && expected.is_served && Below(2) == 0;
+    const bool hold =
+        request.target == Target::kStreamed && expected.is_served && RandomBelow(2) == 0;
     if (hold) return BeginStream(connection, request, expected);
-    AnswerAtOnce();
-    handed_sender_.reset();
+    RespondImmediately();
+    recorded_tenant_.reset();
     const std::size_t reached = runner_.specs.size();
     connection->Send(request);
     const http::Message response = connection->Receive();
@@ -448,8 +452,8 @@
     const bool is_batch =
         request.target == Target::kSubmission || request.target == Target::kBatchJobCall;
     if (is_batch) {
-      CPPUNIT_ASSERT_EQUAL(expected.is_served, handed_sender_.has_value());
-      if (expected.is_served) CPPUNIT_ASSERT_EQUAL(expected.tenant, *handed_sender_);
+      CPPUNIT_ASSERT_EQUAL(expected.is_served, recorded_tenant_.has_value());
+      if (expected.is_served) CPPUNIT_ASSERT_EQUAL(expected.tenant, *recorded_tenant_);
     }
     const bool reaches_worker = expected.is_served && !is_batch;
     CPPUNIT_ASSERT_EQUAL(reached + (reaches_worker ? 1 : 0), runner_.specs.size());
@@ -479,11 +483,11 @@
     }
   }
 
-  // ------------------------------------------------------------ streams under way
+  // ------------------------------------------------------------ streams in progress
 
   void BeginStream(Connection* connection, const ClientRequest& request,
                    const Expectation& expected) {
-    runner_.at_once = nullptr;
+    runner_.immediate = nullptr;
     const std::size_t reached = runner_.specs.size();
     connection->Send(request);
     CPPUNIT_ASSERT(http_server::RunUntil([&] { return runner_.specs.size() > reached; }));
@@ -509,8 +513,8 @@
       tally_->Count(Situation::kStreamOverWithdrawal);
   }
 
-  void AnswerAtOnce() {
-    runner_.at_once = [](proxy::RequestSink& sink) {
+  void RespondImmediately() {
+    runner_.immediate = [](proxy::RequestSink& sink) {
       sink.OnHead(200, {{"X-Seal", "s"}});
       proxy::RequestResult result;
       result.end = proxy::RequestEnd::kComplete;
@@ -519,10 +523,10 @@
   }
 
   void RecordSender(const Sender& sender) {
-    handed_sender_ = sender.tenant == nullptr ? std::string() : sender.tenant->name;
+    recorded_tenant_ = sender.tenant == nullptr ? std::string() : sender.tenant->name;
   }
 
-  // ------------------------------------------------------------ what came about
+  // ------------------------------------------------------------ situations that occurred
 
   void CountSituations(const Connection& connection, const ClientRequest& request,
                        const Expectation& expected) const {
@@ -586,16 +590,16 @@
   Tally* tally_;
   ModelConfiguration model_;
   int last_key_ = 0;
-  std::map<std::string, std::string> withdrawn_keys_;  // and the tenant that had each last
+  std::map<std::string, std::string> withdrawn_keys_;  // key to its last tenant
   std::set<std::string> added_keys_, moved_keys_, returned_keys_;
 
   Timers timers_;
   FixedControl control_;
-  HeldRunner runner_;
+  ManualRunner runner_;
   Gateway gateway_{&control_, &runner_, &timers_};
   std::unique_ptr<http_server::HttpServer> server_;
   std::vector<std::unique_ptr<Connection>> connections_;
-  std::optional<std::string> handed_sender_;  // the tenant handed on with a batch job's call
+  std::optional<std::string> recorded_tenant_;  // tenant passed to a batch handler
 };
 
 class KeyHistoryTest : public CppUnit::TestFixture {
@@ -617,11 +621,11 @@
     }
     std::string counts;
     for (std::size_t i = 0; i < kSituations; ++i)
-      counts += fmt::format("{}{}: {}", i == 0 ? "" : ", ", kSituationNames[i], tally.Of(i));
+      counts += fmt::format("{}{}: {}", i == 0 ? "" : ", ", kSituationNames[i], tally.CountOf(i));
     fmt::print(stderr, "key histories: {}\n", counts);
     for (std::size_t i = 0; i < kSituations; ++i) {
       CPPUNIT_ASSERT_MESSAGE(std::string("never came about: ") + kSituationNames[i],
-                             tally.Of(i) > 0);
+                             tally.CountOf(i) > 0);
     }
   }
 };
--- a/tests/tier/gateway/request_builder_test.cpp
+++ b/tests/tier/gateway/request_builder_test.cpp
@@ -120,7 +120,7 @@
   void PrefixKeys() {
     const std::uint64_t key = KeyOf("m", "5c:800,91:410,e4:250");
     CPPUNIT_ASSERT(key != 0);
-    CPPUNIT_ASSERT_EQUAL(key, KeyOf("m", "5c:800,91:410,ff:99"));  // the last is its own
+    CPPUNIT_ASSERT_EQUAL(key, KeyOf("m", "5c:800,91:410,ff:99"));  // the last part is not shared
     CPPUNIT_ASSERT(key != KeyOf("n", "5c:800,91:410,e4:250"));
     CPPUNIT_ASSERT(key != KeyOf("m", "5c:800,92:410,e4:250"));
     CPPUNIT_ASSERT(key != KeyOf("m", "5c:800,e4:250"));
--- a/tests/tier/proxy/attempt_test.cpp
+++ b/tests/tier/proxy/attempt_test.cpp
@@ -1,5 +1,5 @@
-// One send to a worker that reads slowly or not at all: what is held of the request, and what
-// becomes of its connection.
+// Attempts at a worker that reads slowly or not at all: how much of the request is buffered, and
+// whether the connection is reused.
 #include "tier/proxy/attempt.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -9,10 +9,10 @@
 namespace pearreach::proxy {
 namespace {
 
-constexpr std::size_t kBody = 20 << 20;  // more than the system buffers
-constexpr std::size_t kMaxHeld = (64 << 10) + 100;
+constexpr std::size_t kBodyBytes = 20 << 20;  // more than the socket buffers hold
+constexpr std::size_t kMaxBufferedBytes = (64 << 10) + 100;
 
-class NotingListener final : public AttemptListener {
+class RecordingListener final : public AttemptListener {
  public:
   void OnStreamHead(const ResponseHead&) override {}
   void OnStreamBytes(std::string_view) override {}
@@ -24,9 +24,9 @@
   AttemptEnd end = AttemptEnd::kLost;
 };
 
-// A worker that reads nothing until told, and one send to it.
+// A worker that reads nothing until ResumeReading, and one attempt at it.
 struct SlowWorker {
-  explicit SlowWorker(std::size_t size = kBody) {
+  explicit SlowWorker(std::size_t size = kBodyBytes) {
     CPPUNIT_ASSERT_EQUAL(std::string(), listener.Open("127.0.0.1:0"));
     connections = std::make_shared<WorkerConnections>(
         &timers, "127.0.0.1:" + std::to_string(listener.port()));
@@ -37,8 +37,8 @@
         "POST /p HTTP/1.1\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n";
     request.body = std::make_shared<const std::string>(std::move(body));
     request.attempt_id = "a1";
-    whole = request.head + *request.body;
-    attempt = std::make_shared<Attempt>(&timers, connections, std::move(request), &noted);
+    request_bytes = request.head + *request.body;
+    attempt = std::make_shared<Attempt>(&timers, connections, std::move(request), &listener_record);
     attempt->Start();
     CPPUNIT_ASSERT(RunUntil([&] {
       return peer != nullptr && attempt->written() && (size == 0 || attempt->unsent() > 0);
@@ -48,8 +48,8 @@
     peer = std::move(stream);
     Stream::Handlers handlers;
     handlers.data = [this](std::string_view bytes) {
-      got.append(bytes);
-      most_held = std::max(most_held, attempt->unsent());
+      received.append(bytes);
+      max_buffered = std::max(max_buffered, attempt->unsent());
     };
     handlers.closed = [this] { closed = true; };
     peer->PauseReading();
@@ -59,11 +59,11 @@
   Timers timers;
   Listener listener{[this](std::shared_ptr<Stream> stream) { Accept(std::move(stream)); }};
   std::shared_ptr<WorkerConnections> connections;
-  NotingListener noted;
+  RecordingListener listener_record;
   std::shared_ptr<Attempt> attempt;
   std::shared_ptr<Stream> peer;
-  std::string whole, got;
-  std::size_t most_held = 0;
+  std::string request_bytes, received;
+  std::size_t max_buffered = 0;
   bool closed = false;
 };
 
@@ -78,37 +78,36 @@
  public:
   void BodyGoesInPiecesAsTheWorkerReads() {
     SlowWorker slow;
-    CPPUNIT_ASSERT(slow.attempt->unsent() <= kMaxHeld);
-    CPPUNIT_ASSERT(slow.got.empty());
+    CPPUNIT_ASSERT(slow.attempt->unsent() <= kMaxBufferedBytes);
+    CPPUNIT_ASSERT(slow.received.empty());
     slow.peer->ResumeReading();
-    CPPUNIT_ASSERT(RunUntil([&] { return slow.got.size() == slow.whole.size(); }));
-    CPPUNIT_ASSERT(slow.got == slow.whole);
-    CPPUNIT_ASSERT(slow.most_held <= kMaxHeld);
-    slow.peer->Write(AnswerText("a1", 200, "X-Seal: s\r\n", "ok"));
-    CPPUNIT_ASSERT(RunUntil([&] { return slow.noted.ends == 1; }));
-    CPPUNIT_ASSERT(slow.noted.end == AttemptEnd::kAnswered);
+    CPPUNIT_ASSERT(RunUntil([&] { return slow.received.size() == slow.request_bytes.size(); }));
+    CPPUNIT_ASSERT(slow.received == slow.request_bytes);
+    CPPUNIT_ASSERT(slow.max_buffered <= kMaxBufferedBytes);
+    slow.peer->Write(ResponseText("a1", 200, "X-Seal: s\r\n", "ok"));
+    CPPUNIT_ASSERT(RunUntil([&] { return slow.listener_record.ends == 1; }));
+    CPPUNIT_ASSERT(slow.listener_record.end == AttemptEnd::kAnswered);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, slow.connections->idle());
   }
 
-  // Its connection is not used again: the next request would stand where the rest of this one is
-  // due.
+  // The connection is not reused: the worker would read the next request as the rest of this one.
   void AnswerBeforeTheBodyIsRead() {
     SlowWorker slow;
-    slow.peer->Write(AnswerText("a1", 200, "X-Seal: s\r\n", "ok"));
-    CPPUNIT_ASSERT(RunUntil([&] { return slow.noted.ends == 1; }));
-    CPPUNIT_ASSERT(slow.noted.end == AttemptEnd::kAnswered);
+    slow.peer->Write(ResponseText("a1", 200, "X-Seal: s\r\n", "ok"));
+    CPPUNIT_ASSERT(RunUntil([&] { return slow.listener_record.ends == 1; }));
+    CPPUNIT_ASSERT(slow.listener_record.end == AttemptEnd::kAnswered);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, slow.connections->idle());
     slow.peer->ResumeReading();
     CPPUNIT_ASSERT(RunUntil([&] { return slow.closed; }));
-    CPPUNIT_ASSERT(slow.got.size() < slow.whole.size());
+    CPPUNIT_ASSERT(slow.received.size() < slow.request_bytes.size());
   }
 
   void WorkerEndsInsideTheBody() {
     SlowWorker slow;
     slow.peer->ResetOnClose();
     slow.peer->Close();
-    CPPUNIT_ASSERT(RunUntil([&] { return slow.noted.ends == 1; }));
-    CPPUNIT_ASSERT(slow.noted.end == AttemptEnd::kLost);
+    CPPUNIT_ASSERT(RunUntil([&] { return slow.listener_record.ends == 1; }));
+    CPPUNIT_ASSERT(slow.listener_record.end == AttemptEnd::kLost);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, slow.connections->in_use());
   }
 
@@ -117,8 +116,8 @@
     slow.attempt->PauseReading();
     slow.peer->ResetOnClose();
     slow.peer->Close();
-    CPPUNIT_ASSERT(RunUntil([&] { return slow.noted.ends == 1; }));
-    CPPUNIT_ASSERT(slow.noted.end == AttemptEnd::kLost);
+    CPPUNIT_ASSERT(RunUntil([&] { return slow.listener_record.ends == 1; }));
+    CPPUNIT_ASSERT(slow.listener_record.end == AttemptEnd::kLost);
   }
 };
 
--- a/tests/tier/proxy/bulk_gate_test.cpp
+++ b/tests/tier/proxy/bulk_gate_test.cpp
@@ -1,4 +1,4 @@
-// Bulk jobs pass in their order, only so many at a time, and none is forgotten.
+// BulkGate admits requests in FIFO order up to its limit and loses none.
 #include "tier/proxy/bulk_gate.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -48,8 +48,8 @@
   }
 
  private:
-  bool Acquire(std::uint64_t job) {
-    return gate_.Acquire(job, [this, job] { admitted_.push_back(job); });
+  bool Acquire(std::uint64_t request) {
+    return gate_.Acquire(request, [this, request] { admitted_.push_back(request); });
   }
 
   BulkGate gate_;
--- a/tests/tier/proxy/fleet_warm_up_test.cpp
+++ b/tests/tier/proxy/fleet_warm_up_test.cpp
@@ -1,4 +1,4 @@
-// When a node waits for workers after a start.
+// Conditions under which a node waits for workers after its start.
 #include "tier/proxy/fleet_warm_up.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -11,8 +11,9 @@
 using coordination::MemberInfo;
 using coordination::MemberStatus;
 
-constexpr Micros kBegan = 5 * kSecond, kLearn = 2 * kSecond;
-constexpr std::uint64_t kStart = 1'000'000;  // of the node under test, in ms of the time of day
+constexpr Micros kStartedAt = 5 * kSecond, kDiscoveryTime = 2 * kSecond;
+// incarnation of the node under test: Unix time in milliseconds
+constexpr std::uint64_t kIncarnation = 1'000'000;
 
 class FleetStartTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FleetStartTest);
@@ -33,37 +34,38 @@
   }
 
   FakeControl control_;
-  const FleetWarmUp start_{&control_, "me", kBegan, kLearn};
+  const FleetWarmUp warm_up_{&control_, "me", kStartedAt, kDiscoveryTime};
 
  public:
   void setUp() override {
-    Add("me", kStart);
-    Add("other", kStart - 1500);
+    Add("me", kIncarnation);
+    Add("other", kIncarnation - 1500);
   }
 
   void WaitsWhileAllAreNew() {
-    CPPUNIT_ASSERT_EQUAL(kBegan + kLearn, start_.WarmUpDeadline(kBegan));
-    CPPUNIT_ASSERT_EQUAL(kBegan + kLearn, start_.WarmUpDeadline(kBegan + kLearn - 1));
-    CPPUNIT_ASSERT_EQUAL(Micros{0}, start_.WarmUpDeadline(kBegan + kLearn));
+    CPPUNIT_ASSERT_EQUAL(kStartedAt + kDiscoveryTime, warm_up_.WarmUpDeadline(kStartedAt));
+    CPPUNIT_ASSERT_EQUAL(kStartedAt + kDiscoveryTime,
+                         warm_up_.WarmUpDeadline(kStartedAt + kDiscoveryTime - 1));
+    CPPUNIT_ASSERT_EQUAL(Micros{0}, warm_up_.WarmUpDeadline(kStartedAt + kDiscoveryTime));
   }
 
   void DoesNotWaitWhereAnOlderNodeLives() {
-    Add("old", kStart - 2001);
-    CPPUNIT_ASSERT_EQUAL(Micros{0}, start_.WarmUpDeadline(kBegan));
-    Add("old", kStart - 2001, MemberInfo::kServesEdge, MemberStatus::kSuspect);
-    CPPUNIT_ASSERT_EQUAL(Micros{0}, start_.WarmUpDeadline(kBegan));
+    Add("old", kIncarnation - 2001);
+    CPPUNIT_ASSERT_EQUAL(Micros{0}, warm_up_.WarmUpDeadline(kStartedAt));
+    Add("old", kIncarnation - 2001, MemberInfo::kServesEdge, MemberStatus::kSuspect);
+    CPPUNIT_ASSERT_EQUAL(Micros{0}, warm_up_.WarmUpDeadline(kStartedAt));
   }
 
   void PassesOverTheDeadAndOtherRoles() {
-    Add("dead", kStart - 60'000, MemberInfo::kServesEdge, MemberStatus::kDead);
-    Add("left", kStart - 60'000, MemberInfo::kServesEdge, MemberStatus::kLeft);
-    Add("store", kStart - 60'000, MemberInfo::kServesStorage);
-    CPPUNIT_ASSERT_EQUAL(kBegan + kLearn, start_.WarmUpDeadline(kBegan));
+    Add("dead", kIncarnation - 60'000, MemberInfo::kServesEdge, MemberStatus::kDead);
+    Add("left", kIncarnation - 60'000, MemberInfo::kServesEdge, MemberStatus::kLeft);
+    Add("store", kIncarnation - 60'000, MemberInfo::kServesStorage);
+    CPPUNIT_ASSERT_EQUAL(kStartedAt + kDiscoveryTime, warm_up_.WarmUpDeadline(kStartedAt));
   }
 
   void WaitsForNothingWithoutATime() {
-    const FleetWarmUp none(&control_, "me", kBegan, 0);
-    CPPUNIT_ASSERT_EQUAL(Micros{0}, none.WarmUpDeadline(kBegan));
+    const FleetWarmUp none(&control_, "me", kStartedAt, 0);
+    CPPUNIT_ASSERT_EQUAL(Micros{0}, none.WarmUpDeadline(kStartedAt));
   }
 };
 
--- a/tests/tier/proxy/pool_dispatcher_test.cpp
+++ b/tests/tier/proxy/pool_dispatcher_test.cpp
@@ -1,4 +1,4 @@
-// How the admission of one service starts, grows and keeps to the homes of a placement.
+// PoolDispatcher: start and growth of the concurrency limit, and preferred workers of a placement.
 #include "tier/proxy/pool_dispatcher.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -12,7 +12,7 @@
 namespace pearreach::proxy {
 namespace {
 
-class NotingClient final : public PlacementClient {
+class RecordingClient final : public PlacementClient {
  public:
   void OnPlaced(PlacementId placement, dispatch::WorkerId worker) override {
     placed[placement] = worker;
@@ -50,8 +50,8 @@
   bool AwaitPlaced(std::size_t count) {
     return RunUntil([&] { return client.placed.size() >= count; }, 2 * kSecond);
   }
-  // One job after the other, each served: they raise the limit.
-  void Serve(int count, std::vector<dispatch::WorkerId> preferred = {}) {
+  // Places and completes requests one after the other, which raises the limit.
+  void ServeRequests(int count, std::vector<dispatch::WorkerId> preferred = {}) {
     for (int i = 0; i < count; ++i) {
       const PlacementId id = Enqueue(preferred);
       CPPUNIT_ASSERT(RunUntil([&] { return client.placed.contains(id); }));
@@ -59,17 +59,17 @@
     }
     client.placed.clear();
   }
-  // Those that were placed in the turn that takes in what has arrived, before any check.
-  std::size_t PlacedAtOnce() {
-    bool turned = false;
-    timers.After(0, [&] { turned = true; });
-    RunUntil([&] { return turned; });
+  // Number of requests placed in the first run after the enqueues, before any periodic check.
+  std::size_t PlacedInFirstRun() {
+    bool has_run = false;
+    timers.After(0, [&] { has_run = true; });
+    RunUntil([&] { return has_run; });
     return client.placed.size();
   }
 
   Timers timers;
   ServiceWorkers workers;
-  NotingClient client;
+  RecordingClient client;
   PoolDispatcher dispatcher;
 };
 
@@ -86,41 +86,41 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // 32 slots are free, yet only the one job that an empty limit lets through is sent at first.
+  // 32 slots are free, but a limit of zero lets only one request pass at first.
   void LimitStartsAtZero() {
     Pool pool(4);
     for (int i = 0; i < 8; ++i) pool.Enqueue();
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, pool.PlacedAtOnce());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, pool.PlacedInFirstRun());
     CPPUNIT_ASSERT(pool.dispatcher.IsLimitGrowing());
   }
 
   void BacklogRaisesTheLimit() {
     Pool pool(4);
     for (int i = 0; i < 8; ++i) pool.Enqueue();
-    CPPUNIT_ASSERT(pool.AwaitPlaced(8));  // none has ended
+    CPPUNIT_ASSERT(pool.AwaitPlaced(8));  // no request has ended yet
     CPPUNIT_ASSERT_EQUAL(0, pool.client.refused);
   }
 
   void ServedJobsRaiseTheLimit() {
     Pool pool(4);
-    pool.Serve(4);
+    pool.ServeRequests(4);
     for (int i = 0; i < 12; ++i) pool.Enqueue();
-    const std::size_t at_once = pool.PlacedAtOnce();
+    const std::size_t at_once = pool.PlacedInFirstRun();
     CPPUNIT_ASSERT(at_once >= 2 && at_once <= 4);
   }
 
   void NewSettingsKeepTheLimit() {
     Pool pool(4);
-    pool.Serve(4);
+    pool.ServeRequests(4);
     pool.dispatcher.SetFleetPosition({2, 1});
     for (int i = 0; i < 12; ++i) pool.Enqueue();
-    const std::size_t at_once = pool.PlacedAtOnce();
+    const std::size_t at_once = pool.PlacedInFirstRun();
     CPPUNIT_ASSERT(at_once >= 2 && at_once <= 4);
   }
 
   void PrefersHomesInOrder() {
     Pool pool(6);
-    pool.Serve(4, {3, 5});
+    pool.ServeRequests(4, {3, 5});
     for (int i = 0; i < 8; ++i) {
       const PlacementId id = pool.Enqueue({3, 5});
       CPPUNIT_ASSERT(pool.AwaitPlaced(1));
@@ -132,7 +132,7 @@
 
   void PassesOverHomesOutOfService() {
     Pool pool(4);
-    pool.Serve(4, {2, 3});
+    pool.ServeRequests(4, {2, 3});
     pool.workers.BeginUpdate();
     for (int i = 0; i < 2; ++i) pool.workers.Update(Pool::Record(i));
     pool.workers.Update(Pool::Record(3));
@@ -147,22 +147,23 @@
 
   void HomesWaitUnderTheLimitToo() {
     Pool pool(4);
-    pool.Serve(1, {1});
+    pool.ServeRequests(1, {1});
     for (int i = 0; i < 8; ++i) pool.Enqueue({1});
-    CPPUNIT_ASSERT(pool.PlacedAtOnce() <= 2);
+    CPPUNIT_ASSERT(pool.PlacedInFirstRun() <= 2);
     CPPUNIT_ASSERT(pool.AwaitPlaced(8));
-    for (const auto& [id, worker] : pool.client.placed)  // the wait is no reason to go elsewhere
+    // waiting does not make another worker preferable
+    for (const auto& [id, worker] : pool.client.placed)
       CPPUNIT_ASSERT_EQUAL(dispatch::WorkerId{1}, worker);
     CPPUNIT_ASSERT_EQUAL(0, pool.client.refused);
   }
 
-  // A job sent to a home raises the limit like any other.
+  // A request at a preferred worker raises the limit like any other.
   void OutcomesOfHomesCount() {
     Pool pool(4);
-    pool.Serve(1, {1});
-    pool.Serve(6, {1});
+    pool.ServeRequests(1, {1});
+    pool.ServeRequests(6, {1});
     for (int i = 0; i < 12; ++i) pool.Enqueue();
-    CPPUNIT_ASSERT(pool.PlacedAtOnce() >= 2);
+    CPPUNIT_ASSERT(pool.PlacedInFirstRun() >= 2);
   }
 };
 
--- a/tests/tier/proxy/proxy_rig.h
+++ b/tests/tier/proxy/proxy_rig.h
@@ -1,5 +1,5 @@
-// Doubles around a RequestRunner: workers that follow a script on 127.0.0.1, a worker table and a
-// control state in memory, and a sink that notes what it hears. All run in the default main loop.
+// Test doubles for a RequestRunner: scripted workers on 127.0.0.1, a worker table and a control
+// client in memory, and a sink that records its calls. Everything runs in the default main loop.
 #ifndef PEARREACH_TESTS_TIER_PROXY_PROXY_RIG_H_
 #define PEARREACH_TESTS_TIER_PROXY_PROXY_RIG_H_
 
@@ -16,11 +16,11 @@
 
 namespace pearreach::proxy {
 
-constexpr Micros kPatience = 10 * kSecond;  // of a test for what must come
+constexpr Micros kWaitLimit = 10 * kSecond;  // time for which a test waits for an expected event
 
-// Runs the loop until `done` or for `patience`; tells whether it is done.
-inline bool RunUntil(const std::function<bool()>& done, Micros patience = kPatience) {
-  const Micros end = Now() + patience;
+// Runs the main loop until `done` returns true or the time limit is over. Returns `done()`.
+inline bool RunUntil(const std::function<bool()>& done, Micros limit = kWaitLimit) {
+  const Micros end = Now() + limit;
   Alarm alarm([] {});
   while (!done() && Now() < end) {
     alarm.Set(end);
@@ -33,24 +33,24 @@
   RunUntil([] { return false; }, span);
 }
 
-// One worker: notes whole requests and answers each with the next step of its script; the last
-// step serves all later ones.
+// A scripted worker: records complete requests and runs one step of its script for each; the last
+// step is repeated.
 class ScriptedWorker {
  public:
   struct Call {
     http::Message request;
     std::shared_ptr<Stream> stream;
-    int connection = 0;  // number of its connection, from 0
+    int connection = 0;  // index of the connection, from 0
   };
   using Step = std::function<void(Call&)>;
-  // Sees the head of a request that has not come whole; true: it has answered.
+  // Called with the head of an incomplete request; returns true if it has responded.
   using EarlyStep = std::function<bool(const std::string& head, Stream* stream)>;
 
   explicit ScriptedWorker(std::string id, std::vector<Step> steps)
       : id_(std::move(id)),
         steps_(std::move(steps)),
         listener_([this](std::shared_ptr<Stream> stream) { Accept(std::move(stream)); }) {
-    wrong_ = listener_.Open("127.0.0.1:0");
+    open_error_ = listener_.Open("127.0.0.1:0");
   }
   ~ScriptedWorker() { CloseAll(); }
 
@@ -64,9 +64,9 @@
     record.call_seq = 1;
     return record;
   }
-  // Such an answer takes the place of the script's; the rest of the request is read all the same.
-  void AnswerEarly(EarlyStep step) { early_step_ = std::move(step); }
-  int early_answers() const { return early_answers_; }
+  // A response of this step replaces the one of the script. The rest of the request is still read.
+  void SetEarlyStep(EarlyStep step) { early_step_ = std::move(step); }
+  int early_response_count() const { return early_response_count_; }
   void CloseAll() {
     for (auto& peer : peers_) peer->stream->Close();
   }
@@ -80,8 +80,8 @@
   struct Peer {
     std::shared_ptr<Stream> stream;
     http::Parser parser{http::Parser::Kind::kRequest, http::Limits{16 << 10, 100, 4 << 20}};
-    std::string begun;  // bytes of a request that has not come whole, its head at least
-    bool answered_early = false;
+    std::string incomplete_request;  // received bytes of an incomplete request
+    bool responded_early = false;
   };
 
   void Accept(std::shared_ptr<Stream> stream) {
@@ -92,42 +92,43 @@
     Stream::Handlers handlers;
     handlers.data = [this, peer, number](std::string_view bytes) {
       peer->parser.Feed(bytes);
-      peer->begun.append(bytes);
+      peer->incomplete_request.append(bytes);
       while (peer->parser.Next() == http::Parser::State::kMessage) {
         calls_.push_back({peer->parser.Take(), peer->stream, number});
         Call call = calls_.back();
-        peer->begun.clear();
-        if (std::exchange(peer->answered_early, false)) continue;
+        peer->incomplete_request.clear();
+        if (std::exchange(peer->responded_early, false)) continue;
         const std::size_t step = std::min(calls_.size(), steps_.size()) - 1;
         steps_[step](call);
       }
-      TryEarly(peer);
+      TryEarlyStep(peer);
     };
     handlers.closed = [this] { ++closed_by_peer_; };
     peer->stream->Listen(std::move(handlers));
   }
 
-  void TryEarly(Peer* peer) {
-    const std::size_t head = peer->begun.find("\r\n\r\n");
-    if (!early_step_ || peer->answered_early || head == std::string::npos) return;
-    peer->answered_early = early_step_(peer->begun.substr(0, head), peer->stream.get());
-    early_answers_ += peer->answered_early ? 1 : 0;
+  void TryEarlyStep(Peer* peer) {
+    const std::size_t head = peer->incomplete_request.find("\r\n\r\n");
+    if (!early_step_ || peer->responded_early || head == std::string::npos) return;
+    peer->responded_early =
+        early_step_(peer->incomplete_request.substr(0, head), peer->stream.get());
+    early_response_count_ += peer->responded_early ? 1 : 0;
   }
 
-  std::string id_, wrong_;
+  std::string id_, open_error_;
   std::vector<Step> steps_;
   EarlyStep early_step_;
-  int early_answers_ = 0;
+  int early_response_count_ = 0;
   std::vector<std::unique_ptr<Peer>> peers_;
   std::vector<Call> calls_;
   int closed_by_peer_ = 0;
   Listener listener_;
 };
 
-// ---------------------------------------------------------------- steps of scripts
+// ---------------------------------------------------------------- script steps
 
-inline std::string AnswerText(const std::string& id, int status, const std::string& headers,
-                              const std::string& body) {
+inline std::string ResponseText(const std::string& id, int status, const std::string& headers,
+                                const std::string& body) {
   return "HTTP/1.1 " + std::to_string(status) + " X\r\nX-Attempt-Id: " + id + "\r\n" + headers +
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
@@ -137,16 +138,18 @@
   return id == nullptr ? "" : *id;
 }
 
-inline ScriptedWorker::Step Answer(int status, const std::string& headers,
-                                   const std::string& body) {
+inline ScriptedWorker::Step Respond(int status, const std::string& headers,
+                                    const std::string& body) {
   return [=](ScriptedWorker::Call& call) {
-    call.stream->Write(AnswerText(IdOf(call), status, headers, body));
+    call.stream->Write(ResponseText(IdOf(call), status, headers, body));
   };
 }
-inline ScriptedWorker::Step Good(const std::string& body) {
-  return Answer(200, "X-Seal: s\r\n", body);
+inline ScriptedWorker::Step Success(const std::string& body) {
+  return Respond(200, "X-Seal: s\r\n", body);
+}
+inline ScriptedWorker::Step NotRun(int status) {
+  return Respond(status, "X-Not-Run: full\r\n", "");
 }
-inline ScriptedWorker::Step NotRun(int status) { return Answer(status, "X-Not-Run: full\r\n", ""); }
 inline ScriptedWorker::Step Bytes(const std::string& bytes, bool close) {
   return [=](ScriptedWorker::Call& call) {
     call.stream->Write(bytes);
@@ -156,7 +159,7 @@
 inline ScriptedWorker::Step Close() {
   return [](ScriptedWorker::Call& call) { call.stream->Close(); };
 }
-inline ScriptedWorker::Step Silence() {
+inline ScriptedWorker::Step NoResponse() {
   return [](ScriptedWorker::Call&) {};
 }
 
@@ -172,8 +175,9 @@
   return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + id +
          "\r\nX-Seal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 }
-// Events `first` to `last`, then the end of the answer, or of the connection, or neither.
-enum class After { kEnd, kCut, kSilence };
+// Sends the events `first` to `last`, then the end of the response, a closed connection, or
+// nothing.
+enum class After { kEnd, kCut, kNoResponse };
 inline ScriptedWorker::Step Events(int first, int last, After after,
                                    const std::string& partial = "") {
   return [=](ScriptedWorker::Call& call) {
@@ -191,7 +195,8 @@
   return text;
 }
 
-// ---------------------------------------------------------------- what the runner sees
+// ---------------------------------------------------------------- doubles of the runner's
+// dependencies
 
 class FakeWorkers final : public registry::WorkerSource {
  public:
@@ -235,7 +240,7 @@
       std::make_shared<control::ControlSnapshot>();
 };
 
-class NotingSink final : public RequestSink {
+class RecordingSink final : public RequestSink {
  public:
   void OnHead(int status, const std::vector<http::Header>& headers) override {
     ++heads;
@@ -251,10 +256,10 @@
     this->result = result;
   }
 
-  std::size_t backlog() const override { return untaken; }
+  std::size_t backlog() const override { return unread_bytes; }
 
   int heads = 0, ends = 0, status = 0;
-  std::size_t untaken = 0;
+  std::size_t unread_bytes = 0;
   std::vector<http::Header> headers;
   std::string body;
   RequestResult result;
@@ -262,24 +267,25 @@
 };
 
 struct Rig {
-  // `settle`: see RunnerOptions.
-  explicit Rig(Micros settle = 0) {
-    runner = MakeRequestRunner(&timers, &workers, &control, {"me", "here", 7, settle, 0});
+  // `membership_settle_time`: see RunnerOptions.
+  explicit Rig(Micros membership_settle_time = 0) {
+    runner = MakeRequestRunner(&timers, &workers, &control,
+                               {"me", "here", 7, membership_settle_time, 0});
   }
 
-  // Workers answer by their scripts; the least numbered ones are not preferred.
+  // Adds a worker that runs this script. Workers with low numbers are not preferred.
   ScriptedWorker& Add(std::vector<ScriptedWorker::Step> steps) {
     const std::string id = "w" + std::to_string(scripted.size());
     scripted.push_back(std::make_unique<ScriptedWorker>(id, std::move(steps)));
     workers.Put(scripted.back()->Record());
     return *scripted.back();
   }
-  std::shared_ptr<NotingSink> Submit(RequestSpec spec) {
-    auto sink = std::make_shared<NotingSink>();
-    last_job = runner->Submit(std::move(spec), sink);
+  std::shared_ptr<RecordingSink> Submit(RequestSpec spec) {
+    auto sink = std::make_shared<RecordingSink>();
+    last_request = runner->Submit(std::move(spec), sink);
     return sink;
   }
-  std::shared_ptr<NotingSink> Run(RequestSpec spec) {
+  std::shared_ptr<RecordingSink> Run(RequestSpec spec) {
     auto sink = Submit(std::move(spec));
     RunUntil([&] { return sink->ends > 0; });
     return sink;
@@ -295,10 +301,10 @@
   FakeControl control;
   std::vector<std::unique_ptr<ScriptedWorker>> scripted;
   std::unique_ptr<RequestRunner> runner;
-  std::uint64_t last_job = 0;
+  std::uint64_t last_request = 0;
 };
 
-inline RequestSpec PlainJob(const std::string& id = "a1") {
+inline RequestSpec PlainRequest(const std::string& id = "a1") {
   RequestSpec spec;
   spec.service = "svc";
   spec.method = "POST";
@@ -310,14 +316,14 @@
   spec.target_ms = 200;
   return spec;
 }
-inline RequestSpec RepeatableJob(int attempts = 2) {
-  RequestSpec spec = PlainJob();
+inline RequestSpec IdempotentRequest(int attempts = 2) {
+  RequestSpec spec = PlainRequest();
   spec.idempotent = true;
   spec.attempts = attempts;
   return spec;
 }
-inline RequestSpec StreamJob(bool resumable, int attempts = 2) {
-  RequestSpec spec = PlainJob();
+inline RequestSpec StreamedRequest(bool resumable, int attempts = 2) {
+  RequestSpec spec = PlainRequest();
   spec.streamed = true;
   spec.idempotent = spec.resumable = resumable;
   spec.attempts = attempts;
--- a/tests/tier/proxy/request_runner_test.cpp
+++ b/tests/tier/proxy/request_runner_test.cpp
@@ -1,5 +1,5 @@
-// Jobs against workers that follow scripts: what each of a worker's ways to answer, fail or keep
-// silent comes to, and how often workers are asked.
+// Requests through the runner to scripted workers: the outcome for each kind of response, failure
+// or timeout, and the number of attempts.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -11,10 +11,10 @@
 
 struct EndCase {
   const char* name;
-  std::vector<ScriptedWorker::Step> steps;  // of one worker
+  std::vector<ScriptedWorker::Step> steps;  // script of the worker
   bool idempotent;
   RequestEnd end;
-  int status;  // passed on, 0: none
+  int status;  // forwarded status; 0: none
   std::size_t calls;
 };
 
@@ -60,8 +60,8 @@
   void PassesOnAnAnswer() {
     Rig rig;
     ScriptedWorker& worker =
-        rig.Add({Answer(200, "X-Seal: s1\r\nX-Other: o\r\nKeep-Alive: timeout=5\r\n", "bytes")});
-    RequestSpec spec = PlainJob();
+        rig.Add({Respond(200, "X-Seal: s1\r\nX-Other: o\r\nKeep-Alive: timeout=5\r\n", "bytes")});
+    RequestSpec spec = PlainRequest();
     spec.headers.push_back({"X-Deadline-Ms", "99999"});
     const auto sink = rig.Run(spec);
     CPPUNIT_ASSERT_EQUAL(1, sink->heads);
@@ -86,12 +86,12 @@
   void EndsAsTheWorkerSays() {
     const std::string id = "a1";
     const std::vector<EndCase> cases = {
-        {"own failure", {Answer(500, "", "why")}, false, RequestEnd::kComplete, 500, 1},
-        {"404", {Answer(404, "", "no")}, false, RequestEnd::kComplete, 404, 1},
-        {"no stamp", {Answer(200, "", "x")}, false, RequestEnd::kFailed, 0, 1},
-        {"503 without promise", {Answer(503, "", "")}, false, RequestEnd::kFailed, 0, 1},
-        {"429 without promise", {Answer(429, "", "")}, false, RequestEnd::kFailed, 0, 1},
-        {"408", {Answer(408, "", "")}, false, RequestEnd::kFailed, 0, 1},
+        {"own failure", {Respond(500, "", "why")}, false, RequestEnd::kComplete, 500, 1},
+        {"404", {Respond(404, "", "no")}, false, RequestEnd::kComplete, 404, 1},
+        {"no seal", {Respond(200, "", "x")}, false, RequestEnd::kFailed, 0, 1},
+        {"503 without guarantee", {Respond(503, "", "")}, false, RequestEnd::kFailed, 0, 1},
+        {"429 without guarantee", {Respond(429, "", "")}, false, RequestEnd::kFailed, 0, 1},
+        {"408", {Respond(408, "", "")}, false, RequestEnd::kFailed, 0, 1},
         {"cut", {Close()}, false, RequestEnd::kFailed, 0, 1},
         {"truncated",
          {Bytes("HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\nab",
@@ -101,21 +101,21 @@
          0,
          1},
         {"garbage", {Bytes("\x01\x02 nothing\r\n\r\n", false)}, false, RequestEnd::kFailed, 0, 1},
-        {"failure repeated", {Answer(500, "", "why")}, true, RequestEnd::kComplete, 500, 2},
+        {"failure repeated", {Respond(500, "", "why")}, true, RequestEnd::kComplete, 500, 2},
         {"failure, then good",
-         {Answer(500, "", "why"), Good("ok")},
+         {Respond(500, "", "why"), Success("ok")},
          true,
          RequestEnd::kComplete,
          200,
          2},
-        {"cut, then good", {Close(), Good("ok")}, true, RequestEnd::kComplete, 200, 2},
+        {"cut, then good", {Close(), Success("ok")}, true, RequestEnd::kComplete, 200, 2},
         {"cut twice", {Close()}, true, RequestEnd::kFailed, 0, 2},
         {"full after a run", {Close(), NotRun(503)}, true, RequestEnd::kFailed, 0, 0},
     };
     for (const EndCase& c : cases) {
       Rig rig;
       rig.Add(c.steps);
-      RequestSpec spec = c.idempotent ? RepeatableJob() : PlainJob();
+      RequestSpec spec = c.idempotent ? IdempotentRequest() : PlainRequest();
       const auto sink = rig.Run(spec);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(c.name, 1, sink->ends);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(c.name, NameOf(c.end), NameOf(sink->result.end));
@@ -129,16 +129,16 @@
       Rig rig;
       rig.Add({NotRun(status)});
       rig.Add({NotRun(status)});
-      const auto refused = rig.Run(PlainJob());
+      const auto refused = rig.Run(PlainRequest());
       CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kNotRun), NameOf(refused->result.end));
       CPPUNIT_ASSERT(refused->result.retry_after > 0);
       CPPUNIT_ASSERT(rig.Calls() >= 1 && rig.Calls() <= 5);
     }
     Rig rig;
     ScriptedWorker& full = rig.Add({NotRun(503)});
-    ScriptedWorker& good = rig.Add({Good("ok")});
+    ScriptedWorker& good = rig.Add({Success("ok")});
     for (int i = 0; i < 8; ++i) {
-      const auto sink = rig.Run(PlainJob());
+      const auto sink = rig.Run(PlainRequest());
       CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kComplete), NameOf(sink->result.end));
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{8}, good.calls().size());
@@ -147,19 +147,19 @@
 
   void RepeatsAtAnotherWorker() {
     Rig rig;
-    rig.Add({Answer(500, "", "no")});
-    rig.Add({Answer(500, "", "no")});
-    ScriptedWorker& good = rig.Add({Good("ok")});
-    const auto sink = rig.Run(RepeatableJob(3));
+    rig.Add({Respond(500, "", "no")});
+    rig.Add({Respond(500, "", "no")});
+    ScriptedWorker& good = rig.Add({Success("ok")});
+    const auto sink = rig.Run(IdempotentRequest(3));
     CPPUNIT_ASSERT(rig.Calls() <= 3);
     CPPUNIT_ASSERT(sink->status == 200 || good.calls().empty());
   }
 
-  // UNASKED: a request that is sent again says the same tenant, once, and the new worker's name.
+  // UNASKED: a retry carries the same tenant, once, and the id of the new worker.
   void EverySendOfARequestIsForTheSameTenant() {
     Rig rig;
-    const std::vector<ScriptedWorker::Step> steps = {Close(), NotRun(503), Answer(500, "", "no"),
-                                                     Good("ok")};
+    const std::vector<ScriptedWorker::Step> steps = {Close(), NotRun(503), Respond(500, "", "no"),
+                                                     Success("ok")};
     std::size_t sends = 0;
     const ScriptedWorker::Step next = [&](ScriptedWorker::Call& call) {
       const std::size_t step = std::min(sends++, steps.size() - 1);
@@ -167,7 +167,7 @@
     };
     rig.Add({next});
     rig.Add({next});
-    RequestSpec spec = RepeatableJob(4);
+    RequestSpec spec = IdempotentRequest(4);
     spec.headers.push_back({"X-Tenant", "acme"});
     CPPUNIT_ASSERT_EQUAL(200, rig.Run(spec)->status);
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, rig.Calls());
@@ -185,9 +185,9 @@
 
   void RefusesWithoutWorkers() {
     Rig rig;
-    const auto sink = std::make_shared<NotingSink>();
-    rig.runner->Submit(PlainJob(), sink);
-    CPPUNIT_ASSERT_EQUAL(0, sink->ends);  // never from inside Submit
+    const auto sink = std::make_shared<RecordingSink>();
+    rig.runner->Submit(PlainRequest(), sink);
+    CPPUNIT_ASSERT_EQUAL(0, sink->ends);  // not called from inside Submit
     CPPUNIT_ASSERT(RunUntil([&] { return sink->ends > 0; }, kSecond));
     CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kNotRun), NameOf(sink->result.end));
     CPPUNIT_ASSERT(sink->result.retry_after > 0);
@@ -195,8 +195,8 @@
 
   void RefusesWhatCannotBeInTime() {
     Rig rig;
-    rig.Add({Good("ok")});
-    RequestSpec spec = PlainJob();
+    rig.Add({Success("ok")});
+    RequestSpec spec = PlainRequest();
     spec.deadline = Now() + kMs;
     const auto sink = rig.Run(spec);
     CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kNotRun), NameOf(sink->result.end));
@@ -207,21 +207,21 @@
     Rig rig;
     registry::WorkerRecord nobody;
     {
-      ScriptedWorker gone("gone", {Silence()});
+      ScriptedWorker gone("gone", {NoResponse()});
       nobody = gone.Record();
     }
     rig.workers.Put(nobody);
-    const auto sink = rig.Run(PlainJob());
+    const auto sink = rig.Run(PlainRequest());
     CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kNotRun), NameOf(sink->result.end));
-    rig.Add({Good("ok")});
-    const auto served = rig.Run(PlainJob());
+    rig.Add({Success("ok")});
+    const auto served = rig.Run(PlainRequest());
     CPPUNIT_ASSERT_EQUAL(200, served->status);
   }
 
   void TimesOut() {
     Rig rig;
-    ScriptedWorker& worker = rig.Add({Silence()});
-    RequestSpec spec = RepeatableJob();
+    ScriptedWorker& worker = rig.Add({NoResponse()});
+    RequestSpec spec = IdempotentRequest();
     spec.deadline = Now() + 100 * kMs;
     const auto sink = rig.Run(spec);
     CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kTimeout), NameOf(sink->result.end));
@@ -231,37 +231,37 @@
 
   void CancelClosesTheConnection() {
     Rig rig;
-    ScriptedWorker& worker = rig.Add({Silence()});
-    const auto sink = rig.Submit(PlainJob());
+    ScriptedWorker& worker = rig.Add({NoResponse()});
+    const auto sink = rig.Submit(PlainRequest());
     CPPUNIT_ASSERT(RunUntil([&] { return rig.Calls() == 1; }));
-    rig.runner->Cancel(rig.last_job);
+    rig.runner->Cancel(rig.last_request);
     CPPUNIT_ASSERT(RunUntil([&] { return worker.closed_by_peer() == 1; }));
     CPPUNIT_ASSERT_EQUAL(0, sink->ends);
-    rig.runner->Cancel(rig.last_job);  // again, and of a job that waits
-    rig.Submit(PlainJob());
-    rig.runner->Cancel(rig.last_job);
+    rig.runner->Cancel(rig.last_request);  // a second time, and of a waiting request
+    rig.Submit(PlainRequest());
+    rig.runner->Cancel(rig.last_request);
     RunFor(50 * kMs);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, rig.Calls());
   }
 
   void ReusesConnections() {
     Rig rig;
-    ScriptedWorker& worker = rig.Add({Good("ok")});
+    ScriptedWorker& worker = rig.Add({Success("ok")});
     for (int i = 0; i < 5; ++i) {
-      CPPUNIT_ASSERT_EQUAL(200, rig.Run(PlainJob("a" + std::to_string(i)))->status);
+      CPPUNIT_ASSERT_EQUAL(200, rig.Run(PlainRequest("a" + std::to_string(i)))->status);
     }
     CPPUNIT_ASSERT_EQUAL(1, worker.connections());
     worker.CloseAll();  // while idle
-    CPPUNIT_ASSERT_EQUAL(200, rig.Run(PlainJob("a5"))->status);
+    CPPUNIT_ASSERT_EQUAL(200, rig.Run(PlainRequest("a5"))->status);
     CPPUNIT_ASSERT_EQUAL(2, worker.connections());
   }
 
   void HeedsClose() {
     for (const char* header : {"Connection: close\r\n", "Keep-Alive: timeout=0\r\n"}) {
       Rig rig;
-      ScriptedWorker& worker = rig.Add({Answer(200, std::string("X-Seal: s\r\n") + header, "ok")});
-      rig.Run(PlainJob("a1"));
-      rig.Run(PlainJob("a2"));
+      ScriptedWorker& worker = rig.Add({Respond(200, std::string("X-Seal: s\r\n") + header, "ok")});
+      rig.Run(PlainRequest("a1"));
+      rig.Run(PlainRequest("a2"));
       CPPUNIT_ASSERT_EQUAL(2, worker.connections());
     }
   }
@@ -269,69 +269,70 @@
   void SkipsSurplusAnswers() {
     Rig rig;
     const auto late = [](ScriptedWorker::Call& call) {
-      call.stream->Write(AnswerText("older", 200, "X-Seal: s\r\n", "not yours"));
-      call.stream->Write(AnswerText(IdOf(call), 200, "X-Seal: s\r\n", "yours"));
+      call.stream->Write(ResponseText("older", 200, "X-Seal: s\r\n", "not yours"));
+      call.stream->Write(ResponseText(IdOf(call), 200, "X-Seal: s\r\n", "yours"));
     };
-    ScriptedWorker& worker = rig.Add({Good("first"), late, Good("third")});
-    CPPUNIT_ASSERT_EQUAL(std::string("first"), rig.Run(PlainJob("a1"))->body);
-    CPPUNIT_ASSERT_EQUAL(std::string("yours"), rig.Run(PlainJob("a2"))->body);
-    CPPUNIT_ASSERT_EQUAL(std::string("third"), rig.Run(PlainJob("a3"))->body);
-    CPPUNIT_ASSERT_EQUAL(2, worker.connections());  // not trusted after that
+    ScriptedWorker& worker = rig.Add({Success("first"), late, Success("third")});
+    CPPUNIT_ASSERT_EQUAL(std::string("first"), rig.Run(PlainRequest("a1"))->body);
+    CPPUNIT_ASSERT_EQUAL(std::string("yours"), rig.Run(PlainRequest("a2"))->body);
+    CPPUNIT_ASSERT_EQUAL(std::string("third"), rig.Run(PlainRequest("a3"))->body);
+    CPPUNIT_ASSERT_EQUAL(2, worker.connections());  // not reused after a surplus response
   }
 
   void BytesAfterAnAnswerEndTheConnection() {
     Rig rig;
     const auto more = [](ScriptedWorker::Call& call) {
-      call.stream->Write(AnswerText(IdOf(call), 200, "X-Seal: s\r\n", "ok") + "and more");
+      call.stream->Write(ResponseText(IdOf(call), 200, "X-Seal: s\r\n", "ok") + "and more");
     };
     ScriptedWorker& worker = rig.Add({more});
-    CPPUNIT_ASSERT_EQUAL(std::string("ok"), rig.Run(PlainJob("a1"))->body);
-    CPPUNIT_ASSERT_EQUAL(std::string("ok"), rig.Run(PlainJob("a2"))->body);
+    CPPUNIT_ASSERT_EQUAL(std::string("ok"), rig.Run(PlainRequest("a1"))->body);
+    CPPUNIT_ASSERT_EQUAL(std::string("ok"), rig.Run(PlainRequest("a2"))->body);
     CPPUNIT_ASSERT_EQUAL(2, worker.connections());
   }
 
   void DrainingWorkersGetNothing() {
     Rig rig;
-    ScriptedWorker& leaving = rig.Add({Good("ok")});
-    ScriptedWorker& staying = rig.Add({Good("ok")});
-    rig.Run(PlainJob());
+    ScriptedWorker& leaving = rig.Add({Success("ok")});
+    ScriptedWorker& staying = rig.Add({Success("ok")});
+    rig.Run(PlainRequest());
     const std::size_t before = leaving.calls().size();
-    const auto sink = rig.Submit(PlainJob());  // decided on before the drain is heard, or after
+    // may be placed before or after the drain is known
+    const auto sink = rig.Submit(PlainRequest());
     registry::WorkerRecord record = leaving.Record();
     record.phase = registry::WorkerPhase::kDraining;
     rig.workers.Put(record);
     CPPUNIT_ASSERT(RunUntil([&] { return sink->ends > 0; }));
-    for (int i = 0; i < 6; ++i) CPPUNIT_ASSERT_EQUAL(200, rig.Run(PlainJob())->status);
+    for (int i = 0; i < 6; ++i) CPPUNIT_ASSERT_EQUAL(200, rig.Run(PlainRequest())->status);
     CPPUNIT_ASSERT_EQUAL(before, leaving.calls().size());
     CPPUNIT_ASSERT(staying.calls().size() >= 7);
   }
 
   void AnotherWorkerAtTheAddressIsDropped() {
     Rig rig;
-    ScriptedWorker& other = rig.Add({Answer(421, "", ""), Good("ok")});
-    CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kNotRun), NameOf(rig.Run(PlainJob())->result.end));
-    CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kNotRun), NameOf(rig.Run(PlainJob())->result.end));
+    ScriptedWorker& other = rig.Add({Respond(421, "", ""), Success("ok")});
+    CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kNotRun), NameOf(rig.Run(PlainRequest())->result.end));
+    CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kNotRun), NameOf(rig.Run(PlainRequest())->result.end));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, other.calls().size());
     registry::WorkerRecord record = other.Record();
-    record.call_seq = 2;  // it was heard of anew
+    record.call_seq = 2;  // a new heartbeat
     rig.workers.Put(record);
     RunFor(50 * kMs);
-    CPPUNIT_ASSERT_EQUAL(200, rig.Run(PlainJob())->status);
+    CPPUNIT_ASSERT_EQUAL(200, rig.Run(PlainRequest())->status);
   }
 
   void NewClassesKeepJobs() {
     Rig rig;
     std::vector<ScriptedWorker::Call> waiting;
     rig.Add({[&](ScriptedWorker::Call& call) { waiting.push_back(call); }});
-    std::vector<std::shared_ptr<NotingSink>> sinks;
+    std::vector<std::shared_ptr<RecordingSink>> sinks;
     for (int i = 0; i < 4; ++i) {
-      RequestSpec spec = PlainJob("id" + std::to_string(i));
-      spec.rank = i;  // a class of its own each
+      RequestSpec spec = PlainRequest("id" + std::to_string(i));
+      spec.rank = i;  // each request has its own class
       sinks.push_back(rig.Submit(spec));
       CPPUNIT_ASSERT(RunUntil([&] { return waiting.size() == static_cast<std::size_t>(i) + 1; }));
     }
     for (ScriptedWorker::Call& call : waiting)
-      call.stream->Write(AnswerText(IdOf(call), 200, "X-Seal: s\r\n", "for " + IdOf(call)));
+      call.stream->Write(ResponseText(IdOf(call), 200, "X-Seal: s\r\n", "for " + IdOf(call)));
     for (int i = 0; i < 4; ++i) {
       CPPUNIT_ASSERT(RunUntil([&] { return sinks[static_cast<std::size_t>(i)]->ends == 1; }));
       CPPUNIT_ASSERT_EQUAL("for id" + std::to_string(i), sinks[static_cast<std::size_t>(i)]->body);
@@ -341,24 +342,24 @@
   void BulkRoomFollowsSlots() {
     Rig rig;
     CPPUNIT_ASSERT_EQUAL(0, rig.runner->BulkCapacity("svc"));
-    rig.Add({Silence()});
-    CPPUNIT_ASSERT_EQUAL(1, rig.runner->BulkCapacity("svc"));  // not used yet
-    rig.Add({Silence()});
-    RequestSpec spec = PlainJob();
+    rig.Add({NoResponse()});
+    CPPUNIT_ASSERT_EQUAL(1, rig.runner->BulkCapacity("svc"));  // service not used yet
+    rig.Add({NoResponse()});
+    RequestSpec spec = PlainRequest();
     spec.bulk = true;
     rig.Submit(spec);
     CPPUNIT_ASSERT(RunUntil([&] { return rig.Calls() == 1; }));
     CPPUNIT_ASSERT_EQUAL(5, rig.runner->BulkCapacity("svc"));  // 0.85 of 8 slots, one in use
-    for (int i = 0; i < 5; ++i) rig.Submit(PlainJob());
+    for (int i = 0; i < 5; ++i) rig.Submit(PlainRequest());
     CPPUNIT_ASSERT(RunUntil([&] { return rig.Calls() == 6; }));
     CPPUNIT_ASSERT_EQUAL(0, rig.runner->BulkCapacity("svc"));
   }
 
-  // A node that has just started takes itself for the only one.
+  // A node that has just started does not know the other nodes yet.
   void BulkGoesOneByOneAfterAStart() {
     Rig rig(10 * kSecond);
-    for (int i = 0; i < 2; ++i) rig.Add({Silence()});
-    RequestSpec spec = PlainJob();
+    for (int i = 0; i < 2; ++i) rig.Add({NoResponse()});
+    RequestSpec spec = PlainRequest();
     spec.bulk = true;
     rig.Submit(spec);
     CPPUNIT_ASSERT(RunUntil([&] { return rig.Calls() == 1; }));
@@ -367,27 +368,28 @@
 
   void BulkRoomFollowsTheNodes() {
     Rig rig;
-    for (int i = 0; i < 2; ++i) rig.Add({Good("ok")});
-    rig.Run(PlainJob());
+    for (int i = 0; i < 2; ++i) rig.Add({Success("ok")});
+    rig.Run(PlainRequest());
     CPPUNIT_ASSERT(rig.runner->BulkCapacity("svc") > 3);  // 0.85 of 8 slots
     for (const char* name : {"me", "other"}) {
       rig.control.members_[name].status = coordination::MemberStatus::kAlive;
       rig.control.members_[name].info.roles = coordination::MemberInfo::kServesEdge;
     }
     const auto halved = [&] {
-      rig.Run(PlainJob());
+      rig.Run(PlainRequest());
       return rig.runner->BulkCapacity("svc") == 3;
     };
     CPPUNIT_ASSERT(RunUntil(halved, kSecond));
   }
 
-  // An item that was taken before the room was used up goes back unrun, while live jobs go on.
+  // A batch item that was leased before the capacity was used up is returned without having run,
+  // while live requests continue.
   void BulkWithoutRoomGoesBack() {
     Rig rig;
-    rig.Add({Silence()});
-    for (int i = 0; i < 3; ++i) rig.Submit(PlainJob());  // 0.85 of 4 slots
+    rig.Add({NoResponse()});
+    for (int i = 0; i < 3; ++i) rig.Submit(PlainRequest());  // 0.85 of 4 slots
     CPPUNIT_ASSERT(RunUntil([&] { return rig.Calls() == 3; }));
-    RequestSpec item = PlainJob();
+    RequestSpec item = PlainRequest();
     item.bulk = true;
     const auto sink = rig.Run(item);
     CPPUNIT_ASSERT_EQUAL(NameOf(RequestEnd::kNotRun), NameOf(sink->result.end));
@@ -398,12 +400,12 @@
     Rig rig;
     std::vector<ScriptedWorker::Call> waiting;
     rig.Add({[&](ScriptedWorker::Call& call) { waiting.push_back(call); }});
-    for (int i = 0; i < 3; ++i) rig.Submit(PlainJob());
+    for (int i = 0; i < 3; ++i) rig.Submit(PlainRequest());
     CPPUNIT_ASSERT(RunUntil([&] { return waiting.size() == 3; }));
-    RequestSpec item = PlainJob("item");
+    RequestSpec item = PlainRequest("item");
     item.bulk = true;
     rig.Submit(item);
-    Good("ok")(waiting.front());
+    Success("ok")(waiting.front());
     CPPUNIT_ASSERT(RunUntil([&] { return waiting.size() == 4; }));
     CPPUNIT_ASSERT_EQUAL(std::string("item"), IdOf(waiting.back()));
   }
@@ -412,11 +414,11 @@
     Rig rig;
     std::size_t calls = 0;
     const auto first_silent = [&](ScriptedWorker::Call& call) {
-      if (calls++ > 0) Good("ok")(call);
+      if (calls++ > 0) Success("ok")(call);
     };
     rig.Add({first_silent});
     rig.Add({first_silent});
-    RequestSpec spec = RepeatableJob();
+    RequestSpec spec = IdempotentRequest();
     const auto sink = rig.Run(spec);
     CPPUNIT_ASSERT_EQUAL(200, sink->status);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, calls);
@@ -424,24 +426,24 @@
 
   void SharedPromptsGoToOneWorkerWhileThereIsRoom() {
     Rig rig;
-    for (int i = 0; i < 4; ++i) rig.Add({Silence()});
-    RequestSpec spec = PlainJob();
+    for (int i = 0; i < 4; ++i) rig.Add({NoResponse()});
+    RequestSpec spec = PlainRequest();
     spec.prefix_key = 77;
     spec.shared_tokens = 5000;
-    std::vector<std::shared_ptr<NotingSink>> sinks;
-    for (int i = 0; i < 16; ++i) sinks.push_back(rig.Submit(spec));  // as many as there are slots
+    std::vector<std::shared_ptr<RecordingSink>> sinks;
+    for (int i = 0; i < 16; ++i) sinks.push_back(rig.Submit(spec));  // equals the number of slots
     CPPUNIT_ASSERT(RunUntil([&] { return rig.Calls() == 16; }, kSecond));
     for (const auto& worker : rig.scripted) CPPUNIT_ASSERT(worker->calls().size() <= 8);
   }
 
   void LargeSharedPromptsMeetAtOneWorker() {
     Rig rig;
-    for (int i = 0; i < 6; ++i) rig.Add({Good("ok")});
-    RequestSpec spec = PlainJob();
+    for (int i = 0; i < 6; ++i) rig.Add({Success("ok")});
+    RequestSpec spec = PlainRequest();
     spec.prefix_key = 77;
     spec.shared_tokens = 5000;
     spec.own_tokens = 100;
-    rig.Run(spec);  // makes its class known
+    rig.Run(spec);  // registers the traffic class
     std::vector<std::size_t> before;
     for (const auto& worker : rig.scripted) before.push_back(worker->calls().size());
     for (int i = 0; i < 8; ++i) CPPUNIT_ASSERT_EQUAL(200, rig.Run(spec)->status);
--- a/tests/tier/proxy/response_reader_test.cpp
+++ b/tests/tier/proxy/response_reader_test.cpp
@@ -1,4 +1,4 @@
-// The reader of answers and the splitter of events, fed whole and in pieces.
+// ResponseReader and EventSplitter with input in one piece and in many.
 #include "tier/proxy/response_reader.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -13,7 +13,7 @@
 
 using Status = ResponseReader::Status;
 
-class Noted final : public ResponseSink {
+class RecordingSink final : public ResponseSink {
  public:
   bool OnResponseHead(ResponseHead head) override {
     ++heads;
@@ -32,11 +32,11 @@
 struct Case {
   const char* name;
   std::string bytes;
-  Status status;  // after all bytes
+  Status status;  // after all input
   std::string body;
   bool keep_alive;
-  std::size_t rest;  // bytes left over
-  Status at_end;     // after an end in order
+  std::size_t rest;  // unparsed bytes
+  Status at_end;     // after an orderly close
 };
 
 const std::string kOk = "HTTP/1.1 200 OK\r\n";
@@ -96,7 +96,7 @@
   }
 
   void ReadsOneAfterTheOther() {
-    Noted sink;
+    RecordingSink sink;
     ResponseReader reader(&sink);
     const std::string one = kOk + "Content-Length: 1\r\n\r\na";
     const std::string both = one + one;
@@ -110,7 +110,7 @@
   }
 
   void ResetIsNoEnd() {
-    Noted sink;
+    RecordingSink sink;
     ResponseReader reader(&sink);
     const std::string text = kOk + "\r\nabc";
     std::string_view bytes = text;
@@ -120,7 +120,7 @@
   }
 
   void HeadHasNoBody() {
-    Noted sink;
+    RecordingSink sink;
     ResponseReader reader(&sink);
     const std::string text = kOk + "Content-Length: 10\r\n\r\n";
     std::string_view bytes = text;
@@ -152,7 +152,7 @@
 
  private:
   static void Check(const Case& c, std::size_t piece) {
-    Noted sink;
+    RecordingSink sink;
     ResponseReader reader(&sink);
     reader.Start(false);
     Status status = Status::kMore;
--- a/tests/tier/proxy/response_timeout_test.cpp
+++ b/tests/tier/proxy/response_timeout_test.cpp
@@ -1,4 +1,4 @@
-// How long a silent worker is waited for, and how many requests may go to another one.
+// Learned response timeouts, and the budget of timeout retries.
 #include "tier/proxy/response_timeout.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -13,56 +13,58 @@
   CPPUNIT_TEST(RepeatsStayASmallPartOfTheSends);
   CPPUNIT_TEST_SUITE_END();
 
-  static ResponseTimeout After(int answers, Micros latency, int slow = 0, Micros slow_latency = 0) {
-    ResponseTimeout watch;
-    for (int i = 0; i < answers; ++i) watch.RecordLatency(i < slow ? slow_latency : latency);
-    return watch;
+  static ResponseTimeout WithLatencies(int count, Micros latency, int slow = 0,
+                                       Micros slow_latency = 0) {
+    ResponseTimeout timeout;
+    for (int i = 0; i < count; ++i) timeout.RecordLatency(i < slow ? slow_latency : latency);
+    return timeout;
   }
 
  public:
   void LimitsByTable() {
     const struct {
-      const char* what;
-      ResponseTimeout watch;
+      const char* name;
+      ResponseTimeout timeout;
       Micros target, time_left, limit;
     } kCases[] = {
         {"nothing known", ResponseTimeout(), 120, 10'000, 1500},
-        {"nothing known, long objective", ResponseTimeout(), 400, 10'000, 2000},
+        {"nothing known, long latency target", ResponseTimeout(), 400, 10'000, 2000},
         {"nothing known, little time", ResponseTimeout(), 120, 1000, 500},
-        {"too few answers", After(15, 20 * kMs), 120, 10'000, 1500},
-        {"one slow answer is none", After(100, 60 * kMs, 1, 900 * kMs), 120, 1000, 90},
-        {"two slow answers count", After(100, 20 * kMs, 2, 200 * kMs), 120, 1000, 300},
-        {"fast service, half the objective", After(100, 10 * kMs), 120, 1000, 60},
-        {"half of the time that is time_left", After(100, 400 * kMs), 120, 1000, 500},
+        {"too few samples", WithLatencies(15, 20 * kMs), 120, 10'000, 1500},
+        {"a single slow response is ignored", WithLatencies(100, 60 * kMs, 1, 900 * kMs), 120, 1000,
+         90},
+        {"two slow responses count", WithLatencies(100, 20 * kMs, 2, 200 * kMs), 120, 1000, 300},
+        {"fast service, half the latency target", WithLatencies(100, 10 * kMs), 120, 1000, 60},
+        {"half of the time left", WithLatencies(100, 400 * kMs), 120, 1000, 500},
     };
     for (const auto& c : kCases)
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(c.what, c.limit * kMs,
-                                   c.watch.Timeout(c.target * kMs, c.time_left * kMs));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(c.name, c.limit * kMs,
+                                   c.timeout.Timeout(c.target * kMs, c.time_left * kMs));
   }
 
   void FollowsTheLatestAnswers() {
-    ResponseTimeout watch = After(200, 20 * kMs);
-    CPPUNIT_ASSERT_EQUAL(Micros{60 * kMs}, watch.Timeout(120 * kMs, 10 * kSecond));
-    for (int i = 0; i < 10; ++i) watch.RecordLatency(200 * kMs);
-    CPPUNIT_ASSERT_EQUAL(Micros{300 * kMs}, watch.Timeout(120 * kMs, 10 * kSecond));
-    for (int i = 0; i < 128; ++i) watch.RecordLatency(20 * kMs);
-    CPPUNIT_ASSERT_EQUAL(Micros{60 * kMs}, watch.Timeout(120 * kMs, 10 * kSecond));
+    ResponseTimeout timeout = WithLatencies(200, 20 * kMs);
+    CPPUNIT_ASSERT_EQUAL(Micros{60 * kMs}, timeout.Timeout(120 * kMs, 10 * kSecond));
+    for (int i = 0; i < 10; ++i) timeout.RecordLatency(200 * kMs);
+    CPPUNIT_ASSERT_EQUAL(Micros{300 * kMs}, timeout.Timeout(120 * kMs, 10 * kSecond));
+    for (int i = 0; i < 128; ++i) timeout.RecordLatency(20 * kMs);
+    CPPUNIT_ASSERT_EQUAL(Micros{60 * kMs}, timeout.Timeout(120 * kMs, 10 * kSecond));
   }
 
   void RepeatsStayASmallPartOfTheSends() {
-    ResponseTimeout watch;
+    ResponseTimeout timeout;
     constexpr int kSends = 1000;
-    int repeats = 0;
+    int retries = 0;
     for (int i = 0; i < kSends; ++i) {
-      watch.RecordSend();
-      if (watch.TakeRetry()) ++repeats;
+      timeout.RecordSend();
+      if (timeout.TakeRetry()) ++retries;
     }
-    CPPUNIT_ASSERT(repeats >= kSends / 5 && repeats <= kSends / 5 + 1);
-    while (watch.TakeRetry()) ++repeats;
-    for (int i = 0; i < kSends; ++i) watch.RecordSend();
-    int saved = 0;
-    while (watch.TakeRetry()) ++saved;
-    CPPUNIT_ASSERT_EQUAL(10, saved);
+    CPPUNIT_ASSERT(retries >= kSends / 5 && retries <= kSends / 5 + 1);
+    while (timeout.TakeRetry()) ++retries;
+    for (int i = 0; i < kSends; ++i) timeout.RecordSend();
+    int budget = 0;
+    while (timeout.TakeRetry()) ++budget;
+    CPPUNIT_ASSERT_EQUAL(10, budget);
   }
 };
 
--- a/tests/tier/proxy/retry_state_test.cpp
+++ b/tests/tier/proxy/retry_state_test.cpp
@@ -1,4 +1,4 @@
-// When a request may be sent to another worker: each row is a state of its sends.
+// Retry decisions: each row is a state of the request's attempts.
 #include "tier/proxy/retry_state.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -16,7 +16,7 @@
  public:
   void DecidesByTable() {
     const struct {
-      const char* what;
+      const char* name;
       int attempts;
       bool idempotent, resumable, forwarded;
       int sends, runs;
@@ -42,9 +42,9 @@
       for (int i = 0; i < c.sends; ++i) state.OnSend();
       for (int i = 0; i < c.runs; ++i) state.OnMayHaveRun();
       if (c.forwarded) state.OnHeadForwarded();
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(c.what, c.after_run, state.MayRetryAfterRun(c.time_left));
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(c.what, c.after_not_run, state.MayRetryAfterNotRun(c.time_left));
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(c.what, c.leave_worker, state.MayLeaveWorker());
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(c.name, c.after_run, state.MayRetryAfterRun(c.time_left));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(c.name, c.after_not_run, state.MayRetryAfterNotRun(c.time_left));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(c.name, c.leave_worker, state.MayLeaveWorker());
     }
   }
 
--- a/tests/tier/proxy/stream_test.cpp
+++ b/tests/tier/proxy/stream_test.cpp
@@ -1,4 +1,5 @@
-// Streams of events through the runner: whole events at once, none twice, no gaps, over breaks.
+// Event streams through the runner: complete events without delay, duplicates or gaps, also across
+// retries.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -12,14 +13,14 @@
   const char* name;
   std::vector<ScriptedWorker::Step> steps;
   bool resumable;
-  std::uint64_t from;  // the request's Last-Event-Id
+  std::uint64_t from;  // Last-Event-Id of the request
   RequestEnd end;
   std::string body;
-  std::vector<std::string> asked;  // Last-Event-Id of each send, empty: none
+  std::vector<std::string> last_event_ids;  // Last-Event-Id of each attempt; empty: none
 };
 
-// The headers of a call in order, but for those that differ by send; with the values of those that
-// say for whom and by whom it runs.
+// The header names of a call in order, without those that differ by attempt, and with the values of
+// the tenant, model and worker headers.
 std::string SentHeaders(const ScriptedWorker::Call& call) {
   std::string text;
   for (const http::Header& header : call.request.headers) {
@@ -136,7 +137,7 @@
          EventRun(1, 1),
          {"", ""}},
         {"failure, then good",
-         {Answer(500, "", "x"), Events(1, 1, After::kEnd)},
+         {Respond(500, "", "x"), Events(1, 1, After::kEnd)},
          true,
          0,
          RequestEnd::kComplete,
@@ -153,7 +154,7 @@
       stream = call.stream;
       stream->Write(StreamHeadText(IdOf(call)));
     }});
-    const auto sink = rig.Submit(StreamJob(true));
+    const auto sink = rig.Submit(StreamedRequest(true));
     CPPUNIT_ASSERT(RunUntil([&] { return stream != nullptr; }));
     for (int i = 1; i <= 3; ++i) {
       stream->Write(Chunk(EventText(i)));
@@ -166,18 +167,18 @@
 
   void ResumesAfterSilence() {
     Rig rig;
-    ScriptedWorker& worker = rig.Add({Events(1, 2, After::kSilence), Events(3, 3, After::kEnd)});
-    const auto sink = rig.Run(StreamJob(true));
+    ScriptedWorker& worker = rig.Add({Events(1, 2, After::kNoResponse), Events(3, 3, After::kEnd)});
+    const auto sink = rig.Run(StreamedRequest(true));
     CPPUNIT_ASSERT(sink->result.end == RequestEnd::kComplete);
     CPPUNIT_ASSERT_EQUAL(EventRun(1, 3), sink->body);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, worker.calls().size());
   }
 
-  // UNASKED: a stream that is resumed runs for the tenant that it began for, wherever it goes on.
+  // UNASKED: a resumed stream runs for the same tenant at every worker.
   void EverySendOfAStreamIsForTheSameTenant() {
     Rig rig;
     const std::vector<ScriptedWorker::Step> steps = {Events(1, 1, After::kCut), NotRun(503),
-                                                     Events(2, 2, After::kSilence),
+                                                     Events(2, 2, After::kNoResponse),
                                                      Events(3, 3, After::kEnd)};
     std::size_t sends = 0;
     const ScriptedWorker::Step next = [&](ScriptedWorker::Call& call) {
@@ -186,7 +187,7 @@
     };
     rig.Add({next});
     rig.Add({next});
-    RequestSpec spec = StreamJob(true, 4);
+    RequestSpec spec = StreamedRequest(true, 4);
     spec.headers.push_back({"X-Tenant", "acme"});
     spec.headers.push_back({"X-Model", "m"});
     const auto sink = rig.Run(spec);
@@ -204,28 +205,28 @@
 
   void CancelFromTheSink() {
     Rig rig;
-    ScriptedWorker& worker = rig.Add({Events(1, 3, After::kSilence)});
-    const auto sink = rig.Submit(StreamJob(true));
-    sink->on_body = [&] { rig.runner->Cancel(rig.last_job); };
+    ScriptedWorker& worker = rig.Add({Events(1, 3, After::kNoResponse)});
+    const auto sink = rig.Submit(StreamedRequest(true));
+    sink->on_body = [&] { rig.runner->Cancel(rig.last_request); };
     CPPUNIT_ASSERT(RunUntil([&] { return worker.closed_by_peer() == 1; }));
     CPPUNIT_ASSERT_EQUAL(0, sink->ends);
   }
 
   void DeadlineBreaks() {
     Rig rig;
-    rig.Add({Events(1, 2, After::kSilence)});
-    RequestSpec spec = StreamJob(true);
+    rig.Add({Events(1, 2, After::kNoResponse)});
+    RequestSpec spec = StreamedRequest(true);
     spec.deadline = Now() + 100 * kMs;
     const auto sink = rig.Run(spec);
     CPPUNIT_ASSERT(sink->result.end == RequestEnd::kBroken);
     CPPUNIT_ASSERT_EQUAL(EventRun(1, 2), sink->body);
   }
 
-  // A client that takes nothing holds up its own stream and no other job of the worker; that the
-  // stream stands still is no silence of the worker.
+  // A client that does not read stops its own stream only, not other requests of the worker, and
+  // the stopped stream does not count as a worker timeout.
   void SlowClientHoldsItsWorkerUp() {
-    constexpr int kLargeEvents = 3000;  // with these, more than the system buffers
-    constexpr std::size_t kMaxPassed = 256 << 10;
+    constexpr int kLargeEvents = 3000;  // together more than the socket buffers hold
+    constexpr std::size_t kMaxForwardedBytes = 256 << 10;
     std::string events, answer = StreamHeadText("a1");
     for (int i = 1; i <= kLargeEvents; ++i) {
       const std::string event =
@@ -234,24 +235,24 @@
       answer += Chunk(event);
     }
     Rig rig;
-    std::shared_ptr<Stream> held;
+    std::shared_ptr<Stream> worker_stream;
     ScriptedWorker& worker = rig.Add({[&](ScriptedWorker::Call& call) {
-                                        held = call.stream;
-                                        held->Write(answer + "0\r\n\r\n");
+                                        worker_stream = call.stream;
+                                        worker_stream->Write(answer + "0\r\n\r\n");
                                       },
-                                      Good("ok")});
-    const auto slow = rig.Submit(StreamJob(true));
-    const std::uint64_t job = rig.last_job;
-    slow->untaken = 1 << 20;
+                                      Success("ok")});
+    const auto slow = rig.Submit(StreamedRequest(true));
+    const std::uint64_t request = rig.last_request;
+    slow->unread_bytes = 1 << 20;
     CPPUNIT_ASSERT(RunUntil([&] { return !slow->body.empty(); }));
-    const std::size_t passed = slow->body.size();
-    CPPUNIT_ASSERT(passed <= kMaxPassed);
-    CPPUNIT_ASSERT(rig.Run(PlainJob("a2"))->result.end == RequestEnd::kComplete);
-    RunFor(1200 * kMs);  // longer than a worker may be silent
-    CPPUNIT_ASSERT_EQUAL(passed, slow->body.size());
-    CPPUNIT_ASSERT(held->unsent() > 0);
-    slow->untaken = 0;
-    rig.runner->Resume(job);
+    const std::size_t forwarded_bytes = slow->body.size();
+    CPPUNIT_ASSERT(forwarded_bytes <= kMaxForwardedBytes);
+    CPPUNIT_ASSERT(rig.Run(PlainRequest("a2"))->result.end == RequestEnd::kComplete);
+    RunFor(1200 * kMs);  // longer than the response timeout
+    CPPUNIT_ASSERT_EQUAL(forwarded_bytes, slow->body.size());
+    CPPUNIT_ASSERT(worker_stream->unsent() > 0);
+    slow->unread_bytes = 0;
+    rig.runner->Resume(request);
     CPPUNIT_ASSERT(RunUntil([&] { return slow->ends == 1; }));
     CPPUNIT_ASSERT(slow->result.end == RequestEnd::kComplete);
     CPPUNIT_ASSERT(slow->body == events);
@@ -262,19 +263,19 @@
   static void Check(const StreamCase& c) {
     Rig rig;
     ScriptedWorker& worker = rig.Add(c.steps);
-    RequestSpec spec = StreamJob(c.resumable);
+    RequestSpec spec = StreamedRequest(c.resumable);
     spec.last_event_id = c.from;
     const auto sink = rig.Run(spec);
     CPPUNIT_ASSERT_EQUAL_MESSAGE(c.name, static_cast<int>(c.end),
                                  static_cast<int>(sink->result.end));
     CPPUNIT_ASSERT_EQUAL_MESSAGE(c.name, c.body, sink->body);
     CPPUNIT_ASSERT_EQUAL_MESSAGE(c.name, c.body.empty() ? 0 : 1, sink->heads);
-    std::vector<std::string> asked;
+    std::vector<std::string> last_event_ids;
     for (const ScriptedWorker::Call& call : worker.calls()) {
       const std::string* id = call.request.Find("Last-Event-Id");
-      asked.push_back(id == nullptr ? "" : *id);
+      last_event_ids.push_back(id == nullptr ? "" : *id);
     }
-    CPPUNIT_ASSERT_MESSAGE(c.name, asked == c.asked);
+    CPPUNIT_ASSERT_MESSAGE(c.name, last_event_ids == c.last_event_ids);
   }
 };
 
--- a/tests/tier/routing/route_table_test.cpp
+++ b/tests/tier/routing/route_table_test.cpp
@@ -1,4 +1,4 @@
-// Configurations read and checked whole, and requests matched with their routes.
+// Parsing and validation of configurations, and matching of requests to routes.
 #include "tier/routing/route_table.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -9,7 +9,7 @@
 namespace pearreach::routing {
 namespace {
 
-// The operators' example, with a batch route.
+// Example configuration with a bulk route.
 constexpr const char* kExample = R"({
  "version_no": 7,
  "routes": [
@@ -38,13 +38,13 @@
 
 std::string Replace(std::string text, const std::string& from, const std::string& to) {
   const std::size_t at = text.find(from);
-  CPPUNIT_ASSERT_MESSAGE("not in the example: " + from, at != std::string::npos);
+  CPPUNIT_ASSERT_MESSAGE("not found in the example: " + from, at != std::string::npos);
   return text.replace(at, from.size(), to);
 }
 
 std::string MessageOf(const std::string& json) {
   const auto table = RouteTable::Parse(json);
-  CPPUNIT_ASSERT_MESSAGE("taken", !table.ok());
+  CPPUNIT_ASSERT_MESSAGE("accepted", !table.ok());
   CPPUNIT_ASSERT(absl::IsInvalidArgument(table.status()));
   return std::string(table.status().message());
 }
@@ -190,7 +190,7 @@
 
   void MatchesTheLongestPrefix() {
     struct Case {
-      std::string host, path, route;  // route empty: none
+      std::string host, path, route;  // empty route: no match
     };
     const std::vector<Case> cases = {
         {"ficu95.example", "/lohu930/2f", "r-split"},
@@ -319,7 +319,7 @@
     const std::string integer(kExample);
     for (std::size_t length = 0; length < integer.size(); ++length) {
       const auto table = RouteTable::Parse(integer.substr(0, length));
-      CPPUNIT_ASSERT_MESSAGE(std::to_string(length) + " bytes taken", !table.ok());
+      CPPUNIT_ASSERT_MESSAGE(std::to_string(length) + " bytes accepted", !table.ok());
     }
   }
 
