--- a/src/tier/proxy/pool_dispatcher.cpp
+++ b/src/tier/proxy/pool_dispatcher.cpp
@@ -88,7 +88,7 @@
 void PoolDispatcher::Withdraw(PlacementId id) {
   const auto found = open_.find(id);
   if (found == open_.end()) return;
-  if (!rebuild_needed_) Post(dispatch::RequestLapsed{id});
+  if (!rebuild_needed_) Post(dispatch::RequestAbandoned{id});
   RemoveQueued(found->second);
   open_.erase(found);
 }
@@ -194,7 +194,7 @@
     std::get<dispatch::RequestArrived>(events_.back()).due =
         std::max(now, open.placement.deadline) + kInFlightDeadlineExtension;
     events_.emplace_back(dispatch::AttemptAdopted{id, open.worker, open.placed_at, true,
-                                                  dispatch::AttemptAdopted::Was::kOut});
+                                                  dispatch::AttemptAdopted::State::kInFlight});
     if (open.response_begun) events_.emplace_back(dispatch::StreamBegan{id, 0, open.worker});
   }
 }
@@ -205,7 +205,7 @@
   dispatch::Knowledge learned;
   if (!dispatcher_) return learned;
   learned = dispatcher_->Learned(now);
-  for (dispatch::PoolKnowledge& pool : learned.pools) pool.found = pool.limit;
+  for (dispatch::PoolKnowledge& pool : learned.pools) pool.proven_limit = pool.limit;
   return learned;
 }
 
@@ -260,18 +260,18 @@
 }
 
 void PoolDispatcher::LogDecision(const dispatch::LogLine& line) {
-  using What = dispatch::LogLine::What;
-  if (line.what == What::kLimitCut) {
+  using Kind = dispatch::LogLine::Kind;
+  if (line.kind == Kind::kLimitCut) {
     limit_cut_ = true;
     logging::Info(kModule, "limit cut",
                   {logging::F("service", service_), logging::F("slots", line.value)});
-  } else if (line.what == What::kShedding) {
+  } else if (line.kind == Kind::kShedding) {
     logging::Info(kModule, "refusing",
                   {logging::F("service", service_), logging::F("refused", line.value)});
-  } else if (line.what == What::kWorkerSilent || line.what == What::kWorkerBack) {
+  } else if (line.kind == Kind::kWorkerSilent || line.kind == Kind::kWorkerRecovered) {
     const ServiceWorker* worker = workers_->Find(line.worker);
     if (worker == nullptr) return;
-    const bool no_progress = line.what == What::kWorkerSilent;
+    const bool no_progress = line.kind == Kind::kWorkerSilent;
     logging::Info(
         kModule, no_progress ? "worker silent" : "worker back",
         {logging::F("service", service_), logging::F("worker", worker->record.worker_id)});
@@ -304,19 +304,20 @@
     dispatch::ClassSettings cls;
     // Each placement is sent once; retries are decided by ActiveRequest.
     cls.effect = dispatch::Effect::kRepeatable;
-    cls.aim = traffic_class.bulk ? kBulkTarget : std::max<Micros>(traffic_class.target, kMs);
+    cls.latency_target =
+        traffic_class.bulk ? kBulkTarget : std::max<Micros>(traffic_class.target, kMs);
     // A stream's latency target applies to its first event, while its work covers all events.
-    cls.aim_stretch = traffic_class.streamed || traffic_class.bulk ? 1 : 0;
-    cls.worth = traffic_class.bulk ? kBulkValue : std::pow(kValuePerRank, traffic_class.rank);
+    cls.latency_target_stretch = traffic_class.streamed || traffic_class.bulk ? 1 : 0;
+    cls.value = traffic_class.bulk ? kBulkValue : std::pow(kValuePerRank, traffic_class.rank);
     cls.late_value = traffic_class.bulk ? 1 : kLateValue;
     cls.kind = 0;
     settings.classes.push_back(cls);
   }
   if (settings.classes.empty()) settings.classes.emplace_back();
-  settings.worth_by_work = true;
+  settings.value_by_work = true;
   settings.weighted_workers = true;
   settings.retry_after = true;
-  settings.progress_every = kNoProgressTimeout;
+  settings.progress_interval = kNoProgressTimeout;
   settings.connect_price = kConnectCost;
   settings.connection_idle = kMaxIdleTime;
   return settings;
