--- a/src/node/rules/document.cpp
+++ b/src/node/rules/document.cpp
@@ -23,7 +23,7 @@
   return std::min(*a, *b);
 }
 
-// The share of an account by these rules; none: nothing is said of it.
+// The share of an account under these rules, if they set one.
 std::optional<double> ShareOf(const Rules& r, const std::string& account) {
   const auto it = r.shares.find(account);
   return it != r.shares.end() ? std::optional(it->second) : r.default_share;
@@ -76,7 +76,7 @@
                        : std::max(a.budget_parts, b.budget_parts);
   r.bans = a.bans;
   r.bans.insert(b.bans.begin(), b.bans.end());
-  // Left before nothing said, that before in use.
+  // Strictest first: not used (true), not set, used regardless of health (false).
   for (const Rules* source : {&a, &b})
     for (const auto& [zone, left] : source->zone_left) {
       const Rules& other = source == &a ? b : a;
@@ -128,15 +128,16 @@
   const xmlNode* root = xml::Root(document);
   const auto read_number = [&](const xmlNode* n, const char* attribute, auto* to) {
     using T = typename std::decay_t<decltype(*to)>::value_type;
-    if (const std::string said = xml::Text(n, attribute); !said.empty())
-      *to = dispatch::Number<T>(said, attribute);
+    if (const std::string value = xml::Text(n, attribute); !value.empty())
+      *to = dispatch::Number<T>(value, attribute);
   };
   Document d;
   std::optional<std::uint32_t> schema;
   read_number(root, "schema", &schema);
   if (schema.value_or(kSchema) > kSchema)
     xml::Fail(name, xml::Line(root),
-              "schema " + std::to_string(*schema) + " is later than this program's " +
+              "schema " + std::to_string(*schema) +
+                  " is later than the latest schema that this program reads, " +
                   std::to_string(kSchema));
   read_number(root, "repeats", &d.rules.retries_per_s);
   read_number(root, "attempts", &d.rules.attempts);
@@ -158,22 +159,23 @@
       xml::Fail(name, xml::Line(root), "voters: node " + token + " is named twice");
   }
   d.voters = chosen.empty() ? voters : std::vector<int>(chosen.begin(), chosen.end());
-  xml::Each(root, [&](const std::string& what, const xmlNode* n) {
-    const std::string of = xml::Text(n, what == "ban" ? "worker" : "name");
-    bool first = true;
-    if (what == "account") {
-      first = d.rules.shares.emplace(of, dispatch::Number<double>(xml::Text(n, "share"), "share"))
-                  .second;
-    } else if (what == "ban") {
-      first = d.rules.bans.insert(of).second;
+  xml::Each(root, [&](const std::string& element, const xmlNode* n) {
+    const std::string key = xml::Text(n, element == "ban" ? "worker" : "name");
+    bool is_new = true;
+    if (element == "account") {
+      is_new = d.rules.shares.emplace(key, dispatch::Number<double>(xml::Text(n, "share"), "share"))
+                   .second;
+    } else if (element == "ban") {
+      is_new = d.rules.bans.insert(key).second;
     } else {
-      first = d.rules.zone_left.emplace(of, xml::Text(n, "order") == "leave").second;
+      is_new = d.rules.zone_left.emplace(key, xml::Text(n, "order") == "leave").second;
     }
-    if (!first) xml::Fail(name, xml::Line(n), what + " \"" + of + "\" is there twice");
+    if (!is_new) xml::Fail(name, xml::Line(n), element + " \"" + key + "\" occurs twice");
   });
   if (Encode(d).size() > kMaxDocumentBytes)
     xml::Fail(name, xml::Line(root),
-              "longer than " + std::to_string(kMaxDocumentBytes) + " bytes in canonical form");
+              "document has " + std::to_string(Encode(d).size()) +
+                  " bytes in canonical form; the limit is " + std::to_string(kMaxDocumentBytes));
   return d;
 }
 
@@ -198,8 +200,8 @@
 }
 
 std::string Describe(const Document& d) {
-  return "version " + std::to_string(d.number) + (d.forced ? " (forced)" : "") + " said at node " +
-         std::to_string(d.proposer);
+  return "version " + std::to_string(d.number) + (d.forced ? " (forced)" : "") +
+         " proposed at node " + std::to_string(d.proposer);
 }
 
 std::vector<std::string> Differences(const Rules& from, const Rules& to) {
@@ -207,8 +209,9 @@
   const auto to_text = [](const auto& value) {
     return value ? FormatNumber(*value) : std::string("-");
   };
-  const auto add_change = [&](const std::string& what, const std::string& a, const std::string& b) {
-    if (a != b) lines.push_back(what + ": " + a + " -> " + b);
+  const auto add_change = [&](const std::string& subject, const std::string& a,
+                              const std::string& b) {
+    if (a != b) lines.push_back(subject + ": " + a + " -> " + b);
   };
   add_change("repeats", to_text(from.retries_per_s), to_text(to.retries_per_s));
   add_change("attempts", to_text(from.attempts), to_text(to.attempts));
@@ -233,66 +236,67 @@
 }
 
 std::string Encode(const Document& d) {
-  wire::Document stored;
-  stored.set_schema(d.schema);
-  stored.set_number(d.number);
-  stored.set_before(d.previous_hash);
-  stored.set_by(static_cast<std::uint32_t>(d.proposer));
-  stored.set_at_ms(static_cast<std::uint64_t>(std::max<std::int64_t>(0, d.proposed_at_ms)));
-  stored.set_forced(d.forced);
-  for (const int voter : d.voters) stored.add_voters(static_cast<std::uint32_t>(voter));
+  wire::Document encoded;
+  encoded.set_schema(d.schema);
+  encoded.set_number(d.number);
+  encoded.set_before(d.previous_hash);
+  encoded.set_by(static_cast<std::uint32_t>(d.proposer));
+  encoded.set_at_ms(static_cast<std::uint64_t>(std::max<std::int64_t>(0, d.proposed_at_ms)));
+  encoded.set_forced(d.forced);
+  for (const int voter : d.voters) encoded.add_voters(static_cast<std::uint32_t>(voter));
   for (const auto& [account, share] : d.rules.shares) {
-    stored.add_account(account);
-    stored.add_share(share);
+    encoded.add_account(account);
+    encoded.add_share(share);
   }
-  if (d.rules.default_share) stored.set_others(*d.rules.default_share);
-  if (d.rules.retries_per_s) stored.set_repeats(*d.rules.retries_per_s);
-  if (d.rules.attempts) stored.set_attempts(static_cast<std::uint32_t>(*d.rules.attempts));
-  if (d.rules.budget_parts) stored.set_nodes(static_cast<std::uint32_t>(*d.rules.budget_parts));
-  for (const std::string& worker : d.rules.bans) stored.add_ban(worker);
+  if (d.rules.default_share) encoded.set_others(*d.rules.default_share);
+  if (d.rules.retries_per_s) encoded.set_repeats(*d.rules.retries_per_s);
+  if (d.rules.attempts) encoded.set_attempts(static_cast<std::uint32_t>(*d.rules.attempts));
+  if (d.rules.budget_parts) encoded.set_nodes(static_cast<std::uint32_t>(*d.rules.budget_parts));
+  for (const std::string& worker : d.rules.bans) encoded.add_ban(worker);
   for (const auto& [zone, left] : d.rules.zone_left)
-    left ? stored.add_leave(zone) : stored.add_use(zone);
-  return stored.SerializeAsString();
+    left ? encoded.add_leave(zone) : encoded.add_use(zone);
+  return encoded.SerializeAsString();
 }
 
 std::optional<Document> Decode(std::string_view bytes, bool* later_schema) {
   if (later_schema != nullptr) *later_schema = false;
-  wire::Document stored;
+  wire::Document encoded;
   if (bytes.size() > kMaxDocumentBytes ||
-      !stored.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
+      !encoded.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     return std::nullopt;
-  if (stored.schema() > kSchema) {
+  if (encoded.schema() > kSchema) {
     if (later_schema != nullptr) *later_schema = true;
     return std::nullopt;
   }
-  if (stored.account_size() != stored.share_size() || stored.voters_size() < 1 ||
-      stored.voters_size() > kMaxVoters || !IsAscending(stored.voters()) ||
-      !IsAscending(stored.account()) || !IsAscending(stored.ban()) ||
-      !IsAscending(stored.leave()) || !IsAscending(stored.use()) || stored.by() > 1'000'000 ||
-      stored.voters(stored.voters_size() - 1) > 1'000'000 || stored.attempts() > 1000 ||
-      stored.nodes() > 1000 || (stored.has_attempts() && stored.attempts() < 1) ||
-      (stored.has_nodes() && stored.nodes() < 1) || !IsValidRate(stored.others()) ||
-      !IsValidRate(stored.repeats()) || stored.at_ms() > (1ull << 50) ||
-      !std::all_of(stored.share().begin(), stored.share().end(), IsValidRate))
+  if (encoded.account_size() != encoded.share_size() || encoded.voters_size() < 1 ||
+      encoded.voters_size() > kMaxVoters || !IsAscending(encoded.voters()) ||
+      !IsAscending(encoded.account()) || !IsAscending(encoded.ban()) ||
+      !IsAscending(encoded.leave()) || !IsAscending(encoded.use()) || encoded.by() > 1'000'000 ||
+      encoded.voters(encoded.voters_size() - 1) > 1'000'000 || encoded.attempts() > 1000 ||
+      encoded.nodes() > 1000 || (encoded.has_attempts() && encoded.attempts() < 1) ||
+      (encoded.has_nodes() && encoded.nodes() < 1) || !IsValidRate(encoded.others()) ||
+      !IsValidRate(encoded.repeats()) || encoded.at_ms() > (1ull << 50) ||
+      !std::all_of(encoded.share().begin(), encoded.share().end(), IsValidRate))
     return std::nullopt;
   Document d;
-  d.schema = stored.schema();
-  d.number = stored.number();
-  d.previous_hash = stored.before();
-  d.proposer = static_cast<int>(stored.by());
-  d.proposed_at_ms = static_cast<std::int64_t>(stored.at_ms());
-  d.forced = stored.forced();
-  for (const std::uint32_t voter : stored.voters()) d.voters.push_back(static_cast<int>(voter));
-  for (int i = 0; i < stored.account_size(); ++i)
-    d.rules.shares[stored.account(i)] = stored.share(i);
-  if (stored.has_others()) d.rules.default_share = stored.others();
-  if (stored.has_repeats()) d.rules.retries_per_s = stored.repeats();
-  if (stored.has_attempts()) d.rules.attempts = static_cast<int>(stored.attempts());
-  if (stored.has_nodes()) d.rules.budget_parts = static_cast<int>(stored.nodes());
-  d.rules.bans.insert(stored.ban().begin(), stored.ban().end());
-  for (const std::string& zone : stored.use()) d.rules.zone_left[zone] = false;
-  for (const std::string& zone : stored.leave()) d.rules.zone_left[zone] = true;
-  // One document has one form: what reads as the same but is written otherwise has another hash.
+  d.schema = encoded.schema();
+  d.number = encoded.number();
+  d.previous_hash = encoded.before();
+  d.proposer = static_cast<int>(encoded.by());
+  d.proposed_at_ms = static_cast<std::int64_t>(encoded.at_ms());
+  d.forced = encoded.forced();
+  for (const std::uint32_t voter : encoded.voters()) d.voters.push_back(static_cast<int>(voter));
+  for (int i = 0; i < encoded.account_size(); ++i)
+    d.rules.shares[encoded.account(i)] = encoded.share(i);
+  if (encoded.has_others()) d.rules.default_share = encoded.others();
+  if (encoded.has_repeats()) d.rules.retries_per_s = encoded.repeats();
+  if (encoded.has_attempts()) d.rules.attempts = static_cast<int>(encoded.attempts());
+  if (encoded.has_nodes()) d.rules.budget_parts = static_cast<int>(encoded.nodes());
+  d.rules.bans.insert(encoded.ban().begin(), encoded.ban().end());
+  for (const std::string& zone : encoded.use()) d.rules.zone_left[zone] = false;
+  for (const std::string& zone : encoded.leave()) d.rules.zone_left[zone] = true;
+  // A document has exactly one encoding; another encoding of the same values would have another
+  // hash.
   if (Encode(d) != bytes) return std::nullopt;
   return d;
 }
--- a/src/node/rules/document.h
+++ b/src/node/rules/document.h
@@ -1,11 +1,11 @@
-// A version of the rules on which all nodes agree: its values, how two of them compare, its form
-// for people (XML with a schema that is part of the program) and the canonical one, whose hash
-// names it. Pure; it owns no state, and must never take a document that it has not read whole.
+// A version of the cluster-wide rules: its values, the comparison of two sets of rules, the XML
+// form for operators (with an embedded schema) and the canonical binary form, whose hash identifies
+// the document. Stateless. A document is accepted only if all of it can be read.
 //
-// Rules are compared by what they permit. One obeys another if it permits nothing that the other
-// forbids; the stricter of two obeys both; two processes act on rules that contradict each other if
-// there is no version that both obey. The floor obeys every version that could be, as far as a
-// value can say so: bans and zones that are left are those that are known.
+// Rules are compared by what they permit. Rules `a` satisfy rules `b` if `a` permits nothing that
+// `b` forbids. StricterOf(a, b) satisfies both. Two processes contradict each other if no version
+// exists that the rules of both satisfy. The floor satisfies every possible version as far as
+// limits go; of bans and drained zones it can only contain the known ones.
 #ifndef PEARREACH_SRC_NODE_RULES_DOCUMENT_H_
 #define PEARREACH_SRC_NODE_RULES_DOCUMENT_H_
 
@@ -19,48 +19,51 @@
 
 namespace pearreach::rules {
 
-constexpr std::uint32_t kSchema = 1;                 // the latest that this build reads
-constexpr std::size_t kMaxDocumentBytes = 16 << 10;  // bytes, canonical
+constexpr std::uint32_t kSchema = 1;                 // the latest that this build can read
+constexpr std::size_t kMaxDocumentBytes = 16 << 10;  // in canonical form
 
-// What is not said here is as the node's own file has it.
+// A value that is not set here is taken from the node's own configuration file.
 struct Rules {
-  std::map<std::string, double> shares;   // accounts': jobs a second, all nodes
-  std::optional<double> default_share;    // of accounts that are not named above
-  std::optional<double> retries_per_s;    // clients' own retries a second, all nodes
-  std::optional<int> attempts;            // of a job, at most
-  std::optional<int> budget_parts;        // into so many parts a budget is shared
-  std::set<std::string> bans;             // workers that get no job
-  std::map<std::string, bool> zone_left;  // zones: left, or (false) in use whatever is seen of them
+  std::map<std::string, double> shares;  // by account: jobs per second over all nodes
+  std::optional<double> default_share;   // for accounts not in `shares`
+  std::optional<double> retries_per_s;   // retries by clients, over all nodes
+  std::optional<int> attempts;           // maximum per job
+  std::optional<int> budget_parts;       // number of parts into which a budget is divided
+  std::set<std::string> bans;            // workers that receive no jobs
+  std::map<std::string, bool>
+      zone_left;  // by zone: true: do not use; false: use regardless of its health
   bool operator==(const Rules&) const = default;
 };
-// Commutative, associative, idempotent; obeys both.
+// The loosest rules that satisfy both. Commutative, associative and idempotent.
 Rules StricterOf(const Rules& a, const Rules& b);
 bool Satisfies(const Rules& a, const Rules& b);  // `a` permits nothing that `b` forbids
-// What a node acts on that knows of `known` and cannot tell what is in force.
+// The rules of a node that knows `known` and cannot determine the version in force.
 Rules FloorOf(const Rules& known);
 
 struct Document {
   std::uint32_t schema = kSchema;
-  std::uint64_t number = 0;         // 0: what the nodes begin with
-  std::uint64_t previous_hash = 0;  // hash of the version before
-  int proposer = 0;
-  std::int64_t proposed_at_ms = 0;
-  bool forced = false;      // in an operator's forced way, without a majority
-  std::vector<int> voters;  // ascending; they decide on the version after this one
+  std::uint64_t number = 0;         // 0: the initial version
+  std::uint64_t previous_hash = 0;  // hash of the previous version
+  int proposer = 0;                 // node at which it was proposed
+  std::int64_t proposed_at_ms = 0;  // Unix time
+  bool forced = false;              // by an operator, without a majority
+  std::vector<int> voters;          // ascending; they choose the version after this one
   Rules rules;
   bool operator==(const Document&) const = default;
 };
-// The rules and voters of a file, without number or origin; `voters` if it names none. Throws
-// dispatch::Malformed with "NAME:LINE: what".
+// Reads the rules and voters of an XML file; the number and the origin are not set. `voters` is the
+// default if the file names none; `nodes` is the size of the cluster. Throws dispatch::Malformed
+// with "NAME:LINE: reason".
 Document ReadXml(std::string_view text, const std::string& name, const std::vector<int>& voters,
                  int nodes);
 std::string WriteXml(const Document& document);
-std::string Describe(const Document& document);  // a line for people
-// What of the rules differs, a line each ("account a: share 5 -> 3").
+std::string Describe(const Document& document);  // one line, for operators
+// The differences between two sets of rules, one line each ("account a: 5 -> 3").
 std::vector<std::string> Differences(const Rules& from, const Rules& to);
 
 std::string Encode(const Document& document);  // canonical
-// None: not a document, not in canonical form, or of a later schema (`*later`, if given).
+// Returns nothing for bytes that are not a document in canonical form, or if its schema is later
+// than kSchema; `*later_schema`, if given, tells these apart.
 std::optional<Document> Decode(std::string_view bytes, bool* later_schema = nullptr);
 std::uint64_t HashOf(std::string_view canonical);  // BLAKE2b, never 0
 
--- a/src/node/rules/documents.cpp
+++ b/src/node/rules/documents.cpp
@@ -1,4 +1,4 @@
-// The documents of versions: those held here, and the fetch of others part by part.
+// The documents of versions: storing them, and fetching missing ones part by part.
 #include <algorithm>
 
 #include "node/rules/rules.h"
@@ -6,13 +6,15 @@
 namespace pearreach::rules {
 namespace {
 
-constexpr std::size_t kMaxHistory = 32;            // versions held
-constexpr std::size_t kMaxUnchosenDocuments = 16;  // that were not chosen
+constexpr std::size_t kMaxHistory = 32;            // versions in memory
+constexpr std::size_t kMaxUnchosenDocuments = 16;  // documents in memory outside the history
 constexpr std::size_t kMaxFetches = 8;
-constexpr int kPartsPerRequest = 4;  // parts of a document that one question brings
+constexpr int kPartsPerRequest = 4;  // parts sent in reply to one request
 
 }  // namespace
 
+// Puts the document of the current version, which must be stored, into the history. A document that
+// cannot be read is marked as unreadable instead.
 void Consensus::Install(Micros) {
   const std::string bytes = *DocumentOf(version_id_.hash);
   bool later = false;
@@ -38,7 +40,7 @@
   return it == documents_.end() ? nullptr : &it->second;
 }
 
-// Those that are in use stay; of the others the oldest goes.
+// Evicts the oldest documents beyond the limit, except those in use.
 void Consensus::StoreDocument(std::uint64_t hash, const std::string& bytes) {
   if (documents_.emplace(hash, bytes).second) documents_order_.push_back(hash);
   for (std::size_t i = documents_order_.size();
@@ -71,7 +73,7 @@
   Send(from, m, out);
 }
 
-// The parts of a document that another node asks for.
+// Sends the requested parts of a document, if this node has it.
 void Consensus::SendParts(Micros now, int to, const Message& request, std::vector<Outgoing>* out) {
   const std::string* bytes = DocumentOf(request.requested_hash);
   if (bytes == nullptr) return;
--- a/src/node/rules/exchange.cpp
+++ b/src/node/rules/exchange.cpp
@@ -1,10 +1,11 @@
-// What nodes tell one another of versions, to whom and when.
+// The messages that nodes exchange about versions: rounds of queries, replies, and announcements.
 #include <algorithm>
 #include <utility>
 
 #include "node/rules/rules.h"
 
 namespace pearreach::rules {
+
 void Consensus::Tick(Micros now, const std::vector<int>& alive, std::vector<Outgoing>* out) {
   alive_ = alive;
   next_tick_ = now + options_.round_interval;
@@ -22,15 +23,15 @@
   pending_queries_[last_query_] = now;
   for (const int voter : voters())
     if (voter != options_.self && voter < options_.nodes) Send(voter, message, out);
-  // A version that is new goes to several others; else to one, so that those hear of it who do not
-  // know its voters.
+  // A new version goes to several peers. Otherwise one peer per round gets the latest version, so
+  // that it also reaches nodes that do not know its voters.
   message.query = 0;
   for (int i = 0; !alive.empty() && i < (broadcast_rounds_ > 0 ? kBroadcastFanout : 1); ++i)
     Send(alive[next_peer_++ % alive.size()], message, out);
   broadcast_rounds_ = std::max(0, broadcast_rounds_ - 1);
   for (auto& [hash, f] : fetches_) {
     if (now < f.requested_at + options_.round_interval / 2) continue;
-    // Whoever was asked may be gone.
+    // The node that was asked may have failed, so another one is tried at random.
     const std::vector<int>& from = alive.empty() ? last_voters_ : alive;
     if (f.source < 0 || random_() % 2 == 0) f.source = from[random_() % from.size()];
     RequestDocument(now, f.source, hash, out);
@@ -39,7 +40,8 @@
       now > accepted_at_ + 2 * options_.ballot_timeout +
                 static_cast<Micros>(random_() %
                                     static_cast<std::uint64_t>(options_.ballot_timeout))) {
-    // Whoever proposed it may be gone; while it is open nobody's lease is renewed.
+    // The proposer of the accepted version may have failed. No node's lease is renewed while the
+    // version is undecided, so this voter completes it.
     Proposal p;
     p.base = version_id_;
     p.deadline = now + options_.proposal_timeout;
@@ -89,13 +91,12 @@
   if (m.part_hash != 0) OnDocumentPart(now, from, m, out);
 }
 
-// What this node says to a question: whether it vouches for the asker's version, and its state as a
-// voter.
-Message Consensus::ReplyToQuery(Micros now, const Message& question) const {
+// The reply to a query: whether this node vouches for the sender's version, and its acceptor state.
+Message Consensus::ReplyToQuery(Micros now, const Message& query) const {
   Message answer = NewMessage(now);
-  answer.reply_to = question.query;
+  answer.reply_to = query.query;
   const bool is_voting = current() != nullptr && IsVoter(options_.self);
-  answer.vouches = is_voting && !recovering_ && question.version == version_id_ &&
+  answer.vouches = is_voting && !recovering_ && query.version == version_id_ &&
                    (NothingAccepted() || disabled_guards_.clean);
   answer.recovering = recovering_;
   answer.started_epoch = epoch_started_at_ >= 0 && now < epoch_started_at_ + options_.lease;
--- a/src/node/rules/leases.cpp
+++ b/src/node/rules/leases.cpp
@@ -1,4 +1,5 @@
-// The leases on versions: which version this node may act on, until when, and who has it.
+// Leases on versions: which rules this node may apply, until when, and which nodes have the
+// version.
 #include <algorithm>
 
 #include "node/rules/rules.h"
--- a/src/node/rules/messages.cpp
+++ b/src/node/rules/messages.cpp
@@ -8,6 +8,7 @@
 namespace pearreach::rules {
 namespace {
 
+// Bounds that a received message must not exceed.
 constexpr std::int64_t kMaxAgeMs = 60'000'000;
 constexpr std::uint64_t kMaxNumber = 1ull << 50;
 constexpr int kMaxParts = kMaxDocumentBytes / kPartBytes + 1;
--- a/src/node/rules/messages.h
+++ b/src/node/rules/messages.h
@@ -1,6 +1,6 @@
-// What one node says to another of the version of its rules, as values and as bytes. Pure and
-// bounded: it reads nothing that it has not checked, must never give more than the caller has room
-// for, and passes over what it does not know.
+// The messages of the rules consensus and their encoding (rules.proto). Decoding checks every field
+// against its bounds and skips unknown fields; an encoded message is at most 220 bytes, which fits
+// into a datagram.
 #ifndef PEARREACH_SRC_NODE_RULES_MESSAGES_H_
 #define PEARREACH_SRC_NODE_RULES_MESSAGES_H_
 
@@ -12,27 +12,32 @@
 
 namespace pearreach::rules {
 
-// A version that was chosen. A later epoch begins where voters have lost what they knew.
+// Identifies a chosen version. A new epoch starts when voters have lost their state, or when an
+// operator forces a version.
 struct VersionId {
   std::uint64_t epoch = 0, number = 0, hash = 0;
   auto operator<=>(const VersionId&) const = default;
 };
 
-constexpr std::size_t kPartBytes = 100;  // of a document, in one word
+constexpr std::size_t kPartBytes = 100;  // of a document, in one message
 
 enum class Step : std::uint8_t { kNone, kPrepare, kPromise, kAccept, kAccepted, kRefused };
 
 struct Message {
+  // The sender's latest version, how long it has had it, and the latest schema that it can read.
   VersionId version;
   std::int64_t age_ms = 0;
   std::uint32_t schema = 1;
-  bool cannot_read = false;
+  bool cannot_read = false;  // the sender cannot read the document of `version`
+  // A query to a voter, or a voter's reply to one; 0: none.
   std::uint32_t query = 0, reply_to = 0;
   bool vouches = false, recovering = false, started_epoch = false;
   std::uint64_t promised = 0, accepted = 0, accepted_hash = 0;
-  std::string holders;  // a bit a node
+  std::string holders;  // bitmap of the nodes that have `version`
+  // One step of Paxos for the version after `version`.
   Step step = Step::kNone;
   std::uint64_t ballot = 0, value_ballot = 0, value_hash = 0;
+  // A request for a document, from `requested_part` on, or one part of a document.
   std::uint64_t requested_hash = 0, part_hash = 0;
   int requested_part = 0, part = 0, parts = 0;
   std::string bytes;
@@ -40,6 +45,7 @@
 };
 
 std::string Encode(const Message& message);  // at most 220 bytes
+// Returns nothing for malformed input.
 std::optional<Message> DecodeMessage(std::string_view bytes);
 
 }  // namespace pearreach::rules
--- a/src/node/rules/paxos.cpp
+++ b/src/node/rules/paxos.cpp
@@ -1,5 +1,5 @@
-// The choice of the next version: one register of Paxos a number, with this node as an acceptor
-// and, while it has a proposal, as the proposer.
+// The choice of the next version: one instance of Paxos per version number. This node is an
+// acceptor if it is a voter, and a proposer while it has a proposal.
 #include <algorithm>
 
 #include "node/rules/rules.h"
@@ -7,7 +7,7 @@
 namespace pearreach::rules {
 namespace {
 
-constexpr int kBallotNodeBits = 20;  // low bits of a ballot: the node
+constexpr int kBallotNodeBits = 20;  // low bits of a ballot that hold the node number
 
 }  // namespace
 
@@ -28,15 +28,16 @@
   OnStep(now, from, *reply, out);
 }
 
-// As an acceptor. Nothing: there is no reply yet.
+// Acceptor, phase 1.
 std::optional<Message> Consensus::ReplyToPrepare(Micros now, int from, const Message& m,
                                                  std::vector<Outgoing>* out) {
   Message reply = NewMessage(now);
   reply.ballot = m.ballot;
   reply.promised = promised_;
   reply.step = Step::kRefused;
-  if (!(m.version == version_id_)) return reply;  // its head says why
-  // Its document comes while the others promise.
+  // The version in the refusal shows the proposer that the versions differ.
+  if (!(m.version == version_id_)) return reply;
+  // Fetches the document while the proposer collects promises.
   if (m.value_hash != 0) RequestDocument(now, from, m.value_hash, out);
   if (m.ballot < promised_) return reply;
   reply.step = Step::kPromise;
@@ -47,13 +48,15 @@
   return reply;
 }
 
+// Acceptor, phase 2. Returns nothing while the document of the value has not arrived, or if the
+// document cannot follow this node's version.
 std::optional<Message> Consensus::ReplyToAccept(Micros now, int from, const Message& m,
                                                 std::vector<Outgoing>* out) {
   Message reply = NewMessage(now);
   reply.ballot = m.ballot;
   reply.promised = promised_;
   reply.step = Step::kRefused;
-  if (!(m.version == version_id_)) return reply;  // its head says why
+  if (!(m.version == version_id_)) return reply;  // as in ReplyToPrepare
   if (m.ballot < promised_ && !disabled_guards_.promise) return reply;
   const std::string* bytes = DocumentOf(m.value_hash);
   if (bytes == nullptr) {
@@ -76,16 +79,18 @@
   return reply;
 }
 
-// As the proposer.
+// Proposer: a voter's reply to a step of the current ballot.
 void Consensus::OnReply(Micros now, int from, const Message& m, std::vector<Outgoing>* out) {
   if (!proposal_ || proposal_->ballot == 0 || m.ballot != proposal_->ballot) return;
   Proposal& p = *proposal_;
-  // What comes after the ballot's end counts for nothing: a voter may have forgotten it.
+  // Replies after the ballot's timeout are ignored: a voter that lost its state may have forgotten
+  // the promise by then.
   if (now >= p.ballot_started + options_.ballot_timeout || !(p.base == version_id_)) return;
   if (m.step == Step::kRefused) {
     highest_ballot_ = std::max(highest_ballot_, m.promised);
     if (m.promised <= p.ballot) return;
-    // Another ballot is on: wait a while, else the two overtake each other for ever.
+    // Another proposer has a higher ballot. A random delay keeps the two from preempting each other
+    // for ever.
     p.ballot = 0;
     p.resend_at =
         now + options_.round_interval / 4 +
@@ -108,8 +113,8 @@
   }
 }
 
-// Drives the proposal on: ends it, begins a ballot, or asks again the voters that have not
-// answered.
+// Moves the proposal forward: ends it, starts a ballot, or sends the current step again to the
+// voters that have not answered.
 void Consensus::AdvanceProposal(Micros now, std::vector<Outgoing>* out) {
   if (!proposal_ || EndIfDecided(now)) return;
   Proposal& p = *proposal_;
@@ -123,7 +128,7 @@
   if (!p.accepting && static_cast<int>(p.promised.size()) >= Majority()) {
     if (p.value_hash == 0) p.value_hash = p.hash;
     if (p.value_hash == 0) {
-      proposal_.reset();  // nothing to complete after all
+      proposal_.reset();  // no voter has accepted a value, so there is nothing to complete
       return;
     }
     if (DocumentOf(p.value_hash) != nullptr) {
@@ -147,7 +152,8 @@
   }
 }
 
-// Whether the proposal is over: a version was chosen where it would stand, or its time has run out.
+// Ends the proposal, and returns true, if a version was chosen under its number or its timeout has
+// passed.
 bool Consensus::EndIfDecided(Micros now) {
   if (!(proposal_->base == version_id_)) {
     const std::uint64_t number = proposal_->base.number + 1;
@@ -156,21 +162,21 @@
                             ? v->id.hash == proposal_->hash
                             : version_id_.number == number && version_id_.hash == proposal_->hash;
     if (is_own)
-      EndProposal(Outcome::Result::kChosen, "version " + std::to_string(number) + " is chosen");
+      EndProposal(Outcome::Result::kChosen, "version " + std::to_string(number) + " was chosen");
     else
       EndProposal(Outcome::Result::kLost,
                   v != nullptr
-                      ? Describe(v->document) + " stands in its way"
-                      : "version " + std::to_string(version_id_.number) + " stands in its way");
+                      ? Describe(v->document) + " was chosen instead"
+                      : "version " + std::to_string(version_id_.number) + " was chosen instead");
     return true;
   }
   if (now < proposal_->deadline) return false;
   if (proposal_->accept_sent)
     EndProposal(Outcome::Result::kOpen,
-                "not known to be chosen: some voters may have it, and it may be chosen yet");
+                "undecided: some voters may have accepted the version, and it may still be chosen");
   else
     EndProposal(Outcome::Result::kNoMajority,
-                "no majority of the voters answered: nothing is changed");
+                "no majority of the voters answered; the version is unchanged");
   return true;
 }
 
--- a/src/node/rules/recovery.cpp
+++ b/src/node/rules/recovery.cpp
@@ -1,5 +1,5 @@
-// How a node comes to the version chosen last: by hearing of it, or as a voter that has lost what
-// it knew.
+// How a node reaches the version chosen last: by learning of it from another node, or by recovery
+// as a voter that has lost its state.
 #include <algorithm>
 #include <utility>
 
@@ -8,15 +8,17 @@
 namespace pearreach::rules {
 namespace {
 
-constexpr Micros kMaxAgeMicros = 60'000'000'000;  // an age that is told counts for no more
+constexpr Micros kMaxAgeMicros = 60'000'000'000;  // upper bound on the age in a message
 
 }  // namespace
 
-// A voter that lost what it knew takes part again once it knows what it may have had a part in.
+// Lets a voter that lost its state vote again once it knows everything that its previous process
+// may have voted for.
 void Consensus::Recover(Micros now) {
   if (!recovering_ || current() == nullptr) return;
   if (!IsVoter(options_.self)) {
-    // Others vouch that none after this version was chosen: it cannot have voted on one.
+    // A majority vouches that no version after this one was chosen. This node is not a voter of
+    // this version, so it cannot have voted for the next one.
     if (lease_until(now) > now) recovering_ = false;
     return;
   }
@@ -24,7 +26,7 @@
     recovering_ = false;
     return;
   }
-  // By then each ballot and lease in which its last process had a part is over.
+  // By this time every ballot and lease that the previous process took part in has ended.
   const Micros recovery_end =
       started_at_ + std::max(options_.MaxLease(),
                              static_cast<Micros>(static_cast<double>(options_.ballot_timeout) *
@@ -42,9 +44,10 @@
     accepted_hash_ = summary.accepted_hash;
     accepted_at_ = now;
   }
-  // All voters are here and too many of them know nothing: what was chosen last may be forgotten.
-  // What they choose from here on is of a later epoch, so that it can be told apart. One that was
-  // begun less than a lease ago was begun while this process waited: it is the same beginning.
+  // All voters answered, but too many of them have lost their state, so the version chosen last may
+  // be lost. The versions chosen from here on get a later epoch, which distinguishes them. If
+  // another voter started an epoch less than a lease ago, it did so while this process was
+  // recovering, and this node joins that epoch.
   if (summary.not_recovering < required && !summary.started_epoch) {
     version_id_.epoch = (version_id_.epoch / kEpochStep + 1) * kEpochStep;
     epoch_started_at_ = now;
@@ -53,7 +56,7 @@
   broadcast_rounds_ = 3;
 }
 
-// What the other voters of this version answered after a moment, together.
+// Combines the answers of the other voters of this version to queries sent at or after `since`.
 Consensus::VoterSummary Consensus::SummarizeVoters(Micros since) const {
   VoterSummary summary;
   for (const int voter : voters()) {
@@ -72,6 +75,8 @@
   return summary;
 }
 
+// Takes over `version`, which `from` reports as chosen `age_ms` ago, if it is later than this
+// node's.
 void Consensus::Learn(Micros now, int from, const VersionId& version, std::int64_t age_ms,
                       std::vector<Outgoing>* out) {
   if (std::pair(version.epoch, version.number) <=
--- a/src/node/rules/rules.cpp
+++ b/src/node/rules/rules.cpp
@@ -6,7 +6,7 @@
 namespace pearreach::rules {
 namespace {
 
-constexpr std::size_t kStoredVersions = 4;  // versions on the disk
+constexpr std::size_t kStoredVersions = 4;  // versions in the persistent state
 constexpr Micros kLongAgoMicros = 60'000'000'000;
 
 }  // namespace
@@ -42,7 +42,7 @@
     StoreDocument(accepted_hash_, stored->accepted_document);
   }
   highest_ballot_ = std::max(promised_, accepted_);
-  // Others may still act on the one before, whenever this one was chosen.
+  // It is not known when this version was chosen, so others may still apply the previous one.
   if (version_id_.number == 0) return;
   chosen_at_ = now;
   unseen_until_ = now + options_.MaxLease();
--- a/src/node/rules/stored_state.cpp
+++ b/src/node/rules/stored_state.cpp
@@ -1,11 +1,11 @@
-// What a node keeps over its end, as bytes.
+// The encoding of PersistentState.
 #include "node/rules/rules.h"
 #include "node/rules/rules.pb.h"
 
 namespace pearreach::rules {
 namespace {
 
-constexpr int kMaxStoredDocuments = 32;  // that are read
+constexpr int kMaxStoredDocuments = 32;  // upper bound when decoding
 
 }  // namespace
 
--- a/tests/node/rules/rules_test.cpp
+++ b/tests/node/rules/rules_test.cpp
@@ -1,5 +1,5 @@
-// Versions of the rules: how two compare, their forms, and the agreement of many nodes in virtual
-// time, with each of its guards and without.
+// Tests of the rules: comparison, encodings, and the consensus of many nodes in virtual time, with
+// all guards and with each guard disabled.
 #include "node/rules/rules.h"
 
 #include <gtest/gtest.h>
@@ -56,7 +56,7 @@
   RC_ASSERT(StricterOf(a, a) == a);
   RC_ASSERT(Satisfies(StricterOf(a, b), a));
   RC_ASSERT(Satisfies(StricterOf(a, b), b));
-  // And it is the loosest that does: what obeys both obeys it.
+  // It is the loosest one: rules that satisfy both satisfy it.
   const bool both = Satisfies(c, a) && Satisfies(c, b);
   RC_ASSERT(both == Satisfies(c, StricterOf(a, b)));
 }
@@ -66,7 +66,7 @@
   Rules any = *AnyRules();
   const Rules floor = FloorOf(known);
   RC_ASSERT(Satisfies(floor, known));
-  // Bans, zones left and numbers of nodes it cannot guess.
+  // The floor cannot include unknown bans, zones that are not in use, and numbers of parts.
   any.bans.clear();
   any.zone_left.clear();
   any.budget_parts.reset();
@@ -77,7 +77,7 @@
   Document d;
   d.rules = *AnyRules();
   d.rules.default_share.reset();
-  d.rules.attempts.reset();  // not in files yet
+  d.rules.attempts.reset();  // not in the XML schema yet
   d.voters = {0, 2};
   d.number = *rc::gen::inRange(0, 1000);
   const std::string bytes = Encode(d);
@@ -87,7 +87,7 @@
   const Document again = rules::ReadXml(WriteXml(d), "rules.xml", {1}, 3);
   RC_ASSERT(again.rules == d.rules);
   RC_ASSERT(again.voters == d.voters);
-  // What reads the same but is written otherwise is another document: it is not taken.
+  // Another encoding of the same values is rejected.
   RC_ASSERT(!rules::Decode(bytes + std::string("\x08\x01", 2)).has_value());
 }
 
@@ -143,7 +143,7 @@
 
 // ---------------------------------------------------------------- many nodes
 
-RulesPlan Fleet(std::uint64_t seed, int nodes) {
+RulesPlan FleetPlan(std::uint64_t seed, int nodes) {
   RulesPlan p;
   p.plan.nodes = nodes;
   p.plan.zones = 3;
@@ -156,28 +156,28 @@
   p.drift = 0.01;
   return p;
 }
-Fault Of(Fault::What what, Micros at, Micros length, const char* from, const char* to = "*",
-         double share = 1) {
+Fault MakeFault(Fault::What what, Micros at, Micros length, const char* from, const char* to = "*",
+                double share = 1) {
   return {what, at, length, from, to, share, 0};
 }
-std::string Told(const RulesResult& r) {
+std::string LastLines(const RulesResult& r) {
   std::string all;
   for (std::size_t i = r.lines.size() > 60 ? r.lines.size() - 60 : 0; i < r.lines.size(); ++i)
     all += r.lines[i] + "\n";
   return all;
 }
-void Holds(const RulesPlan& p, const RulesResult& r) {
+void ExpectInvariants(const RulesPlan& p, const RulesResult& r) {
   rules::Options o = p.options;
-  EXPECT_LE(r.longest, o.MaxContradiction()) << Told(r);
-  EXPECT_EQ(r.longest, 0) << Told(r);  // with all guards nobody acts on one of two alone
-  EXPECT_EQ(r.forks, 0) << Told(r);
-  EXPECT_TRUE(r.agreed) << Told(r);
+  EXPECT_LE(r.longest, o.MaxContradiction()) << LastLines(r);
+  EXPECT_EQ(r.longest, 0) << LastLines(r);  // with all guards no contradiction occurs at all
+  EXPECT_EQ(r.forks, 0) << LastLines(r);
+  EXPECT_TRUE(r.agreed) << LastLines(r);
 }
 
 struct Case {
   const char* name;
   std::function<void(RulesPlan*)> set;
-  bool forgets = false;  // all voters lose what they knew
+  bool forgets = false;  // all voters lose their state, so versions may be lost
 };
 const std::vector<Case>& Cases() {
   using What = Fault::What;
@@ -197,44 +197,44 @@
            for (int a = 0; a < p->plan.nodes; ++a)
              for (int b = 0; b < p->plan.nodes; ++b)
                if (a % 2 != b % 2)
-                 p->plan.faults.push_back(Of(What::kLose, at, 4'000'000,
-                                             ("n" + std::to_string(a)).c_str(),
-                                             ("n" + std::to_string(b)).c_str()));
+                 p->plan.faults.push_back(MakeFault(What::kLose, at, 4'000'000,
+                                                    ("n" + std::to_string(a)).c_str(),
+                                                    ("n" + std::to_string(b)).c_str()));
        }},
       {"links one way",
        [](RulesPlan* p) {
          for (Micros at = 8'000'000; at < 55'000'000; at += 5'000'000)
            p->plan.faults.push_back(
-               Of(What::kLose, at, 4'000'000,
-                  ("n" + std::to_string(at / 1'000'000 % p->plan.nodes)).c_str()));
+               MakeFault(What::kLose, at, 4'000'000,
+                         ("n" + std::to_string(at / 1'000'000 % p->plan.nodes)).c_str()));
        }},
       {"a node stalls for 5 s",
        [](RulesPlan* p) {
          for (Micros at = 8'000'000; at < 50'000'000; at += 7'000'000)
            p->plan.faults.push_back(
-               Of(What::kStall, at, 5'000'000,
-                  ("n" + std::to_string(at / 1'000'000 % p->plan.nodes)).c_str()));
+               MakeFault(What::kStall, at, 5'000'000,
+                         ("n" + std::to_string(at / 1'000'000 % p->plan.nodes)).c_str()));
        }},
       {"a third stalls for 5 s",
        [](RulesPlan* p) {
          for (Micros at = 8'000'000; at < 50'000'000; at += 9'000'000)
-           p->plan.faults.push_back(
-               Of(What::kStall, at, 5'000'000, ("z" + std::to_string(at / 1'000'000 % 3)).c_str()));
+           p->plan.faults.push_back(MakeFault(What::kStall, at, 5'000'000,
+                                              ("z" + std::to_string(at / 1'000'000 % 3)).c_str()));
        }},
       {"killed and started without disks",
        [](RulesPlan* p) {
          for (Micros at = 8'000'000; at < 55'000'000; at += 4'000'000)
            p->plan.faults.push_back(
-               Of(What::kKill, at, 500'000,
-                  ("n" + std::to_string(at / 1'000'000 % p->plan.nodes)).c_str()));
+               MakeFault(What::kKill, at, 500'000,
+                         ("n" + std::to_string(at / 1'000'000 % p->plan.nodes)).c_str()));
        }},
       {"killed and started with disks",
        [](RulesPlan* p) {
          p->disks = true;
          for (Micros at = 8'000'000; at < 55'000'000; at += 2'000'000)
            p->plan.faults.push_back(
-               Of(What::kKill, at, 300'000,
-                  ("n" + std::to_string(at / 1'000'000 % p->plan.nodes)).c_str()));
+               MakeFault(What::kKill, at, 300'000,
+                         ("n" + std::to_string(at / 1'000'000 % p->plan.nodes)).c_str()));
        }},
       {"the proposer dies after its first write",
        [](RulesPlan* p) { p->kill_after = 1, p->propose_every = 4'000'000; }},
@@ -246,21 +246,21 @@
       {"all restarted at once with disks",
        [](RulesPlan* p) {
          p->disks = true;
-         p->plan.faults.push_back(Of(What::kKill, 20'000'000, 500'000, "*"));
-         p->plan.faults.push_back(Of(What::kKill, 40'000'000, 500'000, "*"));
+         p->plan.faults.push_back(MakeFault(What::kKill, 20'000'000, 500'000, "*"));
+         p->plan.faults.push_back(MakeFault(What::kKill, 40'000'000, 500'000, "*"));
        }},
       {"all restarted at once without disks",
        [](RulesPlan* p) {
-         p->plan.faults.push_back(Of(What::kKill, 20'000'000, 500'000, "*"));
-         p->plan.faults.push_back(Of(What::kKill, 40'000'000, 500'000, "*"));
+         p->plan.faults.push_back(MakeFault(What::kKill, 20'000'000, 500'000, "*"));
+         p->plan.faults.push_back(MakeFault(What::kKill, 40'000'000, 500'000, "*"));
        },
        true},
       {"back after long with an old file",
        [](RulesPlan* p) {
          p->disks = true;
-         p->plan.faults.push_back(Of(What::kKill, 10'000'000, 45'000'000, "n1"));
+         p->plan.faults.push_back(MakeFault(What::kKill, 10'000'000, 45'000'000, "n1"));
          p->plan.faults.push_back(
-             Of(What::kKill, 12'000'000, 40'000'000, p->plan.nodes > 5 ? "n5" : "n1"));
+             MakeFault(What::kKill, 12'000'000, 40'000'000, p->plan.nodes > 5 ? "n5" : "n1"));
        }},
   };
   return cases;
@@ -270,15 +270,15 @@
   const Case& c = Cases()[GetParam()];
   for (const int nodes : {3, 5, 9})
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-      RulesPlan p = Fleet(seed, nodes);
+      RulesPlan p = FleetPlan(seed, nodes);
       c.set(&p);
       const RulesResult r = RunRules(p);
       SCOPED_TRACE(std::string(c.name) + ", " + std::to_string(nodes) + " nodes, seed " +
                    std::to_string(seed));
-      Holds(p, r);
-      EXPECT_GT(r.chosen, 0) << Told(r);
+      ExpectInvariants(p, r);
+      EXPECT_GT(r.chosen, 0) << LastLines(r);
       if (!c.forgets) {
-        EXPECT_EQ(r.forgotten, 0) << Told(r);
+        EXPECT_EQ(r.forgotten, 0) << LastLines(r);
       }
       if (HasFailure()) return;
     }
@@ -291,10 +291,10 @@
                            return name;
                          });
 
-// Faults of every kind at once, drawn.
-RulesPlan Drawn(std::uint64_t seed, int nodes, bool disks) {
+// A plan with random faults of every kind.
+RulesPlan RandomFaultPlan(std::uint64_t seed, int nodes, bool disks) {
   using What = Fault::What;
-  RulesPlan p = Fleet(seed, nodes);
+  RulesPlan p = FleetPlan(seed, nodes);
   lab::Chance chance(lab::SeedOf(seed, 61, 0));
   p.disks = disks;
   p.lost = chance.Uniform() < 0.5 ? 0 : 0.2;
@@ -308,28 +308,29 @@
     Fault f;
     switch (chance.Below(8)) {
       case 0:
-        f = Of(What::kLose, at, length, node.c_str());
+        f = MakeFault(What::kLose, at, length, node.c_str());
         break;
       case 1:
-        f = Of(What::kLose, at, length, "*", node.c_str());
+        f = MakeFault(What::kLose, at, length, "*", node.c_str());
         break;
       case 2:
-        f = Of(What::kLose, at, length, zone.c_str(), "*");
+        f = MakeFault(What::kLose, at, length, zone.c_str(), "*");
         break;
       case 3:
-        f = Of(What::kLate, at, length, node.c_str(), "*", 0.5);
+        f = MakeFault(What::kLate, at, length, node.c_str(), "*", 0.5);
         break;
       case 4:
-        f = Of(What::kDouble, at, length, "*", other.c_str(), 0.5);
+        f = MakeFault(What::kDouble, at, length, "*", other.c_str(), 0.5);
         break;
       case 5:
-        f = Of(What::kStall, at, length, chance.Uniform() < 0.7 ? node.c_str() : zone.c_str());
+        f = MakeFault(What::kStall, at, length,
+                      chance.Uniform() < 0.7 ? node.c_str() : zone.c_str());
         break;
       case 6:
-        f = Of(What::kKill, at, length, node.c_str());
+        f = MakeFault(What::kKill, at, length, node.c_str());
         break;
       default:
-        f = Of(What::kRestart, at, 0, node.c_str());
+        f = MakeFault(What::kRestart, at, 0, node.c_str());
         break;
     }
     f.late = 800'000;
@@ -342,46 +343,46 @@
 TEST(RulesDrawn, FaultsBreakNothing) {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     const int nodes = seed % 3 == 0 ? 5 : seed % 3 == 1 ? 9 : 15;
-    const RulesPlan p = Drawn(seed, nodes, seed % 2 == 0);
+    const RulesPlan p = RandomFaultPlan(seed, nodes, seed % 2 == 0);
     const RulesResult r = RunRules(p);
     SCOPED_TRACE("seed " + std::to_string(seed));
-    Holds(p, r);
+    ExpectInvariants(p, r);
     if (HasFailure()) return;
   }
 }
 
-// What each guard is for: left out, some trial is over its bound, or has two nodes on versions that
-// contradict, or two versions under one number; with it none is.
-struct Found {
+// Each guard is needed: with it disabled, some run exceeds the bound, or has nodes that apply
+// contradictory rules, or two versions under one number.
+struct GuardFindings {
   bool over = false, any = false, forked = false;
 };
-Found Try(RulesPlan p) {
+GuardFindings FindingsOf(RulesPlan p) {
   const RulesResult r = RunRules(p);
   return {r.longest > p.options.MaxContradiction(), r.longest > 0, r.forks > 0};
 }
 TEST(RulesGuards, WithoutLeasesANodeActsOnOldRulesForEver) {
-  RulesPlan p = Drawn(1, 9, false);
+  RulesPlan p = RandomFaultPlan(1, 9, false);
   p.without.lease = true;
-  EXPECT_TRUE(Try(p).over);
+  EXPECT_TRUE(FindingsOf(p).over);
 }
 TEST(RulesGuards, WithoutTheStricterOfBothTwoContradictWhileLeasesLast) {
-  RulesPlan p = Drawn(1, 9, false);
+  RulesPlan p = RandomFaultPlan(1, 9, false);
   p.without.both = true;
-  EXPECT_TRUE(Try(p).any);
+  EXPECT_TRUE(FindingsOf(p).any);
 }
 TEST(RulesGuards, WithoutPromisesTwoVersionsHaveOneNumber) {
   bool found = false;
   for (std::uint64_t seed = 1; seed <= 60 && !found; ++seed) {
-    RulesPlan p = Drawn(seed, seed % 2 == 0 ? 5 : 9, false);
+    RulesPlan p = RandomFaultPlan(seed, seed % 2 == 0 ? 5 : 9, false);
     p.without.promise = true;
-    found = Try(p).forked;
+    found = FindingsOf(p).forked;
   }
   EXPECT_TRUE(found);
 }
 
-// Three voters and a fourth node; words take 10 ms; proposals at moments of their own.
-RulesPlan Four() {
-  RulesPlan p = Fleet(1, 4);
+// Three voters and a fourth node; messages take 10 ms; proposals at fixed times.
+RulesPlan FourNodePlan() {
+  RulesPlan p = FleetPlan(1, 4);
   p.options.voters = {0, 1, 2};
   p.options.lease = 1'500'000;
   p.options.round_interval = 200'000;
@@ -392,7 +393,7 @@
   p.plan.length = 20'000'000;
   return p;
 }
-RulesPlan::Call Proposes(int node, Micros at, double share) {
+RulesPlan::Call ProposeAt(int node, Micros at, double share) {
   return {at,
           [share](Consensus* machine, Micros now) {
             Document d;
@@ -405,53 +406,53 @@
           node};
 }
 
-// The proposer alone knows that its version is chosen; those who accepted it vouch on for the one
-// before, so that the fourth acts on that when the proposer is heard again.
-RulesPlan ChosenUnheard() {
+// Only the proposer knows that its version is chosen. If the voters that accepted it keep vouching
+// for the previous version, the fourth node still applies that one when the proposer reconnects.
+RulesPlan ChosenButUnannounced() {
   using What = Fault::What;
-  RulesPlan p = Four();
-  p.calls = {Proposes(0, 8'000'000, 5), Proposes(0, 12'000'000, 3)};
-  p.plan.faults = {Of(What::kLose, 12'025'000, 1'725'000, "n0"),
-                   Of(What::kLose, 13'700'000, 4'000'000, "n3"),
-                   Of(What::kLose, 13'700'000, 4'000'000, "*", "n3")};
+  RulesPlan p = FourNodePlan();
+  p.calls = {ProposeAt(0, 8'000'000, 5), ProposeAt(0, 12'000'000, 3)};
+  p.plan.faults = {MakeFault(What::kLose, 12'025'000, 1'725'000, "n0"),
+                   MakeFault(What::kLose, 13'700'000, 4'000'000, "n3"),
+                   MakeFault(What::kLose, 13'700'000, 4'000'000, "*", "n3")};
   return p;
 }
 TEST(RulesGuards, WhoHasAcceptedANewerVersionVouchesNoMore) {
-  RulesPlan p = ChosenUnheard();
+  RulesPlan p = ChosenButUnannounced();
   const RulesResult r = RunRules(p);
-  Holds(p, r);
-  EXPECT_EQ(r.versions, 2u) << Told(r);
+  ExpectInvariants(p, r);
+  EXPECT_EQ(r.versions, 2u) << LastLines(r);
   p.without.clean = true;
-  EXPECT_TRUE(Try(p).any);
+  EXPECT_TRUE(FindingsOf(p).any);
 }
 
-// A version is chosen by two of three; one of them forgets it at once, the other is cut off, and
-// the third proposes another.
-RulesPlan Forgotten() {
+// A version is chosen by two of three voters. One of them loses its state at once, the other is
+// partitioned, and the third proposes another version.
+RulesPlan ForgottenVersionPlan() {
   using What = Fault::What;
-  RulesPlan p = Four();
-  p.calls = {Proposes(0, 8'000'000, 5), Proposes(2, 13'000'000, 3)};
-  p.plan.faults = {
-      Of(What::kLose, 7'900'000, 200'000, "n0", "n2"), Of(What::kLose, 8'035'000, 8'000'000, "n0"),
-      Of(What::kLose, 8'035'000, 8'000'000, "*", "n0"), Of(What::kKill, 8'045'000, 50'000, "n1")};
+  RulesPlan p = FourNodePlan();
+  p.calls = {ProposeAt(0, 8'000'000, 5), ProposeAt(2, 13'000'000, 3)};
+  p.plan.faults = {MakeFault(What::kLose, 7'900'000, 200'000, "n0", "n2"),
+                   MakeFault(What::kLose, 8'035'000, 8'000'000, "n0"),
+                   MakeFault(What::kLose, 8'035'000, 8'000'000, "*", "n0"),
+                   MakeFault(What::kKill, 8'045'000, 50'000, "n1")};
   return p;
 }
 TEST(RulesGuards, AVoterThatForgotTakesNoPartUntilItKnowsAgain) {
-  RulesPlan p = Forgotten();
+  RulesPlan p = ForgottenVersionPlan();
   const RulesResult r = RunRules(p);
-  EXPECT_EQ(r.forks, 0) << Told(r);
-  EXPECT_EQ(r.longest, 0) << Told(r);
-  EXPECT_EQ(r.forgotten, 0) << Told(r);
-  EXPECT_TRUE(r.agreed) << Told(r);
+  EXPECT_EQ(r.forks, 0) << LastLines(r);
+  EXPECT_EQ(r.longest, 0) << LastLines(r);
+  EXPECT_EQ(r.forgotten, 0) << LastLines(r);
+  EXPECT_TRUE(r.agreed) << LastLines(r);
   p.without.recovery = true;
-  EXPECT_TRUE(Try(p).forked) << Told(RunRules(p));
+  EXPECT_TRUE(FindingsOf(p).forked) << LastLines(RunRules(p));
 }
 
 // ---------------------------------------------------------------- the file
 
-// A disk that dies before a given call, and keeps what was done until then; what was written and
-// not synced is lost.
-class DyingDisk : public knowledge::Disk {
+// A disk that fails from a given call on. Unsynced writes are lost, synced ones stay.
+class FailingDisk : public knowledge::Disk {
  public:
   int Create(const std::string& path) override {
     if (!Alive()) return -1;
@@ -474,7 +475,7 @@
   int Rename(const std::string& from, const std::string& to) override {
     if (!Alive()) return -1;
     files_[to] = files_[from];
-    synced_[to] = synced_[from];  // at worst what was synced of it
+    synced_[to] = synced_[from];  // worst case: only the synced part survives
     files_.erase(from);
     return 0;
   }
@@ -490,17 +491,17 @@
   }
   int Remove(const std::string&) override { return 0; }
 
-  int calls = 0, dies_at = 1 << 30;
+  int calls = 0, fails_at = 1 << 30;
 
  private:
   bool Alive() {
     errno = EIO;
-    return ++calls < dies_at;
+    return ++calls < fails_at;
   }
   std::map<std::string, std::string> files_, synced_;
   std::string open_;
 };
-rules::PersistentState KeptOf(std::uint64_t ballot) {
+rules::PersistentState StateWithBallot(std::uint64_t ballot) {
   Document d;
   d.voters = {0, 1, 2};
   d.number = 4;
@@ -511,23 +512,23 @@
   return k;
 }
 TEST(RulesOnDisk, KilledAtEverySystemCallItIsTheOldOrTheNewWhole) {
-  DyingDisk whole;
-  ASSERT_EQ(RulesFile("/k/rules", &whole).Save(KeptOf(1)), "");
+  FailingDisk whole;
+  ASSERT_EQ(RulesFile("/k/rules", &whole).Save(StateWithBallot(1)), "");
   const int calls = whole.calls;
   ASSERT_GT(calls, 6);
-  for (int dies = 1; dies <= calls + 1; ++dies) {
-    DyingDisk disk;
+  for (int failing_call = 1; failing_call <= calls + 1; ++failing_call) {
+    FailingDisk disk;
     RulesFile file("/k/rules", &disk);
-    ASSERT_EQ(file.Save(KeptOf(1)), "");
+    ASSERT_EQ(file.Save(StateWithBallot(1)), "");
     disk.calls = 0;
-    disk.dies_at = dies;
-    const bool said = file.Save(KeptOf(2)).empty();
+    disk.fails_at = failing_call;
+    const bool said = file.Save(StateWithBallot(2)).empty();
     std::string wrong;
     const auto found = file.Load(&wrong);
-    ASSERT_TRUE(found.has_value()) << "killed at call " << dies << ": " << wrong;
-    EXPECT_TRUE(*found == KeptOf(1) || *found == KeptOf(2)) << dies;
+    ASSERT_TRUE(found.has_value()) << "killed at call " << failing_call << ": " << wrong;
+    EXPECT_TRUE(*found == StateWithBallot(1) || *found == StateWithBallot(2)) << failing_call;
     if (said) {
-      EXPECT_EQ(*found, KeptOf(2)) << dies;
+      EXPECT_EQ(*found, StateWithBallot(2)) << failing_call;
     }
   }
 }
@@ -537,8 +538,8 @@
   std::string wrong;
   EXPECT_FALSE(file.Load(&wrong));
   EXPECT_EQ(wrong, "");
-  ASSERT_EQ(file.Save(KeptOf(3)), "");
-  EXPECT_EQ(*file.Load(&wrong), KeptOf(3));
+  ASSERT_EQ(file.Save(StateWithBallot(3)), "");
+  EXPECT_EQ(*file.Load(&wrong), StateWithBallot(3));
   std::string bytes;
   ASSERT_EQ(knowledge::SystemDisk().Read(folder, 1 << 20, &bytes), 0);
   bytes[bytes.size() / 2] ^= 1;
@@ -551,7 +552,7 @@
   knowledge::SystemDisk().Remove(folder);
 }
 
-// A node that cannot keep what it has accepted says nothing from then on.
+// A node that cannot persist its state sends nothing from then on.
 TEST(RulesOnDisk, WhatCannotBeKeptIsNotSaid) {
   RulesSettings settings;
   settings.options.nodes = 2;
@@ -575,8 +576,8 @@
 
 // ---------------------------------------------------------------- the checkers
 
-lab::Moment Says(Micros at, const char* node, const char* basis, const char* versions, int number,
-                 const char* hash = "aa", const char* bans = "") {
+lab::Moment RulesMoment(Micros at, const char* node, const char* basis, const char* versions,
+                        int number, const char* hash = "aa", const char* bans = "") {
   return {at,
           node,
           "rules",
@@ -591,32 +592,33 @@
 TEST(RulesCheckers, RefuseWhatMustNotBe) {
   const lab::Moment plan{0, "trial", "plan", {{"rules_within_us", "2000000"}}};
   const lab::Moment over{20'000'000, "trial", "over", {}};
-  // n0 goes on acting on version 1 when n1 has given it up.
-  const lab::History apart = {plan, Says(1'000'000, "n0", "version", "1", 1),
-                              Says(2'000'000, "n1", "version", "2", 2, "bb"), over};
+  // n0 still applies version 1 after n1 has stopped applying it.
+  const lab::History apart = {plan, RulesMoment(1'000'000, "n0", "version", "1", 1),
+                              RulesMoment(2'000'000, "n1", "version", "2", 2, "bb"), over};
   EXPECT_EQ(lab::RulesWithin(apart).size(), 1u);
-  // Not so where it is stopped, on its floor, or the other still acts on version 1 too.
+  // No violation if n0 is stopped or on the floor, or if n1 still applies version 1 as well.
   lab::History stopped = apart;
   stopped.insert(stopped.begin() + 2, {1'500'000, "trial", "stalled", {{"node", "n0"}}});
   stopped.insert(stopped.end() - 1, {19'999'000, "trial", "resumed", {{"node", "n0"}}});
   EXPECT_TRUE(lab::RulesWithin(stopped).empty());
-  EXPECT_TRUE(lab::RulesWithin({plan, Says(1, "n0", "floor", "1", 1),
-                                Says(2'000'000, "n1", "version", "2", 2, "bb"), over})
+  EXPECT_TRUE(lab::RulesWithin({plan, RulesMoment(1, "n0", "floor", "1", 1),
+                                RulesMoment(2'000'000, "n1", "version", "2", 2, "bb"), over})
                   .empty());
-  EXPECT_TRUE(lab::RulesWithin({plan, Says(1, "n0", "version", "1", 1),
-                                Says(2'000'000, "n1", "both", "1+2", 2, "bb"), over})
+  EXPECT_TRUE(lab::RulesWithin({plan, RulesMoment(1, "n0", "version", "1", 1),
+                                RulesMoment(2'000'000, "n1", "both", "1+2", 2, "bb"), over})
                   .empty());
-  EXPECT_EQ(lab::RulesOne({plan, Says(1, "n0", "version", "2", 2, "aa"),
-                           Says(2, "n1", "version", "2", 2, "bb"), over})
+  EXPECT_EQ(lab::RulesOne({plan, RulesMoment(1, "n0", "version", "2", 2, "aa"),
+                           RulesMoment(2, "n1", "version", "2", 2, "bb"), over})
                 .size(),
             1u);
   EXPECT_EQ(lab::RulesBans({plan,
-                            Says(1, "n0", "version", "2", 2, "aa", "s-1 s-3"),
+                            RulesMoment(1, "n0", "version", "2", 2, "aa", "s-1 s-3"),
                             {9'000'000, "s-3", "took", {{"node", "n0"}}},
                             over})
                 .size(),
             1u);
-  // What a held connection lets go was sent before the ban, as long as it may be so.
+  // Requests released by a held connection count as sent before the ban, while the hold can explain
+  // the delay.
   const auto held = [&](Micros length) {
     return lab::RulesBans({plan,
                            {500'000,
@@ -626,7 +628,7 @@
                              {"from", "n0"},
                              {"to", "*"},
                              {"length_us", std::to_string(length)}}},
-                           Says(1'000'000, "n0", "version", "2", 2, "aa", "s-3"),
+                           RulesMoment(1'000'000, "n0", "version", "2", 2, "aa", "s-3"),
                            {9'000'000, "s-3", "took", {{"node", "n0"}}},
                            over})
         .size();
@@ -634,8 +636,8 @@
   EXPECT_EQ(held(8'490'000), 0u);
   EXPECT_EQ(held(5'000'000), 1u);
   EXPECT_EQ(lab::RulesSettle({plan,
-                              Says(1, "n0", "version", "1", 1),
-                              Says(2, "n1", "version", "2", 2, "bb"),
+                              RulesMoment(1, "n0", "version", "1", 1),
+                              RulesMoment(2, "n1", "version", "2", 2, "bb"),
                               {3'000'000, "trial", "quiet", {}},
                               {15'000'000, "trial", "ending", {{"node", "n0"}}},
                               over})
@@ -643,21 +645,21 @@
             1u);
 }
 
-// ---------------------------------------------------------------- what operators meet
+// ---------------------------------------------------------------- operators
 
 TEST(RulesOperators, WithoutAMajorityNothingChangesAndForcingIsSaidAndRecorded) {
   using What = Fault::What;
-  RulesPlan p = Four();
+  RulesPlan p = FourNodePlan();
   std::string refused, too_soon, forced;
   bool done = false;
-  p.plan.faults = {Of(What::kKill, 9'000'000, 40'000'000, "n1"),
-                   Of(What::kKill, 9'000'000, 40'000'000, "n2")};
+  p.plan.faults = {MakeFault(What::kKill, 9'000'000, 40'000'000, "n1"),
+                   MakeFault(What::kKill, 9'000'000, 40'000'000, "n2")};
   p.plan.length = 48'000'000;
   const auto force = [](std::string* why, bool* done) {
     return [why, done](Consensus* m, Micros now) { *done = m->Force(now, {0, 3}, 77, why); };
   };
   bool early = true;
-  p.calls = {Proposes(0, 8'000'000, 5),
+  p.calls = {ProposeAt(0, 8'000'000, 5),
              {8'500'000, force(&too_soon, &early), 0},
              {13'000'000,
               [&](Consensus* m, Micros now) {
@@ -681,28 +683,28 @@
   const RulesResult r = RunRules(p);
   EXPECT_FALSE(early);
   EXPECT_NE(too_soon.find("propose instead"), std::string::npos) << too_soon;
-  EXPECT_NE(refused.find("hears 1 of 3 voters"), std::string::npos) << refused;
+  EXPECT_NE(refused.find("1 of 3 voters answered recently"), std::string::npos) << refused;
   EXPECT_TRUE(done) << forced;
-  // Those that come back follow it.
-  EXPECT_TRUE(r.agreed) << Told(r);
-  EXPECT_EQ(r.versions, 2u) << Told(r);
+  // The restarted voters adopt the forced version.
+  EXPECT_TRUE(r.agreed) << LastLines(r);
+  EXPECT_EQ(r.versions, 2u) << LastLines(r);
 }
 
 TEST(RulesOperators, OfTwoAtOnceOneIsToldWhatStandsInItsWay) {
-  RulesPlan p = Four();
-  p.calls = {Proposes(0, 8'000'000, 5), Proposes(3, 8'000'500, 3)};
+  RulesPlan p = FourNodePlan();
+  p.calls = {ProposeAt(0, 8'000'000, 5), ProposeAt(3, 8'000'500, 3)};
   const RulesResult r = RunRules(p);
-  EXPECT_EQ(r.chosen, 1) << Told(r);
-  EXPECT_EQ(r.lost, 1) << Told(r);
-  EXPECT_NE(Told(r).find("stands in its way"), std::string::npos);
-  EXPECT_TRUE(r.agreed) << Told(r);
+  EXPECT_EQ(r.chosen, 1) << LastLines(r);
+  EXPECT_EQ(r.lost, 1) << LastLines(r);
+  EXPECT_NE(LastLines(r).find("was chosen instead"), std::string::npos);
+  EXPECT_TRUE(r.agreed) << LastLines(r);
 }
 
 TEST(RulesOperators, WhatIsMadeForAnotherVersionOrChangesNothingIsRefused) {
-  RulesPlan p = Four();
+  RulesPlan p = FourNodePlan();
   std::string late, same, voter, old;
   p.old_node = 3;
-  p.calls = {Proposes(0, 8'000'000, 5),
+  p.calls = {ProposeAt(0, 8'000'000, 5),
              {12'000'000,
               [&](Consensus* m, Micros now) {
                 Document d = m->current()->document;
@@ -716,13 +718,13 @@
               },
               0}};
   RunRules(p);
-  EXPECT_NE(late.find("made after version 0"), std::string::npos) << late;
+  EXPECT_NE(late.find("based on version 0"), std::string::npos) << late;
   EXPECT_NE(same.find("already"), std::string::npos) << same;
   EXPECT_NE(voter.find("no node 9"), std::string::npos) << voter;
   EXPECT_NE(old.find("reads schema 1"), std::string::npos) << old;
 }
 
-// A node whose program cannot read the version that was chosen says so and acts on the floor.
+// A node that cannot read the chosen version reports that and applies the floor.
 TEST(RulesOperators, AVersionThatAProgramCannotReadIsItsFloor) {
   rules::Options o;
   o.nodes = 2;
@@ -747,7 +749,7 @@
   m.Tick(3'000'000, {1}, &out);
   ASSERT_FALSE(out.empty());
   EXPECT_TRUE(rules::DecodeMessage(out.front().section)->cannot_read);
-  EXPECT_TRUE(m.ready(1'000'000 + o.ready_timeout));  // it serves on
+  EXPECT_TRUE(m.ready(1'000'000 + o.ready_timeout));  // it keeps serving
 }
 
 RC_GTEST_PROP(RulesWords, NoiseDoesNoHarm, ()) {
