--- a/src/node/membership/members.cpp
+++ b/src/node/membership/members.cpp
@@ -15,19 +15,19 @@
 
 enum Kind { kPing = 1, kAck = 2, kPingRequest = 3, kNack = 4 };
 
-constexpr double kResendPeriods = 0.15;  // of a period without an answer: then it is asked again
-constexpr Micros kMinResendMicros = 40'000;  // there and back, by the platform's protocol
-constexpr int kMaxPings = 3;                 // of one probe
+constexpr double kResendPeriods = 0.15;      // a ping is sent again after this fraction of a period
+constexpr Micros kMinResendMicros = 40'000;  // a round trip, by the platform's protocol
+constexpr int kMaxPings = 3;                 // per probe
 constexpr std::uint64_t kUnreachableProbesPerPeriod = 4;
-constexpr double kDirectPeriods = 0.45;  // likewise: then others are asked to
-constexpr double kNackPeriods = 0.3;     // likewise, of a helper's patience
-constexpr int kMaxConfirmations = 3;     // nodes that share a suspicion and so make it shortest
+constexpr double kDirectPeriods = 0.45;  // without an answer by then, helpers are asked
+constexpr double kNackPeriods = 0.3;     // without an answer by then, a helper sends a nack
+constexpr int kMaxConfirmations = 3;     // with so many confirmations the timeout is the minimum
 constexpr Micros kMinStallMicros = 100'000;
-constexpr int kIsolatedPeriods = 10;  // periods without any word: it hears nobody
+constexpr int kIsolatedPeriods = 10;  // without any datagram for so long, a node is isolated
 constexpr std::size_t kMaxRelays = 64;
-constexpr int kMaxRequestedEntries = 6;  // asked for in one word
+constexpr int kMaxRequestedEntries = 6;  // per section
 constexpr std::size_t kLatestEntries = 3,
-                      kEntriesInTurn = 4;  // entries for one whose digest is another
+                      kEntriesInTurn = 4;  // per section, for a node with another digest
 
 }  // namespace
 
@@ -56,7 +56,7 @@
   started_ = last_received_ = now;
   SetEntry(now, options_.self, {std::max<std::uint64_t>(process, kEpoch + 1), 0, Status::kAlive},
            options_.self);
-  // The fleet's nodes do not all probe at one moment.
+  // A random offset keeps the nodes from probing at the same time.
   next_period_ = now + static_cast<Micros>(random_() % static_cast<std::uint64_t>(options_.period));
 }
 
@@ -79,9 +79,9 @@
   return at;
 }
 
-// Guards the others against a node that was stopped: what it did not hear meanwhile is its own
-// fault. Probes that were out are void, suspicions get the time back, and until somebody answers
-// it suspects nobody.
+// Detects that this process was stopped. It could not receive anything meanwhile, so the missing
+// answers are no evidence against other nodes: pending probes are dropped, suspicion timeouts are
+// extended by the stall, and no node is suspected until a probe is answered.
 void Members::DetectStall(Micros now) {
   const Micros late = now - next();
   if (late < std::max(kMinStallMicros, options_.period / 2)) return;
@@ -109,7 +109,7 @@
 }
 
 int Members::NextTarget() {
-  // Rounds in a new order each: every node is asked within two rounds, whatever is drawn.
+  // Each round has a new random order, so every node is probed within two rounds.
   for (std::size_t looked = 0; looked <= 2 * peers_.size(); ++looked) {
     if (next_in_order_ >= probe_order_.size()) {
       probe_order_.clear();
@@ -168,8 +168,8 @@
   next_period_ = std::max(next_period_ + options_.period, now + options_.period / 2);
   if (leaving_) return;
   if (const int target = NextTarget(); target >= 0) StartProbe(now, target, false, out);
-  // Those that are unreachable are asked for, too: after a cut somebody has to begin. About kTries
-  // words a period go to them from all nodes together, whatever their number.
+  // Unreachable nodes are probed as well, since after a network partition one side has to make
+  // contact. All nodes together send about kUnreachableProbesPerPeriod such probes per period.
   std::vector<int> unreachable;
   int alive = 0;
   for (int n = 0; n < options_.nodes; ++n) {
@@ -192,7 +192,7 @@
           ++p.pings < kMaxPings
               ? now + std::max(kMinResendMicros, (p.resend_at - p.sent_at) / (p.pings - 1))
               : 0;
-      const Probe resent = p;  // what is said may add probes
+      const Probe resent = p;  // a copy, because Send may add probes
       Send(now, resent.target, kPing, resent.number, -1, out);
     }
     if (!p.acked && !p.indirect && p.direct_deadline <= now) {
@@ -231,7 +231,7 @@
   for (int n = 0; n < options_.nodes; ++n) {
     Peer& p = PeerAt(n);
     if (p.deadline == 0 || p.deadline > now) continue;
-    // "I hear nobody" is no word about them.
+    // An isolated or stalled node has no evidence against the others.
     if (isolated || unconfirmed_after_stall_) {
       p.deadline = now + options_.period;
       continue;
@@ -248,9 +248,9 @@
   while (results_.size() > static_cast<std::size_t>(window_)) results_.pop_front();
   if (p.acked) return AdjustHealthScore(-1);
   ++counts_.failed_probes;
-  // Helpers that said nothing at all hint that it is this node that does not hear.
+  // Missing nacks from helpers indicate that this node itself is slow or cut off (Lifeguard).
   AdjustHealthScore(p.helpers > 0 ? std::max(0, p.helpers - p.nacks) > 0 ? 1 : 0 : 1);
-  // Of a process that has come up since it says nothing.
+  // The result says nothing about a process that replaced the probed one.
   if (target.entry.process == 0 || target.entry.process != p.process ||
       target.entry.status == Status::kUnreachable || target.entry.status == Status::kLeft)
     return;
@@ -258,7 +258,7 @@
     ++counts_.withheld_suspicions;
     return;
   }
-  // What is said to all has to be refuted to all: one more probe, before it is said.
+  // A false suspicion has to be refuted to all nodes, so a second probe comes before it.
   if (!p.is_second && target.entry.status == Status::kAlive)
     return StartProbe(now, p.target, true, out);
   Suspect(now, p.target);
@@ -281,7 +281,7 @@
     return;
   if (p.suspected_by.size() > kMaxConfirmations) return;
   p.suspected_by.push_back(reporter);
-  if (reporter == options_.self) p.transmissions = 0;  // that this node, too, suspects it is news
+  if (reporter == options_.self) p.transmissions = 0;  // this node's own suspicion is a new update
   SetDeadline(&p);
 }
 
@@ -300,7 +300,8 @@
   p->deadline = std::max<Micros>(p->suspected_at + static_cast<Micros>(wait), 1);
 }
 
-// The one way by which what is held of a node changes.
+// Sets the entry of a node. All changes go through this function, which keeps the digest up to date
+// and records the change.
 void Members::SetEntry(Micros now, int node, const Entry& entry, int reporter) {
   Peer& p = PeerAt(node);
   digest_ ^= HashOf(node);
@@ -320,21 +321,22 @@
   changes_.push_back({now, node, previous, entry, reporter});
 }
 
-// Word of a node's entry, from `from`; `by` is who says so first.
+// Merges an entry that `from` sent. `reporter` is the node that reported it first.
 void Members::Merge(Micros now, int node, const Entry& update, int reporter, int from) {
   Peer& p = PeerAt(node);
   if (node == options_.self) {
-    // Of an earlier process at this address: nothing to do with this one. Of this one: it is
-    // alive, and says so with a version that nobody can have said before.
+    // Entries of an earlier process at this address do not concern this one. An entry that reports
+    // this process as not alive is refuted with a version that no node has used yet.
     if (update.process < p.entry.process || leaving_) return;
     if (update.process > p.entry.process) {
-      // Another process had this address later by its clock: to be heard, this one must be later.
+      // Another process had this address, with a later start by its clock. Other nodes would reject
+      // this process, so it takes a later start time.
       ++counts_.refutations;
       SetEntry(now, node, {update.process + 1, 0, Status::kAlive}, options_.self);
     } else if (update.status != Status::kAlive && update.version >= p.entry.version) {
       ++counts_.refutations;
       if (update.status == Status::kSuspect) AdjustHealthScore(1);
-      // What has left is final for its process, so that one has to be another.
+      // kLeft is final for a process, so this node continues under a new process time.
       if (update.status == Status::kLeft)
         SetEntry(now, node, {update.process + 1, 0, Status::kAlive}, options_.self);
       else
@@ -347,7 +349,7 @@
     return;
   }
   if (!Supersedes(update, p.entry)) {
-    if (from != node) PeerAt(from).digest_differs = true;  // it does not know yet
+    if (from != node) PeerAt(from).digest_differs = true;  // the sender needs the later entry
     return;
   }
   if (update.status == Status::kAlive) {
@@ -387,7 +389,7 @@
       ++counts_.malformed;
       continue;
     }
-    // Of itself the sender can only say that it leaves.
+    // The sender's own status is known from the datagram, except that it leaves.
     if (node != from || static_cast<Status>(message.status(i)) == Status::kLeft)
       Merge(now, node,
             {message.process(i) + kEpoch, message.entry_version(i),
@@ -413,7 +415,7 @@
         if (probe.number == message.probe() && probe.target == target) ++probe.nacks;
       return;
     default:
-      return;  // of a later version
+      return;  // a kind of a later version
   }
 }
 
@@ -460,7 +462,8 @@
   const Entry own = entry(options_.self);
   SetEntry(now, options_.self, {own.process, own.version + 1, Status::kLeft}, options_.self);
   leaving_ = true;
-  // Enough that one of them hears it though half of all words are lost, and each more often lost.
+  // Several nodes are informed, so that one of them very likely receives it even if half of all
+  // datagrams are lost.
   for (const int n : RandomAlive(2 * options_.indirect_probes, -1)) Send(now, n, kAck, 0, -1, out);
 }
 
@@ -475,14 +478,15 @@
   const View seen = view(now);
   message.set_asked(static_cast<std::uint32_t>(seen.probed));
   message.set_heard(static_cast<std::uint32_t>(seen.received_from));
-  // A fleet that starts all at once would else wait for the last few names by chance.
+  // Requests entries of unknown nodes. Otherwise, when a whole fleet starts at once, it would be up
+  // to chance when the last few entries arrive.
   const std::size_t first = random_() % peers_.size();
   for (std::size_t i = 0; i < peers_.size() && message.want_size() < kMaxRequestedEntries; ++i) {
     const std::size_t n = (first + i) % peers_.size();
     if (peers_[n].entry.process == 0) message.add_want(static_cast<std::uint32_t>(n));
   }
   std::vector<bool> added(peers_.size());
-  // Columns cost a tag and a length each, then what the entry takes.
+  // Each column has a tag and a length, 10 bytes in all, in addition to the entries.
   std::size_t room = options_.max_section_bytes -
                      std::min(options_.max_section_bytes, message.ByteSizeLong() + 10);
   const auto add = [&](int node) {
@@ -513,11 +517,11 @@
     return true;
   };
   Peer& receiver = PeerAt(to);
-  // Whom it concerns hears it first: only it can refute it.
+  // The receiver's own entry goes first if it is not alive, since only the receiver can refute it.
   if (receiver.entry.status != Status::kAlive || receiver.replaced_sender) add(to);
   receiver.replaced_sender = false;
   for (const int n : std::exchange(receiver.requested_entries, {})) add(n);
-  // News, the least told first, so often that it reaches everybody.
+  // Recent updates, the least often sent first. Sending each O(log n) times reaches all nodes.
   const int transmit_limit = 4 * static_cast<int>(std::ceil(std::log10(options_.nodes + 1.0)));
   std::vector<std::pair<int, int>> updates;
   for (int n = 0; n < options_.nodes; ++n)
@@ -526,7 +530,7 @@
   bool fits = true;
   for (const auto& [sent, n] : updates)
     if (!(fits = add(n))) break;
-  // Where its digest was another: what changed last, then all in turn.
+  // For a receiver with another digest: the latest changes, then all entries in turn.
   if (fits && receiver.digest_differs) {
     receiver.digest_differs = false;
     std::vector<std::pair<Micros, int>> latest;
@@ -562,7 +566,7 @@
        : e.status == Status::kUnreachable ? v.unreachable
                                           : v.left);
   }
-  // The last word of each target counts.
+  // The latest result of each target counts.
   std::vector<int> seen;
   for (auto it = results_.rbegin(); it != results_.rend(); ++it) {
     if (std::find(seen.begin(), seen.end(), it->target) != seen.end()) continue;
--- a/tests/node/membership/members_test.cpp
+++ b/tests/node/membership/members_test.cpp
@@ -1,5 +1,5 @@
-// The membership machine, alone and many of them in virtual time: what may never happen whatever
-// comes in which order, and the bounds that the design note states.
+// Tests of membership, with single instances and with many nodes in virtual time: invariants under
+// arbitrary orders of messages, and the bounds stated in the design note.
 #include "node/membership/members.h"
 
 #include <gtest/gtest.h>
@@ -28,44 +28,44 @@
   RC_ASSERT(merge(a, b) == merge(b, a));
   RC_ASSERT(merge(a, merge(b, c)) == merge(merge(a, b), c));
   RC_ASSERT(merge(a, a) == a);
-  // What has left is final for its process.
+  // kLeft is final for a process.
   if (a.process == b.process && a.status == Status::kLeft)
     RC_ASSERT(merge(a, b).status == Status::kLeft);
 }
 
-// A few machines whose words go any way: lost, doubled, in any order, to processes that were
-// replaced since.
+// A few nodes with a network that may lose, duplicate and reorder messages, and deliver them to
+// processes that have replaced the addressed one.
 struct Net {
   static constexpr int kNodes = 4;
-  struct Word {
+  struct Message {
     int from = 0, to = 0;
     std::uint64_t process = 0;
     std::string section;
   };
   Micros now = 0;
   std::vector<std::unique_ptr<Members>> machines;
-  std::vector<Word> words;
-  std::uint64_t lives = 0;
+  std::vector<Message> messages;
+  std::uint64_t starts = 0;
 
   Net() {
     for (int n = 0; n < kNodes; ++n) machines.push_back(Make(n));
   }
   std::unique_ptr<Members> Make(int n) {
-    ++lives;
+    ++starts;
     return std::make_unique<Members>(
-        Options{.self = n, .nodes = kNodes}, 7 + lives, now,
-        kEpoch + 1000 + static_cast<std::uint64_t>(now / 1000) + lives);
+        Options{.self = n, .nodes = kNodes}, 7 + starts, now,
+        kEpoch + 1000 + static_cast<std::uint64_t>(now / 1000) + starts);
   }
   void Take(int from, std::vector<Outgoing> out) {
     for (Outgoing& o : out)
-      words.push_back(
+      messages.push_back(
           {from, o.to, machines[static_cast<std::size_t>(from)]->process(), std::move(o.section)});
   }
 };
 
 RC_GTEST_PROP(Members, NeverReviveAReplacedProcessNorOneThatLeft, ()) {
   Net net;
-  // By observer and node: the latest process believed, and the process that has left.
+  // By observer and node: the latest process seen, and the process that has left.
   std::map<std::pair<int, int>, std::uint64_t> latest, left;
   const int steps = *rc::gen::inRange(20, 200);
   for (int i = 0; i < steps; ++i) {
@@ -89,12 +89,14 @@
         net.Take(n, std::move(out));
         break;
       default: {
-        if (net.words.empty()) break;
-        const auto at = *rc::gen::inRange<std::size_t>(0, net.words.size());
-        const Net::Word word = net.words[at];  // it stays, and may come again
-        net.machines[static_cast<std::size_t>(word.to)]->Receive(
-            net.now, word.from, word.process, *rc::gen::arbitrary<bool>(), word.section, &out);
-        net.Take(word.to, std::move(out));
+        if (net.messages.empty()) break;
+        const auto at = *rc::gen::inRange<std::size_t>(0, net.messages.size());
+        const Net::Message message =
+            net.messages[at];  // a copy: the message stays and may be delivered again
+        net.machines[static_cast<std::size_t>(message.to)]->Receive(
+            net.now, message.from, message.process, *rc::gen::arbitrary<bool>(), message.section,
+            &out);
+        net.Take(message.to, std::move(out));
       }
     }
     for (int who = 0; who < Net::kNodes; ++who)
@@ -120,8 +122,8 @@
   EXPECT_EQ(m.counts().malformed, 4u);
 }
 
-// A process whose clock is behind that of the one before it is refused by all, until it says a
-// later one: it is told so.
+// A process whose clock is behind that of its predecessor is rejected by all nodes. They inform it,
+// and it takes a later process time.
 TEST(Members, AClockThatWentBackIsOvercome) {
   Members old({.self = 1, .nodes = 2}, 1, 0, kEpoch + 1000),
       other({.self = 0, .nodes = 2}, 2, 0, kEpoch + 1);
@@ -169,8 +171,8 @@
   return plan;
 }
 
-Fault Of(Fault::What what, Micros at, Micros length, const std::string& from,
-         const std::string& to = "*") {
+Fault MakeFault(Fault::What what, Micros at, Micros length, const std::string& from,
+                const std::string& to = "*") {
   Fault f;
   f.what = what;
   f.at = at;
@@ -198,8 +200,8 @@
             WriteHistory(RunVirtual({.plan = plan}).history));
 }
 
-// What members of the fleet say of a node by a time.
-std::map<std::string, std::string> Saying(const History& h, int of, Micros by) {
+// The status of node `of` at each other node, at time `by`.
+std::map<std::string, std::string> StatusesOf(const History& h, int of, Micros by) {
   std::map<std::string, std::string> said;
   for (const Moment& m : h)
     if (m.what == "member" && m.at <= by && m.Of("peer") == std::to_string(of))
@@ -207,25 +209,25 @@
   return said;
 }
 
-// Cut off from everything it would hear, a node says nothing about the others; they say that it is
-// unreachable, and all is well again afterwards.
+// A node that receives nothing does not report the others as unreachable. They report it as
+// unreachable, and all nodes agree again afterwards.
 TEST(VirtualTrials, HearingNobodyIsNoWordAboutTheOthers) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     TrialPlan plan = Plan(seed, 9, 40'000'000);
-    plan.faults = {Of(Fault::What::kLose, 5'000'000, 30'000'000, "*", "n0")};
+    plan.faults = {MakeFault(Fault::What::kLose, 5'000'000, 30'000'000, "*", "n0")};
     const History h = RunVirtual({.plan = plan}).history;
     for (int other = 1; other < 9; ++other)
-      EXPECT_NE(Saying(h, other, 34'000'000)["n0"], "unreachable") << seed << ": " << other;
+      EXPECT_NE(StatusesOf(h, other, 34'000'000)["n0"], "unreachable") << seed << ": " << other;
     EXPECT_TRUE(CheckAll(h).empty()) << Describe(h, CheckAll(h));
   }
 }
 
 TEST(VirtualTrials, AZoneCutOffIsUnreachableFromOutsideAndAliveWithin) {
   TrialPlan plan = Plan(3, 9, 40'000'000);
-  plan.faults = {Of(Fault::What::kLose, 5'000'000, 30'000'000, "z1"),
-                 Of(Fault::What::kLose, 5'000'000, 30'000'000, "*", "z1")};
+  plan.faults = {MakeFault(Fault::What::kLose, 5'000'000, 30'000'000, "z1"),
+                 MakeFault(Fault::What::kLose, 5'000'000, 30'000'000, "*", "z1")};
   const History h = RunVirtual({.plan = plan}).history;
-  const auto of_n1 = Saying(h, 1, 34'000'000);
+  const auto of_n1 = StatusesOf(h, 1, 34'000'000);
   EXPECT_EQ(of_n1.at("n0"), "unreachable");
   EXPECT_EQ(of_n1.at("n4"), "alive") << "n1 and n4 are of one zone";
   EXPECT_TRUE(CheckAll(h).empty()) << Describe(h, CheckAll(h));
@@ -234,7 +236,7 @@
 TEST(VirtualTrials, AStoppedProcessSuspectsItselfFirst) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     TrialPlan plan = Plan(seed, 9, 20'000'000);
-    plan.faults = {Of(Fault::What::kStall, 4'000'000, 5'000'000, "n2")};
+    plan.faults = {MakeFault(Fault::What::kStall, 4'000'000, 5'000'000, "n2")};
     const History h = RunVirtual({.plan = plan}).history;
     EXPECT_TRUE(CheckAll(h).empty()) << Describe(h, CheckAll(h));
     bool doubted = false;
@@ -243,7 +245,7 @@
   }
 }
 
-// docs/design-peers.md states these; at 300 nodes the figures are there, not here.
+// The bounds in docs/design-peers.md, which also has the figures for 300 nodes.
 TEST(MembersBounds, HoldAsStated) {
   for (const int nodes : {3, 9, 30})
     for (const double lost : {0.0, 0.2, 0.5}) {
