--- a/src/node/peer_transport/gate.cpp
+++ b/src/node/peer_transport/gate.cpp
@@ -16,7 +16,7 @@
   Peer& p = peers_[static_cast<std::size_t>(source)];
   if (d->process < p.process) return drop(DropReason::kReplaced);
   if (d->process > p.process) p = {d->process, 0, 0};
-  // A window, as IPsec keeps one against replays: what is new is taken, once.
+  // A sliding replay window of 64 sequence numbers, as in IPsec: each datagram is accepted once.
   if (d->sequence > p.highest) {
     const std::uint32_t advance = d->sequence - p.highest;
     p.received = (advance < 64 ? p.received << advance : 0) | 1;
--- a/src/node/peer_transport/gate.h
+++ b/src/node/peer_transport/gate.h
@@ -1,7 +1,6 @@
-// Which datagrams are believed, and what may be sent: pure, without sockets or clock. The gate
-// holds, for each node, the latest process and which of its datagrams have been read; it must never
-// believe a replaced process, an unknown sender or one datagram twice. The budget holds a node to
-// its bytes a second.
+// The filter for received datagrams and the rate limit for sent ones, without sockets or clock. For
+// each node the filter keeps the latest process and the sequence numbers received from it. It never
+// accepts a datagram of a replaced process, from an unknown sender, or a second time.
 #ifndef PEARREACH_SRC_NODE_PEER_TRANSPORT_GATE_H_
 #define PEARREACH_SRC_NODE_PEER_TRANSPORT_GATE_H_
 
@@ -21,26 +20,28 @@
 
   struct Accepted {
     Datagram datagram;
-    bool late = false;  // the sender's later ones have been read already
+    bool late = false;  // a datagram with a higher sequence number has arrived before
   };
-  // `source`: whose address of `peers` it came from; -1: none's.
+  // `source`: the node whose configured address the datagram came from; -1: none. Returns nothing
+  // and sets `*drop_reason` if the datagram is dropped.
   std::optional<Accepted> Admit(std::string_view bytes, int source, DropReason* drop_reason);
-  // A later process of that node is known of, from it or from others.
+  // Notes the latest process of a node, as learned from membership. Datagrams of earlier ones are
+  // dropped from now on.
   void ObserveProcess(int node, std::uint64_t process);
   std::uint64_t process(int node) const { return peers_[static_cast<std::size_t>(node)].process; }
 
  private:
   struct Peer {
     std::uint64_t process = 0;
-    std::uint32_t highest = 0;
-    std::uint64_t received = 0;  // bit i: the one i before the highest
+    std::uint32_t highest = 0;   // sequence number
+    std::uint64_t received = 0;  // bit i: highest - i was received
   };
   int self_;
   std::vector<Peer> peers_;
 };
 
-// Bytes a second, saved up for a second at most. What is of lower priority leaves a part to the
-// rest, so that in want it is the first to wait.
+// A token bucket in bytes, with a capacity of one second. A lower priority must leave a reserve for
+// the higher ones, so it is the first to be refused when tokens run short.
 class Budget {
  public:
   using Micros = std::int64_t;
--- a/src/node/peer_transport/peers.cpp
+++ b/src/node/peer_transport/peers.cpp
@@ -5,7 +5,7 @@
 namespace pearreach::peer_transport {
 namespace {
 
-// Read in one turn at most: about a tenth of a millisecond, then clients have theirs.
+// Bounds the time per wakeup to about 0.1 ms, so that client connections are served as well.
 constexpr int kMaxDatagramsPerWakeup = 32;
 
 std::string ToString(GSocketAddress* address) {
@@ -20,10 +20,10 @@
 }  // namespace
 
 PeerTransport::PeerTransport(Options options, std::function<std::uint64_t()> process,
-                             std::function<void(int)> replaced)
+                             std::function<void(int)> on_replaced)
     : options_(std::move(options)),
       process_(std::move(process)),
-      on_replaced_(std::move(replaced)),
+      on_replaced_(std::move(on_replaced)),
       filter_(options_.self, static_cast<int>(options_.nodes.size())),
       budget_(options_.bytes_per_second, Now()) {
   for (std::size_t n = 0; n < options_.nodes.size(); ++n) {
@@ -48,17 +48,18 @@
     return what;
   };
   GSocketAddress* address = ParseAddress(options_.listen);
-  if (address == nullptr) return fail("'" + options_.listen + "' is no ip:port");
+  if (address == nullptr) return fail("'" + options_.listen + "' is not an ip:port address");
   socket_ = g_socket_new(g_socket_address_get_family(address), G_SOCKET_TYPE_DATAGRAM,
                          G_SOCKET_PROTOCOL_UDP, &error);
-  // Not shared: of two processes with this address one speaks for the node, the other waits.
+  // Without address reuse: if two processes of this node run, only one of them can bind the
+  // address.
   const bool bound = socket_ != nullptr && g_socket_bind(socket_, address, FALSE, &error);
   g_object_unref(address);
-  if (!bound) return fail("cannot be bound");
+  if (!bound) return fail("cannot bind the address");
   g_socket_set_blocking(socket_, FALSE);
   last_sequence_ = 0;
   if (!Poller::Default().Set(g_socket_get_fd(socket_), EPOLLIN, this))
-    return fail("cannot be polled");
+    return fail("cannot add the socket to the poller");
   return "";
 }
 
@@ -79,13 +80,14 @@
 }
 
 void PeerTransport::OnReady(std::uint32_t) {
-  char bytes[kMaxDatagramBytes + 1];  // one more shows what is too long
+  char bytes[kMaxDatagramBytes + 1];  // one more byte, to detect datagrams that are too long
   for (int i = 0; i < kMaxDatagramsPerWakeup && socket_ != nullptr; ++i) {
     GSocketAddress* from = nullptr;
     GError* error = nullptr;
     const gssize n = g_socket_receive_from(socket_, &from, bytes, sizeof bytes, nullptr, &error);
     if (n < 0) {
-      // A node that does not listen answers with a refusal, which is told here: it is no fault.
+      // ECONNREFUSED from a peer that does not listen is reported here, and is not an error of this
+      // node.
       const bool blocked = g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK);
       g_clear_error(&error);
       if (blocked) return;
@@ -135,10 +137,10 @@
     Count("peer_words_without_room");
     return false;
   }
-  // The others in their order of priority, as long as there is room.
+  // Adds sections of other topics in order of priority, while there is room.
   std::vector<std::pair<int, Topic>> handlers;
-  for (const auto& [other, source] : handlers_)
-    if (other != topic && source.add) handlers.emplace_back(source.priority, other);
+  for (const auto& [other, handler] : handlers_)
+    if (other != topic && handler.add) handlers.emplace_back(handler.priority, other);
   std::sort(handlers.begin(), handlers.end());
   for (const auto& [priority, other] : handlers) {
     bool truncated = false;
--- a/src/node/peer_transport/peers.h
+++ b/src/node/peer_transport/peers.h
@@ -1,7 +1,8 @@
-// Words between nodes on a UDP socket: what the subsystems want to say shares datagrams, by
-// priority and within a budget of bytes a second. It owns the socket, the gate and the budget; it
-// must never send more than 256 bytes, never read so much in one turn that clients wait, and knows
-// nothing of what the words mean.
+// The UDP transport between nodes. Sections of several subsystems share datagrams, by priority and
+// within a limit on the bytes sent per second. It owns the socket, the datagram filter and the send
+// budget. It sends at most 256 bytes per datagram and reads a bounded number of datagrams per
+// wakeup, so that client connections do not wait. It does not interpret the sections. Runs on the
+// event loop's thread.
 #ifndef PEARREACH_SRC_NODE_PEER_TRANSPORT_PEERS_H_
 #define PEARREACH_SRC_NODE_PEER_TRANSPORT_PEERS_H_
 
@@ -18,37 +19,38 @@
 
 struct Options {
   std::string listen;              // ip:port
-  std::vector<std::string> nodes;  // each node's address, this one's included, by number
-  std::string broadcast;           // an address that reaches every node; may be empty
+  std::vector<std::string> nodes;  // address of each node, by node number, including this one
+  std::string broadcast;           // address that reaches every node; may be empty
   int self = 0;
-  double bytes_per_second = 2000;  // sent, counted for each receiver
+  double bytes_per_second = 2000;  // send limit; a datagram counts once per receiver
 };
 
 class PeerTransport : private Poller::Client {
  public:
   struct TopicHandler {
     int priority = 0;  // 0: the highest
-    // What it has to say to that node (-1: to all) beside what is going there anyhow: at most
-    // `room` bytes, or nothing. `*more`: there was not room enough.
+    // Optional. Returns a section of at most `room` bytes for a datagram that is about to go to
+    // node `to` (-1: all), or an empty string. Sets `*more` if something did not fit.
     std::function<std::string(int to, std::size_t room, bool* more)> add;
     std::function<void(int from, std::uint64_t process, bool late, std::string_view bytes)> receive;
   };
-  // `process`: asked for each datagram, once the socket is open. `replaced`: a word came from a
-  // process of that node that is known to be replaced.
+  // `process` returns this process's identifier; it is called for each datagram once the socket is
+  // open. `on_replaced` is called if a datagram arrives from a replaced process of a node.
   PeerTransport(Options options, std::function<std::uint64_t()> process,
-                std::function<void(int)> replaced);
+                std::function<void(int)> on_replaced);
   ~PeerTransport();
   PeerTransport(const PeerTransport&) = delete;
   PeerTransport& operator=(const PeerTransport&) = delete;
 
-  // Empty, or what is wrong: another process of this node may have the address still.
+  // Returns an empty string or the error. Another process of this node may still use the address.
   std::string Open();
   bool open() const { return socket_ != nullptr; }
   void Close();
   int port() const;
 
-  void Register(Topic topic, TopicHandler source) { handlers_[topic] = std::move(source); }
-  // Says it now, with what others add; -1: to all. False: no budget, no socket, or too long.
+  void Register(Topic topic, TopicHandler handler) { handlers_[topic] = std::move(handler); }
+  // Sends a section at once, together with sections of other topics; -1: to all nodes. Returns
+  // false if the budget is used up, the socket is closed, or the section is too long.
   bool Send(int to, Topic topic, std::string_view bytes);
   void ObserveProcess(int node, std::uint64_t process) { filter_.ObserveProcess(node, process); }
 
@@ -65,7 +67,7 @@
   GSocket* socket_ = nullptr;
   std::vector<GSocketAddress*> nodes_;
   GSocketAddress* broadcast_address_ = nullptr;
-  std::map<std::string, int> node_by_address_;  // by address
+  std::map<std::string, int> node_by_address_;
   std::map<Topic, TopicHandler> handlers_;
   std::uint32_t last_sequence_ = 0;
 };
--- a/tests/node/peer_transport/peers_test.cpp
+++ b/tests/node/peer_transport/peers_test.cpp
@@ -1,5 +1,5 @@
-// Words between nodes: the datagram's form against what must not be believed, the gate, the budget,
-// and two nodes of the program's own on loopback sockets.
+// Tests of the peer transport: rejection of invalid datagrams, the datagram filter, the send
+// budget, and nodes on loopback sockets.
 #include "node/peer_transport/peers.h"
 
 #include <gtest/gtest.h>
@@ -38,16 +38,17 @@
   EXPECT_EQ(RejectionOf(&gate, other, 1), "peer_words_other_version");
   EXPECT_EQ(RejectionOf(&gate, "GET / HTTP/1.1\r\nHost: a\r\n\r\n", 1), "peer_words_foreign");
   EXPECT_EQ(RejectionOf(&gate, good, -1), "peer_words_unknown_sender");
-  EXPECT_EQ(RejectionOf(&gate, good, 2), "peer_words_unknown_sender") << "another's address";
+  EXPECT_EQ(RejectionOf(&gate, good, 2), "peer_words_unknown_sender") << "address of another node";
   EXPECT_EQ(RejectionOf(&gate, MakeDatagram(0, 1000, 1), 0), "peer_words_unknown_sender")
-      << "its own";
+      << "its own address";
   EXPECT_EQ(RejectionOf(&gate, good, 1), "");
-  EXPECT_EQ(RejectionOf(&gate, good, 1), "peer_words_old") << "twice";
-  EXPECT_EQ(RejectionOf(&gate, MakeDatagram(1, 2000, 1), 1), "") << "a later process counts anew";
+  EXPECT_EQ(RejectionOf(&gate, good, 1), "peer_words_old") << "duplicate";
+  EXPECT_EQ(RejectionOf(&gate, MakeDatagram(1, 2000, 1), 1), "")
+      << "sequence numbers of a later process start again";
   EXPECT_EQ(RejectionOf(&gate, MakeDatagram(1, 1000, 9), 1), "peer_words_replaced");
   gate.ObserveProcess(2, 5000);
   EXPECT_EQ(RejectionOf(&gate, MakeDatagram(2, 4999, 1), 2), "peer_words_replaced")
-      << "as others have told";
+      << "process learned from other nodes";
 }
 
 TEST(Datagram, OutOfOrderIsReadOnceAndNotTakenForNew) {
@@ -59,7 +60,7 @@
   ASSERT_TRUE(word);
   EXPECT_TRUE(word->late);
   EXPECT_FALSE(gate.Admit(late, 1, &why));
-  EXPECT_FALSE(gate.Admit(old, 1, &why)) << "too far behind to know whether it was read";
+  EXPECT_FALSE(gate.Admit(old, 1, &why)) << "outside the replay window";
 }
 
 RC_GTEST_PROP(DatagramProperties, NoDamageIsBelieved, ()) {
@@ -89,7 +90,7 @@
 TEST(Budget, WhatMattersLessWaitsFirst) {
   Budget budget(1000, 0);
   EXPECT_TRUE(budget.Take(0, 500, 2));
-  EXPECT_FALSE(budget.Take(0, 200, 2)) << "the rest is for what matters more";
+  EXPECT_FALSE(budget.Take(0, 200, 2)) << "the rest is reserved for higher priorities";
   EXPECT_TRUE(budget.Take(0, 200, 0));
   EXPECT_TRUE(budget.Take(0, 300, 0));
   EXPECT_FALSE(budget.Take(0, 1, 0));
@@ -130,7 +131,7 @@
   ASSERT_TRUE(lab::RunUntil([&] { return a.members()->view(Now()).left == 1; }, 20 * kSecond));
 }
 
-// Of two processes with one node's address one speaks, and the other only when it is free.
+// Of two processes with one node's address, the second waits until the address is free.
 TEST(Fleet, TheSecondProcessOfANodeWaitsForItsAddress) {
   const std::vector<std::string> nodes = {FreeUdpAddress(), FreeUdpAddress()};
   Fleet first(SettingsOf(nodes, 0)), second(SettingsOf(nodes, 0)), other(SettingsOf(nodes, 1));
@@ -152,8 +153,8 @@
   return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
 }
 
-// Words for the module go in as its events: they are in the capture, which replays the same; and a
-// node says in one line why it cannot have words, and serves.
+// Messages for the decision module become its events: they are in the capture, and the replay is
+// identical. A node without a peer address logs the reason in one line and serves.
 TEST(Node, WordsForTheModuleAreInTheCaptureAndReplay) {
   lab::Folder folder;
   const std::vector<std::string> nodes = {FreeUdpAddress(), FreeUdpAddress()};
@@ -197,7 +198,7 @@
             std::string::npos);
 }
 
-// A storm of words is read in bounded parts: what else the loop has to do gets its turn.
+// A burst of datagrams is read in bounded batches, so that other work of the event loop continues.
 TEST(Peers, AStormOfWordsStarvesNobody) {
   const std::vector<std::string> nodes = {FreeUdpAddress(), FreeUdpAddress()};
   int heard = 0, turns = 0, most = 0, in_turn = 0;
