--- a/src/node/rules/document.cpp
+++ b/src/node/rules/document.cpp
@@ -129,7 +129,7 @@
   const auto read_number = [&](const xmlNode* n, const char* attribute, auto* to) {
     using T = typename std::decay_t<decltype(*to)>::value_type;
     if (const std::string value = xml::Text(n, attribute); !value.empty())
-      *to = dispatch::Number<T>(value, attribute);
+      *to = dispatch::ParseNumber<T>(value, attribute);
   };
   Document d;
   std::optional<std::uint32_t> schema;
@@ -151,7 +151,7 @@
     const std::string token(rest.substr(0, space));
     rest = space == std::string_view::npos ? std::string_view() : rest.substr(space + 1);
     if (token.empty()) continue;
-    const int voter = dispatch::Number<int>(token, "voters");
+    const int voter = dispatch::ParseNumber<int>(token, "voters");
     if (voter >= nodes)
       xml::Fail(name, xml::Line(root),
                 "voters: there is no node " + token + " of " + std::to_string(nodes));
@@ -163,8 +163,9 @@
     const std::string key = xml::Text(n, element == "ban" ? "worker" : "name");
     bool is_new = true;
     if (element == "account") {
-      is_new = d.rules.shares.emplace(key, dispatch::Number<double>(xml::Text(n, "share"), "share"))
-                   .second;
+      is_new =
+          d.rules.shares.emplace(key, dispatch::ParseNumber<double>(xml::Text(n, "share"), "share"))
+              .second;
     } else if (element == "ban") {
       is_new = d.rules.bans.insert(key).second;
     } else {
