--- a/tests/tier/routing/route_table_test.cpp
+++ b/tests/tier/routing/route_table_test.cpp
@@ -1,4 +1,4 @@
-// Configurations read and checked whole, and requests matched with their routes.
+// Parsing and validation of configurations, and matching of requests to routes.
 #include "tier/routing/route_table.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -9,7 +9,7 @@
 namespace pearreach::routing {
 namespace {
 
-// The operators' example, with a batch route.
+// Example configuration with a bulk route.
 constexpr const char* kExample = R"({
  "version_no": 7,
  "routes": [
@@ -38,13 +38,13 @@
 
 std::string Replace(std::string text, const std::string& from, const std::string& to) {
   const std::size_t at = text.find(from);
-  CPPUNIT_ASSERT_MESSAGE("not in the example: " + from, at != std::string::npos);
+  CPPUNIT_ASSERT_MESSAGE("not found in the example: " + from, at != std::string::npos);
   return text.replace(at, from.size(), to);
 }
 
 std::string MessageOf(const std::string& json) {
   const auto table = RouteTable::Parse(json);
-  CPPUNIT_ASSERT_MESSAGE("taken", !table.ok());
+  CPPUNIT_ASSERT_MESSAGE("accepted", !table.ok());
   CPPUNIT_ASSERT(absl::IsInvalidArgument(table.status()));
   return std::string(table.status().message());
 }
@@ -132,13 +132,13 @@
       const char *tenants, *finding;
     } kCases[] = {
         {R"([{"name":"a","api_keys":["secret"]},{"name":"b","api_keys":["x","secret"]}])",
-         "tenants[1].api_keys[1]: is a key of tenants[0] too"},
+         "tenants[1].api_keys[1]: already a key of tenants[0]"},
         {R"([{"name":"a","api_keys":["secret"]},{"name":"a","api_keys":[]}])",
-         "tenants[1].name: 'a' is the name of tenants[0] too"},
+         "tenants[1].name: 'a' is already the name of tenants[0]"},
         {R"([{"name":"a","api_keys":["se cret"]}])",
-         "tenants[0].api_keys[0]: does not fit into a header"},
+         "tenants[0].api_keys[0]: has characters that are not allowed in a header"},
         {R"([{"name":"a\r\nX: y","api_keys":["secret"]}])",
-         "tenants[0].name: does not fit into a header"},
+         "tenants[0].name: has characters that are not allowed in a header"},
         {R"([{"name":"a","api_keys":[""]}])", "tenants[0].api_keys[0]: empty"},
         {R"([{"name":"a","api_keys":[7]}])", "tenants[0].api_keys[0]: not a string"},
         {R"([{"name":"a"}])", "tenants[0].api_keys: missing"},
@@ -190,7 +190,7 @@
 
   void MatchesTheLongestPrefix() {
     struct Case {
-      std::string host, path, route;  // route empty: none
+      std::string host, path, route;  // empty route: no match
     };
     const std::vector<Case> cases = {
         {"ficu95.example", "/lohu930/2f", "r-split"},
@@ -240,58 +240,66 @@
     };
     const std::vector<Case> cases = {
         {R"("version_no": 7)", R"("no": 7)", "version_no: missing"},
-        {R"("version_no": 7)", R"("version_no": 0)", "version_no: not a positive"},
-        {R"("version_no": 7)", R"("version_no": -3)", "version_no: not a positive"},
+        {R"("version_no": 7)", R"("version_no": 0)", "version_no: must be a positive whole number"},
+        {R"("version_no": 7)", R"("version_no": -3)",
+         "version_no: must be a positive whole number"},
         {R"("version_no": 7)", R"("version_no": 7.5)", "version_no: not a whole number"},
         {R"("version_no": 7)", R"("version_no": "7")", "version_no: not a number"},
         {R"("version_no": 7)", R"("version_no": 1e300)", "version_no: too large"},
-        {R"("version_no": 7)", R"("version_no": 7, "version_no": 8)", "version_no: given more"},
+        {R"("version_no": 7)", R"("version_no": 7, "version_no": 8)",
+         "version_no: duplicate field"},
         {R"("target":"wuno96b","unknown")", R"("target":"gone","unknown")",
          "routes[3].target: unknown service 'gone'"},
         {R"("target":"wuno96b","share")", R"("target":"gone","share")",
          "routes[0].target: unknown service 'gone'"},
         {R"("path_prefix":"/lohu930/deep/")", R"("path_prefix":"/lohu930/")",
-         "routes[1]: host and path_prefix are those of routes[0]"},
+         "routes[1]: host and path_prefix are the same as in routes[0]"},
         {R"("host":"Ficu95.example","path_prefix":"/pule252/")",
          R"("host":"FICU95.example","path_prefix":"/lohu930/")", "routes[2]: host and path_prefix"},
         {R"("path_prefix":"/pule252/")", R"("path_prefix":"/pule252")", "routes[2].path_prefix"},
         {R"("path_prefix":"/pule252/")", R"("path_prefix":"pule252/")", "routes[2].path_prefix"},
         {R"("path_prefix":"/pule252/",)", "", "routes[2].path_prefix: missing"},
         {R"("share":90},{"target":"wuno96b","share":10})",
-         R"("share":0},{"target":"wuno96b","share":0.0})", "routes[0].split: shares sum to 0"},
+         R"("share":0},{"target":"wuno96b","share":0.0})",
+         "routes[0].split: shares must sum to more than 0"},
         {R"("share":10)", R"("share":-10)", "routes[0].split[1].share: negative"},
         {R"("share":10)", R"("shares":10)", "routes[0].split[1].share: missing"},
         {R"([{"target":"huvo11a","share":90},{"target":"wuno96b","share":10}])", "[]",
-         "routes[0].split: no target"},
+         "routes[0].split: must have at least one target"},
         {R"([{"target":"huvo11a","share":90},{"target":"wuno96b","share":10}])", "{}",
-         "routes[0].split: not a list"},
+         "routes[0].split: not an array"},
         {R"("limit_ms":1000,"target":"wuno96b",)", R"("limit_ms":1000,)",
-         "routes[3]: neither target nor split"},
-        {R"("limit_ms":1000)", R"("split":[],"limit_ms":1000)", "routes[3]: both"},
-        {R"("limit_ms":1000)", R"("limit_ms":0)", "routes[3].limit_ms: not above 0"},
-        {R"("limit_ms":1000)", R"("limit_ms":0.0)", "routes[3].limit_ms: not above 0"},
+         "routes[3]: has neither target nor split"},
+        {R"("limit_ms":1000)", R"("split":[],"limit_ms":1000)",
+         "routes[3]: has both target and split"},
+        {R"("limit_ms":1000)", R"("limit_ms":0)", "routes[3].limit_ms: must be greater than 0"},
+        {R"("limit_ms":1000)", R"("limit_ms":0.0)", "routes[3].limit_ms: must be greater than 0"},
         {R"("limit_ms":1000)", R"("limit_ms":-1)", "routes[3].limit_ms: negative"},
         {R"("limit_ms":1000)", R"("limit_ms":"1000")", "routes[3].limit_ms: not a number"},
         {R"("limit_ms":1000)", R"("limit_ms":null)", "routes[3].limit_ms: not a number"},
         {R"("limit_ms":1000,)", "", "routes[3].limit_ms: missing"},
-        {R"("due_ms":9000,)", R"("due_ms":9000,"limit_ms":0,)", "routes[2].limit_ms: not above 0"},
+        {R"("due_ms":9000,)", R"("due_ms":9000,"limit_ms":0,)",
+         "routes[2].limit_ms: must be greater than 0"},
         {R"("due_ms":9000,)", "", "routes[2].due_ms: missing"},
-        {R"("name":"r-one")", R"("name":"r-split")", "routes[1].name: 'r-split' is the name of"},
-        {R"("name":"r-one")", R"("name":17)", "routes[1].name: not a text"},
+        {R"("name":"r-one")", R"("name":"r-split")",
+         "routes[1].name: 'r-split' is already the name of"},
+        {R"("name":"r-one")", R"("name":17)", "routes[1].name: not a string"},
         {R"("name":"r-one","host":"ficu95.example")", R"("name":"r-one","host":"")",
          "routes[1].host: empty"},
-        {R"({"name":"wuno96b")", R"({"name":"huvo11a")", "services[1].name: 'huvo11a' is the name"},
+        {R"({"name":"wuno96b")", R"({"name":"huvo11a")",
+         "services[1].name: 'huvo11a' is already the name"},
         {R"("tries":2)", R"("tries":2.5)", "routes[0].tries: not a whole number"},
         {R"("tries":2)", R"("tries":-1)", "routes[0].tries: negative"},
         {R"("tries":2)", R"("tries":1e12)", "routes[0].tries: too large"},
-        {R"("pinned":true)", R"("pinned":1)", "routes[0].pinned: neither true nor false"},
-        {R"("unknown":{)", R"("unknown":{"nested":0,)", "routes[3].unknown.nested: given more"},
-        {R"({"a":2})", R"({"a":2,"a":2})", "routes[3].unknown.nested[1].a: given more than once"},
+        {R"("pinned":true)", R"("pinned":1)", "routes[0].pinned: not a boolean"},
+        {R"("unknown":{)", R"("unknown":{"nested":0,)",
+         "routes[3].unknown.nested: duplicate field"},
+        {R"({"a":2})", R"({"a":2,"a":2})", "routes[3].unknown.nested[1].a: duplicate field"},
         {R"("max_conns":120)", R"("max_conns":"120")", "services[1].max_conns: not a number"},
         {R"("engine":{)", R"("engine":7,"motor":{)", "services[0].engine: not an object"},
         {R"("limits": {)", R"("limits": [{"a":1}], "old": {)", "limits: not an object"},
         {R"("idle_ms":15000)", R"("idle_ms":-1)", "limits.idle_ms: negative"},
-        {R"("services": [)", R"("services": 3, "old": [)", "services: not a list"},
+        {R"("services": [)", R"("services": 3, "old": [)", "services: not an array"},
         {R"("routes": [)", R"("ways": [)", "routes: missing"},
         {R"("routes": [)", R"("routes": [null, )", "routes[0]: not an object"},
         {R"("idle_ms":15000}})", R"("idle_ms":15000}} x)", "byte "},
@@ -302,7 +310,7 @@
     for (const Case& one : cases) {
       AssertContains(MessageOf(Replace(kExample, one.from, one.to)), one.finding);
     }
-    AssertContains(MessageOf(std::string(kExample) + '\0' + "x"), "a NUL");
+    AssertContains(MessageOf(std::string(kExample) + '\0' + "x"), "unexpected NUL byte");
     AssertContains(MessageOf("[]"), "configuration: not an object");
     MessageOf("null");
   }
@@ -311,7 +319,7 @@
     const std::string integer(kExample);
     for (std::size_t length = 0; length < integer.size(); ++length) {
       const auto table = RouteTable::Parse(integer.substr(0, length));
-      CPPUNIT_ASSERT_MESSAGE(std::to_string(length) + " bytes taken", !table.ok());
+      CPPUNIT_ASSERT_MESSAGE(std::to_string(length) + " bytes accepted", !table.ok());
     }
   }
 
