--- a/lab/sim/simulation.cpp
+++ b/lab/sim/simulation.cpp
@@ -432,8 +432,9 @@
         break;
       case Kind::kWord:
         if (shared_ != nullptr && !CutOff(self)) {
-          std::vector<shared_state::Shared::Out> out;
-          shared_->Hear(kUnix + now_, static_cast<int>(item.from), item.key, *item.bytes, &out);
+          std::vector<shared_state::SharedState::OutgoingMessage> out;
+          shared_->OnMessage(kUnix + now_, static_cast<int>(item.from), item.key, *item.bytes,
+                             &out);
           SendWords(out);
         }
         break;
@@ -577,45 +578,45 @@
     return now_ >= s_.warm_up && node < s_.cut_off * s_.nodes;
   }
   void BeginShared() {
-    shared_state::SharedOptions o;
+    shared_state::SharedStateOptions o;
     o.self = static_cast<int>(self);
     o.nodes = s_.nodes;
     o.zone = world_->zone(self);
     o.zones = s_.zones;
     for (const dispatch::TenantSettings& t : site_.settings.tenants)
-      o.shares.push_back(t.quota_per_s);
+      o.quotas.push_back(t.quota_per_s);
     const auto process = static_cast<std::uint64_t>((kUnix + now_) / 1000);
-    shared_ = std::make_unique<shared_state::Shared>(o, process, SeedOf(world_->seed, 8, self),
-                                                     kUnix + now_);
+    shared_ = std::make_unique<shared_state::SharedState>(o, process, SeedOf(world_->seed, 8, self),
+                                                          kUnix + now_);
     for (std::uint32_t w = 0; w < world_->workers; ++w) ListShared(w);
     Own(now_ + static_cast<Micros>(word_chance_.Uniform() * 250'000), Kind::kShare, life_);
   }
   void ListShared(dispatch::WorkerId id) {
     const dispatch::WorkerEntry e = Entry(id);
-    shared_->judgements().Listed(id, e.kind, e.ready_at > 0 ? (kUnix + e.ready_at) / 1000 : 0,
-                                 e.health == dispatch::Health::kInService);
+    shared_->health().OnListed(id, e.kind, e.ready_at > 0 ? (kUnix + e.ready_at) / 1000 : 0,
+                               e.health == dispatch::Health::kInService);
   }
   void Share() {
     std::vector<int> alive;
     for (int n = 0; n < s_.nodes; ++n)
       if (n != static_cast<int>(self)) alive.push_back(n);
-    for (const shared_state::Standing& s : shared_->judgements().Look(kUnix + now_, alive)) {
+    for (const shared_state::WorkerStatus& s : shared_->health().Update(kUnix + now_, alive)) {
       dispatch::Judgement j;
       j.worker = s.worker;
-      j.out = s.out;
-      j.trial = s.trial;
+      j.out = s.ejected;
+      j.trial = s.probe;
       j.cold = s.cold;
-      j.at = s.at - kUnix;
-      j.witnesses = s.witnesses;
+      j.at = s.observed_at - kUnix;
+      j.witnesses = s.reporters;
       Tell(std::move(j));
     }
-    std::vector<shared_state::Shared::Out> out;
+    std::vector<shared_state::SharedState::OutgoingMessage> out;
     shared_->Tick(kUnix + now_, alive, &out);
     SendWords(out);
-    Own(std::max(now_ + 1, shared_->next() - kUnix), Kind::kShare, life_);
+    Own(std::max(now_ + 1, shared_->next_tick() - kUnix), Kind::kShare, life_);
   }
-  void SendWords(const std::vector<shared_state::Shared::Out>& out) {
-    for (const shared_state::Shared::Out& o : out) {
+  void SendWords(const std::vector<shared_state::SharedState::OutgoingMessage>& out) {
+    for (const shared_state::SharedState::OutgoingMessage& o : out) {
       words_bytes += o.section.size();
       if (CutOff(self) || word_chance_.Uniform() < s_.words_lost) continue;
       Item item;
@@ -626,16 +627,16 @@
     }
   }
   void EndShared(dispatch::WorkerId worker, Outcome outcome) {
-    using End = shared_state::Judgements::End;
+    using End = shared_state::WorkerHealth::JobOutcome;
     if (shared_ == nullptr) return;
-    if (outcome == Outcome::kFull) shared_->judgements().Heard(kUnix + now_, worker);
-    shared_->judgements().Ended(kUnix + now_, worker,
-                                outcome == Outcome::kGood           ? End::kServed
-                                : outcome == Outcome::kError        ? End::kFailed
-                                : outcome == Outcome::kNoConnection ? End::kNoConnection
-                                : outcome == Outcome::kReset        ? End::kReset
-                                                                    : End::kTimedOut,
-                                0);
+    if (outcome == Outcome::kFull) shared_->health().OnWorkerResponse(kUnix + now_, worker);
+    shared_->health().OnJobEnded(kUnix + now_, worker,
+                                 outcome == Outcome::kGood           ? End::kServed
+                                 : outcome == Outcome::kError        ? End::kFailed
+                                 : outcome == Outcome::kNoConnection ? End::kNoConnection
+                                 : outcome == Outcome::kReset        ? End::kReset
+                                                                     : End::kTimedOut,
+                                 0);
   }
 
   // ---- clients
@@ -676,9 +677,9 @@
     const Micros due = job.first + c.deadline;
     if (now_ >= due - 20'000) return Close(job, What::kRefused);
     if (!up_) return Again(job, (self + 1) % world_->nodes);  // connections to it are refused
-    shared_state::Shared::Admission admission;
+    shared_state::SharedState::Admission admission;
     if (shared_ != nullptr) admission = shared_->Admit(kUnix + now_, job.tenant, job.tries > 1);
-    if (admission.refused) {  // before the module
+    if (admission.rejected) {  // before the module
       if (now_ >= s_.warm_up) ++At(now_).refusals;
       return Again(job, self);
     }
@@ -693,7 +694,7 @@
     e.due = due - 5'000;
     e.slots = c.slots;
     e.is_repeat = job.tries > 1;
-    if (shared_ != nullptr && job.tenant >= 0) e.over_share = admission.over_share;
+    if (shared_ != nullptr && job.tenant >= 0) e.over_share = admission.over_quota;
     Tell(e);
     Own(due, Kind::kDeadline, id);
   }
@@ -782,7 +783,7 @@
       r.attempts.push_back({send->worker, now_, true});
       ++r.job.attempts;
       if (now_ >= s_.warm_up) ++At(now_).attempts;
-      if (shared_ != nullptr) shared_->judgements().Sent(kUnix + now_, send->worker);
+      if (shared_ != nullptr) shared_->health().OnJobSent(kUnix + now_, send->worker);
       Post(item, world_->nodes + send->worker, world_->Way(self, send->worker));
     } else if (const auto* refuse = std::get_if<dispatch::Refuse>(&action)) {
       Answer(refuse->request, What::kRefused);
@@ -825,7 +826,7 @@
     const Attempt& a = r.attempts[static_cast<std::size_t>(number)];
     if (!a.out) return;
     if (shared_ != nullptr && item.kind != Kind::kEnded)
-      shared_->judgements().Heard(kUnix + now_, a.worker);
+      shared_->health().OnWorkerResponse(kUnix + now_, a.worker);
     if (item.kind == Kind::kTaken) return Tell(dispatch::AttemptTaken{id, number, a.worker});
     if (item.kind == Kind::kStarted) return Tell(dispatch::AttemptStarted{id, number, a.worker});
     if (item.kind == Kind::kProgressed)
@@ -904,7 +905,7 @@
   dispatch::Site site_;
   Chance chance_;
   Chance word_chance_;  // of its own: words change no arrival
-  std::unique_ptr<shared_state::Shared> shared_;
+  std::unique_ptr<shared_state::SharedState> shared_;
   double class_shares_ = 0, tenant_shares_ = 0, most_factor_ = 1, rate_ = 0;
   bool up_ = false, turn_set_ = false;
   std::uint64_t life_ = 0, last_id_ = 0, looks_ = 0;
--- a/lab/trial/figures.cpp
+++ b/lab/trial/figures.cpp
@@ -152,12 +152,12 @@
 
 SharedFigures Measure(const SharedCase& c) {
   SharedLoad load;
-  load.options.shares = {70, 40, 20};
+  load.options.quotas = {70, 40, 20};
   load.asked = {60, 30, 10};
   load.flood_from = 4'000'000;
   load.flood_until = 14'000'000;
   if (!c.lends) load.options.floor = 1;
-  if (!c.judges) load.options.judgements.witnesses = 1'000'000;
+  if (!c.judges) load.options.health.min_reporters = 1'000'000;
   load.sends = std::min(4.0, 400.0 / c.nodes);
   VirtualOptions o;
   o.plan.nodes = c.nodes;
@@ -208,7 +208,7 @@
 ZoneFigures Measure(const ZoneCase& c) {
   constexpr Micros kLost = 5'000'000, kFor = 10'000'000;
   SharedLoad load;
-  load.options.shares = {70};
+  load.options.quotas = {70};
   load.asked = {30};
   load.sends = std::min(4.0, 400.0 / c.nodes);
   ZoneLoad zones;
--- a/lab/trial/trial.cpp
+++ b/lab/trial/trial.cpp
@@ -198,17 +198,17 @@
 
   // What the nodes share, as the checkers are to know it.
   void SayShared() {
-    shared_state::SharedOptions options;
+    shared_state::SharedStateOptions options;
     shared_state::BudgetsOptions budgets;
     budgets.nodes = plan_.nodes;
     for (const TenantSpec& t : scenario_.tenants)
-      budgets.wholes.push_back(t.quota * JobsPerSecond(scenario_));
+      budgets.limits.push_back(t.quota * JobsPerSecond(scenario_));
     const shared_state::Budgets b(budgets, 1, 1, 0);
     for (int k = 0; k < b.budgets(); ++k)
       Say("trial", "share",
           {{"account", std::to_string(k)},
-           {"whole", std::to_string(budgets.wholes[static_cast<std::size_t>(k)])},
-           {"burst", std::to_string(b.burst(k))},
+           {"whole", std::to_string(budgets.limits[static_cast<std::size_t>(k)])},
+           {"burst", std::to_string(b.burst_seconds(k))},
            {"window_us", std::to_string(options.window)}});
   }
 
--- a/lab/trial/virtual.cpp
+++ b/lab/trial/virtual.cpp
@@ -63,7 +63,7 @@
     for (int n = 0; n < plan_.nodes; ++n) Say("trial", "ending", {{"node", Name(n)}});
     result_.length = end;
     for (const Node& node : nodes_)
-      if (node.zones != nullptr) result_.held_back += node.zones->figures().held_back;
+      if (node.zones != nullptr) result_.held_back += node.zones->stats().blocked_by_capacity;
     result_.history = std::move(history_);
     return std::move(result_);
   }
@@ -83,8 +83,8 @@
     std::vector<std::pair<int, std::string>> waiting;  // came while it was stopped
     std::uint64_t life = 0;
     bool doubts = false;
-    std::unique_ptr<shared_state::Shared> shared;
-    std::unique_ptr<zones::Zones> zones;
+    std::unique_ptr<shared_state::SharedState> shared;
+    std::unique_ptr<zones::ZoneFailover> zones;
     std::vector<int> jobs;  // accounts' jobs that came while it was stopped
     double weight = 1;      // of the load
   };
@@ -197,19 +197,19 @@
   }
   void StartShared(int n) {
     Node& node = Of(n);
-    shared_state::SharedOptions options = o_.shared->options;
+    shared_state::SharedStateOptions options = o_.shared->options;
     options.self = n;
     options.nodes = plan_.nodes;
     options.zones = plan_.zones;
     options.zone = n % plan_.zones;
     if (node.life > 1 && n % 2 == 0 && !o_.shared->lowered.empty())
-      options.shares = o_.shared->lowered;
-    node.shared = std::make_unique<shared_state::Shared>(
+      options.quotas = o_.shared->lowered;
+    node.shared = std::make_unique<shared_state::SharedState>(
         options, node.machine->process(),
         SeedOf(plan_.seed, 34, static_cast<std::uint64_t>(n) * 1000 + node.life), Unix());
-    node.shared->budgets().Leave(o_.shared->without);
+    node.shared->budgets().DisableGuards(o_.shared->without);
     for (std::size_t w = 0; w < workers_.size(); ++w)
-      node.shared->judgements().Listed(KeyOf(w), 0, workers_[w].start, true);
+      node.shared->health().OnListed(KeyOf(w), 0, workers_[w].start, true);
     ArmShared(n);
     if (o_.zones != nullptr) StartZones(n);
   }
@@ -220,8 +220,8 @@
     options.nodes = plan_.nodes;
     options.zone = n % plan_.zones;
     for (int z = 0; z < plan_.zones; ++z) options.zones.push_back("z" + std::to_string(z));
-    node.zones = std::make_unique<zones::Zones>(options, node.machine->process(), Unix());
-    node.zones->Leave(o_.zones->without);
+    node.zones = std::make_unique<zones::ZoneFailover>(options, node.machine->process(), Unix());
+    node.zones->DisableGuards(o_.zones->without);
     for (std::size_t w = 0; w < workers_.size(); ++w) ListZone(n, w);
     ArmZones(n);
   }
@@ -229,7 +229,7 @@
     if (Of(n).zones == nullptr) return;
     const int zone = static_cast<int>(w) % plan_.zones;
     const bool lone = o_.zones->lone_kind && zone == plan_.zones - 1;
-    Of(n).zones->Listed(KeyOf(w), zone, lone ? 1 : 0, 1, workers_[w].start * 1000, true);
+    Of(n).zones->OnListed(KeyOf(w), zone, lone ? 1 : 0, 1, workers_[w].start * 1000, true);
   }
   void ArmZones(int n) {
     Node& node = Of(n);
@@ -243,28 +243,29 @@
   void ZonesTurn(int n) {
     Node& node = Of(n);
     for (std::size_t w = 0; w < workers_.size(); ++w)
-      node.zones->Seen(KeyOf(w), static_cast<zones::Cause>(node.shared->judgements().own(KeyOf(w))),
-                       node.shared->judgements().own_at(KeyOf(w)));
-    std::vector<zones::Zones::Out> out;
+      node.zones->SetOwnHealth(
+          KeyOf(w), static_cast<zones::Cause>(node.shared->health().own_status(KeyOf(w))),
+          node.shared->health().own_status_at(KeyOf(w)));
+    std::vector<zones::ZoneFailover::OutgoingMessage> out;
     node.zones->Tick(Unix(), AliveFor(n), node.machine->view(now_).doubts_itself, &out);
     if (n == o_.zones->liar) Lie(n, &out);
     SendZones(n, out);
   }
   // A node that claims of all other zones that they are gone.
-  void Lie(int n, std::vector<zones::Zones::Out>* out) {
+  void Lie(int n, std::vector<zones::ZoneFailover::OutgoingMessage>* out) {
     zones::Message w;
     w.zone = n % plan_.zones;
     w.at = Unix() / 1000 * 1000;
     for (int z = 0; z < plan_.zones; ++z)
       if (z != w.zone)
-        w.verdicts.push_back({zones::KeyOf("z" + std::to_string(z)), -1, 50, zones::kLeft,
-                              zones::Cause::kDead, n, w.at, 1});
+        w.decisions.push_back({zones::KeyOf("z" + std::to_string(z)), -1, 50, zones::kEjected,
+                               zones::Cause::kDead, n, w.at, 1});
     for (int other = 0; other < plan_.nodes; ++other)
       if (other != n) out->push_back({other, zones::Encode(w, 180, nullptr)});
   }
-  void SendZones(int n, const std::vector<zones::Zones::Out>& out) {
+  void SendZones(int n, const std::vector<zones::ZoneFailover::OutgoingMessage>& out) {
     Node& node = Of(n);
-    for (const zones::Zones::Out& o : out) {
+    for (const zones::ZoneFailover::OutgoingMessage& o : out) {
       peer_transport::Writer writer(n, node.machine->process(), ++node.number);
       writer.Add(peer_transport::Topic::kZones, o.section);
       const std::string bytes = writer.Take();
@@ -275,41 +276,41 @@
     SayZones(n);
   }
   void SayZones(int n) {
-    for (const zones::Standing& s : Of(n).zones->TakeChanges()) {
+    for (const zones::ZoneStatus& s : Of(n).zones->TakeChanges()) {
       std::string witnesses;
-      for (const int w : s.witnesses)
+      for (const int w : s.reporters)
         witnesses += (witnesses.empty() ? "" : " ") + std::to_string(w);
       Say(Name(n), "zone",
           {{"zone", "z" + std::to_string(s.zone)},
            {"step", std::to_string(s.step)},
            {"number", std::to_string(s.number)},
            {"cause", NameOf(s.cause)},
-           {"by_hand", s.by_hand ? "1" : "0"},
-           {"own", s.own ? "1" : "0"},
-           {"whose", s.whose < 0 ? "all" : "z" + std::to_string(s.whose)},
+           {"by_hand", s.by_operator ? "1" : "0"},
+           {"own", s.served_from_inside ? "1" : "0"},
+           {"whose", s.for_zone < 0 ? "all" : "z" + std::to_string(s.for_zone)},
            {"witnesses", witnesses}});
     }
   }
   void ArmShared(int n) {
     Node& node = Of(n);
-    At(std::max(now_, node.shared->next() - kUnix), [this, n, life = node.life] {
+    At(std::max(now_, node.shared->next_tick() - kUnix), [this, n, life = node.life] {
       Node& node = Of(n);
       if (node.life != life || node.shared == nullptr || node.stalls > 0) return;
       const std::vector<int> alive = AliveFor(n);
-      node.shared->judgements().Look(Unix(), alive);
+      node.shared->health().Update(Unix(), alive);
       if (n == o_.shared->liar)
         for (std::size_t w = 0; w < workers_.size(); ++w) {
-          node.shared->judgements().Sent(Unix() - 3'000'000, KeyOf(w));
+          node.shared->health().OnJobSent(Unix() - 3'000'000, KeyOf(w));
         }
-      std::vector<shared_state::Shared::Out> out;
+      std::vector<shared_state::SharedState::OutgoingMessage> out;
       node.shared->Tick(Unix(), alive, &out);
       SendShared(n, out);
       ArmShared(n);
     });
   }
-  void SendShared(int n, const std::vector<shared_state::Shared::Out>& out) {
+  void SendShared(int n, const std::vector<shared_state::SharedState::OutgoingMessage>& out) {
     Node& node = Of(n);
-    for (const shared_state::Shared::Out& o : out) {
+    for (const shared_state::SharedState::OutgoingMessage& o : out) {
       peer_transport::Writer writer(n, node.machine->process(), ++node.number);
       writer.Add(peer_transport::Topic::kShared, o.section);
       const std::string bytes = writer.Take();
@@ -335,12 +336,12 @@
   void Job(int n, int account) {
     const auto a = Of(n).shared->Admit(Unix(), account, false);
     ++result_.jobs;
-    if (a.refused) {
+    if (a.rejected) {
       ++result_.over_ceiling;
       return;
     }
     counted_[static_cast<std::size_t>(account)].push_back(now_);
-    if (a.over_share) return;
+    if (a.over_quota) return;
     ++result_.in_share;
     spent_[static_cast<std::size_t>(account)].push_back(now_);
   }
@@ -358,21 +359,21 @@
     });
   }
   void SendJob(int n, std::size_t w) {
-    using End = shared_state::Judgements::End;
+    using End = shared_state::WorkerHealth::JobOutcome;
     Node& node = Of(n);
-    shared_state::Judgements& judge = node.shared->judgements();
-    const auto it = judge.standing().find(KeyOf(w));
+    shared_state::WorkerHealth& judge = node.shared->health();
+    const auto it = judge.statuses().find(KeyOf(w));
     const zones::Use use =
         node.zones == nullptr ? zones::Use::kOpen : node.zones->use(Unix(), KeyOf(w));
-    if (use == zones::Use::kShut) return;
-    if (use == zones::Use::kTrial) ++result_.trials;
-    if (use == zones::Use::kOpen && it != judge.standing().end() && it->second.out) {
-      if (!it->second.trial) return;
+    if (use == zones::Use::kClosed) return;
+    if (use == zones::Use::kProbe) ++result_.trials;
+    if (use == zones::Use::kOpen && it != judge.statuses().end() && it->second.ejected) {
+      if (!it->second.probe) return;
       ++result_.trials;
     }
     Worker& worker = workers_[w];
-    judge.Sent(Unix(), KeyOf(w));
-    if (node.zones != nullptr) node.zones->Sent(Unix(), KeyOf(w));
+    judge.OnJobSent(Unix(), KeyOf(w));
+    if (node.zones != nullptr) node.zones->OnJobSent(Unix(), KeyOf(w));
     ++result_.sends;
     if (worker.back > 0 && now_ - worker.back < kCold) {
       worker.cold_sends.push_back(now_);
@@ -384,14 +385,14 @@
     const auto later = [this, n, w, life = node.life](Micros after, End end) {
       At(now_ + after, [this, n, w, life, end, after] {
         if (Of(n).life != life || Of(n).shared == nullptr) return;
-        Of(n).shared->judgements().Ended(Unix(), KeyOf(w), end, 1);
-        using ZoneEnd = zones::Zones::End;
+        Of(n).shared->health().OnJobEnded(Unix(), KeyOf(w), end, 1);
+        using ZoneEnd = zones::ZoneFailover::JobOutcome;
         if (Of(n).zones != nullptr)
-          Of(n).zones->Ended(Unix(), KeyOf(w),
-                             end == End::kServed   ? ZoneEnd::kServed
-                             : end == End::kFailed ? ZoneEnd::kFailed
-                                                   : ZoneEnd::kNoWord,
-                             0, end == End::kServed ? after : 0);
+          Of(n).zones->OnJobEnded(Unix(), KeyOf(w),
+                                  end == End::kServed   ? ZoneEnd::kServed
+                                  : end == End::kFailed ? ZoneEnd::kFailed
+                                                        : ZoneEnd::kNoResponse,
+                                  0, end == End::kServed ? after : 0);
       });
     };
     if (gone && worker.dead)
@@ -411,7 +412,7 @@
     for (int n = 0; n < plan_.nodes; ++n)
       At(now_ + 100'000 + static_cast<Micros>(chance_.Uniform() * 900'000), [this, n, w] {
         if (Of(n).shared != nullptr)
-          Of(n).shared->judgements().Listed(KeyOf(w), 0, workers_[w].start, true);
+          Of(n).shared->health().OnListed(KeyOf(w), 0, workers_[w].start, true);
         ListZone(n, w);
       });
   }
@@ -428,10 +429,10 @@
       std::int64_t parts = 0;
       for (Node& node : nodes_) {
         if (node.shared == nullptr) continue;
-        parts += node.shared->budgets().part(Unix(), account);
-        burst_ = std::max(burst_, node.shared->budgets().burst(account));
+        parts += node.shared->budgets().allocation(Unix(), account);
+        burst_ = std::max(burst_, node.shared->budgets().burst_seconds(account));
       }
-      const double whole = load.options.shares[k];
+      const double whole = load.options.quotas[k];
       result_.most_parts = std::max(result_.most_parts, static_cast<double>(parts) / 1000 / whole);
       Say("trial", "parts",
           {{"budget", std::to_string(k)},
@@ -446,19 +447,19 @@
       for (int n = 0; n < plan_.nodes; ++n) {
         Node& node = Of(n);
         if (node.shared == nullptr || node.stalls > 0) continue;
-        const shared_state::Reading r = node.shared->counts().Read(Unix(), account);
+        const shared_state::UsageEstimate r = node.shared->usage().Estimate(Unix(), account);
         ++result_.readings;
         // In the first window nobody knows what was before it.
         if (now_ > load.options.window + 1'000'000) {
           ++result_.settled;
-          result_.width += (r.most - r.least) / std::max(1.0, total);
+          result_.width += (r.upper - r.lower) / std::max(1.0, total);
           result_.off += std::abs(r.estimate - total) / std::max(1.0, total);
         }
-        if (total >= r.least - 1e-6 && total <= r.most + 1e-6) continue;
+        if (total >= r.lower - 1e-6 && total <= r.upper + 1e-6) continue;
         Say(Name(n), "reading",
             {{"account", std::to_string(k)},
-             {"least", std::to_string(r.least)},
-             {"most", std::to_string(r.most)},
+             {"least", std::to_string(r.lower)},
+             {"most", std::to_string(r.upper)},
              {"true", std::to_string(total)}});
       }
     }
@@ -466,21 +467,21 @@
       Node& node = Of(n);
       if (node.shared == nullptr || node.stalls > 0) continue;
       int out = 0;
-      for (const auto& [key, s] : node.shared->judgements().standing()) {
-        if (!s.out) continue;
+      for (const auto& [key, s] : node.shared->health().statuses()) {
+        if (!s.ejected) continue;
         ++out;
         const Worker& w = workers_[key - 0x9000];
         std::string zones;
-        for (const int witness : s.witnesses)
+        for (const int witness : s.reporters)
           if (zones.find(std::to_string(witness % plan_.zones)) == std::string::npos)
             zones += std::to_string(witness % plan_.zones);
         Say(Name(n), "worker_out",
             {{"worker", "s-" + std::to_string(key - 0x9000)},
              {"gone", w.faults > 0 ? "1" : "0"},
              {"well_us", std::to_string(w.faults > 0 ? 0 : now_ - w.back)},
-             {"verdict", NameOf(s.verdict)},
-             {"witnesses", std::to_string(s.witnesses.size())},
-             {"seen_ago_us", std::to_string(Unix() - s.at)},
+             {"verdict", NameOf(s.status)},
+             {"witnesses", std::to_string(s.reporters.size())},
+             {"seen_ago_us", std::to_string(Unix() - s.observed_at)},
              {"zones", zones}});
       }
       if (out > 0)
@@ -506,16 +507,16 @@
     std::vector<membership::Out> out;
     for (const peer_transport::Section& s : word->datagram.sections) {
       if (s.topic == static_cast<std::uint8_t>(peer_transport::Topic::kShared)) {
-        std::vector<shared_state::Shared::Out> said;
+        std::vector<shared_state::SharedState::OutgoingMessage> said;
         if (node.shared != nullptr)
-          node.shared->Hear(Unix(), from, word->datagram.process, s.bytes, &said);
+          node.shared->OnMessage(Unix(), from, word->datagram.process, s.bytes, &said);
         SendShared(to, said);
         continue;
       }
       if (s.topic == static_cast<std::uint8_t>(peer_transport::Topic::kZones)) {
         if (node.zones == nullptr) continue;
-        std::vector<zones::Zones::Out> said;
-        node.zones->Hear(Unix(), from, word->datagram.process, s.bytes, &said);
+        std::vector<zones::ZoneFailover::OutgoingMessage> said;
+        node.zones->OnMessage(Unix(), from, word->datagram.process, s.bytes, &said);
         SendZones(to, said);
         continue;
       }
@@ -569,7 +570,7 @@
     if (node.machine == nullptr) return;
     node.machine.reset();
     node.shared.reset();
-    if (node.zones != nullptr) result_.held_back += node.zones->figures().held_back;
+    if (node.zones != nullptr) result_.held_back += node.zones->stats().blocked_by_capacity;
     node.zones.reset();
     node.jobs.clear();
     node.waiting.clear();
@@ -608,9 +609,9 @@
       return;
     }
     if (f.what == What::kLeaveZone || f.what == What::kReturnZone) {
-      Order(f,
-            f.what == What::kLeaveZone ? zones::Order::What::kLeave : zones::Order::What::kReturn);
-      return At(now_ + f.length, [this, f] { Order(f, zones::Order::What::kNone); });
+      Order(f, f.what == What::kLeaveZone ? zones::Order::Action::kLeave
+                                          : zones::Order::Action::kReturn);
+      return At(now_ + f.length, [this, f] { Order(f, zones::Order::Action::kNone); });
     }
     if (f.what == What::kSilence || f.what == What::kDie) {
       for (std::size_t w = 0; w < workers_.size(); ++w) {
@@ -646,7 +647,7 @@
       }
     }
   }
-  void Order(const Fault& f, zones::Order::What what) {
+  void Order(const Fault& f, zones::Order::Action what) {
     for (int n = 0; n < plan_.nodes; ++n) {
       Node& node = Of(n);
       if (!Selects(f.from, Name(n), plan_.zones) || node.zones == nullptr) continue;
--- a/lab/trial/virtual.h
+++ b/lab/trial/virtual.h
@@ -19,22 +19,22 @@
 // What nodes share beside who is there, and the load that makes it: accounts' jobs, of which some
 // nodes see several times the mean, and jobs sent to workers.
 struct SharedLoad {
-  shared_state::SharedOptions options = {};  // self, nodes, zone and zones are the plan's
-  std::vector<double> asked;                 // of each account: jobs a second, all nodes
+  shared_state::SharedStateOptions options = {};  // self, nodes, zone and zones are the plan's
+  std::vector<double> asked;                      // of each account: jobs a second, all nodes
   Micros flood_from = 0, flood_until = 0;
   double flood = 6;   // times the first account's rate meanwhile
   double uneven = 3;  // the busiest node sees so many times the mean
   double sends = 4;   // a second, each node to each worker
   std::vector<double>
       lowered;  // shares as half of the nodes' next processes have them; may be empty
-  shared_state::Budgets::Without without = {};
+  shared_state::Budgets::DisabledGuards without = {};
   int liar = -1;  // this node says of all workers that they are silent
 };
 
 // Zones that are left and come back, beside shared state, of which they take their evidence.
 struct ZoneLoad {
   zones::Options options = {};  // self, nodes, zone and zones are the plan's
-  zones::Zones::Without without = {};
+  zones::ZoneFailover::DisabledGuards without = {};
   int liar = -1;           // this node holds verdicts that all zones but its own are gone
   bool lone_kind = false;  // the last zone has a kind of worker that no other has
 };
--- a/src/node/cli/fleet_setup.cpp
+++ b/src/node/cli/fleet_setup.cpp
@@ -13,21 +13,22 @@
 constexpr Micros kHeardOfLate = 500 * kMs;   // a worker heard of within it is waited for
 constexpr Micros kRulesEveryNode = 8 * kMs;  // a round of questions lasts so long a node
 
-shared_state::SharedOptions SharedOptionsOf(const SharedSettings& s, const dispatch::Site& site) {
-  shared_state::SharedOptions shares;
+shared_state::SharedStateOptions SharedOptionsOf(const SharedSettings& s,
+                                                 const dispatch::Site& site) {
+  shared_state::SharedStateOptions shares;
   shares.zone = std::max(0, site.settings.zone);
   shares.zones = std::max<int>(1, static_cast<int>(site.zones.size()));
   if (s.counts)
     for (const dispatch::TenantSettings& t : site.settings.tenants)
-      shares.shares.push_back(t.quota_per_s);
-  shares.repeats = s.repeats;
-  shares.every = s.every;
+      shares.quotas.push_back(t.quota_per_s);
+  shares.retry_limit = s.repeats;
+  shares.send_interval = s.every;
   shares.lease = s.lease;
   shares.window = s.window;
   shares.skew = s.skew;
   shares.floor = s.floor;
   if (site.settings.progress_every > 0)
-    shares.judgements.silent_after = site.settings.progress_every * 5 / 2;
+    shares.health.silence_timeout = site.settings.progress_every * 5 / 2;
   return shares;
 }
 
@@ -56,10 +57,10 @@
   zones::Options zoned;
   zoned.zone = std::max(0, site.settings.zone);
   zoned.zones.assign(site.zones.begin(), site.zones.end());
-  zoned.every = z.every;
-  zoned.least_left = z.least_left;
-  zoned.trial_wait = z.trial_wait;
-  zoned.hold = z.hold;
+  zoned.send_interval = z.every;
+  zoned.min_remaining_capacity = z.least_left;
+  zoned.probe_delay = z.trial_wait;
+  zoned.min_step_duration = z.hold;
   for (const ZoneSettings::Region& r : z.regions) zoned.regions.push_back(RegionOf(r, file, site));
   return zoned;
 }
@@ -91,26 +92,26 @@
   node->OnAdmit([fleet, counts = settings.counts](int tenant, bool is_repeat) {
     Admission to;
     if (const auto a = fleet->Admit(tenant, is_repeat)) {
-      to.refused = a->refused;
-      to.retry_after = a->wait;
-      if (counts && tenant >= 0) to.over_share = a->over_share;
+      to.refused = a->rejected;
+      to.retry_after = a->retry_after;
+      if (counts && tenant >= 0) to.over_share = a->over_quota;
     }
     return to;
   });
   if (settings.judgements)
-    fleet->OnJudged([node](const std::string& worker, const shared_state::Standing& s) {
-      node->OnJudgement(worker, {0, s.out, s.trial, s.cold, s.at, s.witnesses});
+    fleet->OnJudged([node](const std::string& worker, const shared_state::WorkerStatus& s) {
+      node->OnJudgement(worker, {0, s.ejected, s.probe, s.cold, s.observed_at, s.reporters});
     });
 }
 
 void ConnectZones(Fleet* fleet, Node* node) {
   fleet->OnUse([node, fleet](const std::string& worker, zones::Use use, bool gone) {
-    node->Shut(worker, use == zones::Use::kShut);
+    node->Shut(worker, use == zones::Use::kClosed);
     // The one job that tries it is none that may not be repeated; and what is out there when its
     // zone is left for silence is not waited for, unless it was heard of just now.
-    if (use == zones::Use::kTrial)
+    if (use == zones::Use::kProbe)
       node->OnJudgement(worker, {0, true, true, false, g_get_real_time(), {}});
-    else if (use == zones::Use::kShut && gone)
+    else if (use == zones::Use::kClosed && gone)
       node->OnJudgement(worker, {0, true, false, false, g_get_real_time() - kHeardOfLate, {}});
     else if (use == zones::Use::kOpen)
       fleet->JudgeAgain(worker);
@@ -123,16 +124,17 @@
   std::vector<zones::Order> orders;
   for (const admin::ZoneOrder& o : admin::LoadZoneOrders(path))
     orders.push_back({zones::KeyOf(o.target), o.number,
-                      o.what == "leave"    ? zones::Order::What::kLeave
-                      : o.what == "return" ? zones::Order::What::kReturn
-                                           : zones::Order::What::kNone,
+                      o.what == "leave"    ? zones::Order::Action::kLeave
+                      : o.what == "return" ? zones::Order::Action::kReturn
+                                           : zones::Order::Action::kNone,
                       o.by, o.at_ms * 1000});
   fleet->RecallOrders(orders);
   fleet->OnOrders([path, fleet](const std::vector<zones::Order>& held) {
     std::vector<admin::ZoneOrder> kept;
     kept.reserve(held.size());
     for (const zones::Order& o : held)
-      kept.push_back({fleet->zones()->name(o.target), o.number, NameOf(o.what), o.by, o.at / 1000});
+      kept.push_back({fleet->zones()->name(o.target), o.number, NameOf(o.action), o.issued_by,
+                      o.issued_at / 1000});
     admin::SaveZoneOrders(path, kept);
   });
 }
--- a/src/node/cli/fleet_setup.h
+++ b/src/node/cli/fleet_setup.h
@@ -30,7 +30,7 @@
   void OnSent(const std::string& worker) override { fleet_->WorkerSent(worker); }
   void OnHeard(const std::string& worker) override { fleet_->WorkerHeard(worker); }
   void OnEnded(const std::string& worker, dispatch::Outcome outcome, int cls, Micros run) override {
-    using End = shared_state::Judgements::End;
+    using End = shared_state::WorkerHealth::JobOutcome;
     using dispatch::Outcome;
     // A cancel is this node's own; a job turned away was answered, which is life.
     if (outcome == Outcome::kFull) fleet_->WorkerHeard(worker);
--- a/src/node/cli/node_process.cpp
+++ b/src/node/cli/node_process.cpp
@@ -193,7 +193,7 @@
 }
 
 bool NodeProcess::Order(const std::string& target, const std::string& what) {
-  using What = zones::Order::What;
+  using What = zones::Order::Action;
   return fleet_ != nullptr && fleet_->Command(target, what == "leave"    ? What::kLeave
                                                       : what == "return" ? What::kReturn
                                                                          : What::kNone);
--- a/src/node/fleet/fleet.cpp
+++ b/src/node/fleet/fleet.cpp
@@ -44,8 +44,8 @@
         Topic::kShared,
         {1, nullptr, [this](int from, std::uint64_t process, bool, std::string_view bytes) {
            if (shared_ == nullptr) return;
-           std::vector<shared_state::Shared::Out> out;
-           shared_->Hear(Unix(), from, process, bytes, &out);
+           std::vector<shared_state::SharedState::OutgoingMessage> out;
+           shared_->OnMessage(Unix(), from, process, bytes, &out);
            SendShared(&out);
          }});
   if (settings_.rules)
@@ -58,8 +58,8 @@
         Topic::kZones,
         {0, nullptr, [this](int from, std::uint64_t process, bool, std::string_view bytes) {
            if (zones_ == nullptr) return;
-           std::vector<zones::Zones::Out> out;
-           zones_->Hear(Unix(), from, process, bytes, &out);
+           std::vector<zones::ZoneFailover::OutgoingMessage> out;
+           zones_->OnMessage(Unix(), from, process, bytes, &out);
            SendZones(&out);
          }});
 }
@@ -251,17 +251,17 @@
     shared_state::Budgets& budgets = shared_->budgets();
     const bool floor = a.basis == rules::Agreement::Basis::kFloor;
     for (std::size_t k = 0; !floor && k < settings_.accounts.size(); ++k) {
-      if (k >= settings_.shared->shares.size()) break;
+      if (k >= settings_.shared->quotas.size()) break;
       const auto it = a.rules.shares.find(settings_.accounts[k]);
-      budgets.SetWhole(Unix(), static_cast<int>(k),
-                       it != a.rules.shares.end() ? it->second : settings_.shared->shares[k]);
+      budgets.SetLimit(Unix(), static_cast<int>(k),
+                       it != a.rules.shares.end() ? it->second : settings_.shared->quotas[k]);
     }
-    const auto repeats = static_cast<int>(settings_.shared->shares.size());
-    if (!floor && settings_.shared->repeats > 0 && budgets.budgets() > repeats)
-      budgets.SetWhole(
-          Unix(), repeats,
-          std::min(settings_.shared->repeats, a.rules.repeats.value_or(settings_.shared->repeats)));
-    budgets.SetParts(Unix(), a.rules.nodes.value_or(0));
+    const auto repeats = static_cast<int>(settings_.shared->quotas.size());
+    if (!floor && settings_.shared->retry_limit > 0 && budgets.budgets() > repeats)
+      budgets.SetLimit(Unix(), repeats,
+                       std::min(settings_.shared->retry_limit,
+                                a.rules.repeats.value_or(settings_.shared->retry_limit)));
+    budgets.SetPartCount(Unix(), a.rules.nodes.value_or(0));
   }
   uses_at_ = 0;
   if (zones_ != nullptr) ApplyZones();
--- a/src/node/fleet/fleet.h
+++ b/src/node/fleet/fleet.h
@@ -30,10 +30,11 @@
   int lines_per_minute = 60;
   Micros view_every = 10 * kSecond;  // a line with what this node hears
   std::uint64_t seed = 0;
-  std::optional<shared_state::SharedOptions> shared;  // self, nodes are the ones above; none: off
-  std::vector<std::string> accounts;                  // their names, for lines
-  std::optional<zones::Options> zones;                // self, nodes are the ones above; none: off
-  std::optional<RulesSettings> rules;                 // self, nodes are the ones above; none: off
+  std::optional<shared_state::SharedStateOptions>
+      shared;                           // self, nodes are the ones above; none: off
+  std::vector<std::string> accounts;    // their names, for lines
+  std::optional<zones::Options> zones;  // self, nodes are the ones above; none: off
+  std::optional<RulesSettings> rules;   // self, nodes are the ones above; none: off
   bool tells_use = false;  // a line whenever a worker may be used otherwise by its zone
 };
 
@@ -63,8 +64,8 @@
   // ---- state that the fleet shares
   // What the limits say of a job; none: nothing is shared. A process that does not speak for its
   // node counts nothing and has no part of any budget: the one that speaks has them.
-  std::optional<shared_state::Shared::Admission> Admit(int account, bool is_repeat);
-  void OnJudged(std::function<void(const std::string&, const shared_state::Standing&)> judged) {
+  std::optional<shared_state::SharedState::Admission> Admit(int account, bool is_repeat);
+  void OnJudged(std::function<void(const std::string&, const shared_state::WorkerStatus&)> judged) {
     judged_ = std::move(judged);
   }
   // ---- rules on which the nodes agree; null: off, or this process does not speak for its node
@@ -86,11 +87,11 @@
   }
   // Kept by an earlier process, or said by another one of this node.
   void RecallOrders(const std::vector<zones::Order>& orders);
-  bool Command(const std::string& target, zones::Order::What what);  // false: no such zone
+  bool Command(const std::string& target, zones::Order::Action what);  // false: no such zone
   std::string ZonesText() const;
   // Tells what stands about a worker once more.
   void JudgeAgain(const std::string& worker);
-  const zones::Zones* zones() const { return zones_.get(); }
+  const zones::ZoneFailover* zones() const { return zones_.get(); }
 
   // What this node sees of a worker.
   struct Listing {
@@ -103,9 +104,9 @@
   void WorkerGone(const std::string& worker);
   void WorkerSent(const std::string& worker);
   void WorkerHeard(const std::string& worker);
-  void WorkerEnded(const std::string& worker, shared_state::Judgements::End end, int cls,
+  void WorkerEnded(const std::string& worker, shared_state::WorkerHealth::JobOutcome end, int cls,
                    Micros run);
-  const shared_state::Shared* shared() const { return shared_.get(); }
+  const shared_state::SharedState* shared() const { return shared_.get(); }
 
  private:
   void Open();
@@ -117,18 +118,18 @@
   std::vector<int> Alive() const;
   void OpenShared();
   void SharedTurn();
-  void SendShared(std::vector<shared_state::Shared::Out>* out);
-  void Judged(const shared_state::Standing& standing);
+  void SendShared(std::vector<shared_state::SharedState::OutgoingMessage>* out);
+  void Judged(const shared_state::WorkerStatus& standing);
   void ReportShared();
   bool MayLog();
   void OpenZones();
   void ZonesTurn();
-  void SendZones(std::vector<zones::Zones::Out>* out);
+  void SendZones(std::vector<zones::ZoneFailover::OutgoingMessage>* out);
   void ApplyZones();
-  void ReportStanding(const zones::Standing& standing);
+  void ReportStanding(const zones::ZoneStatus& standing);
   zones::Use UseOf(Micros now, zones::WorkerKey worker, int zone) const;
   void ApplyUses(Micros now);
-  std::string WhyOf(const zones::Standing& standing) const;
+  std::string WhyOf(const zones::ZoneStatus& standing) const;
   void OpenRules();
   void ApplyRules();
 
@@ -147,23 +148,23 @@
     Listing as;
     zones::Use use = zones::Use::kOpen;  // as the node was told last
   };
-  std::unique_ptr<shared_state::Shared> shared_;  // while this process speaks for its node
+  std::unique_ptr<shared_state::SharedState> shared_;  // while this process speaks for its node
   std::map<shared_state::WorkerKey, Listed> listed_;
   std::map<int, double> runs_;  // by class: fading mean of running times, microseconds
-  std::function<void(const std::string&, const shared_state::Standing&)> judged_;
+  std::function<void(const std::string&, const shared_state::WorkerStatus&)> judged_;
   Micros unix_offset_ = 0;  // taken once: a clock that is set must not make leases longer
-  shared_state::SharedCounts shared_reported_;
+  shared_state::SharedStateStats shared_reported_;
 
   std::unique_ptr<RulesPart> rules_;  // while this process speaks for its node
   std::function<void(const std::set<std::string>&)> rule_bans_;
 
-  std::unique_ptr<zones::Zones> zones_;  // while this process speaks for its node
-  std::vector<zones::Order> recalled_;   // before it does
+  std::unique_ptr<zones::ZoneFailover> zones_;  // while this process speaks for its node
+  std::vector<zones::Order> recalled_;          // before it does
   std::function<void(const std::string&, zones::Use, bool)> use_;
   std::function<void(const std::string&)> zone_line_;
   std::function<void(const std::vector<zones::Order>&)> keep_orders_;
   std::vector<zones::Order> kept_;
-  zones::Figures zones_reported_;
+  zones::Stats zones_reported_;
   Micros uses_at_ = 0;
   std::uint64_t jobs_before_ = 0, refused_before_ = 0;
 };
--- a/src/node/shared_state/budgets.h
+++ b/src/node/shared_state/budgets.h
@@ -25,17 +25,17 @@
 
 struct BudgetsOptions {
   int self = 0, nodes = 1;
-  std::vector<double> wholes;  // of each budget: a second, over all nodes
-  double floor = 0.5;          // of an even part: never lent
-  Micros lease = 2'000'000;    // of a grant
-  Micros skew = 50'000;        // two machines' clocks differ by no more
-  double burst = 1;            // seconds of its part that a node may save up, at least
-  double spare = 1.25;         // a node keeps so many times what it spends
-  Micros ask_every = 500'000;  // of one budget, while it wants more
+  std::vector<double> limits;         // of each budget: a second, over all nodes
+  double floor = 0.5;                 // of an even part: never lent
+  Micros lease = 2'000'000;           // of a grant
+  Micros skew = 50'000;               // two machines' clocks differ by no more
+  double burst = 1;                   // seconds of its part that a node may save up, at least
+  double headroom = 1.25;             // a node keeps so many times what it spends
+  Micros request_interval = 500'000;  // of one budget, while it wants more
 };
 
 // A node wants so much more of a budget.
-struct Ask {
+struct QuotaRequest {
   int budget = 0;
   std::int64_t amount = 0;  // thousandths a second
 };
@@ -46,57 +46,58 @@
   std::uint64_t number = 0;
   std::uint64_t to_process = 0;
   std::int64_t amount = 0;
-  Micros until = 0;
+  Micros expires_at = 0;
 };
 
 class Budgets {
  public:
   // What each guard does is shown by leaving it out: tests only.
-  struct Without {
-    bool hold = false;        // lent parts stay out of the giver's own
-    bool quarantine = false;  // a new process waits for its predecessor's leases
-    bool expiry = false;      // what was got ends with its lease
-    bool process = false;     // a grant to an earlier process is not taken
+  struct DisabledGuards {
+    bool deduct_lent = false;         // lent parts stay out of the giver's own
+    bool startup_quarantine = false;  // a new process waits for its predecessor's leases
+    bool grant_expiry = false;        // what was got ends with its lease
+    bool receiver_process = false;    // a grant to an earlier process is not taken
   };
 
   Budgets(BudgetsOptions options, std::uint64_t process, std::uint64_t seed, Micros now);
 
   // Spends, if this node's part allows it. False: `*wait` is when it may, if nothing changes.
-  bool Take(Micros now, int budget, double amount, Micros* wait);
+  bool TrySpend(Micros now, int budget, double amount, Micros* wait);
   // Whether it could.
-  bool Could(Micros now, int budget, double amount) const;
+  bool CanSpend(Micros now, int budget, double amount) const;
 
   // What to ask of whom, a node that is alive by `alive`. Nothing: it has enough.
-  struct Wish {
+  struct OutgoingRequest {
     int to = 0;
-    Ask ask;
+    QuotaRequest request;
   };
-  std::vector<Wish> Wants(Micros now, const std::vector<int>& alive);
+  std::vector<OutgoingRequest> PlanRequests(Micros now, const std::vector<int>& alive);
   // An ask of a node's process. The grant is lent from this moment on, sent or not.
-  std::optional<Grant> OnAsk(Micros now, int from, std::uint64_t process, const Ask& ask);
+  std::optional<Grant> OnRequest(Micros now, int from, std::uint64_t process,
+                                 const QuotaRequest& ask);
   void OnGrant(Micros now, int from, std::uint64_t process, const Grant& grant);
   // The whole as another node has it: the stricter holds, for one lease and longer while it is
   // said.
-  void OnWhole(Micros now, int budget, double whole);
+  void OnRemoteLimit(Micros now, int budget, double whole);
 
   // By a version of the rules: another whole, or shared into more parts (never fewer than there are
   // nodes). What was lent of a larger whole ends with its lease.
-  void SetWhole(Micros now, int budget, double whole);
-  void SetParts(Micros now, int parts);
+  void SetLimit(Micros now, int budget, double whole);
+  void SetPartCount(Micros now, int parts);
 
   // Thousandths a second: this node's part now, what it has lent, what it was lent.
-  std::int64_t part(Micros now, int budget) const;
+  std::int64_t allocation(Micros now, int budget) const;
   std::int64_t lent(Micros now, int budget) const;
-  std::int64_t got(Micros now, int budget) const;
+  std::int64_t borrowed(Micros now, int budget) const;
   std::int64_t floor(int budget) const;
-  double burst(int budget) const;  // seconds of its part that a node may save up
-  std::int64_t even(Micros now, int budget) const;
-  double whole(Micros now, int budget) const;  // a second, the strictest known
+  double burst_seconds(int budget) const;  // seconds of its part that a node may save up
+  std::int64_t even_share(Micros now, int budget) const;
+  double limit(Micros now, int budget) const;  // a second, the strictest known
   double spent(int budget) const { return own_[static_cast<std::size_t>(budget)].spent; }
-  bool settling(Micros now) const;  // predecessors' leases may be out still
+  bool in_startup_quarantine(Micros now) const;  // predecessors' leases may be out still
   int budgets() const { return static_cast<int>(own_.size()); }
   std::size_t bytes() const;
-  void Leave(Without without) { without_ = without; }
+  void DisableGuards(DisabledGuards without) { without_ = without; }
 
  private:
   struct Loan {
@@ -136,7 +137,7 @@
   int parts_;
   std::mt19937_64 random_;
   std::vector<Own> own_;
-  Without without_;
+  DisabledGuards without_;
 };
 
 }  // namespace pearreach::shared_state
--- a/src/node/shared_state/counts.cpp
+++ b/src/node/shared_state/counts.cpp
@@ -17,7 +17,7 @@
 
 // The merge: the latest of all, and the earliest of each slot. Both are the same whatever the order
 // or number of words.
-bool Counts::Series::Add(const Sample& s, Micros slot) {
+bool UsageCounters::Series::Add(const Sample& s, Micros slot) {
   bool fresh = false;
   if (s.at > latest.at) {
     latest = s;
@@ -37,12 +37,12 @@
   return true;
 }
 
-Counts::Counts(CountsOptions options, std::uint64_t process, Micros now)
-    : options_(std::move(options)), process_(process), own_(options_.shares.size()) {
+UsageCounters::UsageCounters(UsageOptions options, std::uint64_t process, Micros now)
+    : options_(std::move(options)), process_(process), own_(options_.quotas.size()) {
   others_.resize(static_cast<std::size_t>(options_.nodes) * own_.size());
   for (int k = 0; k < accounts(); ++k) {
     Own& o = own_[static_cast<std::size_t>(k)];
-    o.rate = quiet(k);
+    o.rate = min_ceiling(k);
     o.tokens = Cap(o.rate);
     o.at = o.demand_at = now;
     o.series.process = process;
@@ -50,24 +50,27 @@
   }
 }
 
-double Counts::quiet(int account) const {
-  return std::max(2.0, options_.quiet * options_.shares[static_cast<std::size_t>(account)] /
+double UsageCounters::min_ceiling(int account) const {
+  return std::max(2.0, options_.min_ceiling_factor *
+                           options_.quotas[static_cast<std::size_t>(account)] /
                            std::max(1, options_.nodes));
 }
-double Counts::hard(int account) const {
-  return std::max(quiet(account),
-                  options_.most * options_.shares[static_cast<std::size_t>(account)]);
+double UsageCounters::max_ceiling(int account) const {
+  return std::max(min_ceiling(account),
+                  options_.max_ceiling_factor * options_.quotas[static_cast<std::size_t>(account)]);
 }
 // A few at once whatever the ceiling: jobs come in bunches where a node sees one a second.
-double Counts::Cap(double ceiling) const { return std::max(kBunch, options_.burst * ceiling); }
+double UsageCounters::Cap(double ceiling) const {
+  return std::max(kBunch, options_.burst * ceiling);
+}
 
-double Counts::Target(Micros now, const Own& own, int account) const {
+double UsageCounters::Target(Micros now, const Own& own, int account) const {
   const double demand =
       own.demand * std::exp(-static_cast<double>(now - own.demand_at) / kDemandMemory);
-  return std::clamp(kAhead * demand, quiet(account), hard(account));
+  return std::clamp(kAhead * demand, min_ceiling(account), max_ceiling(account));
 }
 
-double Counts::ceiling(Micros now, int account) const {
+double UsageCounters::ceiling(Micros now, int account) const {
   const Own& o = own_[static_cast<std::size_t>(account)];
   double least = Target(now, o, account);
   for (const Said& s : o.said)
@@ -76,7 +79,7 @@
 }
 
 // What has passed is filled by the ceiling that was in force before: a rise never counts backwards.
-void Counts::Settle(Micros now, int account) {
+void UsageCounters::Settle(Micros now, int account) {
   Own& o = own_[static_cast<std::size_t>(account)];
   o.tokens = std::min(Cap(o.rate), o.tokens + o.rate * Seconds(now - o.at));
   o.at = std::max(o.at, now);
@@ -85,7 +88,7 @@
   o.tokens = std::min(Cap(o.rate), o.tokens);
 }
 
-bool Counts::Count(Micros now, int account, Micros* wait) {
+bool UsageCounters::TryCount(Micros now, int account, Micros* wait) {
   if (account < 0 || account >= accounts()) return true;
   Own& o = own_[static_cast<std::size_t>(account)];
   o.demand = o.demand * std::exp(-static_cast<double>(now - o.demand_at) / kDemandMemory) +
@@ -102,7 +105,7 @@
   return true;
 }
 
-CountWord Counts::Say(Micros now, int account) {
+UsageUpdate UsageCounters::MakeUpdate(Micros now, int account) {
   Own& o = own_[static_cast<std::size_t>(account)];
   Settle(now, account);
   const double target = Target(now, o, account);
@@ -113,7 +116,7 @@
   return {options_.self, account, process_, now, o.value, target};
 }
 
-bool Counts::Hear(Micros now, const CountWord& w) {
+bool UsageCounters::Merge(Micros now, const UsageUpdate& w) {
   if (w.node < 0 || w.node >= options_.nodes || w.node == options_.self || w.account < 0 ||
       w.account >= accounts() || w.process == 0 || w.at > now + options_.skew ||
       !(w.ceiling >= 0 && w.ceiling <= 1e12))
@@ -129,15 +132,16 @@
   return to != nullptr && to->Add({w.at, w.value, w.ceiling}, slot());
 }
 
-std::optional<CountWord> Counts::latest(int node, int account) const {
+std::optional<UsageUpdate> UsageCounters::latest(int node, int account) const {
   const Series& s = At(node, account).now;
   if (s.process == 0) return std::nullopt;
-  return CountWord{node, account, s.process, s.latest.at, s.latest.value, s.latest.ceiling};
+  return UsageUpdate{node, account, s.process, s.latest.at, s.latest.value, s.latest.ceiling};
 }
 
 // A process's use between the window's begin and `until`, its end at the latest. `after`: what it
 // may have counted a second once its ceiling's lease was over.
-void Counts::AddSeries(Micros now, const Series& s, Micros until, double after, Reading* to) const {
+void UsageCounters::AddSeries(Micros now, const Series& s, Micros until, double after,
+                              UsageEstimate* to) const {
   const Micros from = now - options_.window;
   const Micros began = static_cast<Micros>(s.process) * 1000;
   if (until <= from) return;
@@ -154,38 +158,38 @@
     if (f.at <= from - options_.skew) before = std::max(before, static_cast<double>(f.value));
     if (f.at >= from + options_.skew) by = std::min(by, static_cast<double>(f.value));
   }
-  to->least += std::max(0.0, value - by);
-  to->most += std::max(0.0, value + grown - before);
+  to->lower += std::max(0.0, value - by);
+  to->upper += std::max(0.0, value + grown - before);
   const double span = Seconds(s.latest.at - std::max(from, began));
   const double rate = span > 0 ? std::max(0.0, value - by) / span : 0;
   to->estimate += std::max(0.0, value - by) + rate * std::min(age, Seconds(options_.window));
 }
 
-Reading Counts::Read(Micros now, int account) const {
-  Reading r;
+UsageEstimate UsageCounters::Estimate(Micros now, int account) const {
+  UsageEstimate r;
   const Micros from = now - options_.window;
-  const double most = hard(account), gap_burst = 2 * Cap(most);
+  const double most = max_ceiling(account), gap_burst = 2 * Cap(most);
   for (int n = 0; n < options_.nodes; ++n) {
     if (n == options_.self) continue;
     const Other& o = At(n, account);
     if (o.now.process == 0) {
-      ++r.unheard;
-      r.most += most * Seconds(options_.window) + gap_burst;
+      ++r.unknown_nodes;
+      r.upper += most * Seconds(options_.window) + gap_burst;
       continue;
     }
     AddSeries(now, o.now, now, most, &r);
-    r.oldest = std::max(r.oldest, now - o.now.latest.at);
+    r.oldest_age = std::max(r.oldest_age, now - o.now.latest.at);
     // What processes before it may have counted that nobody heard of.
     const Micros began = static_cast<Micros>(o.now.process) * 1000 + options_.skew;
     if (began <= from) continue;
     if (o.before.process == 0) {
-      r.most += most * Seconds(began - from) + gap_burst;
+      r.upper += most * Seconds(began - from) + gap_burst;
       continue;
     }
-    Reading old;
+    UsageEstimate old;
     AddSeries(now, o.before, o.before.latest.at, 0, &old);
-    r.least += old.least;
-    r.most += old.most + most * Seconds(began - std::max(from, o.before.latest.at)) + gap_burst;
+    r.lower += old.lower;
+    r.upper += old.upper + most * Seconds(began - std::max(from, o.before.latest.at)) + gap_burst;
     r.estimate += old.estimate;
   }
   // Its own is known to the last one, but for what lies in the slot in which the window begins.
@@ -197,17 +201,17 @@
     if (f.at > from) by = std::min(by, static_cast<double>(f.value));
   }
   const double value = static_cast<double>(o.value);
-  r.least += value - by;
-  r.most += value - before;
+  r.lower += value - by;
+  r.upper += value - before;
   r.estimate += value - (before + by) / 2;
   // This node's process before this one, if it had one.
   const Micros began = static_cast<Micros>(process_) * 1000 + options_.skew;
-  if (began > from) r.most += most * Seconds(began - from) + gap_burst;
-  r.estimate = std::clamp(r.estimate, r.least, r.most);
+  if (began > from) r.upper += most * Seconds(began - from) + gap_burst;
+  r.estimate = std::clamp(r.estimate, r.lower, r.upper);
   return r;
 }
 
-std::size_t Counts::bytes() const {
+std::size_t UsageCounters::bytes() const {
   std::size_t sum =
       own_.size() * (sizeof(Own) + (kSlots + 2) * sizeof(Sample)) + others_.size() * sizeof(Other);
   for (const Other& o : others_)
--- a/src/node/shared_state/counts.h
+++ b/src/node/shared_state/counts.h
@@ -21,19 +21,19 @@
 // Unix time, which all machines of the platform read from one clock, to within `skew`.
 using Micros = std::int64_t;
 
-struct CountsOptions {
+struct UsageOptions {
   int self = 0, nodes = 1;
-  std::vector<double> shares;  // of each account: a second, over all nodes
-  Micros window = 10'000'000;  // that readings are about
-  Micros lease = 1'000'000;    // of a ceiling that was said
-  Micros skew = 50'000;        // two machines' clocks differ by no more
-  double burst = 0.25;         // seconds of its ceiling that a node may count at once
-  double quiet = 4;            // a ceiling is never under so many even parts of the share
-  double most = 4;             // nor over so many shares
+  std::vector<double> quotas;     // of each account: a second, over all nodes
+  Micros window = 10'000'000;     // that readings are about
+  Micros lease = 1'000'000;       // of a ceiling that was said
+  Micros skew = 50'000;           // two machines' clocks differ by no more
+  double burst = 0.25;            // seconds of its ceiling that a node may count at once
+  double min_ceiling_factor = 4;  // a ceiling is never under so many even parts of the share
+  double max_ceiling_factor = 4;  // nor over so many shares
 };
 
 // What one node said of one account.
-struct CountWord {
+struct UsageUpdate {
   int node = 0, account = 0;
   std::uint64_t process = 0;  // Unix ms of its start; a later one replaces it
   Micros at = 0;              // by the sender
@@ -42,33 +42,33 @@
 };
 
 // Use over the window that ends now. The true total lies between `least` and `most`.
-struct Reading {
-  double least = 0, most = 0, estimate = 0;
-  Micros oldest = 0;  // age of the oldest word that it rests on
-  int unheard = 0;    // nodes of which there is no word at all
+struct UsageEstimate {
+  double lower = 0, upper = 0, estimate = 0;
+  Micros oldest_age = 0;  // age of the oldest word that it rests on
+  int unknown_nodes = 0;  // nodes of which there is no word at all
 };
 
-class Counts {
+class UsageCounters {
  public:
   static constexpr int kSlots = 16;  // samples kept of a window
 
-  Counts(CountsOptions options, std::uint64_t process, Micros now);
+  UsageCounters(UsageOptions options, std::uint64_t process, Micros now);
 
   // Counts one use at this node. False: its ceiling is reached; `*wait`: until there is room.
-  bool Count(Micros now, int account, Micros* wait);
+  bool TryCount(Micros now, int account, Micros* wait);
   // The word to say now, to whomever; from now on this process keeps what it says.
-  CountWord Say(Micros now, int account);
+  UsageUpdate MakeUpdate(Micros now, int account);
   // False: nothing new in it.
-  bool Hear(Micros now, const CountWord& word);
-  Reading Read(Micros now, int account) const;
+  bool Merge(Micros now, const UsageUpdate& word);
+  UsageEstimate Estimate(Micros now, int account) const;
 
   std::uint64_t value(int account) const { return own_[static_cast<std::size_t>(account)].value; }
   double ceiling(Micros now, int account) const;  // in force, a second
   int accounts() const { return static_cast<int>(own_.size()); }
-  double quiet(int account) const;
-  double hard(int account) const;
+  double min_ceiling(int account) const;
+  double max_ceiling(int account) const;
   // The latest word held of another node; none: never heard.
-  std::optional<CountWord> latest(int node, int account) const;
+  std::optional<UsageUpdate> latest(int node, int account) const;
   std::size_t bytes() const;  // of memory, about
 
  private:
@@ -110,12 +110,13 @@
                    static_cast<std::size_t>(account)];
   }
   const Other& At(int node, int account) const {
-    return const_cast<Counts*>(this)->At(node, account);
+    return const_cast<UsageCounters*>(this)->At(node, account);
   }
   Micros slot() const { return options_.window / kSlots; }
-  void AddSeries(Micros now, const Series& series, Micros until, double after, Reading* to) const;
+  void AddSeries(Micros now, const Series& series, Micros until, double after,
+                 UsageEstimate* to) const;
 
-  CountsOptions options_;
+  UsageOptions options_;
   std::uint64_t process_;
   std::vector<Own> own_;
   std::vector<Other> others_;
--- a/src/node/shared_state/shared.h
+++ b/src/node/shared_state/shared.h
@@ -13,69 +13,70 @@
 
 namespace pearreach::shared_state {
 
-struct SharedOptions {
+struct SharedStateOptions {
   int self = 0, nodes = 1, zone = 0, zones = 1;
-  std::vector<double> shares;    // accounts': a second, all nodes; the first budgets are theirs
-  double repeats = 0;            // clients' own retries a second, all nodes; 0: without a limit
-  Micros every = 250'000;        // words to some others
-  int fanout = 8;                // to so many at a time
-  std::size_t bytes = 200;       // of a word at most
-  Micros lease = 2'000'000;      // of grants; of a ceiling half as long
-  Micros window = 10'000'000;    // of counts
-  Micros skew = 50'000;          // two machines' clocks differ by no more
-  double floor = 0.5;            // of an even part: never lent
-  JudgementsOptions judgements;  // self, nodes and zones are the ones above
+  std::vector<double> quotas;      // accounts': a second, all nodes; the first budgets are theirs
+  double retry_limit = 0;          // clients' own retries a second, all nodes; 0: without a limit
+  Micros send_interval = 250'000;  // words to some others
+  int fanout = 8;                  // to so many at a time
+  std::size_t max_message_bytes = 200;  // of a word at most
+  Micros lease = 2'000'000;             // of grants; of a ceiling half as long
+  Micros window = 10'000'000;           // of counts
+  Micros skew = 50'000;                 // two machines' clocks differ by no more
+  double floor = 0.5;                   // of an even part: never lent
+  WorkerHealthOptions health;           // self, nodes and zones are the ones above
 };
 
-struct SharedCounts {
-  std::uint64_t words = 0, malformed = 0, news = 0, asks = 0, grants = 0, grants_got = 0,
-                left_out = 0, over_ceiling = 0, over_repeats = 0;
+struct SharedStateStats {
+  std::uint64_t messages_sent = 0, malformed = 0, updates_merged = 0, requests_sent = 0,
+                grants_sent = 0, grants_received = 0, entries_omitted = 0, rejected_by_ceiling = 0,
+                rejected_by_retry_limit = 0;
 };
 
-class Shared {
+class SharedState {
  public:
-  struct Out {
+  struct OutgoingMessage {
     int to = 0;
     std::string section;
   };
   // What is decided of a job before the module sees it.
   struct Admission {
-    bool refused = false;
-    bool over_share = false;
-    Micros wait = 0;  // refused: until there is room
+    bool rejected = false;
+    bool over_quota = false;
+    Micros retry_after = 0;  // refused: until there is room
   };
 
-  Shared(SharedOptions options, std::uint64_t process, std::uint64_t seed, Micros now);
+  SharedState(SharedStateOptions options, std::uint64_t process, std::uint64_t seed, Micros now);
 
   Admission Admit(Micros now, int account, bool is_repeat);
 
   // Words that are due. `alive`: the other nodes that are, by the membership.
-  Micros next() const { return next_; }
-  void Tick(Micros now, const std::vector<int>& alive, std::vector<Out>* out);
-  void Hear(Micros now, int from, std::uint64_t process, std::string_view section,
-            std::vector<Out>* out);
+  Micros next_tick() const { return next_; }
+  void Tick(Micros now, const std::vector<int>& alive, std::vector<OutgoingMessage>* out);
+  void OnMessage(Micros now, int from, std::uint64_t process, std::string_view section,
+                 std::vector<OutgoingMessage>* out);
 
-  Counts& counts() { return counts_; }
+  UsageCounters& usage() { return counts_; }
   Budgets& budgets() { return budgets_; }
-  Judgements& judgements() { return judgements_; }
-  const Counts& counts() const { return counts_; }
+  WorkerHealth& health() { return judgements_; }
+  const UsageCounters& usage() const { return counts_; }
   const Budgets& budgets() const { return budgets_; }
-  const Judgements& judgements() const { return judgements_; }
-  const SharedCounts& figures() const { return figures_; }
+  const WorkerHealth& health() const { return judgements_; }
+  const SharedStateStats& stats() const { return figures_; }
   std::uint64_t process() const { return process_; }
   // Another node's whole, heard within the last words, that differs from this one's.
-  bool differs() const { return differs_; }
+  bool limits_differ() const { return differs_; }
 
  private:
-  void Say(Micros now, int to, std::vector<Ask> asks, std::vector<Grant> grants,
-           std::vector<Out>* out);
+  void Say(Micros now, int to, std::vector<QuotaRequest> asks, std::vector<Grant> grants,
+           std::vector<OutgoingMessage>* out);
 
-  SharedOptions options_;
+  SharedStateOptions options_;
   std::uint64_t process_;
-  Counts counts_;
+  UsageCounters counts_;
   Budgets budgets_;
-  Judgements judgements_;
-  SharedCounts figures_;
+  WorkerHealth judgements_;
+  SharedStateStats figures_;
   Micros next_ = 0;
   std::size_t ring_ = 0;     // whom words go to next
   std::size_t account_ = 0;  // which account is said first
--- a/src/node/shared_state/words.cpp
+++ b/src/node/shared_state/words.cpp
@@ -27,30 +27,32 @@
   to->add_grant_number(g.number);
   to->add_grant_process(SinceMs(g.to_process));
   to->add_grant_amount(static_cast<std::uint64_t>(g.amount));
-  to->add_grant_until(Since(g.until));
+  to->add_grant_until(Since(g.expires_at));
 }
-void Put(const Ask& a, wire::Section* to) {
+void Put(const QuotaRequest& a, wire::Section* to) {
   to->add_ask_budget(static_cast<std::uint32_t>(a.budget));
   to->add_ask_amount(static_cast<std::uint64_t>(a.amount));
 }
-void Put(const Opinion& o, wire::Section* to) {
+void Put(const HealthReport& o, wire::Section* to) {
   const Micros at = kEpoch + static_cast<Micros>(to->at());
   to->add_worker(o.worker);
-  to->add_start(o.start <= kEpochMs ? 0 : static_cast<std::uint64_t>(o.start - kEpochMs + 1));
-  to->add_witness(static_cast<std::uint32_t>(o.witness));
-  to->add_witness_zone(static_cast<std::uint32_t>(o.zone));
-  to->add_witness_process(SinceMs(o.process));
-  to->add_number(o.number);
-  to->add_verdict(static_cast<std::uint32_t>(o.verdict));
-  to->add_seen((at - o.at) / 1000);
+  to->add_start(o.worker_start_ms <= kEpochMs
+                    ? 0
+                    : static_cast<std::uint64_t>(o.worker_start_ms - kEpochMs + 1));
+  to->add_witness(static_cast<std::uint32_t>(o.reporter));
+  to->add_witness_zone(static_cast<std::uint32_t>(o.reporter_zone));
+  to->add_witness_process(SinceMs(o.reporter_process));
+  to->add_number(o.sequence);
+  to->add_verdict(static_cast<std::uint32_t>(o.status));
+  to->add_seen((at - o.observed_at) / 1000);
 }
-void PutOwn(const CountWord& w, double whole, wire::Section* to) {
+void PutOwn(const UsageUpdate& w, double whole, wire::Section* to) {
   to->add_account(static_cast<std::uint32_t>(w.account));
   to->add_value(w.value);
   to->add_ceiling(Up(w.ceiling));
   to->add_whole(Up(whole));
 }
-void PutRelayed(const CountWord& w, wire::Section* to) {
+void PutRelayed(const UsageUpdate& w, wire::Section* to) {
   to->add_node(static_cast<std::uint32_t>(w.node));
   to->add_process(SinceMs(w.process));
   to->add_age(static_cast<std::uint64_t>(
@@ -71,7 +73,7 @@
 
 }  // namespace
 
-std::string Encode(const Word& word, std::size_t room, int* left_out) {
+std::string Encode(const Message& word, std::size_t room, int* left_out) {
   wire::Section s;
   s.set_zone(static_cast<std::uint32_t>(word.zone));
   s.set_at(Since(word.at));
@@ -87,16 +89,16 @@
       s.SerializeToString(&bytes);
   };
   for (const Grant& g : word.grants) add([&] { Put(g, &s); });
-  for (const Ask& a : word.asks) add([&] { Put(a, &s); });
-  for (const Opinion& o : word.opinions) add([&] { Put(o, &s); });
-  for (std::size_t i = 0; i < word.own.size(); ++i)
-    add([&] { PutOwn(word.own[i], i < word.wholes.size() ? word.wholes[i] : 0, &s); });
-  for (const CountWord& w : word.relayed) add([&] { PutRelayed(w, &s); });
+  for (const QuotaRequest& a : word.requests) add([&] { Put(a, &s); });
+  for (const HealthReport& o : word.health_reports) add([&] { Put(o, &s); });
+  for (std::size_t i = 0; i < word.own_usage.size(); ++i)
+    add([&] { PutOwn(word.own_usage[i], i < word.limits.size() ? word.limits[i] : 0, &s); });
+  for (const UsageUpdate& w : word.relayed_usage) add([&] { PutRelayed(w, &s); });
   if (left_out != nullptr) *left_out = left;
   return bytes.size() <= room ? bytes : std::string();
 }
 
-std::optional<Word> Decode(std::string_view bytes, int from, std::uint64_t process) {
+std::optional<Message> Decode(std::string_view bytes, int from, std::uint64_t process) {
   wire::Section s;
   if (!s.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return std::nullopt;
   if (!Even(s.account(), s.value(), s.ceiling(), s.whole()) ||
@@ -108,27 +110,27 @@
             s.verdict(), s.seen()) ||
       !Bounded(s.at()) || s.zone() > 10'000)
     return std::nullopt;
-  Word w;
+  Message w;
   w.zone = static_cast<int>(s.zone());
   w.at = kEpoch + static_cast<Micros>(s.at());
   const auto number = [](std::uint32_t n) { return n > 1'000'000 ? -1 : static_cast<int>(n); };
   for (int i = 0; i < s.account_size(); ++i) {
     if (!Bounded(s.value(i)) || !Bounded(s.ceiling(i)) || !Bounded(s.whole(i))) return std::nullopt;
-    w.own.push_back({from, number(s.account(i)), process, w.at, s.value(i),
-                     static_cast<double>(s.ceiling(i)) / 1000});
-    w.wholes.push_back(static_cast<double>(s.whole(i)) / 1000);
+    w.own_usage.push_back({from, number(s.account(i)), process, w.at, s.value(i),
+                           static_cast<double>(s.ceiling(i)) / 1000});
+    w.limits.push_back(static_cast<double>(s.whole(i)) / 1000);
   }
   for (int i = 0; i < s.node_size(); ++i) {
     if (!Bounded(s.node_value(i)) || !Bounded(s.node_ceiling(i)) || !Bounded(s.age(i)) ||
         !Bounded(s.process(i)))
       return std::nullopt;
-    w.relayed.push_back({number(s.node(i)), number(s.node_account(i)), kEpochMs + s.process(i),
-                         w.at - static_cast<Micros>(s.age(i)), s.node_value(i),
-                         static_cast<double>(s.node_ceiling(i)) / 1000});
+    w.relayed_usage.push_back({number(s.node(i)), number(s.node_account(i)),
+                               kEpochMs + s.process(i), w.at - static_cast<Micros>(s.age(i)),
+                               s.node_value(i), static_cast<double>(s.node_ceiling(i)) / 1000});
   }
   for (int i = 0; i < s.ask_budget_size(); ++i) {
     if (!Bounded(s.ask_amount(i))) return std::nullopt;
-    w.asks.push_back({number(s.ask_budget(i)), static_cast<std::int64_t>(s.ask_amount(i))});
+    w.requests.push_back({number(s.ask_budget(i)), static_cast<std::int64_t>(s.ask_amount(i))});
   }
   for (int i = 0; i < s.grant_budget_size(); ++i) {
     if (!Bounded(s.grant_amount(i)) || !Bounded(s.grant_until(i)) || !Bounded(s.grant_process(i)))
@@ -141,10 +143,10 @@
     if (!Bounded(s.start(i)) || !Bounded(s.witness_process(i)) || s.verdict(i) > 4 ||
         !Bounded(static_cast<std::uint64_t>(std::abs(s.seen(i) / 2))))
       return std::nullopt;
-    w.opinions.push_back(
+    w.health_reports.push_back(
         {s.worker(i), s.start(i) == 0 ? 0 : kEpochMs + static_cast<std::int64_t>(s.start(i)) - 1,
          number(s.witness(i)), number(s.witness_zone(i)), kEpochMs + s.witness_process(i),
-         s.number(i), static_cast<Verdict>(s.verdict(i)), w.at - s.seen(i) * 1000});
+         s.number(i), static_cast<HealthStatus>(s.verdict(i)), w.at - s.seen(i) * 1000});
   }
   return w;
 }
--- a/src/node/shared_state/words.h
+++ b/src/node/shared_state/words.h
@@ -17,22 +17,22 @@
 
 constexpr std::int64_t kEpochMs = 1'767'225'600'000;  // 2026-01-01, Unix ms
 
-struct Word {
+struct Message {
   int zone = 0;
   Micros at = 0;
-  std::vector<CountWord> own;  // node and process are the sender's
-  std::vector<double> wholes;  // of each of those accounts, a second
-  std::vector<CountWord> relayed;
-  std::vector<Ask> asks;
+  std::vector<UsageUpdate> own_usage;  // node and process are the sender's
+  std::vector<double> limits;          // of each of those accounts, a second
+  std::vector<UsageUpdate> relayed_usage;
+  std::vector<QuotaRequest> requests;
   std::vector<Grant> grants;
-  std::vector<Opinion> opinions;
+  std::vector<HealthReport> health_reports;
 };
 
 // The longest start of the word that fits into `room`, by order of what waiting costs: grants,
 // asks, judgements, the sender's counts, others' counts. `*left_out`: entries without room.
-std::string Encode(const Word& word, std::size_t room, int* left_out);
+std::string Encode(const Message& word, std::size_t room, int* left_out);
 // None: it cannot be read. `from` and `process` are the sender's.
-std::optional<Word> Decode(std::string_view bytes, int from, std::uint64_t process);
+std::optional<Message> Decode(std::string_view bytes, int from, std::uint64_t process);
 
 }  // namespace pearreach::shared_state
 
--- a/src/node/zones/evidence.cpp
+++ b/src/node/zones/evidence.cpp
@@ -19,7 +19,7 @@
 
 // This node's own reports. A zone where much fails, or all takes much longer than in the others, is
 // bad in all that was tried.
-void Zones::UpdateReports(Micros now, bool alone) {
+void ZoneFailover::UpdateReports(Micros now, bool alone) {
   std::vector<ZoneSum> sums = SumByZone(now);
   int others = 0, others_bad = 0;
   for (std::size_t z = 0; z < sums.size(); ++z) {
@@ -35,7 +35,7 @@
     }
     if (static_cast<int>(z) == options_.zone) continue;
     ++others;
-    others_bad += s.bad >= options_.bad * s.tried ? 1 : 0;
+    others_bad += s.bad >= options_.bad_fraction * s.tried ? 1 : 0;
   }
   // All other zones bad at once and no node of them heard: this one is the one that is away.
   away_ = alone && others >= 2 && others_bad == others;
@@ -43,13 +43,13 @@
 }
 
 // A worker counts as tried if a job went there of late.
-std::vector<Zones::ZoneSum> Zones::SumByZone(Micros now) const {
+std::vector<ZoneFailover::ZoneSum> ZoneFailover::SumByZone(Micros now) const {
   std::vector<ZoneSum> sums(seen_.size());
   for (const auto& [key, w] : workers_) {
     if (!w.in_service) continue;
     ZoneSum& s = sums[static_cast<std::size_t>(w.zone)];
     s.all += w.weight;
-    if (w.sent == 0 || now - w.sent > options_.fresh) continue;
+    if (w.sent == 0 || now - w.sent > options_.evidence_ttl) continue;
     s.tried += w.weight;
     // What was seen before a pause may be over: it is the jobs since then that count.
     if (w.cause == Cause::kNone || w.seen < w.since) continue;
@@ -60,7 +60,7 @@
 }
 
 // Against the others: a failure of all zones is no zone's.
-bool Zones::IsFailing(std::size_t zone) const {
+bool ZoneFailover::IsFailing(std::size_t zone) const {
   double failures = 0;
   int zones = 0;
   for (std::size_t other = 0; other < seen_.size(); ++other) {
@@ -69,12 +69,12 @@
     ++zones;
   }
   const ZoneSeen& mine = seen_[zone];
-  return zones > 0 && mine.jobs >= kMinJobs && mine.failures > options_.failing &&
+  return zones > 0 && mine.jobs >= kMinJobs && mine.failures > options_.failure_threshold &&
          mine.failures > 2 * failures / zones;
 }
 
 // Jobs of some class take much longer there than in the other zones.
-bool Zones::IsSlow(std::size_t zone) const {
+bool ZoneFailover::IsSlow(std::size_t zone) const {
   for (const auto& [cls, run] : seen_[zone].runs) {
     double usual = 0;
     int of = 0;
@@ -85,20 +85,21 @@
       usual += it->second.mean;
       ++of;
     }
-    if (of > 0 && run.jobs >= kMinJobs && run.mean >= options_.slow * usual / of) return true;
+    if (of > 0 && run.jobs >= kMinJobs && run.mean >= options_.slowness_factor * usual / of)
+      return true;
   }
   return false;
 }
 
-void Zones::WriteReport(Micros now, std::size_t zone, const ZoneSum& sum) {
+void ZoneFailover::WriteReport(Micros now, std::size_t zone, const ZoneSum& sum) {
   Report r;
   r.target = KeyOf(targets_[zone].name);
-  r.witness = options_.self;
-  r.zone = options_.zone;
-  r.process = process_;
-  r.at = now / 1000 * 1000;
-  r.pressed = pressed_;
-  const bool quiet = away_ && !without_.away && static_cast<int>(zone) != options_.zone;
+  r.reporter = options_.self;
+  r.reporter_zone = options_.zone;
+  r.reporter_process = process_;
+  r.reported_at = now / 1000 * 1000;
+  r.overloaded = pressed_;
+  const bool quiet = away_ && !without_.isolation_check && static_cast<int>(zone) != options_.zone;
   if (sum.all > 0 && !quiet) {
     r.tried = Part(sum.tried / sum.all);
     r.bad = std::min(r.tried, Part(sum.bad / sum.all));
@@ -106,25 +107,25 @@
     for (const auto& [cause, weight] : sum.causes)
       if (weight >= most) most = weight, r.cause = cause;
   }
-  r.about = seen_[zone].about;
-  r.good = seen_[zone].good;
+  r.decision_number = seen_[zone].about;
+  r.succeeded = seen_[zone].good;
   r.failed = seen_[zone].failed;
-  if (r.tried == 0 && r.good == 0 && r.failed == 0) {
+  if (r.tried == 0 && r.succeeded == 0 && r.failed == 0) {
     reports_.erase({r.target, options_.self});
     return;
   }
-  r.number = ++number_;
+  r.sequence = ++number_;
   reports_[{r.target, options_.self}] = {r, 0};
 }
 
-bool Zones::IsWell(int zone) const {
+bool ZoneFailover::IsWell(int zone) const {
   const auto it =
       reports_.find({KeyOf(targets_[static_cast<std::size_t>(zone)].name), options_.self});
   return it != reports_.end() && it->second.report.tried > 0 &&
-         it->second.report.bad < options_.bad * it->second.report.tried;
+         it->second.report.bad < options_.bad_fraction * it->second.report.tried;
 }
 
-bool Zones::IsBad(int zone) const {
+bool ZoneFailover::IsBad(int zone) const {
   const auto it =
       reports_.find({KeyOf(targets_[static_cast<std::size_t>(zone)].name), options_.self});
   return it != reports_.end() && it->second.report.tried > 0 && !IsWell(zone);
@@ -132,7 +133,7 @@
 
 // What is known of a target by zones of nodes: each decides by most of its nodes that have tried,
 // of two at least where it has two.
-Zones::Evidence Zones::EvidenceOf(Micros now, const Target& target) const {
+ZoneFailover::Evidence ZoneFailover::EvidenceOf(Micros now, const Target& target) const {
   Evidence e;
   std::map<int, int> nodes;  // by zone
   for (const auto& [node, zone] : zone_of_) ++nodes[zone];
@@ -154,8 +155,8 @@
 }
 
 // The zones whose nodes say that this one of the target's is bad; counts the reports into `e`.
-std::set<int> Zones::ZonesAgainst(Micros now, const Target& target, int zone,
-                                  std::map<int, int>* nodes, Evidence* e) const {
+std::set<int> ZoneFailover::ZonesAgainst(Micros now, const Target& target, int zone,
+                                         std::map<int, int>* nodes, Evidence* e) const {
   struct Votes {
     int reporters = 0, bad = 0;
   };
@@ -165,20 +166,20 @@
   for (auto it = reports_.lower_bound({key, 0}); it != reports_.end() && it->first.first == key;
        ++it) {
     const Report& r = it->second.report;
-    if (r.tried == 0 || r.at < now - options_.fresh) continue;
+    if (r.tried == 0 || r.reported_at < now - options_.evidence_ttl) continue;
     tried += r.tried;
     bad += r.bad;
     ++e->reporters;
-    e->outside += Covers(target, r.zone) ? 0 : 1;
-    e->pressed += r.pressed ? 1 : 0;
-    Votes& v = votes[r.zone];
+    e->outside += Covers(target, r.reporter_zone) ? 0 : 1;
+    e->pressed += r.overloaded ? 1 : 0;
+    Votes& v = votes[r.reporter_zone];
     ++v.reporters;
-    if (r.bad < options_.bad * r.tried) continue;
+    if (r.bad < options_.bad_fraction * r.tried) continue;
     ++v.bad;
-    e->witnesses.push_back(r.witness);
+    e->witnesses.push_back(r.reporter);
     e->cause = std::max(e->cause, r.cause);
   }
-  const bool enough = tried >= options_.covered * 255 && bad >= options_.bad * tried;
+  const bool enough = tried >= options_.min_coverage * 255 && bad >= options_.bad_fraction * tried;
   std::set<int> here;
   for (const auto& [viewer, v] : votes) {
     const bool says = v.bad * 2 > v.reporters && v.bad >= std::min(2, (*nodes)[viewer]);
@@ -190,28 +191,29 @@
   return here;
 }
 
-bool Zones::OnlyInside(const Target& target, const Evidence& e) const {
+bool ZoneFailover::OnlyInside(const Target& target, const Evidence& e) const {
   return e.outside == 0 && !e.bad.empty() &&
          std::all_of(e.bad.begin(), e.bad.end(), [&](int z) { return Covers(target, z); });
 }
 
 // Jobs that were sent there since the verdict.
-Zones::Tries Zones::TriesOf(const Target& target, const Verdict& v) const {
+ZoneFailover::Tries ZoneFailover::TriesOf(const Target& target, const Decision& v) const {
   Tries all;
   for (const int zone : target.zones) {
     const TargetKey key = KeyOf(targets_[static_cast<std::size_t>(zone)].name);
     for (auto it = reports_.lower_bound({key, 0}); it != reports_.end() && it->first.first == key;
          ++it) {
       const Report& r = it->second.report;
-      if (r.about != v.number || (v.whose >= 0 && r.zone != v.whose)) continue;
-      all.good += r.good;
+      if (r.decision_number != v.number || (v.for_zone >= 0 && r.reporter_zone != v.for_zone))
+        continue;
+      all.good += r.succeeded;
       all.failed += r.failed;
     }
   }
   return all;
 }
 
-double Zones::Weight(int zone) const {
+double ZoneFailover::Weight(int zone) const {
   double sum = 0;
   for (const auto& [key, w] : workers_)
     if (w.in_service && w.zone == zone) sum += w.weight;
@@ -219,36 +221,36 @@
 }
 
 // What a zone is worth: its weight without the share that is bad by all that was tried.
-double Zones::Worth(Micros now, int zone) const {
+double ZoneFailover::Worth(Micros now, int zone) const {
   double tried = 0, bad = 0;
   const TargetKey key = KeyOf(targets_[static_cast<std::size_t>(zone)].name);
   for (auto it = reports_.lower_bound({key, 0}); it != reports_.end() && it->first.first == key;
        ++it) {
     const Report& r = it->second.report;
-    if (r.at < now - options_.fresh) continue;
+    if (r.reported_at < now - options_.evidence_ttl) continue;
     tried += r.tried;
     bad += r.bad;
   }
   return Weight(zone) * (tried > 0 ? 1 - bad / tried : 1);
 }
 
-bool Zones::IsLeft(int zone, int whose) const {
+bool ZoneFailover::IsLeft(int zone, int whose) const {
   for (const auto& [key, v] : verdicts_) {
-    if (v.step == kWhole || (v.whose >= 0 && v.whose != whose)) continue;
+    if (v.step == kInUse || (v.for_zone >= 0 && v.for_zone != whose)) continue;
     const Target* t = Find(v.target);
     if (t != nullptr && Covers(*t, zone)) return true;
   }
   for (const auto& [key, o] : orders_) {
     const Target* t = Find(key);
-    if (o.what == Order::What::kLeave && t != nullptr && Covers(*t, zone)) return true;
+    if (o.action == Order::Action::kLeave && t != nullptr && Covers(*t, zone)) return true;
   }
   return false;
 }
 
 // The rest must bear it: of a zone that is worth something, by what is left as weighed worth, and
 // not where nodes turn jobs away. One zone at least stays, and one that is well.
-bool Zones::MayLeave(Micros now, const Target& target, int whose, const Evidence& e) {
-  if (without_.rest) return true;
+bool ZoneFailover::MayLeave(Micros now, const Target& target, int whose, const Evidence& e) {
+  if (without_.capacity_check) return true;
   double all = 0, rest = 0, weight = 0, worth = 0;
   bool one_well = false;
   for (std::size_t z = 0; z < seen_.size(); ++z) {
@@ -261,13 +263,14 @@
       worth += e.cause >= Cause::kSilent ? is : std::max(is, of / 3);
     } else if (!IsLeft(zone, whose)) {
       rest += is;
-      one_well = one_well || (of > 0 && is > of * (1 - options_.bad));
+      one_well = one_well || (of > 0 && is > of * (1 - options_.bad_fraction));
     }
   }
-  const bool dead = worth <= options_.dead * weight || weight <= 0;
+  const bool dead = worth <= options_.negligible_capacity * weight || weight <= 0;
   const bool pressed = e.reporters > 0 && 2 * e.pressed > e.reporters;
-  const bool may = one_well && (dead || (rest >= options_.least_left * all && !pressed));
-  figures_.held_back += may ? 0 : 1;
+  const bool may =
+      one_well && (dead || (rest >= options_.min_remaining_capacity * all && !pressed));
+  figures_.blocked_by_capacity += may ? 0 : 1;
   return may;
 }
 
--- a/src/node/zones/messages.cpp
+++ b/src/node/zones/messages.cpp
@@ -18,35 +18,36 @@
   return kEpochMs + static_cast<std::int64_t>(s.at()) - at / 1000;
 }
 
-void Put(const Verdict& v, wire::Section* to) {
+void Put(const Decision& v, wire::Section* to) {
   to->add_verdict_target(v.target);
-  to->add_verdict_for(static_cast<std::uint32_t>(v.whose + 1));
+  to->add_verdict_for(static_cast<std::uint32_t>(v.for_zone + 1));
   to->add_verdict_number(v.number);
   to->add_verdict_step(v.step);
   to->add_verdict_cause(static_cast<std::uint32_t>(v.cause));
-  to->add_verdict_by(static_cast<std::uint32_t>(v.by));
-  to->add_verdict_age(AgeMs(*to, v.at));
-  to->add_verdict_leaves(v.leaves);
+  to->add_verdict_by(static_cast<std::uint32_t>(v.decided_by));
+  to->add_verdict_age(AgeMs(*to, v.decided_at));
+  to->add_verdict_leaves(v.ejections);
 }
 void Put(const Order& o, wire::Section* to) {
   to->add_order_target(o.target);
   to->add_order_number(o.number);
-  to->add_order_what(static_cast<std::uint32_t>(o.what));
-  to->add_order_by(static_cast<std::uint32_t>(o.by));
-  to->add_order_age(AgeMs(*to, o.at));
+  to->add_order_what(static_cast<std::uint32_t>(o.action));
+  to->add_order_by(static_cast<std::uint32_t>(o.issued_by));
+  to->add_order_age(AgeMs(*to, o.issued_at));
 }
 void Put(const Report& r, wire::Section* to) {
   to->add_report_target(r.target);
-  to->add_report_node(static_cast<std::uint32_t>(r.witness));
-  to->add_report_zone(static_cast<std::uint32_t>(r.zone));
-  to->add_report_process(r.process > static_cast<std::uint64_t>(kEpochMs) ? r.process - kEpochMs
-                                                                          : 0);
-  to->add_report_number(r.number);
+  to->add_report_node(static_cast<std::uint32_t>(r.reporter));
+  to->add_report_zone(static_cast<std::uint32_t>(r.reporter_zone));
+  to->add_report_process(r.reporter_process > static_cast<std::uint64_t>(kEpochMs)
+                             ? r.reporter_process - kEpochMs
+                             : 0);
+  to->add_report_number(r.sequence);
   to->add_report_seen(r.tried | (r.bad << 8) | (static_cast<std::uint32_t>(r.cause) << 16) |
-                      (r.pressed ? 1u << 24 : 0));
-  to->add_report_age(AgeMs(*to, r.at));
-  to->add_report_about(r.about);
-  to->add_report_good(r.good);
+                      (r.overloaded ? 1u << 24 : 0));
+  to->add_report_age(AgeMs(*to, r.reported_at));
+  to->add_report_about(r.decision_number);
+  to->add_report_good(r.succeeded);
   to->add_report_failed(r.failed);
 }
 
@@ -69,32 +70,33 @@
   static constexpr const char* kNames[] = {"none", "slow", "failing", "silent", "dead"};
   return kNames[static_cast<std::size_t>(cause)];
 }
-const char* NameOf(Order::What what) {
+const char* NameOf(Order::Action what) {
   static constexpr const char* kNames[] = {"none", "leave", "return"};
   return kNames[static_cast<std::size_t>(what)];
 }
 
-bool Later(const Verdict& a, const Verdict& b) {
+bool Later(const Decision& a, const Decision& b) {
   // Of one number the stricter: left before any step, a lower step before a higher one, whole last.
-  const auto strict = [](const Verdict& v) { return v.step == kWhole ? 0 : 100 - v.step; };
-  return std::tuple(a.number, strict(a), b.by, a.at, a.leaves, a.cause) >
-         std::tuple(b.number, strict(b), a.by, b.at, b.leaves, b.cause);
+  const auto strict = [](const Decision& v) { return v.step == kInUse ? 0 : 100 - v.step; };
+  return std::tuple(a.number, strict(a), b.decided_by, a.decided_at, a.ejections, a.cause) >
+         std::tuple(b.number, strict(b), a.decided_by, b.decided_at, b.ejections, b.cause);
 }
 bool Later(const Order& a, const Order& b) {
   const auto strict = [](const Order& o) {
-    return o.what == Order::What::kLeave ? 2 : o.what == Order::What::kNone ? 1 : 0;
+    return o.action == Order::Action::kLeave ? 2 : o.action == Order::Action::kNone ? 1 : 0;
   };
-  return std::tuple(a.number, strict(a), b.by, a.at) > std::tuple(b.number, strict(b), a.by, b.at);
+  return std::tuple(a.number, strict(a), b.issued_by, a.issued_at) >
+         std::tuple(b.number, strict(b), a.issued_by, b.issued_at);
 }
 bool Later(const Report& a, const Report& b) {
-  return std::tie(a.process, a.number) > std::tie(b.process, b.number);
+  return std::tie(a.reporter_process, a.sequence) > std::tie(b.reporter_process, b.sequence);
 }
 
 std::string Encode(const Message& word, std::size_t room, int* left_out) {
   wire::Section s;
   s.set_zone(static_cast<std::uint32_t>(word.zone));
   s.set_at(static_cast<std::uint64_t>(std::max<std::int64_t>(0, word.at / 1000 - kEpochMs)));
-  s.set_asks(word.asks);
+  s.set_asks(word.requests_state);
   int left = 0;
   std::string bytes = s.SerializeAsString();
   // What an entry costs is known once it is there: one too many is taken back with the bytes.
@@ -107,7 +109,7 @@
       s.SerializeToString(&bytes);
   };
   for (const Order& o : word.orders) add(o);
-  for (const Verdict& v : word.verdicts) add(v);
+  for (const Decision& v : word.decisions) add(v);
   for (const Report& r : word.reports) add(r);
   if (left_out != nullptr) *left_out = left;
   return bytes.size() <= room ? bytes : std::string();
@@ -127,25 +129,25 @@
   Message w;
   w.zone = static_cast<int>(s.zone());
   w.at = (kEpochMs + static_cast<Micros>(s.at())) * 1000;
-  w.asks = s.asks();
+  w.requests_state = s.asks();
   for (int i = 0; i < s.verdict_target_size(); ++i) {
     if (s.verdict_for(i) > 10'000 || !Bounded(s.verdict_number(i)) ||
         s.verdict_step(i) > kLastStep || s.verdict_cause(i) > 4 || s.verdict_by(i) > kMaxNode ||
         !BoundedAge(s.verdict_age(i)) || s.verdict_leaves(i) > 255)
       return std::nullopt;
-    w.verdicts.push_back({s.verdict_target(i), static_cast<int>(s.verdict_for(i)) - 1,
-                          s.verdict_number(i), static_cast<std::uint8_t>(s.verdict_step(i)),
-                          static_cast<Cause>(s.verdict_cause(i)), static_cast<int>(s.verdict_by(i)),
-                          w.at - s.verdict_age(i) * 1000,
-                          static_cast<std::uint8_t>(s.verdict_leaves(i))});
+    w.decisions.push_back({s.verdict_target(i), static_cast<int>(s.verdict_for(i)) - 1,
+                           s.verdict_number(i), static_cast<std::uint8_t>(s.verdict_step(i)),
+                           static_cast<Cause>(s.verdict_cause(i)),
+                           static_cast<int>(s.verdict_by(i)), w.at - s.verdict_age(i) * 1000,
+                           static_cast<std::uint8_t>(s.verdict_leaves(i))});
   }
   for (int i = 0; i < s.order_target_size(); ++i) {
     if (!Bounded(s.order_number(i)) || s.order_what(i) > 2 || s.order_by(i) > kMaxNode ||
         !BoundedAge(s.order_age(i)))
       return std::nullopt;
     w.orders.push_back({s.order_target(i), s.order_number(i),
-                        static_cast<Order::What>(s.order_what(i)), static_cast<int>(s.order_by(i)),
-                        w.at - s.order_age(i) * 1000});
+                        static_cast<Order::Action>(s.order_what(i)),
+                        static_cast<int>(s.order_by(i)), w.at - s.order_age(i) * 1000});
   }
   for (int i = 0; i < s.report_target_size(); ++i) {
     const std::uint32_t seen = s.report_seen(i);
--- a/src/node/zones/messages.h
+++ b/src/node/zones/messages.h
@@ -23,48 +23,48 @@
 
 // How far a zone is in use: 0 whole; 1 left, but for trials; then more and more of the pairs of a
 // node and a worker are open.
-constexpr std::uint8_t kWhole = 0, kLeft = 1;
+constexpr std::uint8_t kInUse = 0, kEjected = 1;
 constexpr std::uint8_t kLastStep = 4;
 
-struct Verdict {
+struct Decision {
   TargetKey target = 0;
-  int whose = -1;  // nodes that it is for: of that zone; -1: all
+  int for_zone = -1;  // nodes that it is for: of that zone; -1: all
   std::uint64_t number = 0;
-  std::uint8_t step = kWhole;
+  std::uint8_t step = kInUse;
   Cause cause = Cause::kNone;
-  int by = 0;               // the node that raised it
-  Micros at = 0;            // when
-  std::uint8_t leaves = 0;  // in a row, without a long good time between them
-  bool operator==(const Verdict&) const = default;
+  int decided_by = 0;          // the node that raised it
+  Micros decided_at = 0;       // when
+  std::uint8_t ejections = 0;  // in a row, without a long good time between them
+  bool operator==(const Decision&) const = default;
 };
 // A total order, so that the merge, which is the later one, does not depend on the order, number
 // or loss of words: the higher number; of one number the stricter; then by the node.
-bool Later(const Verdict& a, const Verdict& b);
+bool Later(const Decision& a, const Decision& b);
 
 struct Order {
-  enum class What : std::uint8_t { kNone, kLeave, kReturn };  // kNone: taken back
+  enum class Action : std::uint8_t { kNone, kLeave, kReturn };  // kNone: taken back
   TargetKey target = 0;
   std::uint64_t number = 0;
-  What what = What::kNone;
-  int by = 0;
-  Micros at = 0;
+  Action action = Action::kNone;
+  int issued_by = 0;
+  Micros issued_at = 0;
   bool operator==(const Order&) const = default;
 };
-const char* NameOf(Order::What what);
+const char* NameOf(Order::Action what);
 bool Later(const Order& a, const Order& b);
 
 // What one node has itself seen of a zone of late.
 struct Report {
   TargetKey target = 0;
-  int witness = 0, zone = 0;  // the node and its own zone
-  std::uint64_t process = 0;
-  std::uint32_t number = 0;         // a later one of one process replaces it
+  int reporter = 0, reporter_zone = 0;  // the node and its own zone
+  std::uint64_t reporter_process = 0;
+  std::uint32_t sequence = 0;       // a later one of one process replaces it
   std::uint8_t tried = 0, bad = 0;  // of the zone's weight, in 255ths
   Cause cause = Cause::kNone;
-  bool pressed = false;  // it turns jobs away for want of room
-  Micros at = 0;
-  std::uint64_t about = 0;             // the verdict of whose time these are:
-  std::uint32_t good = 0, failed = 0;  // jobs sent there since
+  bool overloaded = false;  // it turns jobs away for want of room
+  Micros reported_at = 0;
+  std::uint64_t decision_number = 0;        // the verdict of whose time these are:
+  std::uint32_t succeeded = 0, failed = 0;  // jobs sent there since
   bool operator==(const Report&) const = default;
 };
 bool Later(const Report& a, const Report& b);
@@ -72,8 +72,8 @@
 struct Message {
   int zone = 0;
   Micros at = 0;
-  bool asks = false;
-  std::vector<Verdict> verdicts;
+  bool requests_state = false;
+  std::vector<Decision> decisions;
   std::vector<Order> orders;
   std::vector<Report> reports;
 };
--- a/src/node/zones/zones.cpp
+++ b/src/node/zones/zones.cpp
@@ -14,7 +14,7 @@
 
 TargetKey KeyOf(const std::string& name) { return XXH32(name.data(), name.size(), 0x5a4f4e45); }
 
-Zones::Zones(Options options, std::uint64_t process, Micros now)
+ZoneFailover::ZoneFailover(Options options, std::uint64_t process, Micros now)
     : options_(std::move(options)), process_(process), began_(now), next_(now) {
   for (std::size_t z = 0; z < options_.zones.size(); ++z)
     targets_.push_back({options_.zones[z], {static_cast<int>(z)}});
@@ -26,21 +26,21 @@
   told_ = standing_;
 }
 
-const Target* Zones::Find(TargetKey key) const {
+const Target* ZoneFailover::Find(TargetKey key) const {
   const auto it = by_key_.find(key);
   return it == by_key_.end() ? nullptr : &targets_[it->second];
 }
-const std::string& Zones::name(TargetKey key) const {
+const std::string& ZoneFailover::name(TargetKey key) const {
   static const std::string kUnknown = "?";
   const Target* t = Find(key);
   return t == nullptr ? kUnknown : t->name;
 }
-bool Zones::Covers(const Target& target, int zone) const {
+bool ZoneFailover::Covers(const Target& target, int zone) const {
   return std::find(target.zones.begin(), target.zones.end(), zone) != target.zones.end();
 }
 
-void Zones::Listed(WorkerKey key, int zone, int kind, double weight, Micros started,
-                   bool in_service) {
+void ZoneFailover::OnListed(WorkerKey key, int zone, int kind, double weight, Micros started,
+                            bool in_service) {
   if (zone < 0 || zone >= static_cast<int>(seen_.size())) return;
   Worker& w = workers_[key];
   w.zone = zone;
@@ -50,32 +50,32 @@
   w.in_service = in_service;
 }
 
-void Zones::Unlisted(WorkerKey key) { workers_.erase(key); }
+void ZoneFailover::OnUnlisted(WorkerKey key) { workers_.erase(key); }
 
-void Zones::Sent(Micros now, WorkerKey key) {
+void ZoneFailover::OnJobSent(Micros now, WorkerKey key) {
   const auto it = workers_.find(key);
   if (it == workers_.end()) return;
-  if (it->second.sent < now - options_.fresh) it->second.since = now;
+  if (it->second.sent < now - options_.evidence_ttl) it->second.since = now;
   it->second.sent = now;
   ++it->second.out;
 }
 
-void Zones::Seen(WorkerKey key, Cause cause, Micros at) {
+void ZoneFailover::SetOwnHealth(WorkerKey key, Cause cause, Micros at) {
   const auto it = workers_.find(key);
   if (it == workers_.end()) return;
   it->second.cause = cause;
   it->second.seen = at;
 }
 
-void Zones::Ended(Micros, WorkerKey key, End end, int cls, Micros run) {
+void ZoneFailover::OnJobEnded(Micros, WorkerKey key, JobOutcome end, int cls, Micros run) {
   const auto it = workers_.find(key);
   if (it == workers_.end()) return;
   Worker& w = it->second;
   w.out = std::max(0, w.out - 1);
   ZoneSeen& z = seen_[static_cast<std::size_t>(w.zone)];
   ++z.jobs;
-  z.failures += kLearn * ((end == End::kServed ? 0 : 1) - z.failures);
-  if (end == End::kServed && run > 0) {
+  z.failures += kLearn * ((end == JobOutcome::kServed ? 0 : 1) - z.failures);
+  if (end == JobOutcome::kServed && run > 0) {
     Run& r = z.runs[cls];
     r.mean += (r.jobs == 0 ? 1 : kLearn) * (static_cast<double>(run) - r.mean);
     ++r.jobs;
@@ -83,27 +83,27 @@
   if (w.before > 0)
     --w.before;
   else if (z.about > 0)
-    ++(end == End::kServed ? z.good : z.failed);
+    ++(end == JobOutcome::kServed ? z.good : z.failed);
 }
 
-std::vector<Verdict> Zones::verdicts() const {
-  std::vector<Verdict> all;
+std::vector<Decision> ZoneFailover::decisions() const {
+  std::vector<Decision> all;
   for (const auto& [key, v] : verdicts_)
     if (v.number > 0) all.push_back(v);
   return all;
 }
-std::vector<Order> Zones::orders() const {
+std::vector<Order> ZoneFailover::orders() const {
   std::vector<Order> all;
   for (const auto& [key, o] : orders_)
     if (o.number > 0) all.push_back(o);
   return all;
 }
-std::vector<Order> Zones::overruled() const {
+std::vector<Order> ZoneFailover::overruled() const {
   std::vector<Order> all;
   for (const auto& [key, o] : overruled_) all.push_back(o);
   return all;
 }
-std::vector<Report> Zones::reports() const {
+std::vector<Report> ZoneFailover::reports() const {
   std::vector<Report> all;
   for (const auto& [key, h] : reports_) all.push_back(h.report);
   return all;
--- a/src/node/zones/zones.h
+++ b/src/node/zones/zones.h
@@ -34,104 +34,108 @@
 
 struct Options {
   int self = 0, nodes = 1, zone = 0;
-  std::vector<std::string> zones;   // of the deployment, by index
-  std::vector<Target> regions;      // each of two zones or more
-  Micros every = 250'000;           // words, while something is wrong; four times as long else
-  int fanout = 3;                   // to so many at a time
-  std::size_t bytes = 180;          // of a word at most
-  Micros fresh = 3'000'000;         // evidence counts for so long
-  double bad = 0.5;                 // of what was tried in a zone: it fails
-  double covered = 0.3;             // of its weight, that all who report have tried together
-  double failing = 0.25, slow = 3;  // share of a zone's jobs that fail; its time over the others'
-  double least_left = 0.4;          // of the whole worth, that must be left without it
-  double dead = 0.1;                // of its own weight: a zone worth less may always be left
-  Micros trial_wait = 1'000'000;    // after it was left; doubled each time that it is left again
-  Micros most_wait = 60'000'000;    // and so long at most
-  Micros trial_every = 1'000'000;   // a node that tries does so for this long
-  int trials = 2;                   // workers that are tried at a time, each by one node
-  int need = 4;                     // good jobs that a step wants
-  Micros hold = 1'000'000;          // a step lasts so long at least
-  Micros one_sided = 1'000'000;     // seen so by nodes of one zone alone for so long: they leave it
-  Micros forget = 60'000'000;       // a zone that was whole for so long has not been left before
+  std::vector<std::string> zones;       // of the deployment, by index
+  std::vector<Target> regions;          // each of two zones or more
+  Micros send_interval = 250'000;       // words, while something is wrong; four times as long else
+  int fanout = 3;                       // to so many at a time
+  std::size_t max_message_bytes = 180;  // of a word at most
+  Micros evidence_ttl = 3'000'000;      // evidence counts for so long
+  double bad_fraction = 0.5;            // of what was tried in a zone: it fails
+  double min_coverage = 0.3;            // of its weight, that all who report have tried together
+  double failure_threshold = 0.25,
+         slowness_factor = 3;  // share of a zone's jobs that fail; its time over the others'
+  double min_remaining_capacity = 0.4;  // of the whole worth, that must be left without it
+  double negligible_capacity = 0.1;     // of its own weight: a zone worth less may always be left
+  Micros probe_delay = 1'000'000;  // after it was left; doubled each time that it is left again
+  Micros max_probe_delay = 60'000'000;   // and so long at most
+  Micros probe_interval = 1'000'000;     // a node that tries does so for this long
+  int concurrent_probes = 2;             // workers that are tried at a time, each by one node
+  int successes_per_step = 4;            // good jobs that a step wants
+  Micros min_step_duration = 1'000'000;  // a step lasts so long at least
+  Micros one_sided_delay =
+      1'000'000;                    // seen so by nodes of one zone alone for so long: they leave it
+  Micros history_ttl = 60'000'000;  // a zone that was whole for so long has not been left before
 };
 
 // How a zone is in use at this node.
-struct Standing {
+struct ZoneStatus {
   int zone = 0;
-  std::uint8_t step = kWhole;
+  std::uint8_t step = kInUse;
   Cause cause = Cause::kNone;
   std::uint64_t number = 0;
-  int whose = -1;                   // left by nodes of that zone alone; -1: by all
-  bool by_hand = false;             // an operator's order decides
-  bool own = false;                 // left by the fleet, but this node is inside and serves it
-  std::vector<int> witnesses = {};  // nodes whose evidence this one knows
-  bool operator==(const Standing&) const = default;
+  int for_zone = -1;                // left by nodes of that zone alone; -1: by all
+  bool by_operator = false;         // an operator's order decides
+  bool served_from_inside = false;  // left by the fleet, but this node is inside and serves it
+  std::vector<int> reporters = {};  // nodes whose evidence this one knows
+  bool operator==(const ZoneStatus&) const = default;
 };
 
-enum class Use : std::uint8_t { kOpen, kTrial, kShut };
+enum class Use : std::uint8_t { kOpen, kProbe, kClosed };
 
-struct Figures {
-  std::uint64_t words = 0, malformed = 0, old = 0, left_out = 0, raised = 0, adopted = 0,
-                doubted = 0,
-                held_back = 0;  // not left: the rest would not bear it
+struct Stats {
+  std::uint64_t messages_sent = 0, malformed = 0, stale = 0, entries_omitted = 0, decided = 0,
+                adopted = 0, unconfirmed = 0,
+                blocked_by_capacity = 0;  // not left: the rest would not bear it
 };
 
-class Zones {
+class ZoneFailover {
  public:
-  struct Out {
+  struct OutgoingMessage {
     int to = 0;
     std::string section;
   };
-  enum class End : std::uint8_t { kServed, kFailed, kNoWord };
+  enum class JobOutcome : std::uint8_t { kServed, kFailed, kNoResponse };
   // What each guard does is shown by leaving it out: tests only.
-  struct Without {
-    bool doubt = false;   // a verdict that one node alone claims is not held
-    bool rest = false;    // the rest must bear it, and never all zones
-    bool away = false;    // one that hears no other zone is the one that is away
-    bool number = false;  // an older verdict never replaces a later one
-    bool steps = false;   // a zone that comes back is opened by steps
+  struct DisabledGuards {
+    bool confirmation = false;     // a verdict that one node alone claims is not held
+    bool capacity_check = false;   // the rest must bear it, and never all zones
+    bool isolation_check = false;  // one that hears no other zone is the one that is away
+    bool decision_order = false;   // an older verdict never replaces a later one
+    bool gradual_return = false;   // a zone that comes back is opened by steps
   };
 
-  Zones(Options options, std::uint64_t process, Micros now);
+  ZoneFailover(Options options, std::uint64_t process, Micros now);
 
   // ---- what this node sees
   // `started`: its process, by the list; 0: long ago.
-  void Listed(WorkerKey worker, int zone, int kind, double weight, Micros started, bool in_service);
-  void Unlisted(WorkerKey worker);
-  void Sent(Micros now, WorkerKey worker);
+  void OnListed(WorkerKey worker, int zone, int kind, double weight, Micros started,
+                bool in_service);
+  void OnUnlisted(WorkerKey worker);
+  void OnJobSent(Micros now, WorkerKey worker);
   // `run`: from its start on; 0: not known.
-  void Ended(Micros now, WorkerKey worker, End end, int cls, Micros run);
+  void OnJobEnded(Micros now, WorkerKey worker, JobOutcome end, int cls, Micros run);
   // What this node holds of a worker by its own evidence, and since when.
-  void Seen(WorkerKey worker, Cause cause, Micros at);
-  void Pressed(bool pressed) { pressed_ = pressed; }
+  void SetOwnHealth(WorkerKey worker, Cause cause, Micros at);
+  void SetOverloaded(bool pressed) { pressed_ = pressed; }
 
   // ---- operators
   // False: there is no such zone or region.
-  bool Command(Micros now, const std::string& target, Order::What what);
-  void Recall(const Order& order);  // kept from an earlier process
+  bool Command(Micros now, const std::string& target, Order::Action what);
+  void RestoreOrder(const Order& order);  // kept from an earlier process
 
   // ---- time and words; `alive`: the other nodes that are, by the membership; `doubts`: this
   // process was stopped and nobody has answered since.
   Micros next() const { return next_; }
-  void Tick(Micros now, const std::vector<int>& alive, bool doubts, std::vector<Out>* out);
-  void Hear(Micros now, int from, std::uint64_t process, std::string_view section,
-            std::vector<Out>* out);
+  void Tick(Micros now, const std::vector<int>& alive, bool doubts,
+            std::vector<OutgoingMessage>* out);
+  void OnMessage(Micros now, int from, std::uint64_t process, std::string_view section,
+                 std::vector<OutgoingMessage>* out);
 
   // ---- what holds
   Use use(Micros now, WorkerKey worker) const;
-  const Standing& standing(int zone) const { return standing_[static_cast<std::size_t>(zone)]; }
+  const ZoneStatus& status(int zone) const { return standing_[static_cast<std::size_t>(zone)]; }
   // Those that have changed since the last call.
-  std::vector<Standing> TakeChanges();
-  std::vector<Verdict> verdicts() const;  // held, those of zones that were never left left out
+  std::vector<ZoneStatus> TakeChanges();
+  std::vector<Decision> decisions() const;  // held, those of zones that were never left left out
   std::vector<Order> orders() const;
   std::vector<Order> overruled() const;  // the last order of each target that another one ended
   std::vector<Report> reports() const;
   const std::string& name(TargetKey target) const;
   const Options& options() const { return options_; }
-  const Figures& figures() const { return figures_; }
+  const Stats& stats() const { return figures_; }
   // Of all pairs of a node and a worker, the share that is open at a step.
-  static double Share(std::uint8_t step);
-  void Leave(Without without) { without_ = without; }
+  static double OpenFraction(std::uint8_t step);
+  void DisableGuards(DisabledGuards without) { without_ = without; }
 
  private:
   struct Worker {
@@ -165,7 +169,7 @@
     auto operator<=>(const Key&) const = default;
   };
   struct Pending {
-    Verdict verdict;
+    Decision verdict;
     std::set<int> holders;
   };
   struct Held {
@@ -195,28 +199,28 @@
   std::set<int> ZonesAgainst(Micros now, const Target& target, int zone, std::map<int, int>* nodes,
                              Evidence* e) const;
   bool OnlyInside(const Target& target, const Evidence& e) const;
-  Tries TriesOf(const Target& target, const Verdict& verdict) const;
+  Tries TriesOf(const Target& target, const Decision& verdict) const;
   double Weight(int zone) const;
   double Worth(Micros now, int zone) const;
   bool MayLeave(Micros now, const Target& target, int whose, const Evidence& e);
   void Judge(Micros now);
-  void JudgeReturn(Micros now, const Target& target, const Verdict& held);
+  void JudgeReturn(Micros now, const Target& target, const Decision& held);
   void Raise(Micros now, const Target& target, int whose, std::uint8_t step, Cause cause,
              std::uint8_t leaves);
-  void Adopt(const Verdict& verdict);
-  bool Supported(Micros now, const Verdict& verdict) const;
-  void HearVerdict(Micros now, int from, const Verdict& verdict);
+  void Adopt(const Decision& verdict);
+  bool Supported(Micros now, const Decision& verdict) const;
+  void HearVerdict(Micros now, int from, const Decision& verdict);
   void HearOrder(const Order& order);
   void UpdateStandings(Micros now);
   const Order* OrderFor(int zone) const;
-  void FollowVerdict(Micros now, const Verdict& verdict, Standing* s) const;
+  void FollowVerdict(Micros now, const Decision& verdict, ZoneStatus* s) const;
   bool IsLeft(int zone, int whose) const;
   bool KindElsewhere(int kind) const;  // in service outside zones that are left
-  bool IsTrier(Micros now, WorkerKey worker, const Worker& w, const Verdict& v) const;
-  const Verdict* Governing(int zone) const;
-  void SendState(Micros now, int to, std::vector<Out>* out);
-  Micros WaitOf(const Verdict& verdict, bool anew) const;
-  bool Anew(const Target& target, const Verdict& verdict) const;
+  bool IsTrier(Micros now, WorkerKey worker, const Worker& w, const Decision& v) const;
+  const Decision* Governing(int zone) const;
+  void SendState(Micros now, int to, std::vector<OutgoingMessage>* out);
+  Micros WaitOf(const Decision& verdict, bool anew) const;
+  bool Anew(const Target& target, const Decision& verdict) const;
 
   Options options_;
   std::uint64_t process_;
@@ -225,7 +229,7 @@
   std::map<TargetKey, std::size_t> by_key_;
   std::map<WorkerKey, Worker> workers_;
   std::vector<ZoneSeen> seen_;
-  std::map<Key, Verdict> verdicts_;
+  std::map<Key, Decision> verdicts_;
   std::map<Key, Micros> since_;  // held here since
   std::map<Key, Pending> pending_;
   std::set<Key> others_hold_;              // what this node holds, or later
@@ -234,14 +238,14 @@
   std::map<std::pair<TargetKey, int>, Held> reports_;  // by target and witness
   std::map<int, int> zone_of_;                         // other nodes', as they say
   std::vector<int> alive_;
-  std::vector<Standing> standing_, told_;
+  std::vector<ZoneStatus> standing_, told_;
   std::uint32_t number_ = 0;
   std::size_t ring_ = 0;
   bool pressed_ = false, asks_ = true, urgent_ = false, away_ = false, doubts_ = false;
   int asked_ = 0;
   Micros next_ = 0, said_ = 0, active_until_ = 0;
-  Figures figures_;
-  Without without_;
+  Stats figures_;
+  DisabledGuards without_;
 };
 
 }  // namespace pearreach::zones
--- a/tests/contracts/node_bytes_test.cpp
+++ b/tests/contracts/node_bytes_test.cpp
@@ -117,22 +117,22 @@
   }
 }
 
-shared_state::Word SharedSample() {
+shared_state::Message SharedSample() {
   using shared_state::kEpochMs;
-  shared_state::Word word;
+  shared_state::Message word;
   word.zone = 3;
   word.at = kEpochMs * 1000 + 7'654'321'000;
-  word.own = {{1, 4, 99, word.at, 1001, 12.5}, {1, 6, 99, word.at, 1002, 13.25}};
-  word.wholes = {77.5, 88.25};
-  word.relayed = {{8, 9, kEpochMs + 555, word.at - 17, 2001, 21.125},
-                  {10, 11, kEpochMs + 666, word.at - 19, 2002, 22.5}};
-  word.asks = {{14, 3001}, {15, 3002}};
+  word.own_usage = {{1, 4, 99, word.at, 1001, 12.5}, {1, 6, 99, word.at, 1002, 13.25}};
+  word.limits = {77.5, 88.25};
+  word.relayed_usage = {{8, 9, kEpochMs + 555, word.at - 17, 2001, 21.125},
+                        {10, 11, kEpochMs + 666, word.at - 19, 2002, 22.5}};
+  word.requests = {{14, 3001}, {15, 3002}};
   word.grants = {{16, 41, kEpochMs + 777, 4001, word.at + 23},
                  {17, 43, kEpochMs + 888, 4002, word.at + 29}};
-  word.opinions = {
-      {0xdeadbeef, kEpochMs + 5001, 18, 20, kEpochMs + 999, 47, shared_state::Verdict::kSilent,
-       word.at - 31'000},
-      {0xfeedface, 0, 22, 24, kEpochMs + 1111, 53, shared_state::Verdict::kDead, word.at + 37'000}};
+  word.health_reports = {{0xdeadbeef, kEpochMs + 5001, 18, 20, kEpochMs + 999, 47,
+                          shared_state::HealthStatus::kSilent, word.at - 31'000},
+                         {0xfeedface, 0, 22, 24, kEpochMs + 1111, 53,
+                          shared_state::HealthStatus::kDead, word.at + 37'000}};
   return word;
 }
 
@@ -146,31 +146,31 @@
   const auto word = shared_state::Decode(golden, 1, 99);
   ASSERT_TRUE(word);
   ExpectBytes(shared_state::Encode(*word, kRoom, &left_out), golden);
-  const shared_state::Word sample = SharedSample();
-  EXPECT_EQ(word->opinions, sample.opinions);
-  EXPECT_EQ(word->wholes, sample.wholes);
-  ASSERT_EQ(word->own.size(), 2u);
-  EXPECT_EQ(word->own[1].node, 1);
-  EXPECT_EQ(word->own[1].process, 99u);
-  EXPECT_EQ(word->own[1].value, 1002u);
-  ASSERT_EQ(word->relayed.size(), 2u);
-  EXPECT_EQ(word->relayed[0].at, sample.relayed[0].at);
-  EXPECT_EQ(word->relayed[0].ceiling, 21.125);
+  const shared_state::Message sample = SharedSample();
+  EXPECT_EQ(word->health_reports, sample.health_reports);
+  EXPECT_EQ(word->limits, sample.limits);
+  ASSERT_EQ(word->own_usage.size(), 2u);
+  EXPECT_EQ(word->own_usage[1].node, 1);
+  EXPECT_EQ(word->own_usage[1].process, 99u);
+  EXPECT_EQ(word->own_usage[1].value, 1002u);
+  ASSERT_EQ(word->relayed_usage.size(), 2u);
+  EXPECT_EQ(word->relayed_usage[0].at, sample.relayed_usage[0].at);
+  EXPECT_EQ(word->relayed_usage[0].ceiling, 21.125);
   ASSERT_EQ(word->grants.size(), 2u);
-  EXPECT_EQ(word->grants[1].until, sample.grants[1].until);
-  ASSERT_EQ(word->asks.size(), 2u);
-  EXPECT_EQ(word->asks[1].amount, 3002);
+  EXPECT_EQ(word->grants[1].expires_at, sample.grants[1].expires_at);
+  ASSERT_EQ(word->requests.size(), 2u);
+  EXPECT_EQ(word->requests[1].amount, 3002);
 }
 
 zones::Message ZonesSample() {
   zones::Message word;
   word.zone = 5;
   word.at = (kEpochMs + 987'654) * 1000;
-  word.asks = true;
-  word.verdicts = {{0x01020304, 2, 61, 3, zones::Cause::kFailing, 7, word.at - 11'000, 4},
-                   {0x05060708, -1, 67, 1, zones::Cause::kDead, 8, word.at - 13'000, 6}};
-  word.orders = {{0x090a0b0c, 71, zones::Order::What::kReturn, 9, word.at - 17'000},
-                 {0x0d0e0f10, 73, zones::Order::What::kLeave, 10, word.at + 19'000}};
+  word.requests_state = true;
+  word.decisions = {{0x01020304, 2, 61, 3, zones::Cause::kFailing, 7, word.at - 11'000, 4},
+                    {0x05060708, -1, 67, 1, zones::Cause::kDead, 8, word.at - 13'000, 6}};
+  word.orders = {{0x090a0b0c, 71, zones::Order::Action::kReturn, 9, word.at - 17'000},
+                 {0x0d0e0f10, 73, zones::Order::Action::kLeave, 10, word.at + 19'000}};
   word.reports = {{0x11121314, 12, 14, kEpochMs + 2001, 79, 200, 100, zones::Cause::kSilent, true,
                    word.at - 23'000, 83, 89, 97},
                   {0x15161718, 16, 18, kEpochMs + 2002, 101, 33, 44, zones::Cause::kSlow, false,
@@ -190,8 +190,8 @@
   ASSERT_TRUE(word);
   EXPECT_EQ(word->zone, sample.zone);
   EXPECT_EQ(word->at, sample.at);
-  EXPECT_TRUE(word->asks);
-  EXPECT_EQ(word->verdicts, sample.verdicts);
+  EXPECT_TRUE(word->requests_state);
+  EXPECT_EQ(word->decisions, sample.decisions);
   EXPECT_EQ(word->orders, sample.orders);
   EXPECT_EQ(word->reports, sample.reports);
 }
--- a/tests/node/shared_state/shared_test.cpp
+++ b/tests/node/shared_state/shared_test.cpp
@@ -21,7 +21,7 @@
 
 lab::SharedLoad Load() {
   lab::SharedLoad load;
-  load.options.shares = {70, 40, 20};
+  load.options.quotas = {70, 40, 20};
   load.asked = {60, 30, 10};
   load.flood_from = 4'000'000;
   load.flood_until = 12'000'000;
@@ -93,7 +93,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Shared, HardCases,
+    SharedState, HardCases,
     testing::Values(
         HardCase{"Calm", {}}, HardCase{"AFifthLost", {}, 0.2}, HardCase{"HalfLost", {}, 0.5},
         HardCase{"AZoneCutOff", {Of(What::kLose, 2'000'000, 8'000'000, "z1", "*")}},
@@ -131,7 +131,7 @@
 
 // ---------------------------------------------------------------- guards left out
 
-int Broken(const Budgets::Without& without, std::vector<Fault> faults) {
+int Broken(const Budgets::DisabledGuards& without, std::vector<Fault> faults) {
   lab::SharedLoad load = Load();
   load.without = without;
   int broken = 0;
@@ -147,47 +147,48 @@
 }
 
 TEST(SharedGuards, EachLeftOutBreaksTheSum) {
-  EXPECT_GT(Broken({.hold = true}, {}), 0) << "what was lent is spent by its giver too";
-  EXPECT_GT(Broken({.quarantine = true}, {Of(What::kKill, 6'000'000, 100'000, "z1")}), 0)
+  EXPECT_GT(Broken({.deduct_lent = true}, {}), 0) << "what was lent is spent by its giver too";
+  EXPECT_GT(Broken({.startup_quarantine = true}, {Of(What::kKill, 6'000'000, 100'000, "z1")}), 0)
       << "a new process spends what the one before it has lent";
-  EXPECT_GT(Broken({.expiry = true}, {Of(What::kLose, 6'000'000, 5'000'000, "*", "*")}), 0)
+  EXPECT_GT(Broken({.grant_expiry = true}, {Of(What::kLose, 6'000'000, 5'000'000, "*", "*")}), 0)
       << "a lease that ran out is spent on";
 }
 
 TEST(SharedBudgets, AGrantToAnEarlierProcessIsNotTaken) {
-  BudgetsOptions o{.self = 0, .nodes = 3, .wholes = {30}};
+  BudgetsOptions o{.self = 0, .nodes = 3, .limits = {30}};
   Budgets b(o, 2'000, 1, kUnix);
   b.OnGrant(kUnix, 1, 9, {0, 1, /*to_process=*/1'000, 3'000, kUnix + 1'000'000});
-  EXPECT_EQ(b.got(kUnix, 0), 0);
+  EXPECT_EQ(b.borrowed(kUnix, 0), 0);
   b.OnGrant(kUnix, 1, 9, {0, 2, 2'000, 3'000, kUnix + 1'000'000});
-  EXPECT_EQ(b.got(kUnix, 0), 3'000);
+  EXPECT_EQ(b.borrowed(kUnix, 0), 3'000);
   b.OnGrant(kUnix, 1, 9, {0, 1, 2'000, 9'000, kUnix + 1'000'000});
-  EXPECT_EQ(b.got(kUnix, 0), 3'000) << "an older grant came late";
+  EXPECT_EQ(b.borrowed(kUnix, 0), 3'000) << "an older grant came late";
   b.OnGrant(kUnix, 1, 9, {0, 3, 2'000, 9'000, kUnix + 60'000'000});
-  EXPECT_EQ(b.got(kUnix, 0), 3'000) << "of a clock that is far off";
+  EXPECT_EQ(b.borrowed(kUnix, 0), 3'000) << "of a clock that is far off";
 }
 
 TEST(SharedBudgets, PartsMoveToWhereTheTrafficIsAndFloorsStay) {
-  BudgetsOptions o{.self = 0, .nodes = 3, .wholes = {30}};
+  BudgetsOptions o{.self = 0, .nodes = 3, .limits = {30}};
   o.self = 1;
   Budgets giver(o, 1, 1, kUnix - 60'000'000);
-  const auto g = giver.OnAsk(kUnix, 0, 77, {0, 9'000});
+  const auto g = giver.OnRequest(kUnix, 0, 77, {0, 9'000});
   ASSERT_TRUE(g);
   EXPECT_EQ(g->amount, 5'000) << "half of its even part of ten is its floor";
-  EXPECT_EQ(giver.part(kUnix, 0), 5'000);
-  EXPECT_FALSE(giver.OnAsk(kUnix, 2, 78, {0, 9'000})) << "nothing is left to lend";
-  EXPECT_EQ(giver.part(kUnix + o.lease, 0), 5'000) << "its lease may not have ended on every clock";
-  EXPECT_EQ(giver.part(kUnix + o.lease + o.skew, 0), 10'000) << "the room comes back";
+  EXPECT_EQ(giver.allocation(kUnix, 0), 5'000);
+  EXPECT_FALSE(giver.OnRequest(kUnix, 2, 78, {0, 9'000})) << "nothing is left to lend";
+  EXPECT_EQ(giver.allocation(kUnix + o.lease, 0), 5'000)
+      << "its lease may not have ended on every clock";
+  EXPECT_EQ(giver.allocation(kUnix + o.lease + o.skew, 0), 10'000) << "the room comes back";
 }
 
 TEST(SharedBudgets, TheStricterOfTwoWholesHolds) {
-  BudgetsOptions o{.self = 0, .nodes = 3, .wholes = {30}};
+  BudgetsOptions o{.self = 0, .nodes = 3, .limits = {30}};
   Budgets b(o, 1, 1, kUnix - 60'000'000);
-  b.OnWhole(kUnix, 0, 90);
-  EXPECT_EQ(b.part(kUnix, 0), 10'000) << "a looser word changes nothing";
-  b.OnWhole(kUnix, 0, 15);
-  EXPECT_EQ(b.part(kUnix, 0), 5'000);
-  EXPECT_EQ(b.part(kUnix + 60'000'000, 0), 10'000) << "nobody says so any more";
+  b.OnRemoteLimit(kUnix, 0, 90);
+  EXPECT_EQ(b.allocation(kUnix, 0), 10'000) << "a looser word changes nothing";
+  b.OnRemoteLimit(kUnix, 0, 15);
+  EXPECT_EQ(b.allocation(kUnix, 0), 5'000);
+  EXPECT_EQ(b.allocation(kUnix + 60'000'000, 0), 10'000) << "nobody says so any more";
 }
 
 TEST(SharedShares, ALoweredShareHoldsWhileHalfHaveTheOldOne) {
@@ -201,16 +202,16 @@
 
 // ---------------------------------------------------------------- merges
 
-rc::Gen<CountWord> AWord() {
+rc::Gen<UsageUpdate> AWord() {
   return rc::gen::apply(
       [](int node, int process, int at, int slow) {
         // One process's value never falls as its time goes on.
-        return CountWord{node,
-                         0,
-                         static_cast<std::uint64_t>(1000 + process),
-                         kUnix - 9'000'000 + at * 100'000,
-                         static_cast<std::uint64_t>(at * (1 + process)),
-                         static_cast<double>(1 + slow)};
+        return UsageUpdate{node,
+                           0,
+                           static_cast<std::uint64_t>(1000 + process),
+                           kUnix - 9'000'000 + at * 100'000,
+                           static_cast<std::uint64_t>(at * (1 + process)),
+                           static_cast<double>(1 + slow)};
       },
       rc::gen::inRange(1, 4), rc::gen::inRange(1, 4), rc::gen::inRange(1, 90),
       rc::gen::inRange(0, 1));
@@ -218,25 +219,25 @@
 
 // In any order, any number of times: the same.
 RC_GTEST_PROP(SharedMerge, CountsDoNotDependOnOrderOrNumber, ()) {
-  const auto words = *rc::gen::container<std::vector<CountWord>>(AWord());
+  const auto words = *rc::gen::container<std::vector<UsageUpdate>>(AWord());
   auto others = words;
   for (std::size_t i = 0; i < words.size(); ++i)
     if (*rc::gen::inRange(0, 3) == 0) others.push_back(words[i]);
   for (std::size_t i = others.size(); i > 1; --i)
     std::swap(others[i - 1],
               others[static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(i)))]);
-  const CountsOptions o{.self = 0, .nodes = 4, .shares = {50}};
-  Counts a(o, 5'000, kUnix), b(o, 5'000, kUnix);
+  const UsageOptions o{.self = 0, .nodes = 4, .quotas = {50}};
+  UsageCounters a(o, 5'000, kUnix), b(o, 5'000, kUnix);
   std::uint64_t before = 0;
-  for (const CountWord& w : words) {
-    a.Hear(kUnix, w);
+  for (const UsageUpdate& w : words) {
+    a.Merge(kUnix, w);
     const auto held = a.latest(1, 0);
     if (held && held->process == 1003) {
       RC_ASSERT(held->value >= before);  // counts never fall
       before = held->value;
     }
   }
-  for (const CountWord& w : others) b.Hear(kUnix, w);
+  for (const UsageUpdate& w : others) b.Merge(kUnix, w);
   for (int n = 1; n < 4; ++n) {
     const auto x = a.latest(n, 0), y = b.latest(n, 0);
     RC_ASSERT(x.has_value() == y.has_value());
@@ -246,48 +247,48 @@
     RC_ASSERT(x->at == y->at);
   }
   // Of the process before it the same is held too, so the whole reading is one.
-  const Reading x = a.Read(kUnix, 0), y = b.Read(kUnix, 0);
-  RC_ASSERT(std::abs(x.least - y.least) < 1e-9);
+  const UsageEstimate x = a.Estimate(kUnix, 0), y = b.Estimate(kUnix, 0);
+  RC_ASSERT(std::abs(x.lower - y.lower) < 1e-9);
 }
 
 RC_GTEST_PROP(SharedMerge, JudgementsDoNotDependOnOrderOrNumber, ()) {
-  const auto words = *rc::gen::container<std::vector<Opinion>>(rc::gen::apply(
+  const auto words = *rc::gen::container<std::vector<HealthReport>>(rc::gen::apply(
       [](int witness, int process, int number, int verdict) {
         // A witness's word of one number is one word.
-        return Opinion{7,
-                       0,
-                       witness,
-                       witness % 3,
-                       static_cast<std::uint64_t>(1 + process),
-                       static_cast<std::uint32_t>(1 + number),
-                       static_cast<Verdict>((verdict * 0 + number + process) % 5),
-                       kUnix - number * 100'000};
+        return HealthReport{7,
+                            0,
+                            witness,
+                            witness % 3,
+                            static_cast<std::uint64_t>(1 + process),
+                            static_cast<std::uint32_t>(1 + number),
+                            static_cast<HealthStatus>((verdict * 0 + number + process) % 5),
+                            kUnix - number * 100'000};
       },
       rc::gen::inRange(1, 5), rc::gen::inRange(0, 3), rc::gen::inRange(0, 5),
       rc::gen::inRange(0, 5)));
   auto others = words;
   others.insert(others.end(), words.begin(), words.end());
   std::reverse(others.begin(), others.end());
-  const JudgementsOptions o{.self = 0, .nodes = 5, .zones = 3};
-  Judgements a(o, 1), b(o, 1);
-  a.Listed(7, 0, 0, true);
-  b.Listed(7, 0, 0, true);
-  for (const Opinion& w : words) a.Hear(kUnix, w);
-  for (const Opinion& w : others) b.Hear(kUnix, w);
-  RC_ASSERT(a.opinions(7) == b.opinions(7));
+  const WorkerHealthOptions o{.self = 0, .nodes = 5, .zones = 3};
+  WorkerHealth a(o, 1), b(o, 1);
+  a.OnListed(7, 0, 0, true);
+  b.OnListed(7, 0, 0, true);
+  for (const HealthReport& w : words) a.Merge(kUnix, w);
+  for (const HealthReport& w : others) b.Merge(kUnix, w);
+  RC_ASSERT(a.reports(7) == b.reports(7));
 }
 
 RC_GTEST_PROP(SharedWords, WhatIsWrittenIsReadAgainWithinItsRoom, ()) {
-  Word w;
+  Message w;
   w.zone = *rc::gen::inRange(0, 20);
   w.at = kUnix;
   for (int i = *rc::gen::inRange(0, 6); i-- > 0;) {
-    w.own.push_back(
+    w.own_usage.push_back(
         {3, i, 1'800'000'000'000, kUnix, *rc::gen::inRange<std::uint64_t>(0, 1'000'000), 12.5});
-    w.wholes.push_back(70);
+    w.limits.push_back(70);
     w.grants.push_back({i, 9, 1'800'000'000'001, 12, kUnix + 5});
-    w.opinions.push_back({static_cast<WorkerKey>(i), kUnix / 1000, 2, 1, 1'800'000'000'002, 4,
-                          Verdict::kDead, kUnix - 5'000});
+    w.health_reports.push_back({static_cast<WorkerKey>(i), kUnix / 1000, 2, 1, 1'800'000'000'002, 4,
+                                HealthStatus::kDead, kUnix - 5'000});
   }
   const auto room = static_cast<std::size_t>(*rc::gen::inRange(0, 400));
   int left = 0;
@@ -296,11 +297,12 @@
   if (bytes.empty()) return;
   const auto read = Decode(bytes, 3, 1'800'000'000'000);
   RC_ASSERT(read.has_value());
-  const std::size_t all = read->own.size() + read->grants.size() + read->opinions.size();
+  const std::size_t all =
+      read->own_usage.size() + read->grants.size() + read->health_reports.size();
   RC_ASSERT(all + static_cast<std::size_t>(left) ==
-            w.own.size() + w.grants.size() + w.opinions.size());
-  for (std::size_t i = 0; i < read->opinions.size(); ++i)
-    RC_ASSERT(read->opinions[i] == w.opinions[i]);
+            w.own_usage.size() + w.grants.size() + w.health_reports.size());
+  for (std::size_t i = 0; i < read->health_reports.size(); ++i)
+    RC_ASSERT(read->health_reports[i] == w.health_reports[i]);
 }
 
 // ---------------------------------------------------------------- judgements
@@ -317,66 +319,66 @@
   const std::vector<Fault> faults = {Of(What::kSilence, 3'000'000, 8'000'000, "s-1")};
   const lab::SharedLoad load = Load();
   lab::SharedLoad alone = load;
-  alone.options.judgements.witnesses = 1'000;  // no word is ever enough
+  alone.options.health.min_reporters = 1'000;  // no word is ever enough
   const auto with = Play(Plan(1, faults), load), without = Play(Plan(1, faults), alone);
   EXPECT_LT(with.sends_lost * 2, without.sends_lost);
   EXPECT_EQ(Violations(with.history), "");
 }
 
 TEST(SharedJudgements, OwnFreshEvidenceOutweighsHearsay) {
-  JudgementsOptions o{.self = 0, .nodes = 5, .zone = 0, .zones = 2};
-  Judgements j(o, 1);
-  for (WorkerKey w = 0; w < 10; ++w) j.Listed(w, 0, 0, true);
+  WorkerHealthOptions o{.self = 0, .nodes = 5, .zone = 0, .zones = 2};
+  WorkerHealth j(o, 1);
+  for (WorkerKey w = 0; w < 10; ++w) j.OnListed(w, 0, 0, true);
   for (int witness = 1; witness <= 4; ++witness)
-    j.Hear(kUnix, {3, 0, witness, witness % 2, 1, 1, Verdict::kSilent, kUnix});
-  j.Heard(kUnix, 3);
-  j.Look(kUnix, {1, 2, 3, 4});
-  EXPECT_FALSE(j.standing().contains(3));
-  j.Look(kUnix + 2'000'000, {1, 2, 3, 4});
-  ASSERT_TRUE(j.standing().contains(3)) << "its evidence is old by now";
-  EXPECT_EQ(j.standing().at(3).witnesses, (std::vector<int>{1, 2, 3, 4}));
-  j.Listed(3, 0, kUnix / 1000, true);
-  j.Look(kUnix + 2'100'000, {1, 2, 3, 4});
-  EXPECT_FALSE(j.standing().contains(3)) << "it is another process by now";
+    j.Merge(kUnix, {3, 0, witness, witness % 2, 1, 1, HealthStatus::kSilent, kUnix});
+  j.OnWorkerResponse(kUnix, 3);
+  j.Update(kUnix, {1, 2, 3, 4});
+  EXPECT_FALSE(j.statuses().contains(3));
+  j.Update(kUnix + 2'000'000, {1, 2, 3, 4});
+  ASSERT_TRUE(j.statuses().contains(3)) << "its evidence is old by now";
+  EXPECT_EQ(j.statuses().at(3).reporters, (std::vector<int>{1, 2, 3, 4}));
+  j.OnListed(3, 0, kUnix / 1000, true);
+  j.Update(kUnix + 2'100'000, {1, 2, 3, 4});
+  EXPECT_FALSE(j.statuses().contains(3)) << "it is another process by now";
 }
 
 // Seen at 300 nodes: a look within the 30 ms that a job took after a pause called the worker
 // silent.
 TEST(SharedJudgements, TheFirstJobAfterAPauseIsNoSilence) {
-  Judgements j({.self = 0, .nodes = 5, .zone = 0, .zones = 2}, 1);
-  j.Listed(7, 0, 0, true);
+  WorkerHealth j({.self = 0, .nodes = 5, .zone = 0, .zones = 2}, 1);
+  j.OnListed(7, 0, 0, true);
   const Micros at = 1'800'000'000'000'000;
-  j.Sent(at, 7);
-  j.Ended(at + 30'000, 7, Judgements::End::kServed, 1);
-  j.Sent(at + 9'000'000, 7);
-  j.Look(at + 9'010'000, {});
-  EXPECT_EQ(j.own(7), Verdict::kWell);
-  j.Look(at + 9'600'000, {});
-  EXPECT_EQ(j.own(7), Verdict::kSilent);
+  j.OnJobSent(at, 7);
+  j.OnJobEnded(at + 30'000, 7, WorkerHealth::JobOutcome::kServed, 1);
+  j.OnJobSent(at + 9'000'000, 7);
+  j.Update(at + 9'010'000, {});
+  EXPECT_EQ(j.own_status(7), HealthStatus::kHealthy);
+  j.Update(at + 9'600'000, {});
+  EXPECT_EQ(j.own_status(7), HealthStatus::kSilent);
 }
 
 // Seen in a trial of processes (seed 90030): two nodes that had been stopped called a worker silent
 // for good, since the job that they had waited for in vain was never forgotten.
 TEST(SharedJudgements, WhatWasWaitedForInVainFades) {
-  Judgements j({.self = 0, .nodes = 5, .zone = 0, .zones = 2}, 1);
-  j.Listed(7, 0, 0, true);
+  WorkerHealth j({.self = 0, .nodes = 5, .zone = 0, .zones = 2}, 1);
+  j.OnListed(7, 0, 0, true);
   const Micros at = 1'800'000'000'000'000;
-  j.Sent(at, 7);
-  j.Ended(at + 1'000'000, 7, Judgements::End::kTimedOut, 0);
-  j.Look(at + 1'100'000, {});
-  EXPECT_EQ(j.own(7), Verdict::kSilent);
-  for (Micros t = 2'000'000; t < 13'000'000; t += 250'000) j.Look(at + t, {});
-  EXPECT_EQ(j.own(7), Verdict::kWell);
+  j.OnJobSent(at, 7);
+  j.OnJobEnded(at + 1'000'000, 7, WorkerHealth::JobOutcome::kTimedOut, 0);
+  j.Update(at + 1'100'000, {});
+  EXPECT_EQ(j.own_status(7), HealthStatus::kSilent);
+  for (Micros t = 2'000'000; t < 13'000'000; t += 250'000) j.Update(at + t, {});
+  EXPECT_EQ(j.own_status(7), HealthStatus::kHealthy);
 }
 
 TEST(SharedJudgements, OneTrierAtATimeForTheWholeFleet) {
-  std::vector<std::unique_ptr<Judgements>> nodes;
+  std::vector<std::unique_ptr<WorkerHealth>> nodes;
   for (int n = 0; n < 6; ++n) {
-    nodes.push_back(std::make_unique<Judgements>(
-        JudgementsOptions{.self = n, .nodes = 6, .zone = n % 2, .zones = 2}, 1));
-    for (WorkerKey w = 0; w < 10; ++w) nodes.back()->Listed(w, 0, 0, true);
+    nodes.push_back(std::make_unique<WorkerHealth>(
+        WorkerHealthOptions{.self = n, .nodes = 6, .zone = n % 2, .zones = 2}, 1));
+    for (WorkerKey w = 0; w < 10; ++w) nodes.back()->OnListed(w, 0, 0, true);
     for (int witness = 0; witness < 6; ++witness)
-      nodes.back()->Hear(kUnix, {3, 0, witness, witness % 2, 1, 1, Verdict::kSilent, kUnix});
+      nodes.back()->Merge(kUnix, {3, 0, witness, witness % 2, 1, 1, HealthStatus::kSilent, kUnix});
   }
   for (Micros at = kUnix; at < kUnix + 8'000'000; at += 300'000) {
     int triers = 0;
@@ -384,9 +386,9 @@
       std::vector<int> alive;
       for (int other = 0; other < 6; ++other)
         if (other != n) alive.push_back(other);
-      nodes[static_cast<std::size_t>(n)]->Look(at, alive);
-      const auto& all = nodes[static_cast<std::size_t>(n)]->standing();
-      triers += all.contains(3) && all.at(3).trial ? 1 : 0;
+      nodes[static_cast<std::size_t>(n)]->Update(at, alive);
+      const auto& all = nodes[static_cast<std::size_t>(n)]->statuses();
+      triers += all.contains(3) && all.at(3).probe ? 1 : 0;
     }
     EXPECT_EQ(triers, 1);
   }
--- a/tests/node/zones/zones_test.cpp
+++ b/tests/node/zones/zones_test.cpp
@@ -57,7 +57,7 @@
 };
 std::unique_ptr<Play> PlayOf(const Case& c, std::uint64_t seed) {
   auto play = std::make_unique<Play>();
-  play->shared.options.shares = {70};
+  play->shared.options.quotas = {70};
   play->shared.asked = {30};
   play->shared.sends = 4;
   play->zones.liar = c.liar;
@@ -199,7 +199,7 @@
 
 // Each guard left out is found by a case that stands above.
 TEST(ZonesGuards, EachLeftOutIsFound) {
-  const auto broken = [](const char* name, zones::Zones::Without without) {
+  const auto broken = [](const char* name, zones::ZoneFailover::DisabledGuards without) {
     for (const Case& c : Cases()) {
       if (std::string(c.name) != name) continue;
       for (std::uint64_t seed = 1; seed <= 4; ++seed) {
@@ -210,10 +210,10 @@
     }
     return false;
   };
-  EXPECT_TRUE(broken("one node claims that zones are gone", {.doubt = true}));
+  EXPECT_TRUE(broken("one node claims that zones are gone", {.confirmation = true}));
   const Case all{"all", {FaultOf(What::kFail, 5, 10, "*", "*", 0.6)}, {}};
   const auto play = PlayOf(all, 1);
-  play->zones.without = {.rest = true};
+  play->zones.without = {.capacity_check = true};
   EXPECT_GT(LeftIn(lab::RunVirtual(play->options).history).size(), 1u);
 }
 
@@ -223,20 +223,20 @@
     zones::Options o;
     o.nodes = 5;
     o.zones = {"a", "b", "c"};
-    zones::Zones z(o, 1, kUnix);
-    z.Leave({.number = !guarded});
-    std::vector<zones::Zones::Out> out;
+    zones::ZoneFailover z(o, 1, kUnix);
+    z.DisableGuards({.decision_order = !guarded});
+    std::vector<zones::ZoneFailover::OutgoingMessage> out;
     for (const std::uint64_t number : {4, 5, 4})
       for (const int from : {1, 2}) {
         zones::Message w;
         w.zone = from;
         w.at = kUnix;
-        w.verdicts.push_back({zones::KeyOf("b"), -1, number,
-                              number == 4 ? zones::kLeft : zones::kWhole, zones::Cause::kSilent, 1,
-                              kUnix, 1});
-        z.Hear(kUnix, from, 1, zones::Encode(w, 200, nullptr), &out);
+        w.decisions.push_back({zones::KeyOf("b"), -1, number,
+                               number == 4 ? zones::kEjected : zones::kInUse, zones::Cause::kSilent,
+                               1, kUnix, 1});
+        z.OnMessage(kUnix, from, 1, zones::Encode(w, 200, nullptr), &out);
       }
-    EXPECT_EQ(z.standing(1).step, guarded ? zones::kWhole : zones::kLeft);
+    EXPECT_EQ(z.status(1).step, guarded ? zones::kInUse : zones::kEjected);
   }
 }
 
@@ -256,15 +256,15 @@
     o.self = 0;
     o.nodes = 6;
     o.zones = {"a", "b", "c"};
-    zones::Zones z(o, 1, kUnix);
-    for (zones::WorkerKey w = 0; w < 12; ++w) z.Listed(w, static_cast<int>(w % 3), 0, 1, 0, true);
-    z.Pressed(pressed);
-    std::vector<zones::Zones::Out> out;
+    zones::ZoneFailover z(o, 1, kUnix);
+    for (zones::WorkerKey w = 0; w < 12; ++w) z.OnListed(w, static_cast<int>(w % 3), 0, 1, 0, true);
+    z.SetOverloaded(pressed);
+    std::vector<zones::ZoneFailover::OutgoingMessage> out;
     for (int i = 0; i < 12; ++i) {
       const Micros now = kUnix + i * 250'000;
       for (zones::WorkerKey w = 0; w < 12; ++w) {
-        z.Sent(now, w);
-        z.Seen(w, w % 3 == 1 ? cause : zones::Cause::kNone, now);
+        z.OnJobSent(now, w);
+        z.SetOwnHealth(w, w % 3 == 1 ? cause : zones::Cause::kNone, now);
       }
       for (int from = 1; from < 6; ++from) {
         zones::Message w;
@@ -273,11 +273,11 @@
         w.reports.push_back({zones::KeyOf("b"), from, from % 3, kUnix / 1000,
                              static_cast<std::uint32_t>(i + 1), 255, 255, cause, pressed, w.at, 0,
                              0, 0});
-        z.Hear(now, from, kUnix / 1000, zones::Encode(w, 200, nullptr), &out);
+        z.OnMessage(now, from, kUnix / 1000, zones::Encode(w, 200, nullptr), &out);
       }
       z.Tick(now, {1, 2, 3, 4, 5}, false, &out);
     }
-    EXPECT_EQ(z.standing(1).step == zones::kLeft, left) << NameOf(cause) << " " << pressed;
+    EXPECT_EQ(z.status(1).step == zones::kEjected, left) << NameOf(cause) << " " << pressed;
   }
 }
 
@@ -289,16 +289,16 @@
   std::map<int, std::size_t> open;
   for (int node = 0; node < 30; ++node) {
     o.self = node;
-    zones::Zones z(o, 1, kUnix);
-    for (zones::WorkerKey w = 0; w < 40; ++w) z.Listed(w, static_cast<int>(w % 2), 0, 1, 0, true);
+    zones::ZoneFailover z(o, 1, kUnix);
+    for (zones::WorkerKey w = 0; w < 40; ++w) z.OnListed(w, static_cast<int>(w % 2), 0, 1, 0, true);
     std::set<zones::WorkerKey> before;
-    std::vector<zones::Zones::Out> out;
-    for (std::uint8_t step = zones::kLeft; step <= zones::kLastStep; ++step) {
+    std::vector<zones::ZoneFailover::OutgoingMessage> out;
+    for (std::uint8_t step = zones::kEjected; step <= zones::kLastStep; ++step) {
       zones::Message w;
       w.at = kUnix + step * 5 * kSecond;
-      w.verdicts.push_back({zones::KeyOf("b"), -1, step, step, zones::Cause::kDead, 3, w.at, 1});
+      w.decisions.push_back({zones::KeyOf("b"), -1, step, step, zones::Cause::kDead, 3, w.at, 1});
       for (const int from : {(node + 1) % 30, (node + 2) % 30})
-        z.Hear(w.at, from, 1, zones::Encode(w, 200, nullptr), &out);
+        z.OnMessage(w.at, from, 1, zones::Encode(w, 200, nullptr), &out);
       std::set<zones::WorkerKey> now;
       for (zones::WorkerKey k = 1; k < 40; k += 2)
         if (z.use(w.at + 900'000, k) == zones::Use::kOpen) now.insert(k);
@@ -310,22 +310,23 @@
   const double pairs = 30 * 20;
   EXPECT_EQ(open[1], 0u);
   for (const std::uint8_t step : {2, 3, 4})
-    EXPECT_NEAR(static_cast<double>(open[step]) / pairs, zones::Zones::Share(step), 0.06);
+    EXPECT_NEAR(static_cast<double>(open[step]) / pairs, zones::ZoneFailover::OpenFraction(step),
+                0.06);
 }
 
 RC_GTEST_PROP(ZonesMerge, LaterIsATotalOrder, ()) {
   const auto draw = [] {
-    return zones::Verdict{1,
-                          -1,
-                          *rc::gen::inRange<std::uint64_t>(1, 4),
-                          *rc::gen::inRange<std::uint8_t>(0, 5),
-                          zones::Cause::kDead,
-                          *rc::gen::inRange(0, 4),
-                          kUnix,
-                          *rc::gen::inRange<std::uint8_t>(0, 3)};
+    return zones::Decision{1,
+                           -1,
+                           *rc::gen::inRange<std::uint64_t>(1, 4),
+                           *rc::gen::inRange<std::uint8_t>(0, 5),
+                           zones::Cause::kDead,
+                           *rc::gen::inRange(0, 4),
+                           kUnix,
+                           *rc::gen::inRange<std::uint8_t>(0, 3)};
   };
-  const zones::Verdict a = draw(), b = draw(), c = draw();
-  const auto merge = [](const zones::Verdict& x, const zones::Verdict& y) {
+  const zones::Decision a = draw(), b = draw(), c = draw();
+  const auto merge = [](const zones::Decision& x, const zones::Decision& y) {
     return Later(x, y) ? x : y;
   };
   RC_ASSERT(merge(a, b) == merge(b, a));
@@ -337,15 +338,15 @@
   zones::Message w;
   w.zone = *rc::gen::inRange(0, 20);
   w.at = kUnix;
-  w.asks = *rc::gen::arbitrary<bool>();
+  w.requests_state = *rc::gen::arbitrary<bool>();
   const auto entries = [] { return *rc::gen::inRange(0, 6); };
   for (int i = entries(); i > 0; --i)
     w.orders.push_back({*rc::gen::arbitrary<std::uint32_t>(),
                         *rc::gen::inRange<std::uint64_t>(1, 1u << 30),
-                        static_cast<zones::Order::What>(*rc::gen::inRange(0, 3)),
+                        static_cast<zones::Order::Action>(*rc::gen::inRange(0, 3)),
                         *rc::gen::inRange(0, 300), kUnix - *rc::gen::inRange(0, 99) * 1000});
   for (int i = entries(); i > 0; --i)
-    w.verdicts.push_back(
+    w.decisions.push_back(
         {*rc::gen::arbitrary<std::uint32_t>(), *rc::gen::inRange(-1, 20),
          *rc::gen::inRange<std::uint64_t>(1, 1u << 30), *rc::gen::inRange<std::uint8_t>(0, 5),
          static_cast<zones::Cause>(*rc::gen::inRange(0, 5)), *rc::gen::inRange(0, 300),
@@ -368,11 +369,11 @@
   const auto starts = [](const auto& part, const auto& whole) {
     return part.size() <= whole.size() && std::equal(part.begin(), part.end(), whole.begin());
   };
-  RC_ASSERT(starts(read->orders, w.orders) && starts(read->verdicts, w.verdicts) &&
+  RC_ASSERT(starts(read->orders, w.orders) && starts(read->decisions, w.decisions) &&
             starts(read->reports, w.reports));
-  RC_ASSERT(read->orders.size() + read->verdicts.size() + read->reports.size() +
+  RC_ASSERT(read->orders.size() + read->decisions.size() + read->reports.size() +
                 static_cast<std::size_t>(left) ==
-            w.orders.size() + w.verdicts.size() + w.reports.size());
+            w.orders.size() + w.decisions.size() + w.reports.size());
   for (std::size_t cut = 0; cut < bytes.size(); ++cut) zones::Decode(bytes.substr(0, cut));
 }
 
