--- a/lab/sim/simulation.cpp
+++ b/lab/sim/simulation.cpp
@@ -601,12 +601,12 @@
     for (int n = 0; n < s_.nodes; ++n)
       if (n != static_cast<int>(self)) alive.push_back(n);
     for (const shared_state::WorkerStatus& s : shared_->health().Update(kUnix + now_, alive)) {
-      dispatch::Judgement j;
+      dispatch::HealthVerdict j;
       j.worker = s.worker;
-      j.out = s.ejected;
+      j.ejected = s.ejected;
       j.trial = s.probe;
       j.cold = s.cold;
-      j.at = s.observed_at - kUnix;
+      j.observed_at = s.observed_at - kUnix;
       j.witnesses = s.reporters;
       Tell(std::move(j));
     }
@@ -694,7 +694,7 @@
     e.due = due - 5'000;
     e.slots = c.slots;
     e.is_repeat = job.tries > 1;
-    if (shared_ != nullptr && job.tenant >= 0) e.over_share = admission.over_quota;
+    if (shared_ != nullptr && job.tenant >= 0) e.over_quota = admission.over_quota;
     Tell(e);
     Own(due, Kind::kDeadline, id);
   }
@@ -750,7 +750,7 @@
   void Tell(dispatch::Event event) {
     events_.push_back(std::move(event));
     if (std::exchange(turn_set_, true)) return;
-    Own(std::max(now_, last_turn_ + site_.settings.round), Kind::kTurn, life_);
+    Own(std::max(now_, last_turn_ + site_.settings.min_handle_interval), Kind::kTurn, life_);
   }
   void Turn() {
     turn_set_ = false;
@@ -827,7 +827,7 @@
     if (!a.out) return;
     if (shared_ != nullptr && item.kind != Kind::kEnded)
       shared_->health().OnWorkerResponse(kUnix + now_, a.worker);
-    if (item.kind == Kind::kTaken) return Tell(dispatch::AttemptTaken{id, number, a.worker});
+    if (item.kind == Kind::kTaken) return Tell(dispatch::AttemptAccepted{id, number, a.worker});
     if (item.kind == Kind::kStarted) return Tell(dispatch::AttemptStarted{id, number, a.worker});
     if (item.kind == Kind::kProgressed)
       return Tell(dispatch::AttemptProgress{id, number, a.worker, 0.5});
--- a/src/node/cli/fleet_setup.cpp
+++ b/src/node/cli/fleet_setup.cpp
@@ -27,8 +27,8 @@
   shares.window = s.window;
   shares.skew = s.skew;
   shares.floor = s.floor;
-  if (site.settings.progress_every > 0)
-    shares.health.silence_timeout = site.settings.progress_every * 5 / 2;
+  if (site.settings.progress_interval > 0)
+    shares.health.silence_timeout = site.settings.progress_interval * 5 / 2;
   return shares;
 }
 
