--- a/src/node/shared_state/shared.cpp
+++ b/src/node/shared_state/shared.cpp
@@ -7,10 +7,10 @@
 namespace pearreach::shared_state {
 namespace {
 
-constexpr std::size_t kMaxOpinions = 6;  // in a word: the rest is the counts'
-constexpr std::size_t kRelayed = 12;     // tried for the room that is left
+constexpr std::size_t kMaxHealthReports = 6;  // per message; the rest of the room is for usage
+constexpr std::size_t kMaxRelayed = 12;       // entries tried per message
 
-UsageOptions ForCounts(const SharedStateOptions& o) {
+UsageOptions ForUsage(const SharedStateOptions& o) {
   UsageOptions c;
   c.self = o.self;
   c.nodes = o.nodes;
@@ -31,7 +31,7 @@
   b.skew = o.skew;
   return b;
 }
-WorkerHealthOptions ForJudgements(const SharedStateOptions& o) {
+WorkerHealthOptions ForHealth(const SharedStateOptions& o) {
   WorkerHealthOptions j = o.health;
   j.self = o.self;
   j.nodes = o.nodes;
@@ -46,25 +46,25 @@
                          Micros now)
     : options_(std::move(options)),
       process_(process),
-      counts_(ForCounts(options_), process, now),
+      usage_(ForUsage(options_), process, now),
       budgets_(ForBudgets(options_), process, seed, now),
-      judgements_(ForJudgements(options_), process),
-      next_(now),
-      ring_(static_cast<std::size_t>(seed % 1000)) {}
+      health_(ForHealth(options_), process),
+      next_tick_(now),
+      next_peer_(static_cast<std::size_t>(seed % 1000)) {}
 
-// A ceiling and the repeats' budget are limits: beyond them a job is refused, with when there will
-// be room. Beyond its share an account's job is taken, at the worth that such jobs have.
+// The usage ceiling and the retry budget are hard limits: a job beyond them is rejected with the
+// time to wait. A job beyond its account's quota is admitted, at the value of such jobs.
 SharedState::Admission SharedState::Admit(Micros now, int account, bool is_repeat) {
   Admission a;
   if (is_repeat && options_.retry_limit > 0 &&
       !budgets_.TrySpend(now, static_cast<int>(options_.quotas.size()), 1, &a.retry_after)) {
-    ++figures_.rejected_by_retry_limit;
+    ++stats_.rejected_by_retry_limit;
     a.rejected = true;
     return a;
   }
-  if (account < 0 || account >= counts_.accounts()) return a;
-  if (!counts_.TryCount(now, account, &a.retry_after)) {
-    ++figures_.rejected_by_ceiling;
+  if (account < 0 || account >= usage_.accounts()) return a;
+  if (!usage_.TryCount(now, account, &a.retry_after)) {
+    ++stats_.rejected_by_ceiling;
     a.rejected = true;
     return a;
   }
@@ -72,93 +72,96 @@
   return a;
 }
 
-void SharedState::Say(Micros now, int to, std::vector<QuotaRequest> asks, std::vector<Grant> grants,
-                      std::vector<OutgoingMessage>* out) {
-  Message w;
-  w.zone = options_.zone;
-  w.at = now;
-  w.requests = std::move(asks);
-  w.grants = std::move(grants);
-  w.health_reports = judgements_.TakeReportsToSend(now, kMaxOpinions);
-  const auto accounts = static_cast<std::size_t>(counts_.accounts());
-  // Ceilings bind from when they are said: those that find no room bind all the same, which is the
-  // safe side.
+void SharedState::QueueMessage(Micros now, int to, std::vector<QuotaRequest> requests,
+                               std::vector<Grant> grants, std::vector<OutgoingMessage>* out) {
+  Message message;
+  message.zone = options_.zone;
+  message.at = now;
+  message.requests = std::move(requests);
+  message.grants = std::move(grants);
+  message.health_reports = health_.TakeReportsToSend(now, kMaxHealthReports);
+  const auto accounts = static_cast<std::size_t>(usage_.accounts());
+  // A ceiling binds this node from now on, even if its entry does not fit into the message; that
+  // errs on the safe side.
   for (std::size_t i = 0; i < std::min<std::size_t>(accounts, 16); ++i) {
-    const int k = static_cast<int>((account_ + i) % accounts);
-    w.own_usage.push_back(counts_.MakeUpdate(now, k));
-    w.limits.push_back(budgets_.limit(now, k));
+    const int k = static_cast<int>((next_account_ + i) % accounts);
+    message.own_usage.push_back(usage_.MakeUpdate(now, k));
+    message.limits.push_back(budgets_.limit(now, k));
   }
-  if (accounts > 16) account_ = (account_ + 16) % accounts;
-  // Where words go to some only, the others' counts travel through them.
+  if (accounts > 16) next_account_ = (next_account_ + 16) % accounts;
+  // If a round does not reach all nodes, messages relay the usage of other nodes.
   if (options_.nodes - 1 > options_.fanout && accounts > 0)
-    for (std::size_t i = 0; i < kRelayed; ++i) {
-      relay_ = (relay_ + 1) % (static_cast<std::size_t>(options_.nodes) * accounts);
-      const int node = static_cast<int>(relay_ / accounts);
+    for (std::size_t i = 0; i < kMaxRelayed; ++i) {
+      next_relayed_ = (next_relayed_ + 1) % (static_cast<std::size_t>(options_.nodes) * accounts);
+      const int node = static_cast<int>(next_relayed_ / accounts);
       if (node == to || node == options_.self) continue;
-      const auto held = counts_.latest(node, static_cast<int>(relay_ % accounts));
-      if (held && held->at > now - options_.window) w.relayed_usage.push_back(*held);
+      const auto update = usage_.latest(node, static_cast<int>(next_relayed_ % accounts));
+      if (update && update->at > now - options_.window) message.relayed_usage.push_back(*update);
     }
-  if (w.own_usage.empty() && w.relayed_usage.empty() && w.health_reports.empty() &&
-      w.requests.empty() && w.grants.empty())
-    return;  // nothing to say
-  int left = 0;
-  out->push_back({to, Encode(w, options_.max_message_bytes, &left)});
+  if (message.own_usage.empty() && message.relayed_usage.empty() &&
+      message.health_reports.empty() && message.requests.empty() && message.grants.empty())
+    return;
+  int omitted = 0;
+  out->push_back({to, Encode(message, options_.max_message_bytes, &omitted)});
   if (out->back().section.empty()) return out->pop_back();
-  ++figures_.messages_sent;
-  figures_.entries_omitted += static_cast<std::uint64_t>(left);
+  ++stats_.messages_sent;
+  stats_.entries_omitted += static_cast<std::uint64_t>(omitted);
 }
 
 void SharedState::Tick(Micros now, const std::vector<int>& alive,
                        std::vector<OutgoingMessage>* out) {
-  if (now < next_) return;
-  next_ = now + options_.send_interval;
-  std::map<int, std::vector<QuotaRequest>> asks;
-  for (const Budgets::OutgoingRequest& w : budgets_.PlanRequests(now, alive))
-    asks[w.to].push_back(w.request);
-  figures_.requests_sent += asks.size();
+  if (now < next_tick_) return;
+  next_tick_ = now + options_.send_interval;
+  std::map<int, std::vector<QuotaRequest>> requests;
+  for (const Budgets::OutgoingRequest& r : budgets_.PlanRequests(now, alive))
+    requests[r.to].push_back(r.request);
+  stats_.requests_sent += requests.size();
   for (std::size_t i = 0; i < std::min(alive.size(), static_cast<std::size_t>(options_.fanout));
        ++i) {
-    const int to = alive[(ring_ + i) % alive.size()];
-    const auto it = asks.find(to);
-    Say(now, to, it == asks.end() ? std::vector<QuotaRequest>() : std::exchange(it->second, {}), {},
-        out);
-    if (it != asks.end()) asks.erase(it);
+    const int to = alive[(next_peer_ + i) % alive.size()];
+    const auto it = requests.find(to);
+    QueueMessage(now, to,
+                 it == requests.end() ? std::vector<QuotaRequest>() : std::exchange(it->second, {}),
+                 {}, out);
+    if (it != requests.end()) requests.erase(it);
   }
-  ring_ += static_cast<std::size_t>(options_.fanout);
-  for (auto& [to, list] : asks) Say(now, to, std::move(list), {}, out);
+  next_peer_ += static_cast<std::size_t>(options_.fanout);
+  for (auto& [to, list] : requests) QueueMessage(now, to, std::move(list), {}, out);
 }
 
 void SharedState::OnMessage(Micros now, int from, std::uint64_t process, std::string_view section,
                             std::vector<OutgoingMessage>* out) {
-  const auto w = Decode(section, from, process);
-  if (!w) {
-    ++figures_.malformed;
+  const auto message = Decode(section, from, process);
+  if (!message) {
+    ++stats_.malformed;
     return;
   }
-  for (std::size_t i = 0; i < w->own_usage.size(); ++i) {
-    figures_.updates_merged += counts_.Merge(now, w->own_usage[i]) ? 1 : 0;
-    // A node on older settings holds the fleet to the stricter of both while it says so.
-    if (w->own_usage[i].account < 0 || w->own_usage[i].account >= counts_.accounts()) continue;
-    const double mine = options_.quotas[static_cast<std::size_t>(w->own_usage[i].account)];
-    if (w->limits[i] > 0 && w->limits[i] < mine - 0.001) {
-      differs_ = true;
-      if (w->at > now - 2 * options_.lease)
-        budgets_.OnRemoteLimit(now, w->own_usage[i].account, w->limits[i]);
+  for (std::size_t i = 0; i < message->own_usage.size(); ++i) {
+    stats_.updates_merged += usage_.Merge(now, message->own_usage[i]) ? 1 : 0;
+    // While a node reports a lower quota from older settings, the lower of the two applies.
+    if (message->own_usage[i].account < 0 || message->own_usage[i].account >= usage_.accounts())
+      continue;
+    const double own_quota =
+        options_.quotas[static_cast<std::size_t>(message->own_usage[i].account)];
+    if (message->limits[i] > 0 && message->limits[i] < own_quota - 0.001) {
+      limits_differ_ = true;
+      if (message->at > now - 2 * options_.lease)
+        budgets_.OnRemoteLimit(now, message->own_usage[i].account, message->limits[i]);
     }
   }
-  for (const UsageUpdate& c : w->relayed_usage) counts_.Merge(now, c);
-  for (const HealthReport& o : w->health_reports) judgements_.Merge(now, o);
-  for (const Grant& g : w->grants) {
-    ++figures_.grants_received;
+  for (const UsageUpdate& c : message->relayed_usage) usage_.Merge(now, c);
+  for (const HealthReport& o : message->health_reports) health_.Merge(now, o);
+  for (const Grant& g : message->grants) {
+    ++stats_.grants_received;
     budgets_.OnGrant(now, from, process, g);
   }
-  // An old ask is not what the other wants now.
-  if (w->at < now - options_.lease) return;
+  // An old request no longer reflects what the other node needs.
+  if (message->at < now - options_.lease) return;
   std::vector<Grant> grants;
-  for (const QuotaRequest& a : w->requests)
+  for (const QuotaRequest& a : message->requests)
     if (const auto g = budgets_.OnRequest(now, from, process, a)) grants.push_back(*g);
-  figures_.grants_sent += grants.size();
-  if (!grants.empty()) Say(now, from, {}, std::move(grants), out);
+  stats_.grants_sent += grants.size();
+  if (!grants.empty()) QueueMessage(now, from, {}, std::move(grants), out);
 }
 
 }  // namespace pearreach::shared_state
--- a/src/node/shared_state/words.h
+++ b/src/node/shared_state/words.h
@@ -1,6 +1,6 @@
-// What one node says to another of shared state, as values and as bytes. Pure and bounded: it reads
-// nothing that it has not checked, must never give more than the caller has room for, and passes
-// over what it does not know.
+// The message that nodes exchange about shared state: quota usage, budget requests and grants, and
+// worker health reports, with its encoding. Pure functions without I/O. Encoding never exceeds the
+// size that the caller allows; decoding checks all values and skips unknown fields.
 #ifndef PEARREACH_SRC_NODE_SHARED_STATE_WORDS_H_
 #define PEARREACH_SRC_NODE_SHARED_STATE_WORDS_H_
 
@@ -18,20 +18,21 @@
 constexpr std::int64_t kEpochMs = 1'767'225'600'000;  // 2026-01-01, Unix ms
 
 struct Message {
-  int zone = 0;
-  Micros at = 0;
-  std::vector<UsageUpdate> own_usage;  // node and process are the sender's
-  std::vector<double> limits;          // of each of those accounts, a second
+  int zone = 0;                        // of the sender
+  Micros at = 0;                       // send time by the sender's clock
+  std::vector<UsageUpdate> own_usage;  // `node` and `process` are those of the sender
+  std::vector<double> limits;          // per entry of own_usage: the account's quota per second
   std::vector<UsageUpdate> relayed_usage;
   std::vector<QuotaRequest> requests;
   std::vector<Grant> grants;
   std::vector<HealthReport> health_reports;
 };
 
-// The longest start of the word that fits into `room`, by order of what waiting costs: grants,
-// asks, judgements, the sender's counts, others' counts. `*left_out`: entries without room.
-std::string Encode(const Message& word, std::size_t room, int* left_out);
-// None: it cannot be read. `from` and `process` are the sender's.
+// Encodes as many entries as fit into `room` bytes. The order is that of the cost of a delay:
+// grants, requests, health reports, the sender's usage, relayed usage. Sets `*left_out` to the
+// number of entries that did not fit. Returns an empty string if not even the header fits.
+std::string Encode(const Message& message, std::size_t room, int* left_out);
+// Returns nullopt for malformed bytes. `from` and `process` identify the sender.
 std::optional<Message> Decode(std::string_view bytes, int from, std::uint64_t process);
 
 }  // namespace pearreach::shared_state
--- a/src/node/zones/messages.cpp
+++ b/src/node/zones/messages.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr std::int64_t kEpochMs = 1'767'225'600'000;  // 2026-01-01, Unix ms
-constexpr int kMaxEntries = 64;                       // of one column: a datagram holds fewer
-constexpr std::uint64_t kMaxFigure = 1'000'000'000'000'000;
+constexpr int kMaxEntries = 64;                       // per column; a datagram holds fewer
+constexpr std::uint64_t kMaxValue = 1'000'000'000'000'000;
 constexpr std::uint32_t kMaxNode = 1'000'000;
 
 std::int64_t AgeMs(const wire::Section& s, Micros at) {
@@ -51,17 +51,17 @@
   to->add_report_failed(r.failed);
 }
 
-// Columns of one entry stand or fall together.
+// Columns of one kind of entry must have the same length.
 template <class... Column>
-bool Even(const Column&... columns) {
+bool SameSize(const Column&... columns) {
   const int sizes[] = {columns.size()...};
   return sizes[0] <= kMaxEntries &&
          std::all_of(std::begin(sizes), std::end(sizes), [&](int s) { return s == sizes[0]; });
 }
-bool Bounded(std::uint64_t figure) { return figure <= kMaxFigure; }
+bool Bounded(std::uint64_t value) { return value <= kMaxValue; }
 bool BoundedAge(std::int64_t age) {
-  return age <= static_cast<std::int64_t>(kMaxFigure / 1000) &&
-         age >= -static_cast<std::int64_t>(kMaxFigure / 1000);
+  return age <= static_cast<std::int64_t>(kMaxValue / 1000) &&
+         age >= -static_cast<std::int64_t>(kMaxValue / 1000);
 }
 
 }  // namespace
@@ -70,61 +70,61 @@
   static constexpr const char* kNames[] = {"none", "slow", "failing", "silent", "dead"};
   return kNames[static_cast<std::size_t>(cause)];
 }
-const char* NameOf(Order::Action what) {
+const char* NameOf(Order::Action action) {
   static constexpr const char* kNames[] = {"none", "leave", "return"};
-  return kNames[static_cast<std::size_t>(what)];
+  return kNames[static_cast<std::size_t>(action)];
 }
 
-bool Later(const Decision& a, const Decision& b) {
-  // Of one number the stricter: left before any step, a lower step before a higher one, whole last.
+bool Supersedes(const Decision& a, const Decision& b) {
+  // Under one number the stricter wins: ejected first, then the lower step, fully in use last.
   const auto strict = [](const Decision& v) { return v.step == kInUse ? 0 : 100 - v.step; };
   return std::tuple(a.number, strict(a), b.decided_by, a.decided_at, a.ejections, a.cause) >
          std::tuple(b.number, strict(b), a.decided_by, b.decided_at, b.ejections, b.cause);
 }
-bool Later(const Order& a, const Order& b) {
+bool Supersedes(const Order& a, const Order& b) {
   const auto strict = [](const Order& o) {
     return o.action == Order::Action::kLeave ? 2 : o.action == Order::Action::kNone ? 1 : 0;
   };
   return std::tuple(a.number, strict(a), b.issued_by, a.issued_at) >
          std::tuple(b.number, strict(b), a.issued_by, b.issued_at);
 }
-bool Later(const Report& a, const Report& b) {
+bool Supersedes(const Report& a, const Report& b) {
   return std::tie(a.reporter_process, a.sequence) > std::tie(b.reporter_process, b.sequence);
 }
 
-std::string Encode(const Message& word, std::size_t room, int* left_out) {
+std::string Encode(const Message& message, std::size_t room, int* left_out) {
   wire::Section s;
-  s.set_zone(static_cast<std::uint32_t>(word.zone));
-  s.set_at(static_cast<std::uint64_t>(std::max<std::int64_t>(0, word.at / 1000 - kEpochMs)));
-  s.set_asks(word.requests_state);
-  int left = 0;
+  s.set_zone(static_cast<std::uint32_t>(message.zone));
+  s.set_at(static_cast<std::uint64_t>(std::max<std::int64_t>(0, message.at / 1000 - kEpochMs)));
+  s.set_asks(message.requests_state);
+  int omitted = 0;
   std::string bytes = s.SerializeAsString();
-  // What an entry costs is known once it is there: one too many is taken back with the bytes.
+  // The size of an entry is known only once it is added: `bytes` keeps the last state that fits.
   const auto add = [&](const auto& entry) {
-    if (left > 0) return void(++left);
+    if (omitted > 0) return void(++omitted);
     Put(entry, &s);
     if (s.ByteSizeLong() > room)
-      ++left;
+      ++omitted;
     else
       s.SerializeToString(&bytes);
   };
-  for (const Order& o : word.orders) add(o);
-  for (const Decision& v : word.decisions) add(v);
-  for (const Report& r : word.reports) add(r);
-  if (left_out != nullptr) *left_out = left;
+  for (const Order& o : message.orders) add(o);
+  for (const Decision& v : message.decisions) add(v);
+  for (const Report& r : message.reports) add(r);
+  if (left_out != nullptr) *left_out = omitted;
   return bytes.size() <= room ? bytes : std::string();
 }
 
 std::optional<Message> Decode(std::string_view bytes) {
   wire::Section s;
   if (!s.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return std::nullopt;
-  if (!Even(s.verdict_target(), s.verdict_for(), s.verdict_number(), s.verdict_step(),
-            s.verdict_cause(), s.verdict_by(), s.verdict_age(), s.verdict_leaves()) ||
-      !Even(s.order_target(), s.order_number(), s.order_what(), s.order_by(), s.order_age()) ||
-      !Even(s.report_target(), s.report_node(), s.report_zone(), s.report_process(),
-            s.report_number(), s.report_seen(), s.report_age(), s.report_about(), s.report_good(),
-            s.report_failed()) ||
-      !Bounded(s.at()) || s.at() > kMaxFigure / 1000 || s.zone() > 10'000)
+  if (!SameSize(s.verdict_target(), s.verdict_for(), s.verdict_number(), s.verdict_step(),
+                s.verdict_cause(), s.verdict_by(), s.verdict_age(), s.verdict_leaves()) ||
+      !SameSize(s.order_target(), s.order_number(), s.order_what(), s.order_by(), s.order_age()) ||
+      !SameSize(s.report_target(), s.report_node(), s.report_zone(), s.report_process(),
+                s.report_number(), s.report_seen(), s.report_age(), s.report_about(),
+                s.report_good(), s.report_failed()) ||
+      !Bounded(s.at()) || s.at() > kMaxValue / 1000 || s.zone() > 10'000)
     return std::nullopt;
   Message w;
   w.zone = static_cast<int>(s.zone());
--- a/src/node/zones/messages.h
+++ b/src/node/zones/messages.h
@@ -1,6 +1,6 @@
-// What one node says to another of zones, as values and as bytes. Pure and bounded: it reads
-// nothing that it has not checked, must never give more than the caller has room for, and passes
-// over what it does not know.
+// The message that nodes exchange about zones: ejection decisions, operators' orders and reports,
+// with its encoding. Pure functions without I/O. Encoding never exceeds the size that the caller
+// allows; decoding checks all values and skips unknown fields.
 #ifndef PEARREACH_SRC_NODE_ZONES_MESSAGES_H_
 #define PEARREACH_SRC_NODE_ZONES_MESSAGES_H_
 
@@ -14,72 +14,75 @@
 
 using Micros = std::int64_t;  // Unix time
 
-// A zone or a region, by a hash of its name that is the same at all nodes.
+// Identifies a zone or a region by a hash of its name, the same at all nodes.
 using TargetKey = std::uint32_t;
 
-// Why a zone is left. The graver comes later.
+// Why a zone is ejected, in ascending order of severity.
 enum class Cause : std::uint8_t { kNone, kSlow, kFailing, kSilent, kDead };
 const char* NameOf(Cause cause);
 
-// How far a zone is in use: 0 whole; 1 left, but for trials; then more and more of the pairs of a
-// node and a worker are open.
+// How far a zone is in use: fully, ejected except for probes, or one of the steps of its return,
+// each of which opens more pairs of a node and a worker.
 constexpr std::uint8_t kInUse = 0, kEjected = 1;
 constexpr std::uint8_t kLastStep = 4;
 
 struct Decision {
   TargetKey target = 0;
-  int for_zone = -1;  // nodes that it is for: of that zone; -1: all
+  int for_zone = -1;  // applies to the nodes of this zone only; -1: to all nodes
   std::uint64_t number = 0;
   std::uint8_t step = kInUse;
   Cause cause = Cause::kNone;
-  int decided_by = 0;          // the node that raised it
-  Micros decided_at = 0;       // when
-  std::uint8_t ejections = 0;  // in a row, without a long good time between them
+  int decided_by = 0;  // node
+  Micros decided_at = 0;
+  std::uint8_t ejections = 0;  // in a row, without a long healthy period between them
   bool operator==(const Decision&) const = default;
 };
-// A total order, so that the merge, which is the later one, does not depend on the order, number
-// or loss of words: the higher number; of one number the stricter; then by the node.
-bool Later(const Decision& a, const Decision& b);
+// Whether `a` replaces `b` in a merge: it has the higher number, or is stricter under the same
+// number, or was made by the lower node. This is a total order, so that the merge does not depend
+// on the order, number or loss of messages.
+bool Supersedes(const Decision& a, const Decision& b);
 
 struct Order {
-  enum class Action : std::uint8_t { kNone, kLeave, kReturn };  // kNone: taken back
+  enum class Action : std::uint8_t { kNone, kLeave, kReturn };  // kNone: the order is withdrawn
   TargetKey target = 0;
   std::uint64_t number = 0;
   Action action = Action::kNone;
-  int issued_by = 0;
+  int issued_by = 0;  // node
   Micros issued_at = 0;
   bool operator==(const Order&) const = default;
 };
-const char* NameOf(Order::Action what);
-bool Later(const Order& a, const Order& b);
+const char* NameOf(Order::Action action);
+bool Supersedes(const Order& a, const Order& b);
 
-// What one node has itself seen of a zone of late.
+// What one node has itself recently observed of a zone.
 struct Report {
   TargetKey target = 0;
   int reporter = 0, reporter_zone = 0;  // the node and its own zone
   std::uint64_t reporter_process = 0;
-  std::uint32_t sequence = 0;       // a later one of one process replaces it
-  std::uint8_t tried = 0, bad = 0;  // of the zone's weight, in 255ths
+  std::uint32_t sequence = 0;       // a higher one of the same process replaces the report
+  std::uint8_t tried = 0, bad = 0;  // fractions of the zone's weight, in 255ths
   Cause cause = Cause::kNone;
-  bool overloaded = false;  // it turns jobs away for want of room
+  bool overloaded = false;  // the reporter rejects jobs because it has no capacity
   Micros reported_at = 0;
-  std::uint64_t decision_number = 0;        // the verdict of whose time these are:
-  std::uint32_t succeeded = 0, failed = 0;  // jobs sent there since
+  std::uint64_t decision_number = 0;        // decision to which the next two counters refer
+  std::uint32_t succeeded = 0, failed = 0;  // jobs sent to the zone since that decision
   bool operator==(const Report&) const = default;
 };
-bool Later(const Report& a, const Report& b);
+bool Supersedes(const Report& a, const Report& b);
 
 struct Message {
-  int zone = 0;
-  Micros at = 0;
-  bool requests_state = false;
+  int zone = 0;                 // of the sender
+  Micros at = 0;                // send time by the sender's clock
+  bool requests_state = false;  // the sender has just started and requests decisions and orders
   std::vector<Decision> decisions;
   std::vector<Order> orders;
   std::vector<Report> reports;
 };
 
-// As much as fits into `room`: orders, verdicts, reports. `*left_out`: entries without room.
-std::string Encode(const Message& word, std::size_t room, int* left_out);
+// Encodes as many entries as fit into `room` bytes: orders first, then decisions, then reports.
+// Sets `*left_out` to the number of entries that did not fit.
+std::string Encode(const Message& message, std::size_t room, int* left_out);
+// Returns nullopt for malformed bytes.
 std::optional<Message> Decode(std::string_view bytes);
 
 }  // namespace pearreach::zones
--- a/src/node/zones/mix.h
+++ b/src/node/zones/mix.h
@@ -1,4 +1,4 @@
-// The hash by which all nodes draw alike.
+// A hash that gives all nodes the same pseudo-random choices.
 #ifndef PEARREACH_SRC_NODE_ZONES_MIX_H_
 #define PEARREACH_SRC_NODE_ZONES_MIX_H_
 
--- a/src/node/zones/zones.cpp
+++ b/src/node/zones/zones.cpp
@@ -8,45 +8,45 @@
 namespace pearreach::zones {
 namespace {
 
-constexpr double kLearn = 0.1;  // weight of one job's end in what a zone does
+constexpr double kSmoothing = 0.1;  // weight of one job in the moving averages of a zone
 
 }  // namespace
 
 TargetKey KeyOf(const std::string& name) { return XXH32(name.data(), name.size(), 0x5a4f4e45); }
 
 ZoneFailover::ZoneFailover(Options options, std::uint64_t process, Micros now)
-    : options_(std::move(options)), process_(process), began_(now), next_(now) {
+    : options_(std::move(options)), process_(process), started_at_(now), next_tick_(now) {
   for (std::size_t z = 0; z < options_.zones.size(); ++z)
     targets_.push_back({options_.zones[z], {static_cast<int>(z)}});
   for (const Target& region : options_.regions) targets_.push_back(region);
   for (std::size_t t = 0; t < targets_.size(); ++t) by_key_[KeyOf(targets_[t].name)] = t;
-  seen_.resize(options_.zones.size());
+  observations_.resize(options_.zones.size());
   for (std::size_t z = 0; z < options_.zones.size(); ++z)
-    standing_.push_back({.zone = static_cast<int>(z)});
-  told_ = standing_;
+    statuses_.push_back({.zone = static_cast<int>(z)});
+  reported_statuses_ = statuses_;
 }
 
-const Target* ZoneFailover::Find(TargetKey key) const {
+const Target* ZoneFailover::FindTarget(TargetKey key) const {
   const auto it = by_key_.find(key);
   return it == by_key_.end() ? nullptr : &targets_[it->second];
 }
 const std::string& ZoneFailover::name(TargetKey key) const {
   static const std::string kUnknown = "?";
-  const Target* t = Find(key);
+  const Target* t = FindTarget(key);
   return t == nullptr ? kUnknown : t->name;
 }
-bool ZoneFailover::Covers(const Target& target, int zone) const {
+bool ZoneFailover::Contains(const Target& target, int zone) const {
   return std::find(target.zones.begin(), target.zones.end(), zone) != target.zones.end();
 }
 
 void ZoneFailover::OnListed(WorkerKey key, int zone, int kind, double weight, Micros started,
                             bool in_service) {
-  if (zone < 0 || zone >= static_cast<int>(seen_.size())) return;
+  if (zone < 0 || zone >= static_cast<int>(observations_.size())) return;
   Worker& w = workers_[key];
   w.zone = zone;
   w.kind = kind;
   w.weight = std::max(weight, 1e-6);
-  w.started = started;
+  w.started_at = started;
   w.in_service = in_service;
 }
 
@@ -55,40 +55,40 @@
 void ZoneFailover::OnJobSent(Micros now, WorkerKey key) {
   const auto it = workers_.find(key);
   if (it == workers_.end()) return;
-  if (it->second.sent < now - options_.evidence_ttl) it->second.since = now;
-  it->second.sent = now;
-  ++it->second.out;
+  if (it->second.last_sent_at < now - options_.evidence_ttl) it->second.active_since = now;
+  it->second.last_sent_at = now;
+  ++it->second.in_flight;
 }
 
 void ZoneFailover::SetOwnHealth(WorkerKey key, Cause cause, Micros at) {
   const auto it = workers_.find(key);
   if (it == workers_.end()) return;
   it->second.cause = cause;
-  it->second.seen = at;
+  it->second.cause_at = at;
 }
 
 void ZoneFailover::OnJobEnded(Micros, WorkerKey key, JobOutcome end, int cls, Micros run) {
   const auto it = workers_.find(key);
   if (it == workers_.end()) return;
   Worker& w = it->second;
-  w.out = std::max(0, w.out - 1);
-  ZoneSeen& z = seen_[static_cast<std::size_t>(w.zone)];
+  w.in_flight = std::max(0, w.in_flight - 1);
+  ZoneObservations& z = observations_[static_cast<std::size_t>(w.zone)];
   ++z.jobs;
-  z.failures += kLearn * ((end == JobOutcome::kServed ? 0 : 1) - z.failures);
+  z.failure_rate += kSmoothing * ((end == JobOutcome::kServed ? 0 : 1) - z.failure_rate);
   if (end == JobOutcome::kServed && run > 0) {
-    Run& r = z.runs[cls];
-    r.mean += (r.jobs == 0 ? 1 : kLearn) * (static_cast<double>(run) - r.mean);
+    RunTime& r = z.run_times[cls];
+    r.mean += (r.jobs == 0 ? 1 : kSmoothing) * (static_cast<double>(run) - r.mean);
     ++r.jobs;
   }
-  if (w.before > 0)
-    --w.before;
-  else if (z.about > 0)
-    ++(end == JobOutcome::kServed ? z.good : z.failed);
+  if (w.sent_before_decision > 0)
+    --w.sent_before_decision;
+  else if (z.decision_number > 0)
+    ++(end == JobOutcome::kServed ? z.succeeded : z.failed);
 }
 
 std::vector<Decision> ZoneFailover::decisions() const {
   std::vector<Decision> all;
-  for (const auto& [key, v] : verdicts_)
+  for (const auto& [key, v] : decisions_)
     if (v.number > 0) all.push_back(v);
   return all;
 }
--- a/tests/node/shared_state/shared_test.cpp
+++ b/tests/node/shared_state/shared_test.cpp
@@ -1,5 +1,5 @@
-// What the fleet shares: each kind's contract as a property, and many nodes in virtual time under
-// faults. Each test is red when the guard that it names is taken out.
+// Shared state: properties of usage counters, budgets and worker health, and fleets of many nodes
+// in virtual time under faults. A test that names a guard fails if that guard is removed.
 #include "node/shared_state/shared.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 
 using lab::Fault;
 using lab::TrialPlan;
-using namespace shared_state;  // NOLINT: the test is about nothing else
+using namespace shared_state;  // NOLINT: all names of the test come from it
 
 constexpr Micros kUnix = 1'800'000'000'000'000;
 
@@ -42,8 +42,7 @@
 std::string Violations(const lab::History& history, std::size_t most = 4) {
   std::string text;
   for (const lab::Violation& v : lab::CheckAll(history)) {
-    // Where half of all words are lost for good, who is there is never settled; that is judged
-    // where membership is.
+    // With half of all messages lost, membership never settles; the tests of membership cover that.
     if (v.rule == "agreement" || v.rule == "noticed" || v.rule == "unfounded") continue;
     if (most-- == 0) break;
     text += v.rule + ": " + v.what + "\n";
@@ -129,7 +128,7 @@
   }
 }
 
-// ---------------------------------------------------------------- guards left out
+// ---------------------------------------------------------------- disabled guards
 
 int Broken(const Budgets::DisabledGuards& without, std::vector<Fault> faults) {
   lab::SharedLoad load = Load();
@@ -147,11 +146,11 @@
 }
 
 TEST(SharedGuards, EachLeftOutBreaksTheSum) {
-  EXPECT_GT(Broken({.deduct_lent = true}, {}), 0) << "what was lent is spent by its giver too";
+  EXPECT_GT(Broken({.deduct_lent = true}, {}), 0) << "the lender spends the quota that it has lent";
   EXPECT_GT(Broken({.startup_quarantine = true}, {Of(What::kKill, 6'000'000, 100'000, "z1")}), 0)
-      << "a new process spends what the one before it has lent";
+      << "a new process spends quota that its predecessor has lent";
   EXPECT_GT(Broken({.grant_expiry = true}, {Of(What::kLose, 6'000'000, 5'000'000, "*", "*")}), 0)
-      << "a lease that ran out is spent on";
+      << "borrowed quota is spent after its lease";
 }
 
 TEST(SharedBudgets, AGrantToAnEarlierProcessIsNotTaken) {
@@ -162,9 +161,9 @@
   b.OnGrant(kUnix, 1, 9, {0, 2, 2'000, 3'000, kUnix + 1'000'000});
   EXPECT_EQ(b.borrowed(kUnix, 0), 3'000);
   b.OnGrant(kUnix, 1, 9, {0, 1, 2'000, 9'000, kUnix + 1'000'000});
-  EXPECT_EQ(b.borrowed(kUnix, 0), 3'000) << "an older grant came late";
+  EXPECT_EQ(b.borrowed(kUnix, 0), 3'000) << "an older grant arrived late";
   b.OnGrant(kUnix, 1, 9, {0, 3, 2'000, 9'000, kUnix + 60'000'000});
-  EXPECT_EQ(b.borrowed(kUnix, 0), 3'000) << "of a clock that is far off";
+  EXPECT_EQ(b.borrowed(kUnix, 0), 3'000) << "the lender's clock is far off";
 }
 
 TEST(SharedBudgets, PartsMoveToWhereTheTrafficIsAndFloorsStay) {
@@ -173,22 +172,22 @@
   Budgets giver(o, 1, 1, kUnix - 60'000'000);
   const auto g = giver.OnRequest(kUnix, 0, 77, {0, 9'000});
   ASSERT_TRUE(g);
-  EXPECT_EQ(g->amount, 5'000) << "half of its even part of ten is its floor";
+  EXPECT_EQ(g->amount, 5'000) << "half of its even share of ten is the floor";
   EXPECT_EQ(giver.allocation(kUnix, 0), 5'000);
-  EXPECT_FALSE(giver.OnRequest(kUnix, 2, 78, {0, 9'000})) << "nothing is left to lend";
+  EXPECT_FALSE(giver.OnRequest(kUnix, 2, 78, {0, 9'000})) << "no quota is left to lend";
   EXPECT_EQ(giver.allocation(kUnix + o.lease, 0), 5'000)
-      << "its lease may not have ended on every clock";
-  EXPECT_EQ(giver.allocation(kUnix + o.lease + o.skew, 0), 10'000) << "the room comes back";
+      << "the lease may not have ended on every clock";
+  EXPECT_EQ(giver.allocation(kUnix + o.lease + o.skew, 0), 10'000) << "the lent quota returns";
 }
 
 TEST(SharedBudgets, TheStricterOfTwoWholesHolds) {
   BudgetsOptions o{.self = 0, .nodes = 3, .limits = {30}};
   Budgets b(o, 1, 1, kUnix - 60'000'000);
   b.OnRemoteLimit(kUnix, 0, 90);
-  EXPECT_EQ(b.allocation(kUnix, 0), 10'000) << "a looser word changes nothing";
+  EXPECT_EQ(b.allocation(kUnix, 0), 10'000) << "a higher limit changes nothing";
   b.OnRemoteLimit(kUnix, 0, 15);
   EXPECT_EQ(b.allocation(kUnix, 0), 5'000);
-  EXPECT_EQ(b.allocation(kUnix + 60'000'000, 0), 10'000) << "nobody says so any more";
+  EXPECT_EQ(b.allocation(kUnix + 60'000'000, 0), 10'000) << "no node reports it any more";
 }
 
 TEST(SharedShares, ALoweredShareHoldsWhileHalfHaveTheOldOne) {
@@ -205,7 +204,7 @@
 rc::Gen<UsageUpdate> AWord() {
   return rc::gen::apply(
       [](int node, int process, int at, int slow) {
-        // One process's value never falls as its time goes on.
+        // The value of a process never decreases over time.
         return UsageUpdate{node,
                            0,
                            static_cast<std::uint64_t>(1000 + process),
@@ -217,7 +216,7 @@
       rc::gen::inRange(0, 1));
 }
 
-// In any order, any number of times: the same.
+// The result of a merge does not depend on the order of updates or on duplicates.
 RC_GTEST_PROP(SharedMerge, CountsDoNotDependOnOrderOrNumber, ()) {
   const auto words = *rc::gen::container<std::vector<UsageUpdate>>(AWord());
   auto others = words;
@@ -233,7 +232,7 @@
     a.Merge(kUnix, w);
     const auto held = a.latest(1, 0);
     if (held && held->process == 1003) {
-      RC_ASSERT(held->value >= before);  // counts never fall
+      RC_ASSERT(held->value >= before);  // counters never decrease
       before = held->value;
     }
   }
@@ -246,7 +245,7 @@
     RC_ASSERT(x->value == y->value);
     RC_ASSERT(x->at == y->at);
   }
-  // Of the process before it the same is held too, so the whole reading is one.
+  // The samples of the previous process are equal too, and so are the estimates.
   const UsageEstimate x = a.Estimate(kUnix, 0), y = b.Estimate(kUnix, 0);
   RC_ASSERT(std::abs(x.lower - y.lower) < 1e-9);
 }
@@ -254,7 +253,7 @@
 RC_GTEST_PROP(SharedMerge, JudgementsDoNotDependOnOrderOrNumber, ()) {
   const auto words = *rc::gen::container<std::vector<HealthReport>>(rc::gen::apply(
       [](int witness, int process, int number, int verdict) {
-        // A witness's word of one number is one word.
+        // Reports of one reporter with equal process and sequence number have equal contents.
         return HealthReport{7,
                             0,
                             witness,
@@ -319,7 +318,7 @@
   const std::vector<Fault> faults = {Of(What::kSilence, 3'000'000, 8'000'000, "s-1")};
   const lab::SharedLoad load = Load();
   lab::SharedLoad alone = load;
-  alone.options.health.min_reporters = 1'000;  // no word is ever enough
+  alone.options.health.min_reporters = 1'000;  // reports are never sufficient
   const auto with = Play(Plan(1, faults), load), without = Play(Plan(1, faults), alone);
   EXPECT_LT(with.sends_lost * 2, without.sends_lost);
   EXPECT_EQ(Violations(with.history), "");
@@ -335,15 +334,15 @@
   j.Update(kUnix, {1, 2, 3, 4});
   EXPECT_FALSE(j.statuses().contains(3));
   j.Update(kUnix + 2'000'000, {1, 2, 3, 4});
-  ASSERT_TRUE(j.statuses().contains(3)) << "its evidence is old by now";
+  ASSERT_TRUE(j.statuses().contains(3)) << "its own evidence has expired";
   EXPECT_EQ(j.statuses().at(3).reporters, (std::vector<int>{1, 2, 3, 4}));
   j.OnListed(3, 0, kUnix / 1000, true);
   j.Update(kUnix + 2'100'000, {1, 2, 3, 4});
-  EXPECT_FALSE(j.statuses().contains(3)) << "it is another process by now";
+  EXPECT_FALSE(j.statuses().contains(3)) << "the worker has a new process";
 }
 
-// Seen at 300 nodes: a look within the 30 ms that a job took after a pause called the worker
-// silent.
+// An evaluation while the first job after a pause was running (30 ms) reported the worker as
+// silent. This happened with 300 nodes.
 TEST(SharedJudgements, TheFirstJobAfterAPauseIsNoSilence) {
   WorkerHealth j({.self = 0, .nodes = 5, .zone = 0, .zones = 2}, 1);
   j.OnListed(7, 0, 0, true);
@@ -357,8 +356,8 @@
   EXPECT_EQ(j.own_status(7), HealthStatus::kSilent);
 }
 
-// Seen in a trial of processes (seed 90030): two nodes that had been stopped called a worker silent
-// for good, since the job that they had waited for in vain was never forgotten.
+// Two nodes that had been stopped reported a worker as silent forever, because a job that had timed
+// out was never cleared. This happened in a trial with processes (seed 90030).
 TEST(SharedJudgements, WhatWasWaitedForInVainFades) {
   WorkerHealth j({.self = 0, .nodes = 5, .zone = 0, .zones = 2}, 1);
   j.OnListed(7, 0, 0, true);
--- a/tests/node/zones/zones_test.cpp
+++ b/tests/node/zones/zones_test.cpp
@@ -1,5 +1,5 @@
-// Leaving a zone as a fleet and coming back: the machine in virtual time under the faults of a
-// trial, its guards left out one by one, and its merges.
+// Zone failover: ejection and return of zones by a fleet in virtual time under faults, with single
+// guards disabled, and properties of the merge and of the message encoding.
 #include "node/zones/zones.h"
 
 #include <gtest/gtest.h>
@@ -39,7 +39,7 @@
 struct Case {
   const char* name;
   std::vector<Fault> faults;
-  // Zones that all nodes leave, and whether any node may leave any other.
+  // Zones that all nodes eject, and whether nodes may eject other zones, too.
   std::vector<std::string> left;
   bool others = false;
   int nodes = 9, zones = 3;
@@ -105,7 +105,7 @@
     if (c.others) continue;
     for (const std::string& zone : LeftIn(r.history))
       EXPECT_NE(std::find(c.left.begin(), c.left.end(), zone), c.left.end())
-          << c.name << ", seed " << seed << ": " << zone << " is left, too";
+          << c.name << ", seed " << seed << ": " << zone << " is ejected, too";
   }
 }
 
@@ -197,7 +197,7 @@
   }
 }
 
-// Each guard left out is found by a case that stands above.
+// The checkers detect each disabled guard in one of the cases above.
 TEST(ZonesGuards, EachLeftOutIsFound) {
   const auto broken = [](const char* name, zones::ZoneFailover::DisabledGuards without) {
     for (const Case& c : Cases()) {
@@ -217,7 +217,7 @@
   EXPECT_GT(LeftIn(lab::RunVirtual(play->options).history).size(), 1u);
 }
 
-// Words of a verdict that come after those of its end leave nothing again.
+// Messages with an ejection that arrive after its end do not eject the zone again.
 TEST(ZonesGuards, AnOlderVerdictNeverReplacesALaterOne) {
   for (const bool guarded : {true, false}) {
     zones::Options o;
@@ -240,14 +240,15 @@
   }
 }
 
-// All workers of the fleet fail: one zone may go, as it was seen first, and no second one.
+// If all workers of the fleet fail, the zone observed first may be ejected, but no second one.
 TEST(ZonesGuards, WhereNothingIsLeftABadZoneIsBetterThanNone) {
   Case c{"all", {FaultOf(What::kFail, 5, 10, "*", "*", 0.6)}, {}};
   for (const std::uint64_t seed : {1, 2, 3})
     EXPECT_LE(LeftIn(PlayCase(c, seed).history).size(), 1u) << seed;
 }
 
-// A zone that fails grey stays while nodes turn jobs away for want of room; a dead one never does.
+// A partially failing zone stays in use while nodes reject jobs for lack of capacity; a dead zone
+// is always ejected.
 TEST(ZonesGuards, AGreyZoneStaysUnderLoadAndADeadOneDoesNot) {
   for (const auto& [cause, pressed, left] : {std::tuple(zones::Cause::kFailing, true, false),
                                              std::tuple(zones::Cause::kFailing, false, true),
@@ -281,7 +282,7 @@
   }
 }
 
-// Steps open more and more pairs, the same ones first, and never one that a step before had shut.
+// Each step opens a superset of the pairs of the step before.
 TEST(ZonesSteps, EachOpensWhatTheOneBeforeHadAndMore) {
   zones::Options o;
   o.nodes = 30;
@@ -327,7 +328,7 @@
   };
   const zones::Decision a = draw(), b = draw(), c = draw();
   const auto merge = [](const zones::Decision& x, const zones::Decision& y) {
-    return Later(x, y) ? x : y;
+    return Supersedes(x, y) ? x : y;
   };
   RC_ASSERT(merge(a, b) == merge(b, a));
   RC_ASSERT(merge(a, merge(b, c)) == merge(merge(a, b), c));
