--- a/src/node/cli/fleet_setup.cpp
+++ b/src/node/cli/fleet_setup.cpp
@@ -78,18 +78,19 @@
     for (int n = 0; n < (nodes >= 5 ? 5 : nodes >= 3 ? 3 : 1); ++n) o.voters.push_back(n);
   if (o.voters.back() >= nodes)
     wrong("there is no node " + std::to_string(o.voters.back()) + " of " + std::to_string(nodes));
-  o.every = r.every > 0 ? r.every : std::max<Micros>(250 * kMs, nodes * kRulesEveryNode);
-  o.lease = static_cast<Micros>(static_cast<double>(r.within - o.turn) / (1 + 2 * o.drift));
-  if (o.lease < 4 * o.every)
-    wrong("within-ms is too short for rounds of " + std::to_string(o.every / kMs) +
+  o.round_interval = r.every > 0 ? r.every : std::max<Micros>(250 * kMs, nodes * kRulesEveryNode);
+  o.lease =
+      static_cast<Micros>(static_cast<double>(r.within - o.max_staleness) / (1 + 2 * o.drift));
+  if (o.lease < 4 * o.round_interval)
+    wrong("within-ms is too short for rounds of " + std::to_string(o.round_interval / kMs) +
           " ms: no lease would outlive three lost words");
-  o.ready_within = r.ready;
+  o.ready_timeout = r.ready;
   agreed.keep = r.keep;
   return agreed;
 }
 
 void ConnectShared(const SharedSettings& settings, Fleet* fleet, Node* node) {
-  node->OnAdmit([fleet, counts = settings.counts](int tenant, bool is_repeat) {
+  node->SetAdmissionCheck([fleet, counts = settings.counts](int tenant, bool is_repeat) {
     Admission to;
     if (const auto a = fleet->Admit(tenant, is_repeat)) {
       to.refused = a->rejected;
@@ -106,7 +107,7 @@
 
 void ConnectZones(Fleet* fleet, Node* node) {
   fleet->OnUse([node, fleet](const std::string& worker, zones::Use use, bool gone) {
-    node->Shut(worker, use == zones::Use::kClosed);
+    node->SetZoneDrain(worker, use == zones::Use::kClosed);
     // The one job that tries it is none that may not be repeated; and what is out there when its
     // zone is left for silence is not waited for, unless it was heard of just now.
     if (use == zones::Use::kProbe)
@@ -116,7 +117,7 @@
     else if (use == zones::Use::kOpen)
       fleet->JudgeAgain(worker);
   });
-  fleet->OnZoneLine([node](const std::string& line) { node->Mark(line); });
+  fleet->OnZoneLine([node](const std::string& line) { node->AnnotateCapture(line); });
 }
 
 // Operators' orders outlive a process in a file.
@@ -124,9 +125,9 @@
   std::vector<zones::Order> orders;
   for (const admin::ZoneOrder& o : admin::LoadZoneOrders(path))
     orders.push_back({zones::KeyOf(o.target), o.number,
-                      o.what == "leave"    ? zones::Order::Action::kLeave
-                      : o.what == "return" ? zones::Order::Action::kReturn
-                                           : zones::Order::Action::kNone,
+                      o.command == "leave"    ? zones::Order::Action::kLeave
+                      : o.command == "return" ? zones::Order::Action::kReturn
+                                              : zones::Order::Action::kNone,
                       o.by, o.at_ms * 1000});
   fleet->RecallOrders(orders);
   fleet->OnOrders([path, fleet](const std::vector<zones::Order>& held) {
--- a/src/node/fleet/fleet_shared.cpp
+++ b/src/node/fleet/fleet_shared.cpp
@@ -49,7 +49,7 @@
 
 void Fleet::SendShared(std::vector<shared_state::SharedState::OutgoingMessage>* out) {
   for (const shared_state::SharedState::OutgoingMessage& o : *out)
-    peers_.Say(o.to, Topic::kShared, o.section);
+    peers_.Send(o.to, Topic::kShared, o.section);
   const shared_state::SharedStateStats& n = shared_->stats();
   CountGrowth("shared_words", n.messages_sent, &shared_reported_.messages_sent);
   CountGrowth("shared_words_malformed", n.malformed, &shared_reported_.malformed);
@@ -70,7 +70,7 @@
   if (shared_ != nullptr) {
     // A process that was stopped looks at its lease before it acts.
     const bool floor =
-        rules_ != nullptr && rules_->acting().basis == rules::Agreement::Basis::kFloor;
+        rules_ != nullptr && rules_->acting().basis == rules::Consensus::Basis::kFloor;
     shared_state::SharedState::Admission a = shared_->Admit(Unix(), account, is_repeat);
     if (floor && account >= 0) a.over_quota = true;
     return a;
--- a/src/node/fleet/fleet_zones.cpp
+++ b/src/node/fleet/fleet_zones.cpp
@@ -56,14 +56,14 @@
   zones_->SetOverloaded((refused - std::exchange(refused_before_, refused)) * 20 >
                         jobs - std::exchange(jobs_before_, jobs));
   std::vector<zones::ZoneFailover::OutgoingMessage> out;
-  zones_->Tick(Unix(), Alive(), members_->view(Now()).doubts_itself, &out);
+  zones_->Tick(Unix(), Alive(), members_->view(Now()).unconfirmed_after_stall, &out);
   SendZones(&out);
   zones_turn_.Set(zones_->next() - unix_offset_);
 }
 
 void Fleet::SendZones(std::vector<zones::ZoneFailover::OutgoingMessage>* out) {
   for (const zones::ZoneFailover::OutgoingMessage& o : *out)
-    peers_.Say(o.to, Topic::kZones, o.section);
+    peers_.Send(o.to, Topic::kZones, o.section);
   ApplyZones();
   const zones::Stats& n = zones_->stats();
   CountGrowth("zone_words", n.messages_sent, &zones_reported_.messages_sent);
@@ -142,7 +142,7 @@
 zones::Use Fleet::UseOf(Micros now, zones::WorkerKey worker, int zone) const {
   const auto named = static_cast<std::size_t>(zone);
   if (rules_ != nullptr && named < settings_.zones->zones.size()) {
-    const auto& leaves = rules_->acting().rules.leaves;
+    const auto& leaves = rules_->acting().rules.zone_left;
     if (const auto it = leaves.find(settings_.zones->zones[named]); it != leaves.end())
       return it->second ? zones::Use::kClosed : zones::Use::kOpen;
   }
