--- a/src/dispatch/simulator/wire.cpp
+++ b/src/dispatch/simulator/wire.cpp
@@ -20,7 +20,7 @@
 namespace pearreach::dispatch {
 namespace {
 
-// The values of one line, taken in order. '-' and a value left off at the end are absent.
+// Reads the values of one line in order. A value is absent if it is '-' or missing at the end.
 class Fields {
  public:
   explicit Fields(Text line) : rest_(line) {}
@@ -38,7 +38,7 @@
   }
   Text Required(Text what) {
     const auto part = Optional();
-    if (!part) throw Malformed("no " + std::string(what));
+    if (!part) throw Malformed("missing " + std::string(what));
     return *part;
   }
   Text Rest() { return std::exchange(rest_, Text()); }
@@ -49,6 +49,7 @@
 
 // ---------------------------------------------------------------- instances
 
+// One entry of a worker list as the protocol sends it.
 struct Row {
   std::string executor, zone, kind;
   int cell = 0;
@@ -62,6 +63,7 @@
   std::size_t operator()(Text text) const { return std::hash<Text>()(text); }
 };
 
+// One simulated node: its Dispatcher and the names of its workers.
 struct Instance {
   Instance(Site read, std::uint64_t seed, Micros now)
       : site(std::move(read)), dispatcher(site.settings, seed, now) {}
@@ -73,7 +75,8 @@
   }
   WorkerId Find(Text name) const {
     const auto it = ids.find(name);
-    if (it == ids.end()) throw Malformed("executor " + Quote(name) + " was never listed");
+    if (it == ids.end())
+      throw Malformed("unknown executor " + Quote(name) + ": not in any list so far");
     return it->second;
   }
 
@@ -81,13 +84,13 @@
   Dispatcher dispatcher;
   std::unordered_map<std::string, WorkerId, HashText, std::equal_to<>> ids;
   Names names;
-  std::vector<Event> events;  // of the batch being read
+  std::vector<Event> events;  // of the current batch
 };
 
-// Requests travel by the number their 16 hex digits spell.
+// A request id is written as 16 lower-case hex digits.
 RequestId ReadId(Text text) {
   if (text.size() != 16 || text.find_first_not_of("0123456789abcdef") != Text::npos)
-    throw Malformed("bad request id " + Quote(text));
+    throw Malformed("bad request id " + Quote(text) + ": expected 16 lower-case hex digits");
   return ParseNumber<RequestId>(text, "request id", 16);
 }
 
@@ -106,7 +109,8 @@
   if (!text) return load;
   for (const Text pair : Split(*text, ',')) {
     const std::size_t colon = pair.find(':');
-    if (colon == Text::npos) throw Malformed("bad load report " + Quote(pair));
+    if (colon == Text::npos)
+      throw Malformed("bad load report " + Quote(pair) + ": expected name:value");
     ReadLoadValue(site, pair.substr(0, colon), pair.substr(colon + 1), &load);
   }
   return load;
@@ -131,6 +135,7 @@
   for (const std::uint64_t unit : {100u, 10u, 1u}) out += static_cast<char>('0' + us / unit % 10);
 }
 
+// Writes the actions of one instance.
 class Writer {
  public:
   Writer(std::string& out, std::uint64_t node, const Instance& instance)
@@ -205,28 +210,30 @@
   const Instance& instance_;
 };
 
-// ---------------------------------------------------------------- the reader of batches
+// ---------------------------------------------------------------- the processing of batches
 
-class Host {
+// Parses the input line by line, collects the events of a batch and runs the instances at its end.
+class BatchProcessor {
  public:
-  explicit Host(WireObserver* watcher) : watcher_(watcher) {}
+  explicit BatchProcessor(WireObserver* observer) : observer_(observer) {}
 
-  // Takes one line. True when a reply is ready in `reply`.
-  bool Take(Text line, std::string* reply) {
-    if (rows_left_ > 0) return TakeRow(line), false;
+  // Processes one line. Returns true if it completed a batch, whose reply is then in `reply`.
+  bool ProcessLine(Text line, std::string* reply) {
+    if (rows_left_ > 0) return ParseRow(line), false;
     Fields f(line);
     const Text verb = f.Next();
     if (verb == "begin_batch") {
-      if (in_batch_) throw Malformed("begin_batch inside a batch");
+      if (in_batch_) throw Malformed("begin_batch inside a batch: expected eof_batch first");
       const Micros now = ParseMillis(f.Required("clock"), "clock");
-      if (now < now_) throw Malformed("the clock ran backwards");
+      if (now < now_)
+        throw Malformed("clock ran backwards by " + std::to_string(now_ - now) + " us");
       now_ = now;
       in_batch_ = true;
       return false;
     }
     if (!in_batch_) throw Malformed("expected begin_batch, got " + Quote(verb));
     if (verb == "eof_batch") return Reply(reply), true;
-    if (verb == "list") return TakeList(f), false;
+    if (verb == "list") return StartList(f), false;
     const auto node = ParseNumber<std::uint64_t>(f.Required("node"), "node");
     if (verb == "start") return Start(node, f), false;
     const auto it = instances_.find(node);
@@ -234,11 +241,11 @@
       throw Malformed("instance " + std::to_string(node) + " not started");
     if (verb == "kill") {
       instances_.erase(it);
-      std::erase(touched_, node);
+      std::erase(instances_with_events_, node);
       return false;
     }
     Instance& instance = *it->second;
-    if (instance.events.empty()) touched_.push_back(node);
+    if (instance.events.empty()) instances_with_events_.push_back(node);
     instance.events.push_back(Parse(verb, f, instance));
     return false;
   }
@@ -246,21 +253,25 @@
   bool Idle() const { return !in_batch_; }
 
  private:
-  void TakeList(Fields& f) {
-    list_ = &lists_[Slot(f.Required("list number"))];
+  void StartList(Fields& f) {
+    list_ = &lists_[ListIndex(f.Required("list number"))];
     rows_left_ = ParseNumber<std::size_t>(f.Required("number of entries"), "number of entries");
     list_->clear();
   }
 
-  std::size_t Slot(Text text) const {
-    const auto slot = ParseNumber<std::size_t>(text, "list number");
-    if (slot >= lists_.size()) throw Malformed("bad list number " + Quote(text));
-    return slot;
+  std::size_t ListIndex(Text text) const {
+    const auto index = ParseNumber<std::size_t>(text, "list number");
+    if (index >= lists_.size())
+      throw Malformed("bad list number " + Quote(text) + ": expected less than " +
+                      std::to_string(lists_.size()));
+    return index;
   }
 
-  void TakeRow(Text line) {
+  void ParseRow(Text line) {
     Fields f(line);
-    if (f.Next() != "row") throw Malformed("expected a row of the list");
+    if (const Text verb = f.Next(); verb != "row")
+      throw Malformed("expected row, got " + Quote(verb) + ": " + std::to_string(rows_left_) +
+                      " rows of the list are missing");
     Row row;
     row.executor = f.Required("executor");
     row.zone = f.Required("zone");
@@ -272,7 +283,8 @@
     else if (health == "terminated")
       row.health = Health::kGone;
     else if (health != "in_service")
-      throw Malformed("unknown health " + Quote(health));
+      throw Malformed("unknown health " + Quote(health) +
+                      ": expected in_service, terminating or terminated");
     if (const auto weight = f.Optional())
       row.weight = ParseNumber<double>(*weight, "capacity hint");
     if (const auto at = f.Optional()) row.ready_at = ParseMillis(*at, "start time");
@@ -286,7 +298,7 @@
       throw Malformed("instance " + std::to_string(node) + " started twice");
     const Conf conf = ReadPairs(f.Rest());
     instances_[node] = std::make_unique<Instance>(ReadSite(conf), seed, now_);
-    if (watcher_ != nullptr) watcher_->OnStart(node, seed, now_, conf.values());
+    if (observer_ != nullptr) observer_->OnStart(node, seed, now_, conf.values());
   }
 
   Event Parse(Text verb, Fields& f, Instance& instance) {
@@ -329,10 +341,10 @@
     else if (form == "X")
       list.form = WorkerList::Form::kFailed;
     else
-      throw Malformed("unknown form of list " + Quote(form));
+      throw Malformed("unknown form of list " + Quote(form) + ": expected D, F, C or X");
     if (list.form == WorkerList::Form::kFailed) return list;
     f.Optional();
-    for (const Row& row : lists_[Slot(f.Required("list number"))]) {
+    for (const Row& row : lists_[ListIndex(f.Required("list number"))]) {
       WorkerEntry e;
       e.worker = instance.IdOf(row.executor);
       e.identity = HashName(row.executor);
@@ -370,7 +382,8 @@
     PeerMessage e;
     e.from = ParseNumber<int>(f.Required("sender"), "sender");
     const Text hex = f.Optional().value_or(Text());
-    if (hex.size() % 2 != 0) throw Malformed("bad datagram " + Quote(hex));
+    if (hex.size() % 2 != 0)
+      throw Malformed("bad datagram " + Quote(hex) + ": expected an even number of hex digits");
     for (std::size_t i = 0; i < hex.size(); i += 2)
       e.data += static_cast<char>(ParseNumber<unsigned char>(hex.substr(i, 2), "datagram", 16));
     return e;
@@ -382,7 +395,7 @@
     const WorkerId worker = instance.Find(f.Required("executor"));
     const int kind = ParseNumber<int>(f.Required("kind of note"), "kind of note");
     if (kind == 1) return AttemptStarted{id, attempt, worker};
-    if (kind != 2) return TimerFired{};  // a note of a kind not known yet
+    if (kind != 2) return TimerFired{};  // unknown kinds of notes are ignored
     const auto level = f.Optional();
     return AttemptProgress{id, attempt, worker, level ? ParseNumber<double>(*level, "level") : 0};
   }
@@ -402,50 +415,51 @@
 
   void Reply(std::string* reply) {
     reply->clear();
-    for (const std::uint64_t node : touched_) {
+    for (const std::uint64_t node : instances_with_events_) {
       Instance& instance = *instances_.at(node);
       actions_.clear();
       instance.dispatcher.Handle(now_, instance.events, &actions_);
-      if (watcher_ != nullptr)
-        watcher_->OnTurn(node, batch_, now_, instance.events, actions_, instance.names);
+      if (observer_ != nullptr)
+        observer_->OnTurn(node, batch_, now_, instance.events, actions_, instance.names);
       instance.events.clear();
       Writer writer(*reply, node, instance);
       for (const Action& action : actions_) std::visit(writer, action);
     }
-    touched_.clear();
+    instances_with_events_.clear();
     *reply += "end\n";
     ++batch_;
     in_batch_ = false;
   }
 
-  WireObserver* watcher_;
+  WireObserver* observer_;
   std::size_t batch_ = 0;
   Micros now_ = std::numeric_limits<Micros>::min();
   bool in_batch_ = false;
   std::array<std::vector<Row>, 16> lists_;
   std::vector<Row>* list_ = nullptr;
   std::size_t rows_left_ = 0;
-  std::unordered_map<std::uint64_t, std::unique_ptr<Instance>> instances_;  // never walked
-  std::vector<std::uint64_t> touched_;  // instances with events, in the order of their first
+  std::unordered_map<std::uint64_t, std::unique_ptr<Instance>> instances_;  // never iterated
+  std::vector<std::uint64_t>
+      instances_with_events_;  // instances with events, in the order of their first event
   std::vector<Action> actions_;
 };
 
 }  // namespace
 
-int ServeWire(std::istream& in, std::ostream& out, std::ostream& err, WireObserver* watcher) {
-  Host host(watcher);
+int ServeWire(std::istream& in, std::ostream& out, std::ostream& err, WireObserver* observer) {
+  BatchProcessor processor(observer);
   std::string line, reply;
   std::size_t number = 0;
   try {
     while (std::getline(in, line)) {
       ++number;
-      if (!host.Take(line, &reply)) continue;
+      if (!processor.ProcessLine(line, &reply)) continue;
       out << reply << std::flush;
-      if (!out) throw Malformed("standard output is closed");
+      if (!out) throw Malformed("cannot write to standard output");
     }
-    if (!host.Idle()) throw Malformed("the input ends inside a batch");
-  } catch (const Malformed& wrong) {
-    err << "pearreach-simulator-adapter: line " << number << ": " << wrong.what() << '\n';
+    if (!processor.Idle()) throw Malformed("the input ends inside a batch: expected eof_batch");
+  } catch (const Malformed& error) {
+    err << "pearreach-simulator-adapter: line " << number << ": " << error.what() << '\n';
     return 1;
   }
   return 0;
