--- a/src/node/admin/door.h
+++ b/src/node/admin/door.h
@@ -75,9 +75,10 @@
   std::size_t connections() const { return connections_.size(); }
 
   static constexpr std::size_t kMaxConnections = 16;
-  static constexpr Micros kRequestTimeout =
-      800 * kMs;                                // for a complete request, from its connection on
-  static constexpr Micros kLinger = 300 * kMs;  // after the response, for the caller to close
+  // For a complete request, from the start of its connection.
+  static constexpr Micros kRequestTimeout = 800 * kMs;
+  // For the caller to close the connection after the response.
+  static constexpr Micros kLinger = 300 * kMs;
 
  private:
   struct Connection {
--- a/src/node/admin/zone_orders.cpp
+++ b/src/node/admin/zone_orders.cpp
@@ -35,23 +35,24 @@
     const std::string_view line = text.substr(0, end);
     text = end == std::string_view::npos ? std::string_view() : text.substr(end + 1);
     if (line.empty() || line.front() == '#') continue;
-    std::vector<std::string_view> words;
-    for (std::string_view rest = line; words.size() < 5 && !rest.empty();) {
-      const std::size_t space = words.size() < 4 ? rest.find(' ') : std::string_view::npos;
-      words.push_back(rest.substr(0, space));
-      rest = space == std::string_view::npos ? std::string_view() : rest.substr(space + 1);
+    std::vector<std::string_view> fields;
+    for (std::string_view remaining = line; fields.size() < 5 && !remaining.empty();) {
+      const std::size_t space = fields.size() < 4 ? remaining.find(' ') : std::string_view::npos;
+      fields.push_back(remaining.substr(0, space));
+      remaining =
+          space == std::string_view::npos ? std::string_view() : remaining.substr(space + 1);
     }
     ZoneOrder o;
-    if (words.size() < 5 || !ParseNumber(words[0], &o.number) || o.number == 0 ||
-        (words[1] != "leave" && words[1] != "return" && words[1] != "none") ||
-        !ParseNumber(words[2], &o.by) || o.by < 0 || !ParseNumber(words[3], &o.at_ms) ||
-        words[4].empty()) {
+    if (fields.size() < 5 || !ParseNumber(fields[0], &o.number) || o.number == 0 ||
+        (fields[1] != "leave" && fields[1] != "return" && fields[1] != "none") ||
+        !ParseNumber(fields[2], &o.by) || o.by < 0 || !ParseNumber(fields[3], &o.at_ms) ||
+        fields[4].empty()) {
       errors->push_back(name + ":" + std::to_string(line_number) +
                         ": expected NUMBER leave|return|none NODE UNIX_MS NAME");
       continue;
     }
-    o.command = words[1];
-    o.target = words[4];
+    o.command = fields[1];
+    o.target = fields[4];
     orders.push_back(std::move(o));
   }
   return orders;
--- a/src/node/engine/workers.cpp
+++ b/src/node/engine/workers.cpp
@@ -13,7 +13,7 @@
 // Idle connections are closed after ConnIdleMs divided by this.
 constexpr int kIdleSafetyDivisor = 2;
 constexpr Micros kMaxIdle = 30 * kSecond;
-// Upper carries_attempt of the first bucket; the carries_attempt doubles with each further bucket.
+// Upper bound of the first bucket; the bound doubles with each further bucket.
 constexpr Micros kFirstBucketIdle = 16 * kMs;
 // The buckets are halved at this interval, so that the learned limit is forgotten over time.
 constexpr Micros kDecayInterval = 30 * kSecond;
--- a/src/node/job_state/job.h
+++ b/src/node/job_state/job.h
@@ -19,7 +19,7 @@
   kInDoubt = 2,    // may have run or still run, without a report: it must not be sent again
   kServed = 3,     // ended with a result
   kRefused = 4,    // ended without having run; the client may submit it again
-  kFailed = 5,     // ended without a statement on whether it ran
+  kFailed = 5,     // ended without a result; it may have run
   kCancelled = 6,  // ended: cancelled by its client
 };
 constexpr const char* kStateNames[] = {"queued",  "running", "in doubt", "served",
--- a/tests/node/engine/stories_test.cpp
+++ b/tests/node/engine/stories_test.cpp
@@ -292,11 +292,11 @@
   rig.Workers({first.address(), second.address()});
   // Two other nodes have ejected s-0: this node sends to s-1 only.
   rig.node.OnJudgement("s-0", {0, true, false, false, g_get_real_time(), {3, 7}});
-  Caller client(rig.port()), news(rig.port());
+  Caller client(rig.port()), agent(rig.port());
   client.SendJob("j");
   RunUntil([&] { return !second.got.empty(); });
   EXPECT_TRUE(first.got.empty());
-  news.SendUpdate("j", "s-1", "done");
+  agent.SendUpdate("j", "s-1", "done");
   EXPECT_EQ(client.Status(), 200);
   EXPECT_EQ(observer.all, "+s-0 +s-1 sent:s-1 ended:s-1:0 ");
   EXPECT_GT(observer.updates, 0);
@@ -308,14 +308,14 @@
   Rig rig;
   Server first(Accept), second(Accept);
   rig.Workers({first.address(), second.address()});
-  Caller client(rig.port()), news(rig.port());
+  Caller client(rig.port()), agent(rig.port());
   rig.node.SetZoneDrain("s-0", true);
   rig.Workers({first.address(), second.address()});  // the same list again
   for (const char* job : {"a", "b"}) {
     client.SendJob(job);
     const std::size_t before = second.got.size();
     RunUntil([&] { return second.got.size() > before; });
-    news.SendUpdate(job, "s-1", "done");
+    agent.SendUpdate(job, "s-1", "done");
     client.Status(client.answers.size());
   }
   EXPECT_TRUE(first.got.empty());
@@ -324,7 +324,7 @@
   client.SendJob("c");
   RunUntil([&] { return !first.got.empty(); });
   EXPECT_EQ(first.got.size(), 1u);
-  news.SendUpdate("c", "s-0", "done");
+  agent.SendUpdate("c", "s-0", "done");
   client.Status(client.answers.size());
   rig.ExpectClean();
 }
@@ -405,8 +405,8 @@
   const auto silent_before = CountOf("silent_closed"), overdue_before = CountOf("request_overdue");
   Caller silent(rig.port()), half(rig.port()), dripping(rig.port());
   half.SendJob("j");
-  half.stream->Write(
-      "POST /commit HTTP/1.1\r\nX-Req");  // its second request, which has no such limit
+  // The second request on a connection has no such limit.
+  half.stream->Write("POST /commit HTTP/1.1\r\nX-Req");
   Caller first(rig.port());
   first.stream->Write("POST /commit HTTP/1.1\r\nX-Req");
   for (int i = 0; i < 25 && dripping.answers.empty(); ++i) {
@@ -696,12 +696,12 @@
 // The program must reload its configuration on SIGHUP and not exit, which would lose its open jobs.
 TEST(Story, TheProgramOutlivesSighupsAndEndsCleanlyAfterOne) {
   Server worker(Accept);
-  const auto told = [&](const Message& m) {
+  const auto serve_list = [&](const Message& m) {
     return m.target == "/v1/endpoints"
                ? http::WriteResponse(200, {}, ListOf(1, "s-0", worker.address()), true)
                : std::string();
   };
-  Server before(told), after(told);
+  Server before(serve_list), after(serve_list);
   const std::string path = testing::TempDir() + "pearreach_program_" + std::to_string(getpid());
   const auto write = [&](const std::string& text) { std::ofstream(path) << text; };
   const auto config = [](const std::string& discovery) {
@@ -719,8 +719,8 @@
   RunUntil([&] { return before.got.size() == 2; });
   EXPECT_EQ(before.got.size(), 2u);
   write("nonsense");
-  write_own(
-      "<pearreach><log format='xml'/></pearreach>");  // invalid: the capture continues unchanged
+  // Invalid: the capture continues unchanged.
+  write_own("<pearreach><log format='xml'/></pearreach>");
   g_subprocess_send_signal(program, SIGHUP);
   RunFor(100 * kMs);
   write(config(after.address()));
@@ -988,9 +988,9 @@
   const auto entry = [](const std::string& id, const std::string& at) {
     return R"({"id":")" + id + R"(","addr":")" + at + R"(","zone":"a","kind":"m","state":"up"})";
   };
-  bool told = false;
+  bool list_sent = false;
   Server discovery([&](const Message&) {
-    if (std::exchange(told, true)) return std::string();
+    if (std::exchange(list_sent, true)) return std::string();
     return http::WriteResponse(200, {},
                                R"({"version":4,"full":true,"servers":[)" +
                                    entry("s-0", first.address()) + "," +
@@ -1008,16 +1008,16 @@
   ASSERT_TRUE(rig.node.Ban("s-0")) << "repeated: no effect";
   EXPECT_EQ(rig.node.hosts_listed(), 2u);
   EXPECT_EQ(rig.node.hosts_down(), 1u);
-  RunUntil([&] { return told; });  // a complete list that reports s-0 as up
+  RunUntil([&] { return list_sent; });  // a complete list that reports s-0 as up
   // One job at a time, each served: the limit grows, so that the Dispatcher could choose either
   // worker.
-  Caller client(rig.port()), news(rig.port());
+  Caller client(rig.port()), agent(rig.port());
   for (std::size_t i = 0; i < 6; ++i) {
     const std::string id = "j" + std::to_string(i);
     client.SendJob(id);
     RunUntil([&] { return second.got.size() > i || !first.got.empty(); });
     ASSERT_EQ(second.got.size(), i + 1);
-    news.SendUpdate(id, "s-1", "done");
+    agent.SendUpdate(id, "s-1", "done");
     EXPECT_EQ(client.Status(i), 200);
   }
   EXPECT_TRUE(first.got.empty()) << "banned, whatever the list reports";
--- a/tests/node/job_state/ledger_test.cpp
+++ b/tests/node/job_state/ledger_test.cpp
@@ -28,7 +28,8 @@
   return j;
 }
 
-Attempt Tried(ExecutionState ran, std::int64_t sent_ago = kS, std::int64_t lease_left = 5 * kS) {
+Attempt MakeAttempt(ExecutionState ran, std::int64_t sent_ago = kS,
+                    std::int64_t lease_left = 5 * kS) {
   Attempt a;
   a.worker = "w";
   a.fence = 1;
@@ -38,44 +39,55 @@
   return a;
 }
 
-Action After(const Job& job, Effect effect, UnixMicros now = kNow) {
+Action RecoveryAction(const Job& job, Effect effect, UnixMicros now = kNow) {
   const dispatch::ClassSettings c = Class(effect);
   return Recover(job, &c, {}, now).action;
 }
 
 TEST(Recover, ByWhatIsKnown) {
-  EXPECT_EQ(After(JobWith({}, State::kQueued), Effect::kOnce), Action::kRequeue);
-  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kNeverRan)}, State::kQueued), Effect::kOnce),
+  EXPECT_EQ(RecoveryAction(JobWith({}, State::kQueued), Effect::kOnce), Action::kRequeue);
+  EXPECT_EQ(RecoveryAction(JobWith({MakeAttempt(ExecutionState::kNeverRan)}, State::kQueued),
+                           Effect::kOnce),
             Action::kRequeue);
-  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kInFlight)}), Effect::kOnce), Action::kAdopt);
+  EXPECT_EQ(RecoveryAction(JobWith({MakeAttempt(ExecutionState::kInFlight)}), Effect::kOnce),
+            Action::kAdopt);
   // The lease expired while no node was running.
-  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kInFlight, kS, -1)}), Effect::kOnce),
-            Action::kMarkInDoubt);
-  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kInFlight, kS, -1)}), Effect::kRepeatable),
+  EXPECT_EQ(
+      RecoveryAction(JobWith({MakeAttempt(ExecutionState::kInFlight, kS, -1)}), Effect::kOnce),
+      Action::kMarkInDoubt);
+  EXPECT_EQ(RecoveryAction(JobWith({MakeAttempt(ExecutionState::kInFlight, kS, -1)}),
+                           Effect::kRepeatable),
             Action::kAdopt);
-  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kMayHaveRun)}), Effect::kOnce),
+  EXPECT_EQ(RecoveryAction(JobWith({MakeAttempt(ExecutionState::kMayHaveRun)}), Effect::kOnce),
             Action::kMarkInDoubt);
-  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kMayHaveRun)}), Effect::kRepeatable),
-            Action::kRequeue);
+  EXPECT_EQ(
+      RecoveryAction(JobWith({MakeAttempt(ExecutionState::kMayHaveRun)}), Effect::kRepeatable),
+      Action::kRequeue);
   // The key window of a job includes the time without a node.
-  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kMayHaveRun, 6 * kS)}), Effect::kByKey),
-            Action::kRequeue);
-  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kMayHaveRun, 8 * kS)}), Effect::kByKey),
-            Action::kMarkInDoubt);
+  EXPECT_EQ(
+      RecoveryAction(JobWith({MakeAttempt(ExecutionState::kMayHaveRun, 6 * kS)}), Effect::kByKey),
+      Action::kRequeue);
+  EXPECT_EQ(
+      RecoveryAction(JobWith({MakeAttempt(ExecutionState::kMayHaveRun, 8 * kS)}), Effect::kByKey),
+      Action::kMarkInDoubt);
   Job over = JobWith({}, State::kQueued);
   over.due = kNow;
-  EXPECT_EQ(After(over, Effect::kOnce), Action::kFailOverdue);
-  over.attempts = {Tried(ExecutionState::kInFlight)};
-  EXPECT_EQ(After(over, Effect::kOnce), Action::kMarkInDoubt) << "it may have taken effect";
-  EXPECT_EQ(After(JobWith({}, State::kServed), Effect::kOnce), Action::kNone);
-  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kMayHaveRun)}, State::kInDoubt), Effect::kOnce),
+  EXPECT_EQ(RecoveryAction(over, Effect::kOnce), Action::kFailOverdue);
+  over.attempts = {MakeAttempt(ExecutionState::kInFlight)};
+  EXPECT_EQ(RecoveryAction(over, Effect::kOnce), Action::kMarkInDoubt)
+      << "it may have taken effect";
+  EXPECT_EQ(RecoveryAction(JobWith({}, State::kServed), Effect::kOnce), Action::kNone);
+  EXPECT_EQ(RecoveryAction(JobWith({MakeAttempt(ExecutionState::kMayHaveRun)}, State::kInDoubt),
+                           Effect::kOnce),
             Action::kNone);
   EXPECT_EQ(Recover(JobWith({}, State::kQueued), nullptr, {}, kNow).action,
             Action::kFailUnknownClass);
-  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kDone)}), Effect::kOnce), Action::kFailOverdue)
+  EXPECT_EQ(RecoveryAction(JobWith({MakeAttempt(ExecutionState::kDone)}), Effect::kOnce),
+            Action::kFailOverdue)
       << "reported as ended, without a result: failed";
-  EXPECT_EQ(After(JobWith({Tried(ExecutionState::kMayHaveRun), Tried(ExecutionState::kDone)}),
-                  Effect::kOnce),
+  EXPECT_EQ(RecoveryAction(JobWith({MakeAttempt(ExecutionState::kMayHaveRun),
+                                    MakeAttempt(ExecutionState::kDone)}),
+                           Effect::kOnce),
             Action::kMarkInDoubt);
 }
 
@@ -83,33 +95,38 @@
 TEST(Recover, AClockThatSteppedDoesNotStretchALeaseOrAWindow) {
   Policy policy;
   const dispatch::ClassSettings once = Class(Effect::kOnce), keyed = Class(Effect::kByKey);
-  const Job job = JobWith({Tried(ExecutionState::kInFlight, kS, 3600 * kS)});
+  const Job job = JobWith({MakeAttempt(ExecutionState::kInFlight, kS, 3600 * kS)});
   EXPECT_EQ(Recover(job, &once, policy, kNow).action, Action::kAdopt);
-  EXPECT_FALSE(MayRepeat(JobWith({Tried(ExecutionState::kMayHaveRun, -30 * kS)}), keyed, kNow))
+  EXPECT_FALSE(
+      MayRepeat(JobWith({MakeAttempt(ExecutionState::kMayHaveRun, -30 * kS)}), keyed, kNow))
       << "sent in the future by the present clock: its age is unknown";
 }
 
 TEST(Doubt, IsWhatAFailureMeansWhereItMayHaveRun) {
-  EXPECT_EQ(StateAfterFailure(JobWith({Tried(ExecutionState::kMayHaveRun)}), Class(Effect::kOnce)),
-            State::kInDoubt);
-  EXPECT_EQ(StateAfterFailure(JobWith({Tried(ExecutionState::kNeverRan)}), Class(Effect::kOnce)),
-            State::kFailed);
-  EXPECT_EQ(StateAfterFailure(JobWith({Tried(ExecutionState::kDone)}), Class(Effect::kOnce)),
-            State::kFailed);
-  EXPECT_EQ(StateAfterFailure(JobWith({Tried(ExecutionState::kMayHaveRun)}), Class(Effect::kByKey)),
+  EXPECT_EQ(
+      StateAfterFailure(JobWith({MakeAttempt(ExecutionState::kMayHaveRun)}), Class(Effect::kOnce)),
+      State::kInDoubt);
+  EXPECT_EQ(
+      StateAfterFailure(JobWith({MakeAttempt(ExecutionState::kNeverRan)}), Class(Effect::kOnce)),
+      State::kFailed);
+  EXPECT_EQ(StateAfterFailure(JobWith({MakeAttempt(ExecutionState::kDone)}), Class(Effect::kOnce)),
             State::kFailed);
+  EXPECT_EQ(
+      StateAfterFailure(JobWith({MakeAttempt(ExecutionState::kMayHaveRun)}), Class(Effect::kByKey)),
+      State::kFailed);
 }
 
 TEST(Doubt, IsResolvedByTheWorkersOwnWordAlone) {
-  Job job = JobWith({Tried(ExecutionState::kNeverRan), Tried(ExecutionState::kMayHaveRun)},
-                    State::kInDoubt);
+  Job job =
+      JobWith({MakeAttempt(ExecutionState::kNeverRan), MakeAttempt(ExecutionState::kMayHaveRun)},
+              State::kInDoubt);
   EXPECT_EQ(Resolve(job, "w", WorkerReport::kDone).state, State::kServed);
   EXPECT_EQ(Resolve(job, "w", WorkerReport::kFailed).state, State::kFailed);
   EXPECT_EQ(Resolve(job, "w", WorkerReport::kReturned).state, State::kRefused);
   EXPECT_FALSE(Resolve(job, "w", WorkerReport::kLost).resolves)
       << "it is unknown whether the job took effect before the worker died";
   EXPECT_FALSE(Resolve(job, "another", WorkerReport::kDone).resolves);
-  Attempt second = Tried(ExecutionState::kMayHaveRun);
+  Attempt second = MakeAttempt(ExecutionState::kMayHaveRun);
   second.worker = "v";
   job.attempts.push_back(second);
   EXPECT_FALSE(Resolve(job, "w", WorkerReport::kReturned).resolves) << "v may have run it as well";
@@ -119,14 +136,14 @@
 }
 
 TEST(Doubt, MayBeFencedOnlyWhereAllKnowFences) {
-  Job job = JobWith({Tried(ExecutionState::kMayHaveRun)}, State::kInDoubt);
+  Job job = JobWith({MakeAttempt(ExecutionState::kMayHaveRun)}, State::kInDoubt);
   EXPECT_FALSE(MayFence(job));
   job.attempts[0].knows_fences = true;
   EXPECT_TRUE(MayFence(job));
   EXPECT_EQ(NextFence(job), 2u);
   job.attempts[0].execution = ExecutionState::kFenced;
   job.state = State::kQueued;
-  EXPECT_EQ(After(job, Effect::kOnce), Action::kRequeue) << "it can no longer take effect";
+  EXPECT_EQ(RecoveryAction(job, Effect::kOnce), Action::kRequeue) << "it can no longer take effect";
 }
 
 // Property: a `once` job with an attempt that may have run is never sent again, whatever its
@@ -137,19 +154,21 @@
     job.state = *rc::gen::element(State::kQueued, State::kRunning);
     job.due = kNow + *rc::gen::inRange<std::int64_t>(-100, 100) * kS;
     const int n = *rc::gen::inRange(1, 5);
-    bool risky = false, out = false;
+    bool may_have_run = false, out = false;
     for (int i = 0; i < n; ++i) {
       job.attempts.push_back(
-          Tried(*rc::gen::element(ExecutionState::kInFlight, ExecutionState::kNeverRan,
-                                  ExecutionState::kMayHaveRun),
-                *rc::gen::inRange<std::int64_t>(-20, 20) * kS,
-                *rc::gen::inRange<std::int64_t>(-20, 20) * kS));
-      risky = risky || job.attempts.back().execution != ExecutionState::kNeverRan;
+          MakeAttempt(*rc::gen::element(ExecutionState::kInFlight, ExecutionState::kNeverRan,
+                                        ExecutionState::kMayHaveRun),
+                      *rc::gen::inRange<std::int64_t>(-20, 20) * kS,
+                      *rc::gen::inRange<std::int64_t>(-20, 20) * kS));
+      may_have_run = may_have_run || job.attempts.back().execution != ExecutionState::kNeverRan;
       out = out || job.attempts.back().execution == ExecutionState::kInFlight;
     }
-    const Action action = After(job, Effect::kOnce);
-    if (risky) RC_ASSERT(action == Action::kMarkInDoubt || (action == Action::kAdopt && out));
-    if (!risky) RC_ASSERT(action == (kNow < job.due ? Action::kRequeue : Action::kFailOverdue));
+    const Action action = RecoveryAction(job, Effect::kOnce);
+    if (may_have_run)
+      RC_ASSERT(action == Action::kMarkInDoubt || (action == Action::kAdopt && out));
+    if (!may_have_run)
+      RC_ASSERT(action == (kNow < job.due ? Action::kRequeue : Action::kFailOverdue));
   }));
 }
 
