--- a/src/node/shared_state/words.cpp
+++ b/src/node/shared_state/words.cpp
@@ -73,7 +73,7 @@
 
 }  // namespace
 
-std::string Encode(const Message& message, std::size_t room, int* left_out) {
+std::string Encode(const Message& message, std::size_t max_bytes, int* left_out) {
   wire::Section s;
   s.set_zone(static_cast<std::uint32_t>(message.zone));
   s.set_at(ToWireMicros(message.at));
@@ -83,7 +83,7 @@
   const auto add = [&](auto put) {
     if (omitted > 0) return void(++omitted);
     put();
-    if (s.ByteSizeLong() > room)
+    if (s.ByteSizeLong() > max_bytes)
       ++omitted;
     else
       s.SerializeToString(&bytes);
@@ -97,7 +97,7 @@
     });
   for (const UsageUpdate& w : message.relayed_usage) add([&] { PutRelayedUsage(w, &s); });
   if (left_out != nullptr) *left_out = omitted;
-  return bytes.size() <= room ? bytes : std::string();
+  return bytes.size() <= max_bytes ? bytes : std::string();
 }
 
 std::optional<Message> Decode(std::string_view bytes, int from, std::uint64_t process) {
--- a/src/node/shared_state/words.h
+++ b/src/node/shared_state/words.h
@@ -28,10 +28,10 @@
   std::vector<HealthReport> health_reports;
 };
 
-// Encodes as many entries as fit into `room` bytes. The order is that of the cost of a delay:
+// Encodes as many entries as fit into `max_bytes`. The order is that of the cost of a delay:
 // grants, requests, health reports, the sender's usage, relayed usage. Sets `*left_out` to the
 // number of entries that did not fit. Returns an empty string if not even the header fits.
-std::string Encode(const Message& message, std::size_t room, int* left_out);
+std::string Encode(const Message& message, std::size_t max_bytes, int* left_out);
 // Returns nullopt for malformed bytes. `from` and `process` identify the sender.
 std::optional<Message> Decode(std::string_view bytes, int from, std::uint64_t process);
 
--- a/src/node/zones/evidence.cpp
+++ b/src/node/zones/evidence.cpp
@@ -190,7 +190,7 @@
     if (reports_bad && enough)
       here.insert(viewer);
     else if (!reports_bad && v.bad * 2 <= v.reporters && !Contains(target, viewer))
-      e->well_for.insert(viewer);  // nodes inside may be cut off with it
+      e->healthy_for.insert(viewer);  // nodes inside may be cut off with it
   }
   return here;
 }
--- a/src/node/zones/messages.cpp
+++ b/src/node/zones/messages.cpp
@@ -92,7 +92,7 @@
   return std::tie(a.reporter_process, a.sequence) > std::tie(b.reporter_process, b.sequence);
 }
 
-std::string Encode(const Message& message, std::size_t room, int* left_out) {
+std::string Encode(const Message& message, std::size_t max_bytes, int* left_out) {
   wire::Section s;
   s.set_zone(static_cast<std::uint32_t>(message.zone));
   s.set_at(static_cast<std::uint64_t>(std::max<std::int64_t>(0, message.at / 1000 - kEpochMs)));
@@ -103,7 +103,7 @@
   const auto add = [&](const auto& entry) {
     if (omitted > 0) return void(++omitted);
     Put(entry, &s);
-    if (s.ByteSizeLong() > room)
+    if (s.ByteSizeLong() > max_bytes)
       ++omitted;
     else
       s.SerializeToString(&bytes);
@@ -112,7 +112,7 @@
   for (const Decision& v : message.decisions) add(v);
   for (const Report& r : message.reports) add(r);
   if (left_out != nullptr) *left_out = omitted;
-  return bytes.size() <= room ? bytes : std::string();
+  return bytes.size() <= max_bytes ? bytes : std::string();
 }
 
 std::optional<Message> Decode(std::string_view bytes) {
--- a/src/node/zones/messages.h
+++ b/src/node/zones/messages.h
@@ -79,9 +79,9 @@
   std::vector<Report> reports;
 };
 
-// Encodes as many entries as fit into `room` bytes: orders first, then decisions, then reports.
+// Encodes as many entries as fit into `max_bytes`: orders first, then decisions, then reports.
 // Sets `*left_out` to the number of entries that did not fit.
-std::string Encode(const Message& message, std::size_t room, int* left_out);
+std::string Encode(const Message& message, std::size_t max_bytes, int* left_out);
 // Returns nullopt for malformed bytes.
 std::optional<Message> Decode(std::string_view bytes);
 
--- a/src/node/zones/verdicts.cpp
+++ b/src/node/zones/verdicts.cpp
@@ -102,7 +102,7 @@
     // A failure that only nodes of one zone report applies, once it has lasted, to these nodes. It
     // applies to all nodes if the reporters are inside the target and no node outside has tried it,
     // as there can be no other evidence then.
-    const bool two = e.bad_for.size() >= 2 && e.well_for.empty();
+    const bool two = e.bad_for.size() >= 2 && e.healthy_for.empty();
     const bool one_sided = !two && !e.bad_for.empty() && !ejected;
     if (!one_sided) one_sided_since_.erase(key);
     if (!two && !one_sided) continue;
--- a/src/node/zones/zones.h
+++ b/src/node/zones/zones.h
@@ -183,7 +183,8 @@
     int times_sent = 0;
   };
   struct Evidence {
-    std::set<int> bad_for, well_for;  // zones whose nodes report the target as bad, or as healthy
+    std::set<int> bad_for,
+        healthy_for;  // zones whose nodes report the target as bad, or as healthy
     std::vector<int> bad_reporters;
     Cause cause = Cause::kNone;
     int reporters = 0, outside = 0, overloaded = 0;  // numbers of nodes
--- a/tests/node/shared_state/shared_test.cpp
+++ b/tests/node/shared_state/shared_test.cpp
@@ -50,7 +50,7 @@
   return text;
 }
 
-lab::VirtualResult Play(const TrialPlan& plan, const lab::SharedLoad& load, double lost = 0) {
+lab::VirtualResult RunPlan(const TrialPlan& plan, const lab::SharedLoad& load, double lost = 0) {
   lab::VirtualOptions o;
   o.plan = plan;
   o.shared = &load;
@@ -84,7 +84,7 @@
 
 TEST_P(HardCases, NothingLeavesItsBound) {
   for (const std::uint64_t seed : {1, 2}) {
-    const auto r = Play(Plan(seed, GetParam().faults), Load(), GetParam().lost);
+    const auto r = RunPlan(Plan(seed, GetParam().faults), Load(), GetParam().lost);
     EXPECT_EQ(Violations(r.history), "") << "seed " << seed;
     EXPECT_GT(r.readings, 1000u);
     EXPECT_LE(r.most_parts, 1.0);
@@ -123,7 +123,7 @@
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     TrialPlan plan = Plan(seed, {});
     lab::DrawFaults({.faults = 10, .processes = true, .workers = true}, &plan);
-    const auto r = Play(plan, Load(), seed % 3 == 0 ? 0.2 : 0);
+    const auto r = RunPlan(plan, Load(), seed % 3 == 0 ? 0.2 : 0);
     EXPECT_EQ(Violations(r.history), "") << "seed " << seed << "\n" << WritePlan(plan);
   }
 }
@@ -135,7 +135,7 @@
   load.without = without;
   int broken = 0;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    const auto r = Play(Plan(seed, faults), load);
+    const auto r = RunPlan(Plan(seed, faults), load);
     const auto all = lab::CheckAll(r.history);
     broken +=
         std::any_of(all.begin(), all.end(), [](const auto& v) { return v.rule == "budget-sum"; })
@@ -169,15 +169,15 @@
 TEST(SharedBudgets, PartsMoveToWhereTheTrafficIsAndFloorsStay) {
   BudgetsOptions o{.self = 0, .nodes = 3, .limits = {30}};
   o.self = 1;
-  Budgets giver(o, 1, 1, kUnix - 60'000'000);
-  const auto g = giver.OnRequest(kUnix, 0, 77, {0, 9'000});
+  Budgets lender(o, 1, 1, kUnix - 60'000'000);
+  const auto g = lender.OnRequest(kUnix, 0, 77, {0, 9'000});
   ASSERT_TRUE(g);
   EXPECT_EQ(g->amount, 5'000) << "half of its even share of ten is the floor";
-  EXPECT_EQ(giver.allocation(kUnix, 0), 5'000);
-  EXPECT_FALSE(giver.OnRequest(kUnix, 2, 78, {0, 9'000})) << "no quota is left to lend";
-  EXPECT_EQ(giver.allocation(kUnix + o.lease, 0), 5'000)
+  EXPECT_EQ(lender.allocation(kUnix, 0), 5'000);
+  EXPECT_FALSE(lender.OnRequest(kUnix, 2, 78, {0, 9'000})) << "no quota is left to lend";
+  EXPECT_EQ(lender.allocation(kUnix + o.lease, 0), 5'000)
       << "the lease may not have ended on every clock";
-  EXPECT_EQ(giver.allocation(kUnix + o.lease + o.skew, 0), 10'000) << "the lent quota returns";
+  EXPECT_EQ(lender.allocation(kUnix + o.lease + o.skew, 0), 10'000) << "the lent quota returns";
 }
 
 TEST(SharedBudgets, TheStricterOfTwoWholesHolds) {
@@ -193,15 +193,15 @@
 TEST(SharedShares, ALoweredShareHoldsWhileHalfHaveTheOldOne) {
   lab::SharedLoad load = Load();
   load.lowered = {35, 20, 10};
-  const auto r = Play(Plan(3, {Of(What::kKill, 5'000'000, 100'000, "z0"),
-                               Of(What::kKill, 5'200'000, 100'000, "z1")}),
-                      load);
+  const auto r = RunPlan(Plan(3, {Of(What::kKill, 5'000'000, 100'000, "z0"),
+                                  Of(What::kKill, 5'200'000, 100'000, "z1")}),
+                         load);
   EXPECT_EQ(Violations(r.history), "");
 }
 
 // ---------------------------------------------------------------- merges
 
-rc::Gen<UsageUpdate> AWord() {
+rc::Gen<UsageUpdate> AnyUpdate() {
   return rc::gen::apply(
       [](int node, int process, int at, int slow) {
         // The value of a process never decreases over time.
@@ -218,25 +218,25 @@
 
 // The result of a merge does not depend on the order of updates or on duplicates.
 RC_GTEST_PROP(SharedMerge, CountsDoNotDependOnOrderOrNumber, ()) {
-  const auto words = *rc::gen::container<std::vector<UsageUpdate>>(AWord());
-  auto others = words;
-  for (std::size_t i = 0; i < words.size(); ++i)
-    if (*rc::gen::inRange(0, 3) == 0) others.push_back(words[i]);
-  for (std::size_t i = others.size(); i > 1; --i)
-    std::swap(others[i - 1],
-              others[static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(i)))]);
+  const auto updates = *rc::gen::container<std::vector<UsageUpdate>>(AnyUpdate());
+  auto shuffled = updates;
+  for (std::size_t i = 0; i < updates.size(); ++i)
+    if (*rc::gen::inRange(0, 3) == 0) shuffled.push_back(updates[i]);
+  for (std::size_t i = shuffled.size(); i > 1; --i)
+    std::swap(shuffled[i - 1],
+              shuffled[static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(i)))]);
   const UsageOptions o{.self = 0, .nodes = 4, .quotas = {50}};
   UsageCounters a(o, 5'000, kUnix), b(o, 5'000, kUnix);
   std::uint64_t before = 0;
-  for (const UsageUpdate& w : words) {
+  for (const UsageUpdate& w : updates) {
     a.Merge(kUnix, w);
-    const auto held = a.latest(1, 0);
-    if (held && held->process == 1003) {
-      RC_ASSERT(held->value >= before);  // counters never decrease
-      before = held->value;
+    const auto known = a.latest(1, 0);
+    if (known && known->process == 1003) {
+      RC_ASSERT(known->value >= before);  // counters never decrease
+      before = known->value;
     }
   }
-  for (const UsageUpdate& w : others) b.Merge(kUnix, w);
+  for (const UsageUpdate& w : shuffled) b.Merge(kUnix, w);
   for (int n = 1; n < 4; ++n) {
     const auto x = a.latest(n, 0), y = b.latest(n, 0);
     RC_ASSERT(x.has_value() == y.has_value());
@@ -251,29 +251,29 @@
 }
 
 RC_GTEST_PROP(SharedMerge, JudgementsDoNotDependOnOrderOrNumber, ()) {
-  const auto words = *rc::gen::container<std::vector<HealthReport>>(rc::gen::apply(
-      [](int witness, int process, int number, int verdict) {
+  const auto updates = *rc::gen::container<std::vector<HealthReport>>(rc::gen::apply(
+      [](int reporter, int process, int number, int status) {
         // Reports of one reporter with equal process and sequence number have equal contents.
         return HealthReport{7,
                             0,
-                            witness,
-                            witness % 3,
+                            reporter,
+                            reporter % 3,
                             static_cast<std::uint64_t>(1 + process),
                             static_cast<std::uint32_t>(1 + number),
-                            static_cast<HealthStatus>((verdict * 0 + number + process) % 5),
+                            static_cast<HealthStatus>((status * 0 + number + process) % 5),
                             kUnix - number * 100'000};
       },
       rc::gen::inRange(1, 5), rc::gen::inRange(0, 3), rc::gen::inRange(0, 5),
       rc::gen::inRange(0, 5)));
-  auto others = words;
-  others.insert(others.end(), words.begin(), words.end());
-  std::reverse(others.begin(), others.end());
+  auto shuffled = updates;
+  shuffled.insert(shuffled.end(), updates.begin(), updates.end());
+  std::reverse(shuffled.begin(), shuffled.end());
   const WorkerHealthOptions o{.self = 0, .nodes = 5, .zones = 3};
   WorkerHealth a(o, 1), b(o, 1);
   a.OnListed(7, 0, 0, true);
   b.OnListed(7, 0, 0, true);
-  for (const HealthReport& w : words) a.Merge(kUnix, w);
-  for (const HealthReport& w : others) b.Merge(kUnix, w);
+  for (const HealthReport& w : updates) a.Merge(kUnix, w);
+  for (const HealthReport& w : shuffled) b.Merge(kUnix, w);
   RC_ASSERT(a.reports(7) == b.reports(7));
 }
 
@@ -290,15 +290,15 @@
                                 HealthStatus::kDead, kUnix - 5'000});
   }
   const auto room = static_cast<std::size_t>(*rc::gen::inRange(0, 400));
-  int left = 0;
-  const std::string bytes = Encode(w, room, &left);
+  int omitted = 0;
+  const std::string bytes = Encode(w, room, &omitted);
   RC_ASSERT(bytes.size() <= room);
   if (bytes.empty()) return;
   const auto read = Decode(bytes, 3, 1'800'000'000'000);
   RC_ASSERT(read.has_value());
   const std::size_t all =
       read->own_usage.size() + read->grants.size() + read->health_reports.size();
-  RC_ASSERT(all + static_cast<std::size_t>(left) ==
+  RC_ASSERT(all + static_cast<std::size_t>(omitted) ==
             w.own_usage.size() + w.grants.size() + w.health_reports.size());
   for (std::size_t i = 0; i < read->health_reports.size(); ++i)
     RC_ASSERT(read->health_reports[i] == w.health_reports[i]);
@@ -309,7 +309,7 @@
 TEST(SharedJudgements, ANodeThatSaysThatAllAreSilentCondemnsNone) {
   lab::SharedLoad load = Load();
   load.liar = 4;
-  const auto r = Play(Plan(1, {}), load);
+  const auto r = RunPlan(Plan(1, {}), load);
   EXPECT_EQ(Violations(r.history), "");
   for (const lab::Moment& m : r.history) ASSERT_NE(m.what, "worker_out");
 }
@@ -319,7 +319,7 @@
   const lab::SharedLoad load = Load();
   lab::SharedLoad alone = load;
   alone.options.health.min_reporters = 1'000;  // reports are never sufficient
-  const auto with = Play(Plan(1, faults), load), without = Play(Plan(1, faults), alone);
+  const auto with = RunPlan(Plan(1, faults), load), without = RunPlan(Plan(1, faults), alone);
   EXPECT_LT(with.sends_lost * 2, without.sends_lost);
   EXPECT_EQ(Violations(with.history), "");
 }
@@ -328,8 +328,8 @@
   WorkerHealthOptions o{.self = 0, .nodes = 5, .zone = 0, .zones = 2};
   WorkerHealth j(o, 1);
   for (WorkerKey w = 0; w < 10; ++w) j.OnListed(w, 0, 0, true);
-  for (int witness = 1; witness <= 4; ++witness)
-    j.Merge(kUnix, {3, 0, witness, witness % 2, 1, 1, HealthStatus::kSilent, kUnix});
+  for (int reporter = 1; reporter <= 4; ++reporter)
+    j.Merge(kUnix, {3, 0, reporter, reporter % 2, 1, 1, HealthStatus::kSilent, kUnix});
   j.OnWorkerResponse(kUnix, 3);
   j.Update(kUnix, {1, 2, 3, 4});
   EXPECT_FALSE(j.statuses().contains(3));
@@ -376,20 +376,21 @@
     nodes.push_back(std::make_unique<WorkerHealth>(
         WorkerHealthOptions{.self = n, .nodes = 6, .zone = n % 2, .zones = 2}, 1));
     for (WorkerKey w = 0; w < 10; ++w) nodes.back()->OnListed(w, 0, 0, true);
-    for (int witness = 0; witness < 6; ++witness)
-      nodes.back()->Merge(kUnix, {3, 0, witness, witness % 2, 1, 1, HealthStatus::kSilent, kUnix});
+    for (int reporter = 0; reporter < 6; ++reporter)
+      nodes.back()->Merge(kUnix,
+                          {3, 0, reporter, reporter % 2, 1, 1, HealthStatus::kSilent, kUnix});
   }
   for (Micros at = kUnix; at < kUnix + 8'000'000; at += 300'000) {
-    int triers = 0;
+    int probers = 0;
     for (int n = 0; n < 6; ++n) {
       std::vector<int> alive;
       for (int other = 0; other < 6; ++other)
         if (other != n) alive.push_back(other);
       nodes[static_cast<std::size_t>(n)]->Update(at, alive);
       const auto& all = nodes[static_cast<std::size_t>(n)]->statuses();
-      triers += all.contains(3) && all.at(3).probe ? 1 : 0;
+      probers += all.contains(3) && all.at(3).probe ? 1 : 0;
     }
-    EXPECT_EQ(triers, 1);
+    EXPECT_EQ(probers, 1);
   }
 }
 
--- a/tests/node/zones/zones_test.cpp
+++ b/tests/node/zones/zones_test.cpp
@@ -40,8 +40,8 @@
   const char* name;
   std::vector<Fault> faults;
   // Zones that all nodes eject, and whether nodes may eject other zones, too.
-  std::vector<std::string> left;
-  bool others = false;
+  std::vector<std::string> ejected;
+  bool may_eject_others = false;
   int nodes = 9, zones = 3;
   double lost = 0;
   int liar = -1;
@@ -50,19 +50,19 @@
 };
 void PrintTo(const Case& c, std::ostream* out) { *out << c.name; }
 
-struct Play {
+struct Setup {
   lab::SharedLoad shared;
   lab::ZoneLoad zones;
   lab::VirtualOptions options;
 };
-std::unique_ptr<Play> PlayOf(const Case& c, std::uint64_t seed) {
-  auto play = std::make_unique<Play>();
-  play->shared.options.quotas = {70};
-  play->shared.asked = {30};
-  play->shared.sends = 4;
-  play->zones.liar = c.liar;
-  play->zones.lone_kind = c.lone_kind;
-  lab::VirtualOptions& o = play->options;
+std::unique_ptr<Setup> MakeSetup(const Case& c, std::uint64_t seed) {
+  auto setup = std::make_unique<Setup>();
+  setup->shared.options.quotas = {70};
+  setup->shared.asked = {30};
+  setup->shared.sends = 4;
+  setup->zones.liar = c.liar;
+  setup->zones.lone_kind = c.lone_kind;
+  lab::VirtualOptions& o = setup->options;
   o.plan.nodes = c.nodes;
   o.plan.zones = c.zones;
   o.plan.workers = 12;
@@ -72,39 +72,39 @@
   o.lost = c.lost;
   o.extra = lab::ZonesWholeWithin() + kSecond;
   o.views = false;
-  o.shared = &play->shared;
-  o.zones = &play->zones;
-  return play;
+  o.shared = &setup->shared;
+  o.zones = &setup->zones;
+  return setup;
 }
-lab::VirtualResult PlayCase(const Case& c, std::uint64_t seed) {
-  return lab::RunVirtual(PlayOf(c, seed)->options);
+lab::VirtualResult RunCase(const Case& c, std::uint64_t seed) {
+  return lab::RunVirtual(MakeSetup(c, seed)->options);
 }
 std::vector<lab::Violation> OfZones(const lab::History& history) {
   std::vector<lab::Violation> all = lab::CheckAll(history);
   std::erase_if(all, [](const lab::Violation& v) { return !v.rule.starts_with("zones-"); });
   return all;
 }
-std::set<std::string> LeftIn(const lab::History& history) {
-  std::set<std::string> left;
+std::set<std::string> EjectedIn(const lab::History& history) {
+  std::set<std::string> ejected;
   for (const lab::Moment& m : history)
-    if (m.what == "zone" && m.Number("step") == 1) left.insert(m.Of("zone"));
-  return left;
+    if (m.what == "zone" && m.Number("step") == 1) ejected.insert(m.Of("zone"));
+  return ejected;
 }
 
 class ZoneCases : public testing::TestWithParam<Case> {};
 TEST_P(ZoneCases, HoldWhatIsStated) {
   const Case& c = GetParam();
   for (const std::uint64_t seed : {1, 2}) {
-    const lab::VirtualResult r = PlayCase(c, seed);
+    const lab::VirtualResult r = RunCase(c, seed);
     for (const lab::Violation& v : OfZones(r.history))
       ADD_FAILURE() << c.name << ", seed " << seed << ": " << v.rule << " at " << v.at << ": "
                     << v.what << (v.lines.empty() ? "" : "; " + Words(r.history[v.lines[0]]));
-    for (const std::string& zone : c.left)
+    for (const std::string& zone : c.ejected)
       EXPECT_EQ(static_cast<int>(lab::LeftAt(r.history, zone, 0).size()), c.nodes)
           << c.name << ", seed " << seed << ": " << zone;
-    if (c.others) continue;
-    for (const std::string& zone : LeftIn(r.history))
-      EXPECT_NE(std::find(c.left.begin(), c.left.end(), zone), c.left.end())
+    if (c.may_eject_others) continue;
+    for (const std::string& zone : EjectedIn(r.history))
+      EXPECT_NE(std::find(c.ejected.begin(), c.ejected.end(), zone), c.ejected.end())
           << c.name << ", seed " << seed << ": " << zone << " is ejected, too";
   }
 }
@@ -188,11 +188,11 @@
 TEST(ZonesDrawn, FaultsBreakNothing) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     Case c{"drawn", {}, {}, true};
-    const auto play = PlayOf(c, seed);
+    const auto setup = MakeSetup(c, seed);
     lab::DrawOptions draw;
     draw.zones = true;
-    lab::DrawFaults(draw, &play->options.plan);
-    for (const lab::Violation& v : OfZones(lab::RunVirtual(play->options).history))
+    lab::DrawFaults(draw, &setup->options.plan);
+    for (const lab::Violation& v : OfZones(lab::RunVirtual(setup->options).history))
       ADD_FAILURE() << "seed " << seed << ": " << v.rule << " at " << v.at << ": " << v.what;
   }
 }
@@ -203,18 +203,18 @@
     for (const Case& c : Cases()) {
       if (std::string(c.name) != name) continue;
       for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-        const auto play = PlayOf(c, seed);
-        play->zones.without = without;
-        if (!OfZones(lab::RunVirtual(play->options).history).empty()) return true;
+        const auto setup = MakeSetup(c, seed);
+        setup->zones.without = without;
+        if (!OfZones(lab::RunVirtual(setup->options).history).empty()) return true;
       }
     }
     return false;
   };
   EXPECT_TRUE(broken("one node claims that zones are gone", {.confirmation = true}));
   const Case all{"all", {FaultOf(What::kFail, 5, 10, "*", "*", 0.6)}, {}};
-  const auto play = PlayOf(all, 1);
-  play->zones.without = {.capacity_check = true};
-  EXPECT_GT(LeftIn(lab::RunVirtual(play->options).history).size(), 1u);
+  const auto setup = MakeSetup(all, 1);
+  setup->zones.without = {.capacity_check = true};
+  EXPECT_GT(EjectedIn(lab::RunVirtual(setup->options).history).size(), 1u);
 }
 
 // Messages with an ejection that arrive after its end do not eject the zone again.
@@ -244,22 +244,22 @@
 TEST(ZonesGuards, WhereNothingIsLeftABadZoneIsBetterThanNone) {
   Case c{"all", {FaultOf(What::kFail, 5, 10, "*", "*", 0.6)}, {}};
   for (const std::uint64_t seed : {1, 2, 3})
-    EXPECT_LE(LeftIn(PlayCase(c, seed).history).size(), 1u) << seed;
+    EXPECT_LE(EjectedIn(RunCase(c, seed).history).size(), 1u) << seed;
 }
 
 // A partially failing zone stays in use while nodes reject jobs for lack of capacity; a dead zone
 // is always ejected.
 TEST(ZonesGuards, AGreyZoneStaysUnderLoadAndADeadOneDoesNot) {
-  for (const auto& [cause, pressed, left] : {std::tuple(zones::Cause::kFailing, true, false),
-                                             std::tuple(zones::Cause::kFailing, false, true),
-                                             std::tuple(zones::Cause::kDead, true, true)}) {
+  for (const auto& [cause, overloaded, ejected] : {std::tuple(zones::Cause::kFailing, true, false),
+                                                   std::tuple(zones::Cause::kFailing, false, true),
+                                                   std::tuple(zones::Cause::kDead, true, true)}) {
     zones::Options o;
     o.self = 0;
     o.nodes = 6;
     o.zones = {"a", "b", "c"};
     zones::ZoneFailover z(o, 1, kUnix);
     for (zones::WorkerKey w = 0; w < 12; ++w) z.OnListed(w, static_cast<int>(w % 3), 0, 1, 0, true);
-    z.SetOverloaded(pressed);
+    z.SetOverloaded(overloaded);
     std::vector<zones::ZoneFailover::OutgoingMessage> out;
     for (int i = 0; i < 12; ++i) {
       const Micros now = kUnix + i * 250'000;
@@ -272,13 +272,13 @@
         w.zone = from % 3;
         w.at = now / 1000 * 1000;
         w.reports.push_back({zones::KeyOf("b"), from, from % 3, kUnix / 1000,
-                             static_cast<std::uint32_t>(i + 1), 255, 255, cause, pressed, w.at, 0,
-                             0, 0});
+                             static_cast<std::uint32_t>(i + 1), 255, 255, cause, overloaded, w.at,
+                             0, 0, 0});
         z.OnMessage(now, from, kUnix / 1000, zones::Encode(w, 200, nullptr), &out);
       }
       z.Tick(now, {1, 2, 3, 4, 5}, false, &out);
     }
-    EXPECT_EQ(z.status(1).step == zones::kEjected, left) << NameOf(cause) << " " << pressed;
+    EXPECT_EQ(z.status(1).step == zones::kEjected, ejected) << NameOf(cause) << " " << overloaded;
   }
 }
 
@@ -362,18 +362,18 @@
          *rc::gen::inRange<std::uint64_t>(0, 9), *rc::gen::inRange(0u, 99u),
          *rc::gen::inRange(0u, 99u)});
   const std::size_t room = *rc::gen::inRange<std::size_t>(20, 800);
-  int left = 0;
-  const std::string bytes = Encode(w, room, &left);
+  int omitted = 0;
+  const std::string bytes = Encode(w, room, &omitted);
   RC_ASSERT(bytes.size() <= room);
   const auto read = zones::Decode(bytes);
   RC_ASSERT(read.has_value());
-  const auto starts = [](const auto& part, const auto& whole) {
+  const auto is_prefix = [](const auto& part, const auto& whole) {
     return part.size() <= whole.size() && std::equal(part.begin(), part.end(), whole.begin());
   };
-  RC_ASSERT(starts(read->orders, w.orders) && starts(read->decisions, w.decisions) &&
-            starts(read->reports, w.reports));
+  RC_ASSERT(is_prefix(read->orders, w.orders) && is_prefix(read->decisions, w.decisions) &&
+            is_prefix(read->reports, w.reports));
   RC_ASSERT(read->orders.size() + read->decisions.size() + read->reports.size() +
-                static_cast<std::size_t>(left) ==
+                static_cast<std::size_t>(omitted) ==
             w.orders.size() + w.decisions.size() + w.reports.size());
   for (std::size_t cut = 0; cut < bytes.size(); ++cut) zones::Decode(bytes.substr(0, cut));
 }
