--- a/src/node/membership/members.cpp
+++ b/src/node/membership/members.cpp
@@ -15,19 +15,19 @@
 
 enum Kind { kPing = 1, kAck = 2, kPingRequest = 3, kNack = 4 };
 
-constexpr double kResendPeriods = 0.15;      // a ping is sent again after this fraction of a period
+constexpr double kResendPeriods = 0.15;  // of a period without an answer: the ping is sent again
 constexpr Micros kMinResendMicros = 40'000;  // a round trip, by the platform's protocol
 constexpr int kMaxPings = 3;                 // per probe
-constexpr std::uint64_t kUnreachableProbesPerPeriod = 4;
-constexpr double kDirectPeriods = 0.45;  // without an answer by then, helpers are asked
-constexpr double kNackPeriods = 0.3;     // without an answer by then, a helper sends a nack
+constexpr std::uint64_t kUnreachableProbesPerPeriod = 4;  // of all nodes together
+constexpr double kDirectPeriods = 0.45;  // of a period without an answer: helpers are asked
+constexpr double kNackPeriods = 0.3;     // of a period without an answer: a helper sends a nack
 constexpr int kMaxConfirmations = 3;     // with so many confirmations the timeout is the minimum
-constexpr Micros kMinStallMicros = 100'000;
-constexpr int kIsolatedPeriods = 10;  // without any datagram for so long, a node is isolated
+constexpr Micros kMinStallMicros = 100'000;  // a shorter delay of Tick is not a stall
+constexpr int kIsolatedPeriods = 10;         // without any datagram for so long, a node is isolated
 constexpr std::size_t kMaxRelays = 64;
 constexpr int kMaxRequestedEntries = 6;  // per section
-constexpr std::size_t kLatestEntries = 3,
-                      kEntriesInTurn = 4;  // per section, for a node with another digest
+// Entries per section for a node with another digest: the latest changes, then others in turn.
+constexpr std::size_t kLatestEntries = 3, kEntriesInTurn = 4;
 
 }  // namespace
 
--- a/src/node/membership/members.h
+++ b/src/node/membership/members.h
@@ -22,7 +22,7 @@
 using Micros = std::int64_t;  // on the caller's monotonic clock
 
 enum class Status : std::uint8_t { kAlive, kSuspect, kUnreachable, kLeft };
-const char* NameOf(Status status);
+const char* NameOf(Status status);  // the name in log lines
 
 // The state of one node. `process` identifies the process that runs the node: the Unix time in
 // milliseconds at which it bound the node's address, or 0 if the node has never been seen.
@@ -38,14 +38,13 @@
 // process, kLeft wins, then the later version; for one version, the worse status wins.
 bool Supersedes(const Entry& a, const Entry& b);
 
-struct Options {
+struct Options {  // durations in microseconds
   int self = 0, nodes = 1;
   Micros period = 500'000;          // one probe is started per period
   int indirect_probes = 3;          // helpers that probe a node on this node's behalf
   bool lifeguard = true;            // the rules of Lifeguard: see above
   double suspicion_multiplier = 4;  // minimum suspicion timeout: periods * max(1, log10(nodes))
-  double max_suspicion_factor =
-      6;  // timeout of an unconfirmed suspicion: this many times the minimum
+  double max_suspicion_factor = 6;  // unconfirmed suspicion: this many times the minimum timeout
   std::size_t max_section_bytes = 160;  // upper bound on an encoded section
 };
 
@@ -69,8 +68,8 @@
   int alive = 0, suspect = 0, unreachable = 0, left = 0, unknown = 0;  // unknown: never seen
   int probed = 0, received_from = 0, acked_by = 0;
   bool isolated = false;  // nothing arrives from any node
-  bool unconfirmed_after_stall =
-      false;  // the process was stopped, and no probe has been answered since
+  // The process was stopped, and no probe has been answered since.
+  bool unconfirmed_after_stall = false;
   std::uint32_t digest = 0;
 };
 
@@ -99,8 +98,8 @@
   // ignored.
   void Receive(Micros now, int from, std::uint64_t process, bool late, std::string_view section,
                std::vector<Outgoing>* out);
-  // A datagram arrived from a process of `from` that was replaced: the next section to that node
-  // contains its entry.
+  // Notes that a datagram arrived from a replaced process of `from`. The next section to that node
+  // contains its entry, from which the process learns that it was replaced.
   void NoteReplacedSender(int from);
   // The process is about to end: informs a few nodes, which forward the change to the others.
   void Leave(Micros now, std::vector<Outgoing>* out);
--- a/src/node/peer_transport/datagram.cpp
+++ b/src/node/peer_transport/datagram.cpp
@@ -38,12 +38,13 @@
   return kNames[static_cast<std::size_t>(reason)];
 }
 
-Writer::Writer(int from, std::uint64_t process, std::uint32_t number) : bytes_(kHeaderBytes, '\0') {
+Writer::Writer(int from, std::uint64_t process, std::uint32_t sequence)
+    : bytes_(kHeaderBytes, '\0') {
   bytes_[0] = kMagic;
   bytes_[1] = static_cast<char>(kVersion);
   Put(&bytes_, 8, static_cast<std::uint64_t>(from), 2);
   Put(&bytes_, 10, process, 6);
-  Put(&bytes_, 16, number, 4);
+  Put(&bytes_, 16, sequence, 4);
 }
 
 std::size_t Writer::room() const {
--- a/src/node/peer_transport/datagram.h
+++ b/src/node/peer_transport/datagram.h
@@ -56,11 +56,11 @@
 // Encodes one datagram. Sections can be added while there is room.
 class Writer {
  public:
-  Writer(int from, std::uint64_t process, std::uint32_t number);
+  Writer(int from, std::uint64_t process, std::uint32_t sequence);
   std::size_t room() const;                       // bytes available to another section
   bool Add(Topic topic, std::string_view bytes);  // false: no room for it
   bool empty() const { return bytes_.size() == kHeaderBytes; }
-  std::string Take();
+  std::string Take();  // adds the checksum and returns the datagram
 
  private:
   std::string bytes_;
--- a/src/node/rules/document.h
+++ b/src/node/rules/document.h
@@ -30,8 +30,8 @@
   std::optional<int> attempts;           // maximum per job
   std::optional<int> budget_parts;       // number of parts into which a budget is divided
   std::set<std::string> bans;            // workers that receive no jobs
-  std::map<std::string, bool>
-      zone_left;  // by zone: true: do not use; false: use regardless of its health
+  // By zone: true: do not use; false: use regardless of its health.
+  std::map<std::string, bool> zone_left;
   bool operator==(const Rules&) const = default;
 };
 // The loosest rules that satisfy both. Commutative, associative and idempotent.
--- a/src/node/rules/leases.cpp
+++ b/src/node/rules/leases.cpp
@@ -7,25 +7,27 @@
 namespace pearreach::rules {
 namespace {
 
-constexpr Micros kNoChangeMicros = 60'000'000'000;
+constexpr Micros kNoChangeMicros = 60'000'000'000;  // validity if nothing expires
 
 }  // namespace
 
+// The lease starts at the oldest query of the majority with the latest answered queries.
 Micros Consensus::lease_until(Micros now) const {
   if (current() == nullptr) return 0;
-  std::vector<Micros> asked;
+  std::vector<Micros> query_times;
   for (const int voter : voters()) {
     if (voter == options_.self) {
-      if (!recovering_ && NothingAccepted()) asked.push_back(now);
+      if (!recovering_ && NothingAccepted()) query_times.push_back(now);
     } else if (voter < options_.nodes) {
       const Other& o = others_[static_cast<std::size_t>(voter)];
-      if (o.vouched_version == version_id_ && o.vouched_at >= 0) asked.push_back(o.vouched_at);
+      if (o.vouched_version == version_id_ && o.vouched_at >= 0)
+        query_times.push_back(o.vouched_at);
     }
   }
   const auto majority = static_cast<std::size_t>(Majority());
-  if (asked.size() < majority) return 0;
-  std::sort(asked.rbegin(), asked.rend());
-  return asked[majority - 1] + options_.lease;
+  if (query_times.size() < majority) return 0;
+  std::sort(query_times.rbegin(), query_times.rend());
+  return query_times[majority - 1] + options_.lease;
 }
 
 Consensus::EffectiveRules Consensus::effective_rules(Micros now) const {
--- a/src/node/rules/messages.cpp
+++ b/src/node/rules/messages.cpp
@@ -10,7 +10,7 @@
 
 // Bounds that a received message must not exceed.
 constexpr std::int64_t kMaxAgeMs = 60'000'000;
-constexpr std::uint64_t kMaxNumber = 1ull << 50;
+constexpr std::uint64_t kMaxNumber = 1ull << 50;  // epochs, versions and ballots
 constexpr int kMaxParts = kMaxDocumentBytes / kPartBytes + 1;
 constexpr std::size_t kMaxHoldersBytes = 125;  // 1,000 nodes
 
--- a/src/node/rules/messages.h
+++ b/src/node/rules/messages.h
@@ -24,7 +24,8 @@
 enum class Step : std::uint8_t { kNone, kPrepare, kPromise, kAccept, kAccepted, kRefused };
 
 struct Message {
-  // The sender's latest version, how long it has had it, and the latest schema that it can read.
+  // The sender's latest version, the time since it was chosen, and the latest schema that the
+  // sender can read.
   VersionId version;
   std::int64_t age_ms = 0;
   std::uint32_t schema = 1;
--- a/src/node/rules/rules.cpp
+++ b/src/node/rules/rules.cpp
@@ -6,8 +6,8 @@
 namespace pearreach::rules {
 namespace {
 
-constexpr std::size_t kStoredVersions = 4;  // versions in the persistent state
-constexpr Micros kLongAgoMicros = 60'000'000'000;
+constexpr std::size_t kStoredVersions = 4;         // versions in the persistent state
+constexpr Micros kLongAgoMicros = 60'000'000'000;  // age of the initial version
 
 }  // namespace
 
--- a/src/node/rules/rules.h
+++ b/src/node/rules/rules.h
@@ -35,9 +35,9 @@
 
 using Micros = std::int64_t;  // on this process's monotonic clock
 
-constexpr int kBroadcastFanout = 8;            // peers that receive a new version in one round
-constexpr std::uint64_t kEpochStep = 1 << 10;  // An epoch is a multiple of kEpochStep, plus the
-                                               // node number + 1 if an operator forced it.
+constexpr int kBroadcastFanout = 8;  // peers that receive a new version in one round
+// An epoch is a multiple of kEpochStep, plus the node number + 1 if an operator forced it.
+constexpr std::uint64_t kEpochStep = 1 << 10;
 
 struct Options {
   int self = 0, nodes = 1;
@@ -47,10 +47,10 @@
   Micros round_interval = 250'000;       // time between two rounds of queries to the voters
   Micros ballot_timeout = 1'000'000;     // a ballot is abandoned after this time
   Micros proposal_timeout = 10'000'000;  // a proposal is abandoned after this time
-  Micros ready_timeout =
-      3'000'000;  // after its start a node is ready by then, on the floor if need be
-  Micros max_staleness =
-      100'000;  // upper bound on the age of the EffectiveRules that a node applies
+  // After this time since its start a node is ready, on the floor if it has no lease.
+  Micros ready_timeout = 3'000'000;
+  // Upper bound on the age of the EffectiveRules that a node applies.
+  Micros max_staleness = 100'000;
   std::uint32_t schema = kSchema;  // the latest that this process can read
   // T: upper bound on the time for which two processes may apply contradictory rules after the
   // newer version took effect. It is the length of a lease on a slow clock plus `max_staleness`.
@@ -147,8 +147,8 @@
   std::vector<int> voters() const;
   bool is_voter() const { return IsVoter(options_.self); }
   bool recovering() const { return recovering_; }
-  bool ready(Micros now) const;
-  Micros lease_until(Micros now) const;
+  bool ready(Micros now) const;          // has a lease, or `ready_timeout` has passed
+  Micros lease_until(Micros now) const;  // 0: no lease
   // Nodes that have the version chosen last, by recent messages to this node or to a voter.
   std::set<int> holders(Micros now) const;
   // Nodes that cannot read the document of the version chosen last.
