--- a/src/tier/gateway/gateway.h
+++ b/src/tier/gateway/gateway.h
@@ -86,7 +86,7 @@
   const bool hold_until_configured_;
   StartQueue start_queue_;
   bool draining_ = false;
-  // lets the control listener detect destruction
+  // Lets the control listener detect destruction.
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/tier/proxy/active_request.h
+++ b/src/tier/proxy/active_request.h
@@ -27,7 +27,7 @@
   virtual ~ActiveRequestHost() = default;
   // Whether the newest worker table lists this worker as ready.
   virtual bool IsReady(const std::string& worker_id) const = 0;
-  // Applies the newest worker table at once, since a worker was chosen from an older one.
+  // Applies the newest worker table at once. Called when a worker was chosen from an older one.
   virtual void RefreshWorkers() = 0;
   // Maximum number of connections from this node to each worker of the service.
   virtual std::size_t ConnectionLimit(const std::string& service) const = 0;
--- a/src/tier/proxy/attempt.cpp
+++ b/src/tier/proxy/attempt.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Micros kConnectTimeout = 300 * kMs;  // limit for establishing a connection
-// responses to earlier requests that are skipped on one connection
+// Responses to earlier requests that are skipped on one connection.
 constexpr int kMaxSurplusResponses = 4;
 constexpr std::size_t kMaxBufferedBytes = 32 << 20;
 // Upper bound of the body bytes that are buffered for a worker that reads slowly.
--- a/src/tier/proxy/pool_dispatcher.cpp
+++ b/src/tier/proxy/pool_dispatcher.cpp
@@ -15,9 +15,9 @@
 constexpr double kBulkValue = 0.001;   // lower than the value of any rank of live requests
 constexpr double kLateValue = 0.4;  // fraction of the value of a response after its latency target
 constexpr Micros kBulkTarget = 2 * kSecond;
-// open connections are preferred
+// Open connections are preferred.
 constexpr double kConnectCost = 0.01;
-// streams report their progress at least this often
+// Streams report their progress at least this often.
 constexpr Micros kNoProgressTimeout = 2 * kSecond;
 // Retry-After of a refusal: the base plus a delay for each queued live request, up to the maximum.
 constexpr Micros kRetryAfterBase = 100 * kMs;
--- a/src/tier/proxy/pool_dispatcher.h
+++ b/src/tier/proxy/pool_dispatcher.h
@@ -1,4 +1,4 @@
-// Admission for one service: passes placements (requests of a worker for one attempt) to a
+// Admission for one service: passes placements (each asks for one worker for one attempt) to a
 // dispatch::Dispatcher, reports its decisions to the clients, and replaces the dispatcher without
 // losing state when the settings change. All events of one event loop iteration are handled
 // together. Loop thread only.
@@ -120,7 +120,7 @@
   std::vector<dispatch::Action> actions_;
   PlacementId last_id_ = 0;
   int queued_live_ = 0, queued_bulk_ = 0;
-  // the settings have changed; the dispatcher is replaced in the next run
+  // The settings have changed; the dispatcher is replaced in the next run.
   bool rebuild_needed_ = true;
   bool limit_cut_ = false;        // the dispatcher has reduced its limit because workers were full
   double reported_capacity_ = 0;  // largest worker capacity reported to the dispatcher
--- a/src/tier/proxy/request_admission.cpp
+++ b/src/tier/proxy/request_admission.cpp
@@ -19,7 +19,7 @@
 constexpr double kGrowingQueueTargetFraction = 0.5;
 constexpr Micros kQueueMargin = 5 * kMs;
 constexpr Micros kMinQueueTime = 20 * kMs;
-// a request that may have run cannot be refused, so it waits longer
+// A request that may have run cannot be refused, so it waits longer.
 constexpr Micros kRetryQueueTime = kSecond;
 
 }  // namespace
--- a/src/tier/proxy/request_runner.cpp
+++ b/src/tier/proxy/request_runner.cpp
@@ -17,10 +17,10 @@
 constexpr Micros kRefreshDelay = 5 * kMs;
 constexpr Micros kRefreshDelayPerWorker = 10;  // microseconds
 constexpr Micros kPositionPeriod = 200 * kMs;  // period of updates of this node's share
-// lower bound for each worker, regardless of the number of nodes
+// Lower bound for each worker, regardless of the number of nodes.
 constexpr std::size_t kMinConnectionLimit = 2;
 constexpr std::size_t kDefaultConnectionLimit = 16;  // for services without max_conns
-// fraction of all slots by load reports; above it items wait
+// Fraction of all slots in use by load reports; above it, batch items wait.
 constexpr double kMaxUtilization = 0.9;
 // Batch items with unprocessed prompts, for each worker over all nodes, and the number of queued
 // items for each of them.
--- a/src/tier/proxy/response_reader.h
+++ b/src/tier/proxy/response_reader.h
@@ -18,7 +18,7 @@
   std::vector<http::Header> headers;
   bool keep_alive = true;
 
-  // value of the first header of this name, or null
+  // Value of the first header of this name, or null.
   const std::string* Find(std::string_view name) const;
 };
 
--- a/src/tier/proxy/response_timeout.h
+++ b/src/tier/proxy/response_timeout.h
@@ -1,6 +1,6 @@
 // Response timeout of non-streamed requests, learned from the recent response times of the service
 // at this node. A retry budget limits timeout retries to a small fraction of all sends, so that a
-// service that is slow as a whole does not get additional load.
+// service that is slow as a whole gets little additional load.
 #ifndef PEARREACH_SRC_TIER_PROXY_RESPONSE_TIMEOUT_H_
 #define PEARREACH_SRC_TIER_PROXY_RESPONSE_TIMEOUT_H_
 
--- a/src/tier/proxy/retry_state.h
+++ b/src/tier/proxy/retry_state.h
@@ -42,7 +42,7 @@
   bool MayLeaveWorker() const { return idempotent_ && runs_ + 1 < attempts_; }
 
  private:
-  // sends beyond `attempts`, for workers that did not run the request
+  // Sends beyond `attempts`, for workers that did not run the request.
   static constexpr int kExtraSends = 4;
   static constexpr int kMaxWorkersGone = 16;  // placements on workers that had just been removed
 
--- a/src/tier/proxy/service_workers.cpp
+++ b/src/tier/proxy/service_workers.cpp
@@ -11,7 +11,7 @@
 
 constexpr double kWarmUpWeight = 0.5;  // weight of a worker in warm-up relative to a warm one
 constexpr Micros kDropPeriod = 2 * kSecond;
-// the weight of a load report decays to 0 over this time
+// The weight of a load report decays to 0 over this time.
 constexpr Micros kLoadReportLifetime = kSecond;
 constexpr std::uint64_t kHashStart = 0xcbf29ce484222325u, kHashPrime = 0x100000001b3u;  // FNV-1a
 
--- a/src/tier/routing/configuration_reader.cpp
+++ b/src/tier/routing/configuration_reader.cpp
@@ -13,7 +13,7 @@
 namespace pearreach::routing {
 namespace {
 
-// no real configuration is nested as deeply; bounds the recursion below
+// No real configuration is nested as deeply; bounds the recursion below.
 constexpr int kMaxNesting = 64;
 
 // The iterative parser cannot exhaust the stack.
--- a/src/tier/routing/object_reader.h
+++ b/src/tier/routing/object_reader.h
@@ -28,11 +28,11 @@
   // Each function leaves `out` unchanged if the field is absent or invalid.
   void ReadString(std::string_view field, Presence presence, std::string* out) const;
   void ReadBool(std::string_view field, Presence presence, bool* out) const;
-  void ReadNumber(std::string_view field, Presence presence,
-                  double* out) const;  // must not be negative
+  // The number must not be negative.
+  void ReadNumber(std::string_view field, Presence presence, double* out) const;
   void ReadInteger(std::string_view field, Presence presence, std::int64_t* out) const;
-  void ReadCount(std::string_view field, Presence presence,
-                 int* out) const;  // whole number, must not be negative
+  // The number must be whole and not negative, here and in ReadSize.
+  void ReadCount(std::string_view field, Presence presence, int* out) const;
   void ReadSize(std::string_view field, Presence presence, std::size_t* out) const;
 
   bool Has(std::string_view field) const { return Find(field) != nullptr; }
