--- a/src/node/shared_state/budgets.cpp
+++ b/src/node/shared_state/budgets.cpp
@@ -239,7 +239,8 @@
       g.amount < 0 || static_cast<double>(g.amount) > kMaxAmount)
     return;
   if (g.to_process != process_ && !disabled_.receiver_process) return;
-  // Rejects a lease that outlasts the lender's by more than the clock skew.
+  // An expiry this late comes from a clock that is too far off: the lease would last longer here
+  // than at the lender.
   if (g.expires_at > now + options_.lease + options_.skew) return;
   Refill(now, g.budget);
   BorrowedQuota& known = At(g.budget).borrowed_from[from];
--- a/src/node/zones/evidence.cpp
+++ b/src/node/zones/evidence.cpp
@@ -37,8 +37,8 @@
     ++others;
     others_bad += s.bad >= options_.bad_fraction * s.tried ? 1 : 0;
   }
-  // If all other zones fail at once and none of their nodes is alive, this node is the isolated
-  // one.
+  // If all other zones fail at once and none of their nodes is alive, this node itself is isolated
+  // from them.
   isolated_ = alone && others >= 2 && others_bad == others;
   for (std::size_t z = 0; z < sums.size(); ++z) WriteReport(now, z, sums[z]);
 }
@@ -254,8 +254,8 @@
 }
 
 // Whether the other zones can carry the load. An ejection needs at least one other zone that is in
-// use and healthy. If the target still has capacity remaining counting, it also needs enough
-// healthy weight outside, and most reporters must not be overloaded.
+// use and healthy. If the target still has more than negligible capacity, enough healthy weight
+// must remain outside, and most reporters must not be overloaded.
 bool ZoneFailover::MayEject(Micros now, const Target& target, int for_zone, const Evidence& e) {
   if (disabled_.capacity_check) return true;
   double all = 0, rest = 0, weight = 0, remaining = 0;
--- a/src/node/zones/zones.h
+++ b/src/node/zones/zones.h
@@ -47,8 +47,8 @@
   double failure_threshold = 0.25,      // fraction of a zone's jobs that fail
       slowness_factor = 3;              // running time relative to the other zones
   double min_remaining_capacity = 0.4;  // of the total weight, left healthy after an ejection
-  double negligible_capacity =
-      0.1;                         // a zone with less of its own weight left may always be ejected
+  // A zone with less than this fraction of its own weight left may always be ejected.
+  double negligible_capacity = 0.1;
   Micros probe_delay = 1'000'000;  // after an ejection; doubles with each further one
   Micros max_probe_delay = 60'000'000;
   Micros probe_interval = 1'000'000;  // the probing nodes change at this interval
