--- a/tests/lab/load_test.cpp
+++ b/tests/lab/load_test.cpp
@@ -177,7 +177,8 @@
   };
   EXPECT_EQ(said(""), "t.csv:1: an empty trace");
   EXPECT_EQ(said("a,b\n1,2\n"), "t.csv:1: the first line names no at_ms or no class");
-  EXPECT_EQ(said("at_ms,class\n1,x\nsoon,x\n"), "t.csv:3: bad at_ms 'soon'");
+  EXPECT_EQ(said("at_ms,class\n1,x\nsoon,x\n"),
+            "t.csv:3: bad at_ms 'soon': expected a number in range");
   EXPECT_EQ(said("at_ms,class\n-1,x\n"), "t.csv:2: at_ms out of its bounds");
   EXPECT_EQ(said("at_ms,class\n1\n"), "t.csv:2: too few cells");
   EXPECT_EQ(said("at_ms,class,slots\n1,x,0\n"), "t.csv:2: slots out of their bounds");
