--- a/src/dispatch/policy/checkpoint.cpp
+++ b/src/dispatch/policy/checkpoint.cpp
@@ -272,9 +272,17 @@
   // Checks the invariants that the policy relies on. Returns an empty string, or a description of
   // the first violation.
   static std::string CheckConsistency(State& s, const State& fresh, std::size_t unset_times) {
-    const auto& slab = s.table_.slab_;
-    const auto worker = [&](WorkerId id) { return id < s.workers_.size(); };
-    const auto slot = [&](const RequestRef& r) { return r.slot < slab.size(); };
+    std::string error = CheckSizesAndTimes(s, fresh, unset_times);
+    if (error.empty()) error = CheckPoolsAndWorkers(s);
+    if (error.empty()) error = CheckRequests(s);
+    if (error.empty()) error = CheckQueuesAndDueTimes(s);
+    return error;
+  }
+
+ private:
+  // Checks the sizes that depend on the settings and the number of times without a value.
+  static std::string CheckSizesAndTimes(const State& s, const State& fresh,
+                                        std::size_t unset_times) {
     if (s.pools_.size() != fresh.pools_.size() || s.classes_.size() != fresh.classes_.size() ||
         s.queues_.size() != fresh.queues_.size() || s.quota_.size() != fresh.quota_.size() ||
         s.keys_.sums_.size() != fresh.keys_.sums_.size())
@@ -286,6 +294,15 @@
     if (unset_times != expected_unset)
       return "expected " + std::to_string(expected_unset) + " times without a value, found " +
              std::to_string(unset_times);
+    return "";
+  }
+
+  // Checks the values of the pools and workers and of the subscribe backoff, and the references of
+  // pools to workers and of workers to requests and their attempts.
+  static std::string CheckPoolsAndWorkers(const State& s) {
+    const auto& slab = s.table_.slab_;
+    const auto worker = [&](WorkerId id) { return id < s.workers_.size(); };
+    const auto slot = [&](const RequestRef& r) { return r.slot < slab.size(); };
     for (const Pool& p : s.pools_)
       if (p.slowdown < 0.1 || p.slowdown > 10)
         return "slowdown of a pool is " + std::to_string(p.slowdown) + ": expected 0.1 to 10";
@@ -313,6 +330,14 @@
                  std::to_string(r.attempts.size());
       }
     }
+    return "";
+  }
+
+  // Checks the requests, the counter of queued requests and the list of free slots. Fills the index
+  // of the request table, which is not stored.
+  static std::string CheckRequests(State& s) {
+    const auto& slab = s.table_.slab_;
+    const auto worker = [&](WorkerId id) { return id < s.workers_.size(); };
     std::size_t queued = 0;
     for (std::uint32_t i = 0; i < slab.size(); ++i) {
       const Request& r = slab[i];
@@ -341,6 +366,14 @@
       return "expected " + std::to_string(slab.size()) + " request slots, found " +
              std::to_string(s.table_.free_.size()) + " free and " +
              std::to_string(s.table_.index_.size()) + " in use";
+    return "";
+  }
+
+  // Checks the references of queues and due times to request slots, and the heap order of the due
+  // times.
+  static std::string CheckQueuesAndDueTimes(State& s) {
+    const auto& slab = s.table_.slab_;
+    const auto slot = [&](const RequestRef& r) { return r.slot < slab.size(); };
     for (const Queue& q : s.queues_)
       for (const RequestRef& r : q.jobs)
         if (!slot(r))
