--- a/lab/cli/trial.cpp
+++ b/lab/cli/trial.cpp
@@ -261,7 +261,7 @@
   std::string keep = (*args)["keep"].as<std::string>();
   const bool with_words = args->count("no-words") == 0;
   SharedLoad shared;  // in virtual time
-  shared.options.shares = {70, 40, 20};
+  shared.options.quotas = {70, 40, 20};
   shared.asked = {60, 30, 10};
   shared.flood_from = plan.length / 4;
   shared.flood_until = plan.length / 2;
