--- a/tests/node/admin/door_test.cpp
+++ b/tests/node/admin/door_test.cpp
@@ -1,5 +1,7 @@
 // Tests of the admin server: the response to each request, and that callers that send nothing or an
 // incomplete request, or open too many connections, are answered and do not block the next caller.
+#include "node/admin/door.h"
+
 #include <gtest/gtest.h>
 
 #include <set>
@@ -7,7 +9,6 @@
 #include <vector>
 
 #include "common/diagnostics/log.h"
-#include "node/admin/door.h"
 
 namespace pearreach::admin {
 namespace {
