--- a/src/node/admin/bans.cpp
+++ b/src/node/admin/bans.cpp
@@ -30,7 +30,12 @@
     ++number;
     if (line.empty() || line.front() == '#') continue;
     const auto fault = [&](const std::string& reason) {
-      errors->push_back(name + ":" + std::to_string(number) + ": " + reason);
+      std::string error = name;
+      error += ':';
+      error += std::to_string(number);
+      error += ": ";
+      error += reason;
+      errors->push_back(std::move(error));
     };
     if (line.size() > kMaxId) {
       fault("the id has " + std::to_string(line.size()) + " bytes, more than the maximum of " +
